--- /dev/null
+++ b/src/test/java/yewyoke/message/MessageCompatibilityTest.java
@@ -0,0 +1,318 @@
+package yewyoke.message;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import yewyoke.io.IoException;
+import yewyoke.io.ResultCode;
+import yewyoke.message.InstanceRecord.Stage;
+
+/**
+ * The bytes of each message between control plane and data plane and among control nodes, against
+ * golden files. Fields are numbered in the order in which they are declared, and processes of two
+ * versions talk to each other during an upgrade: so neither the type bytes nor the order, types and
+ * first values of the fields may change. Names of fields and classes are not written and are free.
+ */
+class MessageCompatibilityTest {
+    private static final String FOLDER = "/compatibility/messages/";
+
+    private static Stream<String> names() {
+        return SampleMessages.filled().keySet().stream();
+    }
+
+    private static byte[] golden(String file) throws IOException {
+        try (InputStream in =
+                MessageCompatibilityTest.class.getResourceAsStream(FOLDER + file + ".hex")) {
+            String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
+            return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
+        }
+    }
+
+    private static String hex(byte[] bytes) {
+        return HexFormat.of().formatHex(bytes);
+    }
+
+    @SuppressWarnings("unchecked")
+    private static <T extends Message> T read(String name) throws IOException {
+        return (T) MessageCodec.decode(golden(name));
+    }
+
+    @Test
+    void eachTypeHasItsByte() {
+        List<Integer> types = new ArrayList<>();
+        SampleMessages.filled().values().forEach(m -> types.add((int) MessageCodec.encode(m)[0]));
+        assertEquals(
+                List.of(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18), types);
+    }
+
+    @Test
+    void theByteAfterTheLastTypeIsRefused() {
+        IoException refused =
+                assertThrows(IoException.class, () -> MessageCodec.decode(new byte[] {19}));
+        assertEquals(ResultCode.BAD_MESSAGE, refused.code());
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void aFilledMessageIsWrittenAsTheGoldenBytes(String name) throws IOException {
+        assertEquals(
+                hex(golden(name)), hex(MessageCodec.encode(SampleMessages.filled().get(name))));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void goldenBytesAreReadAndWrittenAgainUnchanged(String name) throws IOException {
+        byte[] bytes = golden(name);
+        assertEquals(hex(bytes), hex(MessageCodec.encode(MessageCodec.decode(bytes))));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void aMessageAsCreatedIsWrittenAsTheGoldenBytes(String name) throws IOException {
+        assertEquals(
+                hex(golden(name + "-default")),
+                hex(MessageCodec.encode(SampleMessages.defaults().get(name))));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void goldenDefaultsAreReadAndWrittenAgainUnchanged(String name) throws IOException {
+        byte[] bytes = golden(name + "-default");
+        assertEquals(hex(bytes), hex(MessageCodec.encode(MessageCodec.decode(bytes))));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void aMessageWithoutFieldsIsReadWithTheirFirstValues(String name) throws IOException {
+        byte[] type = {golden(name)[0]};
+        assertEquals(
+                hex(golden(name + "-default")),
+                hex(MessageCodec.encode(MessageCodec.decode(type))));
+    }
+
+    private static void assertMember(String name, Member member) {
+        assertEquals(name + ":1", member.address);
+        assertEquals(name + ":2", member.control);
+        assertEquals("store-" + name, member.store);
+    }
+
+    private static void assertMembers(List<String> names, List<Member> members) {
+        assertEquals(names.size(), members.size());
+        for (int i = 0; i < names.size(); i++) {
+            assertMember(names.get(i), members.get(i));
+        }
+    }
+
+    private static void assertView(long epoch, View view) {
+        assertEquals(epoch, view.epoch);
+        assertMember("primary", view.primary);
+        assertMembers(List.of("replica-1", "replica-2"), view.replicas);
+        assertMembers(List.of("group-1", "group-2", "group-3"), view.group);
+        assertMembers(List.of("previous-1"), view.previous);
+    }
+
+    private static void assertSnapshot(Snapshot snapshot) {
+        assertArrayEquals(new byte[] {1, -2, 3}, snapshot.document);
+        assertEquals(1_003, snapshot.generation);
+        assertEquals(List.of("order-1", "order-2"), snapshot.orders);
+    }
+
+    private static void assertInstances(List<InstanceRecord> records) {
+        assertEquals(
+                List.of("i-ready", "i-lost", "i-draining", "i-gone"),
+                records.stream().map(r -> r.id).toList());
+        assertEquals(
+                List.of(Stage.READY, Stage.LOST, Stage.DRAINING, Stage.GONE),
+                records.stream().map(r -> r.stage).toList());
+        for (int i = 0; i < records.size(); i++) {
+            InstanceRecord record = records.get(i);
+            int number = 21 + i;
+            assertEquals("service-" + number, record.service);
+            assertEquals("10.0.0." + number + ":80", record.address);
+            assertEquals("zone-" + number, record.zone);
+            assertEquals(number + 100, record.capacity);
+            assertEquals("version-" + number, record.version);
+            assertEquals(number + 200, record.sequence);
+            assertEquals(number + 300, record.weights);
+            assertEquals(number, record.ordinal);
+        }
+    }
+
+    private static void assertLoad(int first, UpstreamLoad load) {
+        assertEquals(first, load.upstream);
+        assertEquals(first + 1, load.requests);
+        assertEquals(first + 2, load.tokens);
+    }
+
+    private static void assertPrompt(int first, KeptPrompt prompt) {
+        assertEquals(first, prompt.prompt);
+        assertEquals(first + 1, prompt.upstream);
+    }
+
+    private static void assertReport(LoadReport report) {
+        assertEquals("edge-1", report.balancer);
+        assertEquals(41, report.process);
+        assertEquals(42, report.sequence);
+        assertEquals(2, report.loads.size());
+        assertLoad(43, report.loads.get(0));
+        assertLoad(46, report.loads.get(1));
+        assertEquals(1, report.prompts.size());
+        assertPrompt(49, report.prompts.get(0));
+        assertEquals(51, report.epoch);
+        assertEquals(52, report.promptRevision);
+    }
+
+    private static void assertLoads(FleetLoads loads) {
+        assertEquals(61, loads.epoch);
+        assertTrue(loads.known);
+        assertEquals(1, loads.loads.size());
+        assertLoad(62, loads.loads.get(0));
+        assertEquals(2, loads.prompts.size());
+        assertPrompt(65, loads.prompts.get(0));
+        assertPrompt(67, loads.prompts.get(1));
+        assertEquals(69, loads.promptRevision);
+    }
+
+    @Test
+    void theStoredStateIsReadWhole() throws IOException {
+        StoredState state = read("stored-state");
+        assertEquals("store-own", state.store);
+        assertEquals(100, state.promised);
+        assertView(99, state.accepted);
+        assertSnapshot(state.snapshot);
+        assertInstances(state.instances);
+    }
+
+    @Test
+    void theMessagesOfACandidacyAreReadWhole() throws IOException {
+        Prepare prepare = read("prepare");
+        assertEquals(101, prepare.epoch);
+        assertMember("candidate", prepare.candidate);
+        assertTrue(prepare.trial);
+        Promise promise = read("promise");
+        assertTrue(promise.granted);
+        assertEquals(102, promise.promised);
+        assertMember("voter", promise.member);
+        assertView(98, promise.accepted);
+        assertInstances(promise.instances);
+        Install install = read("install");
+        assertEquals(103, install.epoch);
+        assertSnapshot(install.snapshot);
+        assertInstances(install.instances);
+    }
+
+    @Test
+    void theMessagesOfAPrimaryAreReadWhole() throws IOException {
+        assertView(104, MessageCompatibilityTest.<Accept>read("accept").view);
+        Replicate replicate = read("replicate");
+        assertEquals(105, replicate.epoch);
+        assertArrayEquals(new byte[] {9, 8, 7}, replicate.document);
+        assertEquals(1_005, replicate.generation);
+        assertEquals("order-5", replicate.order);
+        assertView(106, MessageCompatibilityTest.<Heartbeat>read("heartbeat").view);
+        assertEquals(107, MessageCompatibilityTest.<Resign>read("resign").epoch);
+        ShareInstances share = read("share-instances");
+        assertEquals(111, share.epoch);
+        assertInstances(share.instances);
+        assertTrue(share.durably);
+    }
+
+    @Test
+    void theAnswersOfAFollowerAreReadWhole() throws IOException {
+        Acknowledge acknowledge = read("acknowledge");
+        assertTrue(acknowledge.taken);
+        assertEquals(108, acknowledge.promised);
+        assertMember("follower", acknowledge.member);
+    }
+
+    @Test
+    void theMessagesOfAMemberThatComesOrGoesAreReadWhole() throws IOException {
+        assertMember("joiner", MessageCompatibilityTest.<Join>read("join").member);
+        assertView(110, MessageCompatibilityTest.<JoinReply>read("join-reply").view);
+        assertMember("leaver", MessageCompatibilityTest.<Leave>read("leave").member);
+        LeaveReply reply = read("leave-reply");
+        assertTrue(reply.released);
+        assertView(118, reply.view);
+        assertEquals("edge-16", MessageCompatibilityTest.<Alive>read("alive").name);
+    }
+
+    @Test
+    void thePollOfABalancerIsReadWhole() throws IOException {
+        Poll poll = read("poll");
+        assertEquals("edge-2", poll.balancer);
+        assertEquals("edge-2:1", poll.address);
+        assertEquals(List.of("edge-3", "edge-4"), poll.alive);
+        assertEquals(71, poll.memberRevision);
+        assertTrue(poll.leaving);
+        assertEquals(72, poll.epoch);
+        assertEquals(73, poll.generation);
+        assertEquals(74, poll.revision);
+        assertTrue(poll.complete);
+        assertEquals(75, poll.balancers);
+        assertEquals(1, poll.underWay.size());
+        assertEquals("i-draining", poll.underWay.get(0).instance);
+        assertEquals(76, poll.underWay.get(0).requests);
+        assertTrue(poll.immediate);
+        assertReport(poll.load);
+    }
+
+    @Test
+    void theReplyToAPollIsReadWhole() throws IOException {
+        PollReply reply = read("poll-reply");
+        assertTrue(reply.valid);
+        assertEquals("primary:1", reply.primary);
+        assertEquals(List.of("core-1:1", "core-2:1"), reply.members);
+        assertEquals(81, reply.epoch);
+        assertEquals(82, reply.generation);
+        assertArrayEquals(new byte[] {4, 5, -6}, reply.document);
+        assertEquals(83, reply.revision);
+        assertTrue(reply.whole);
+        assertTrue(reply.complete);
+        assertInstances(reply.instances);
+        assertEquals(84, reply.memberRevision);
+        assertEquals(1, reply.balancerList.size());
+        assertEquals("edge-5", reply.balancerList.get(0).name);
+        assertEquals("edge-5:1", reply.balancerList.get(0).address);
+        assertEquals(85, reply.balancers);
+        assertLoads(reply.loads);
+    }
+
+    @Test
+    void theMessagesOfQuotasAreReadWhole() throws IOException {
+        QuotaAsk ask = read("quota-ask");
+        assertEquals("tenant-1", ask.tenant);
+        assertEquals(91.5, ask.units);
+        assertReport(ask.load);
+        QuotaGrant grant = read("quota-grant");
+        assertTrue(grant.valid);
+        assertEquals(92.25, grant.units);
+        assertEquals(93, grant.waitMs);
+        assertLoads(grant.loads);
+    }
+
+    @Test
+    void anInstanceWithoutFieldsHasUnknownWeightsAndNoOrdinal() throws IOException {
+        // a record as an older process writes it: an id and nothing behind it
+        ShareInstances share =
+                (ShareInstances) MessageCodec.decode(HexFormat.of().parseHex("0b0807130a016914"));
+        InstanceRecord record = share.instances.get(0);
+        assertEquals("i", record.id);
+        assertEquals(-1, record.weights);
+        assertEquals(0, record.ordinal);
+        assertEquals(Stage.READY, record.stage);
+        assertNull(MessageCompatibilityTest.<StoredState>read("stored-state-default").accepted);
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/message/SampleMessages.java
@@ -0,0 +1,190 @@
+package yewyoke.message;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import yewyoke.message.InstanceRecord.Stage;
+
+/** A message of each type with every field set to a value of its own, and one as it is created. */
+final class SampleMessages {
+    private SampleMessages() {}
+
+    /** The messages by the names of their golden files, in the order of their type bytes. */
+    static Map<String, Message> filled() {
+        Map<String, Message> all = new LinkedHashMap<>();
+        all.put("stored-state", storedState());
+        all.put("prepare", Prepare.of(101, member("candidate"), true));
+        all.put("promise", promise());
+        all.put("install", Install.of(103, snapshot(), instances()));
+        all.put("accept", Accept.of(view(104)));
+        all.put("replicate", Replicate.of(105, new byte[] {9, 8, 7}, 1_005, "order-5"));
+        all.put("heartbeat", Heartbeat.of(view(106)));
+        all.put("resign", Resign.of(107));
+        all.put("acknowledge", Acknowledge.of(true, 108, member("follower")));
+        all.put("join", Join.of(member("joiner")));
+        all.put("join-reply", JoinReply.of(view(110)));
+        all.put("share-instances", ShareInstances.of(111, instances(), true));
+        all.put("poll", poll());
+        all.put("poll-reply", pollReply());
+        all.put("quota-ask", quotaAsk());
+        all.put("quota-grant", quotaGrant());
+        all.put("alive", Alive.of("edge-16"));
+        all.put("leave", Leave.of(member("leaver")));
+        all.put("leave-reply", LeaveReply.of(true, view(118)));
+        return all;
+    }
+
+    /** The messages as their types create them, by the same names. */
+    static Map<String, Message> defaults() {
+        Map<String, Message> all = new LinkedHashMap<>();
+        all.put("stored-state", new StoredState());
+        all.put("prepare", new Prepare());
+        all.put("promise", new Promise());
+        all.put("install", new Install());
+        all.put("accept", new Accept());
+        all.put("replicate", new Replicate());
+        all.put("heartbeat", new Heartbeat());
+        all.put("resign", new Resign());
+        all.put("acknowledge", new Acknowledge());
+        all.put("join", new Join());
+        all.put("join-reply", new JoinReply());
+        all.put("share-instances", new ShareInstances());
+        all.put("poll", new Poll());
+        all.put("poll-reply", new PollReply());
+        all.put("quota-ask", new QuotaAsk());
+        all.put("quota-grant", new QuotaGrant());
+        all.put("alive", new Alive());
+        all.put("leave", new Leave());
+        all.put("leave-reply", new LeaveReply());
+        return all;
+    }
+
+    static Member member(String name) {
+        return Member.of(name + ":1", name + ":2", "store-" + name);
+    }
+
+    static View view(long epoch) {
+        return View.of(
+                epoch,
+                member("primary"),
+                List.of(member("replica-1"), member("replica-2")),
+                List.of(member("group-1"), member("group-2"), member("group-3")),
+                List.of(member("previous-1")));
+    }
+
+    static Snapshot snapshot() {
+        return Snapshot.of(new byte[] {1, -2, 3}, 1_003, List.of("order-1", "order-2"));
+    }
+
+    /** A record in each stage; the stages' order is what is written. */
+    static List<InstanceRecord> instances() {
+        return List.of(
+                instance("i-ready", Stage.READY, 21),
+                instance("i-lost", Stage.LOST, 22),
+                instance("i-draining", Stage.DRAINING, 23),
+                instance("i-gone", Stage.GONE, 24));
+    }
+
+    private static InstanceRecord instance(String id, Stage stage, int ordinal) {
+        return InstanceRecord.of(
+                        id,
+                        "service-" + ordinal,
+                        "10.0.0." + ordinal + ":80",
+                        "zone-" + ordinal,
+                        ordinal + 100,
+                        "version-" + ordinal,
+                        stage,
+                        ordinal + 200)
+                .withOrdinal(ordinal)
+                .withWeights(ordinal + 300);
+    }
+
+    private static StoredState storedState() {
+        return StoredState.of("store-own", 100, view(99), snapshot()).withInstances(instances());
+    }
+
+    private static Promise promise() {
+        Promise promise = new Promise();
+        promise.granted = true;
+        promise.promised = 102;
+        promise.member = member("voter");
+        promise.accepted = view(98);
+        promise.instances.addAll(instances());
+        return promise;
+    }
+
+    private static LoadReport report() {
+        LoadReport report = new LoadReport();
+        report.balancer = "edge-1";
+        report.process = 41;
+        report.sequence = 42;
+        report.loads.add(UpstreamLoad.of(43, 44, 45));
+        report.loads.add(UpstreamLoad.of(46, 47, 48));
+        report.prompts.add(KeptPrompt.of(49, 50));
+        report.epoch = 51;
+        report.promptRevision = 52;
+        return report;
+    }
+
+    private static FleetLoads loads() {
+        FleetLoads loads = new FleetLoads();
+        loads.epoch = 61;
+        loads.known = true;
+        loads.loads.add(UpstreamLoad.of(62, 63, 64));
+        loads.prompts.add(KeptPrompt.of(65, 66));
+        loads.prompts.add(KeptPrompt.of(67, 68));
+        loads.promptRevision = 69;
+        return loads;
+    }
+
+    private static Poll poll() {
+        Poll poll = new Poll();
+        poll.balancer = "edge-2";
+        poll.address = "edge-2:1";
+        poll.alive.add("edge-3");
+        poll.alive.add("edge-4");
+        poll.memberRevision = 71;
+        poll.leaving = true;
+        poll.epoch = 72;
+        poll.generation = 73;
+        poll.revision = 74;
+        poll.complete = true;
+        poll.balancers = 75;
+        poll.underWay.add(UnderWay.of("i-draining", 76));
+        poll.immediate = true;
+        poll.load = report();
+        return poll;
+    }
+
+    private static PollReply pollReply() {
+        PollReply reply = new PollReply();
+        reply.valid = true;
+        reply.primary = "primary:1";
+        reply.members.add("core-1:1");
+        reply.members.add("core-2:1");
+        reply.epoch = 81;
+        reply.generation = 82;
+        reply.document = new byte[] {4, 5, -6};
+        reply.revision = 83;
+        reply.whole = true;
+        reply.complete = true;
+        reply.instances.addAll(instances());
+        reply.memberRevision = 84;
+        reply.balancerList.add(FleetMember.of("edge-5", "edge-5:1"));
+        reply.balancers = 85;
+        reply.loads = loads();
+        return reply;
+    }
+
+    private static QuotaAsk quotaAsk() {
+        QuotaAsk ask = QuotaAsk.of("tenant-1", 91.5);
+        ask.load = report();
+        return ask;
+    }
+
+    private static QuotaGrant quotaGrant() {
+        QuotaGrant grant = QuotaGrant.of(true, 92.25, 93);
+        grant.loads = loads();
+        return grant;
+    }
+}
