--- /dev/null
+++ b/src/test/java/yewyoke/control/GenerationStoreCompatibilityTest.java
@@ -0,0 +1,148 @@
+package yewyoke.control;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import yewyoke.configuration.Compression;
+import yewyoke.configuration.Configuration;
+import yewyoke.configuration.ConfigurationDocument;
+import yewyoke.message.InstanceRecord;
+import yewyoke.message.InstanceRecord.Stage;
+import yewyoke.message.StoredState;
+
+/**
+ * The state files of three control nodes, two generations of each, against golden files that the
+ * program has written. A node that is upgraded starts from the files of the version before it; so
+ * the names, the table, the checksum and the message in the files may not change.
+ */
+class GenerationStoreCompatibilityTest {
+    private static final Path GOLDEN = Path.of("src/test/resources/compatibility/state");
+
+    @TempDir Path folder;
+
+    private GenerationStore copyOf(String node) throws IOException {
+        for (Path file : files(GOLDEN.resolve(node))) {
+            Files.copy(file, folder.resolve(file.getFileName()));
+        }
+        return new GenerationStore(folder);
+    }
+
+    private static List<Path> files(Path place) throws IOException {
+        try (Stream<Path> files = Files.list(place)) {
+            return files.sorted().toList();
+        }
+    }
+
+    private static String name(long generation) {
+        return String.format("state-%016d.table", generation);
+    }
+
+    private static void assertContents(int node, long epoch, StoredState state) {
+        assertEquals("store-core-" + node, state.store);
+        assertEquals(epoch + 1, state.promised);
+        assertEquals(epoch, state.accepted.epoch);
+        assertEquals("10.0.0.1:8367", state.accepted.primary.address);
+        assertEquals("10.0.0.1:8368", state.accepted.primary.control);
+        assertEquals("store-core-1", state.accepted.primary.store);
+        assertEquals(1, state.accepted.replicas.size());
+        assertEquals("store-core-2", state.accepted.replicas.get(0).store);
+        assertEquals(
+                List.of("store-core-1", "store-core-2", "store-core-3"),
+                state.accepted.group.stream().map(m -> m.store).toList());
+        assertEquals(
+                List.of("store-core-1", "store-core-2"),
+                state.accepted.previous.stream().map(m -> m.store).toList());
+        assertEquals(17, state.snapshot.generation);
+        assertEquals(List.of("order-1", "order-" + node), state.snapshot.orders);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
+    void theNewestStateOfANodeIsRead(int node, long epoch, long generation) throws IOException {
+        GenerationStore store = copyOf("core-" + node);
+        assertContents(node, epoch, store.load());
+        assertEquals(name(generation), store.generations().get(0).file().getFileName().toString());
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {1, 2, 3})
+    void theConfigurationAndItsQuotasAreRead(int node) throws IOException {
+        StoredState state = copyOf("core-" + node).load();
+        Configuration configuration =
+                ConfigurationDocument.stored(
+                                Compression.inflate(state.snapshot.document),
+                                state.snapshot.generation)
+                        .configuration();
+        assertEquals(17, configuration.generation());
+        assertEquals("r2", configuration.route("h.example", "/b/x").name());
+        assertEquals(7.5, configuration.tenant("k1").ratePerSecond());
+        assertEquals(80.5, configuration.tenant("k1").burst());
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {1, 2, 3})
+    void theUpstreamsAreRead(int node) throws IOException {
+        List<InstanceRecord> records = copyOf("core-" + node).load().instances;
+        assertEquals(
+                List.of(Stage.READY, Stage.LOST, Stage.DRAINING, Stage.GONE),
+                records.stream().map(r -> r.stage).toList());
+        InstanceRecord draining = records.get(2);
+        assertEquals("i-" + node + "-2", draining.id);
+        assertEquals("s1", draining.service);
+        assertEquals("10.0.1.2:80", draining.address);
+        assertEquals("zone-2", draining.zone);
+        assertEquals(10, draining.capacity);
+        assertEquals("version-2", draining.version);
+        assertEquals(102, draining.sequence);
+        assertEquals(202, draining.weights);
+        assertEquals(3, draining.ordinal);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
+    void aNodeSavesOnAndLoadsAgain(int node, long epoch, long generation) throws IOException {
+        GenerationStore store = copyOf("core-" + node);
+        store.save(store.load().withPromised(99));
+        assertEquals(
+                List.of(name(generation), name(generation + 1)),
+                files(folder).stream().map(f -> f.getFileName().toString()).toList());
+        StoredState again = new GenerationStore(folder).load();
+        assertEquals(99, again.promised);
+        assertEquals(epoch, again.accepted.epoch);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
+    void aDamagedFileIsSetAsideAndTheGenerationBeforeIsUsed(int node, long epoch, long generation)
+            throws IOException {
+        GenerationStore store = copyOf("core-" + node);
+        Path newest = folder.resolve(name(generation));
+        byte[] bytes = Files.readAllBytes(newest);
+        bytes[bytes.length / 2] ^= 1;
+        Files.write(newest, bytes);
+        assertContents(node, epoch - 10, store.load());
+        assertFalse(Files.exists(newest));
+        Path aside = folder.resolve(name(generation) + ".damaged");
+        assertTrue(Files.exists(aside));
+        assertArrayEquals(bytes, Files.readAllBytes(aside));
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {1, 2, 3})
+    void aFreshSaveHasTheGoldenBytes(int node) throws IOException {
+        Path golden = files(GOLDEN.resolve("core-" + node)).get(1);
+        new GenerationStore(folder).save(GenerationStore.read(golden));
+        assertArrayEquals(Files.readAllBytes(golden), Files.readAllBytes(folder.resolve(name(1))));
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/dataplane/DataCommandCompatibilityTest.java
@@ -0,0 +1,52 @@
+package yewyoke.dataplane;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/**
+ * The words and exit codes of the data plane's command line. Start scripts and operators depend on
+ * them: 0 done, 1 failed with a numbered result, 2 the command line is wrong.
+ */
+class DataCommandCompatibilityTest {
+    private static final String SETTINGS = "src/test/resources/compatibility/settings/";
+
+    private static int run(String... arguments) {
+        return DataCommand.run(arguments);
+    }
+
+    @Test
+    void checkOfAGoodFileEndsWithZero() {
+        assertEquals(0, run("check", SETTINGS + "data.toml"));
+    }
+
+    @Test
+    void checkOfABadFileEndsWithOne() {
+        assertEquals(1, run("check", SETTINGS + "bad.toml"));
+    }
+
+    @Test
+    void checkOfAMissingFileEndsWithOne() {
+        assertEquals(1, run("check", SETTINGS + "missing.toml"));
+    }
+
+    @Test
+    void helpEndsWithZero() {
+        assertEquals(0, run("--help"));
+    }
+
+    @Test
+    void anUnknownVerbEndsWithTwo() {
+        assertEquals(2, run("no-such-verb"));
+    }
+
+    @Test
+    void anUnknownOptionEndsWithTwo() {
+        assertEquals(2, run("--no-such-option"));
+    }
+
+    @Test
+    void noVerbEndsWithTwo() {
+        assertEquals(2, run());
+    }
+}
