--- a/src/test/java/yewyoke/control/GenerationStoreCompatibilityTest.java
+++ b/src/test/java/yewyoke/control/GenerationStoreCompatibilityTest.java
@@ -9,7 +9,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.SplittableRandom;
 import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -145,4 +147,15 @@
         new GenerationStore(folder).save(GenerationStore.read(golden));
         assertArrayEquals(Files.readAllBytes(golden), Files.readAllBytes(folder.resolve(name(1))));
     }
+
+    @Test
+    void aStateOfSeveralPartsIsReadAndWrittenAgainUnchanged() throws IOException {
+        Path golden = GOLDEN.resolve("large").resolve(name(1));
+        byte[] document = new byte[20_000];
+        new SplittableRandom(5).nextBytes(document);
+        StoredState state = GenerationStore.read(golden);
+        assertArrayEquals(document, state.snapshot.document);
+        new GenerationStore(folder).save(state);
+        assertArrayEquals(Files.readAllBytes(golden), Files.readAllBytes(folder.resolve(name(1))));
+    }
 }
