--- a/src/test/java/yewyoke/DecisionScenario.java
+++ b/src/test/java/yewyoke/DecisionScenario.java
@@ -1,15 +1,5 @@
 package yewyoke;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.HexFormat;
-import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
 import yewyoke.Balancer.AttemptEnd;
 import yewyoke.Balancer.Effect;
 import yewyoke.Balancer.Limits;
@@ -28,9 +18,21 @@
 import yewyoke.Balancer.Tenant;
 import yewyoke.Balancer.Upstream;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
 /**
- * A group of balancers before simulated upstreams, wholly determined by a variant of the settings and a seed.
- * Upstreams slow down, fail, hang, reject, drain, restart and go; clients leave, peers talk, lists fail.
+ * A group of balancers before simulated upstreams, wholly determined by a variant of the settings
+ * and a seed. Upstreams slow down, fail, hang, reject, drain, restart and go; clients leave, peers
+ * talk, lists fail.
  */
 final class DecisionScenario {
     /** The variants of settings. */
@@ -42,13 +44,18 @@
 
     /** Every action called, a line each. */
     final StringBuilder log = new StringBuilder();
+
     /** How often each action was called. */
     final Map<String, Integer> counts = new TreeMap<>();
 
     private final String variant;
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private final List<Machine> machines = new ArrayList<>();
     private final List<Instance> group = new ArrayList<>();
     private long now = 1_000 * SECOND;
@@ -56,7 +63,7 @@
     private int handled;
     private int requests;
 
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long at, long number, Runnable what) {}
 
     /** One simulated upstream. */
     private static final class Machine {
@@ -88,12 +95,18 @@
         }
 
         private void line(String action, String rest) {
-            log.append(now).append(' ').append(position).append(' ').append(action).append(rest)
+            log.append(now)
+                    .append(' ')
+                    .append(position)
+                    .append(' ')
+                    .append(action)
+                    .append(rest)
                     .append('\n');
             counts.merge(action, 1, Integer::sum);
         }
 
-        @Override public void send(String request, String upstream, long timeout) {
+        @Override
+        public void send(String request, String upstream, long timeout) {
             line("send", " " + request + " " + upstream + " " + timeout);
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
             String id = request + "/" + attempt;
@@ -107,17 +120,26 @@
             Machine machine = machines.get(Integer.parseInt(upstream.substring(1)));
             machine.running++;
             double chance = random.nextDouble();
-            long work = Math.max(MILLI, open.get(request).expectedWork() == 0 ? 15 * MILLI
-                    : open.get(request).expectedWork());
-            long took = (long) (work * (0.7 + 0.6 * random.nextDouble())
-                    * (1 + machine.running / 4.0) * (machine.mode == 1 ? 8 : 1));
+            long work =
+                    Math.max(
+                            MILLI,
+                            open.get(request).expectedWork() == 0
+                                    ? 15 * MILLI
+                                    : open.get(request).expectedWork());
+            long took =
+                    (long)
+                            (work
+                                    * (0.7 + 0.6 * random.nextDouble())
+                                    * (1 + machine.running / 4.0)
+                                    * (machine.mode == 1 ? 8 : 1));
             Outcome outcome = Outcome.OK;
             if (machine.state == State.GONE || machine.mode == 2) {
                 outcome = chance < 0.8 ? Outcome.CONNECT_FAILED : Outcome.RESET;
                 took = 2 * MILLI;
             } else if (machine.mode == 3) {
                 took = 40 * SECOND;
-            } else if (machine.mode == 4 && chance < 0.7 || machine.running > 24
+            } else if (machine.mode == 4 && chance < 0.7
+                    || machine.running > 24
                     || machine.state == State.DRAINING && chance < 0.6) {
                 outcome = Outcome.FULL;
                 took = MILLI;
@@ -134,12 +156,14 @@
             Outcome ending = outcome;
             boolean stream = open.get(request).classIndex() == 0 && variant.equals("streams");
             if (stream && ending == Outcome.OK) {
-                after(took / 3, () -> {
-                    if (outstanding.contains(request + "/" + attempt)) {
-                        count();
-                        balancer.opened(now, request, attempt);
-                    }
-                });
+                after(
+                        took / 3,
+                        () -> {
+                            if (outstanding.contains(request + "/" + attempt)) {
+                                count();
+                                balancer.opened(now, request, attempt);
+                            }
+                        });
             }
             after(took, () -> end(request, attempt, ending));
         }
@@ -152,74 +176,106 @@
             Machine machine = machines.get(Integer.parseInt(where.get(id).substring(1)));
             machine.running--;
             count();
-            balancer.outcome(now, new AttemptEnd(request, attempt, machine.id, outcome,
-                    Math.max(1, now - sentAt.get(id)), outcome == Outcome.OK,
-                    outcome == Outcome.OK && !variant.equals("probing") ? report(machine) : null));
+            balancer.outcome(
+                    now,
+                    new AttemptEnd(
+                            request,
+                            attempt,
+                            machine.id,
+                            outcome,
+                            Math.max(1, now - sentAt.get(id)),
+                            outcome == Outcome.OK,
+                            outcome == Outcome.OK && !variant.equals("probing")
+                                    ? report(machine)
+                                    : null));
         }
 
-        @Override public void refuse(String request, long retryAfter) {
+        @Override
+        public void refuse(String request, long retryAfter) {
             line("refuse", " " + request + " " + retryAfter);
         }
 
-        @Override public void fail(String request) {
+        @Override
+        public void fail(String request) {
             line("fail", " " + request);
         }
 
-        @Override public void cancel(String request, int attempt) {
+        @Override
+        public void cancel(String request, int attempt) {
             line("cancel", " " + request + " " + attempt);
             after(MILLI / 2, () -> end(request, attempt, Outcome.CANCELLED));
         }
 
-        @Override public void timer(String token, long delay) {
+        @Override
+        public void timer(String token, long delay) {
             line("timer", " " + token + " " + delay);
-            after(delay, () -> {
-                count();
-                balancer.timer(now, token);
-            });
+            after(
+                    delay,
+                    () -> {
+                        count();
+                        balancer.timer(now, token);
+                    });
         }
 
-        @Override public void probe(String upstream) {
+        @Override
+        public void probe(String upstream) {
             line("probe", " " + upstream);
             Machine machine = machines.get(Integer.parseInt(upstream.substring(1)));
             boolean up = machine.state != State.GONE && machine.mode != 2 && machine.mode != 3;
-            after(up ? 3 * MILLI : 200 * MILLI, () -> {
-                count();
-                balancer.probed(now, upstream, up ? Outcome.OK : Outcome.TIMEOUT,
-                        up ? report(machine) : null);
-            });
+            after(
+                    up ? 3 * MILLI : 200 * MILLI,
+                    () -> {
+                        count();
+                        balancer.probed(
+                                now,
+                                upstream,
+                                up ? Outcome.OK : Outcome.TIMEOUT,
+                                up ? report(machine) : null);
+                    });
         }
 
-        @Override public void closeIdle(String upstream) {
+        @Override
+        public void closeIdle(String upstream) {
             line("close-idle", " " + upstream);
         }
 
-        @Override public void watch(boolean on) {
+        @Override
+        public void watch(boolean on) {
             line("watch", " " + on);
         }
 
-        @Override public void fetch() {
+        @Override
+        public void fetch() {
             line("fetch", "");
             boolean answered = random.nextInt(3) > 0;
-            after(20 * MILLI, () -> {
-                count();
-                balancer.upstreams(now, answered ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
-                        answered ? list() : List.of());
-            });
+            after(
+                    20 * MILLI,
+                    () -> {
+                        count();
+                        balancer.upstreams(
+                                now,
+                                answered ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
+                                answered ? list() : List.of());
+                    });
         }
 
-        @Override public void tell(int peer, byte[] body) {
+        @Override
+        public void tell(int peer, byte[] body) {
             line("tell", " " + peer + " " + HexFormat.of().formatHex(body));
             for (Instance to : group) {
                 if (to != this && (peer < 0 || peer == to.position)) {
-                    after(2 * MILLI + random.nextLong(2 * MILLI), () -> {
-                        count();
-                        to.balancer.peerMessage(now, position, body);
-                    });
+                    after(
+                            2 * MILLI + random.nextLong(2 * MILLI),
+                            () -> {
+                                count();
+                                to.balancer.peerMessage(now, position, body);
+                            });
                 }
             }
         }
 
-        @Override public void log(String text) {
+        @Override
+        public void log(String text) {
             line("log", " " + text);
         }
     }
@@ -265,29 +321,76 @@
         }
     }
 
+    private List<RequestClass> classes() {
+        boolean streams = variant.equals("streams");
+        boolean tenants = variant.equals("tenants");
+        boolean peers = variant.equals("peers");
+        return List.of(
+                new RequestClass(
+                        SECOND / 2, 0, 2 * SECOND, 1, 0.5, Effect.SAFE, Scope.ALL, SECOND, streams),
+                new RequestClass(
+                        SECOND / 4,
+                        tenants ? 2 : 0,
+                        SECOND,
+                        2,
+                        0,
+                        Effect.KEYED,
+                        peers ? Scope.CELL : Scope.ZONE,
+                        2 * SECOND,
+                        false),
+                new RequestClass(
+                        SECOND, 0, 3 * SECOND, 3, 0.2, Effect.UNSAFE, Scope.ZONE, 0, false),
+                new RequestClass(
+                        SECOND / 3, 0, SECOND, 0.5, 0.1, Effect.KEYED, Scope.ALL, SECOND, false));
+    }
+
     private Settings settings(int position, int balancers) {
         boolean streams = variant.equals("streams");
         boolean tenants = variant.equals("tenants");
         boolean probing = variant.equals("probing");
         boolean peers = variant.equals("peers");
         boolean alone = variant.equals("alone");
-        List<RequestClass> classes = List.of(
-                new RequestClass(SECOND / 2, 0, 2 * SECOND, 1, 0.5, Effect.SAFE, Scope.ALL, SECOND, streams),
-                new RequestClass(SECOND / 4, tenants ? 2 : 0, SECOND, 2, 0, Effect.KEYED,
-                        peers ? Scope.CELL : Scope.ZONE, 2 * SECOND, false),
-                new RequestClass(SECOND, 0, 3 * SECOND, 3, 0.2, Effect.UNSAFE, Scope.ZONE, 0, false),
-                new RequestClass(SECOND / 3, 0, SECOND, 0.5, 0.1, Effect.KEYED, Scope.ALL, SECOND, false));
-        List<Tenant> shares = tenants
-                ? List.of(new Tenant(60, 0.5), new Tenant(25, 0.3), new Tenant(0, 0.2)) : List.of();
-        return new Settings(position % 3, 3, position, balancers, classes, shares, 0.2, tenants,
-                new Limits(streams ? 2 : 4, !alone, probing || peers, !tenants, peers, tenants ? 60 : 20_000,
-                        tenants || alone, 3 * SECOND, SECOND / 4, 10 * SECOND, streams ? 8 : 1),
+        List<RequestClass> classes = classes();
+        List<Tenant> shares =
+                tenants
+                        ? List.of(new Tenant(60, 0.5), new Tenant(25, 0.3), new Tenant(0, 0.2))
+                        : List.of();
+        return new Settings(
+                position % 3,
+                3,
+                position,
+                balancers,
+                classes,
+                shares,
+                0.2,
+                tenants,
+                new Limits(
+                        streams ? 2 : 4,
+                        !alone,
+                        probing || peers,
+                        !tenants,
+                        peers,
+                        tenants ? 60 : 20_000,
+                        tenants || alone,
+                        3 * SECOND,
+                        SECOND / 4,
+                        10 * SECOND,
+                        streams ? 8 : 1),
                 new RuleFigures(20 * MILLI, SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND),
-                new Prices(streams ? 0.05 : 0, 0.1, probing ? 0.0001 : 0.01, peers ? 0.0001 : 0.01, 0.05,
+                new Prices(
+                        streams ? 0.05 : 0,
+                        0.1,
+                        probing ? 0.0001 : 0.01,
+                        peers ? 0.0001 : 0.01,
+                        0.05,
                         alone ? 0.01 : 0),
                 probing ? Reports.BY_PROBE : alone ? Reports.NONE : Reports.IN_ANSWERS,
-                streams ? Ratings.NOMINAL : tenants ? Ratings.LIVE : peers ? Ratings.ROUGH : Ratings.NONE,
-                probing || tenants, peers || streams, 5 * MILLI);
+                streams
+                        ? Ratings.NOMINAL
+                        : tenants ? Ratings.LIVE : peers ? Ratings.ROUGH : Ratings.NONE,
+                probing || tenants,
+                peers || streams,
+                5 * MILLI);
     }
 
     private void after(long delay, Runnable what) {
@@ -299,7 +402,13 @@
     }
 
     private Upstream entry(Machine m) {
-        return new Upstream(m.id, m.index % 3, m.index % 2, m.index % 4, m.state, 1 + m.index % 3,
+        return new Upstream(
+                m.id,
+                m.index % 3,
+                m.index % 2,
+                m.index % 4,
+                m.state,
+                1 + m.index % 3,
                 m.launchedAt);
     }
 
@@ -312,10 +421,19 @@
         if (kind == 0) {
             return null;
         }
-        double utilisation = kind == 1 ? Double.NaN : kind == 2 ? 1e9
-                : Math.min(1.1, m.running / 20.0 + 0.1 * random.nextDouble());
-        return new LoadReport(utilisation, m.running, Math.max(0, m.running - 8),
-                15 * MILLI * (1 + m.running / 8.0), 50, m.mode == 5 ? 20 : 0);
+        double utilisation =
+                kind == 1
+                        ? Double.NaN
+                        : kind == 2
+                                ? 1e9
+                                : Math.min(1.1, m.running / 20.0 + 0.1 * random.nextDouble());
+        return new LoadReport(
+                utilisation,
+                m.running,
+                Math.max(0, m.running - 8),
+                15 * MILLI * (1 + m.running / 8.0),
+                50,
+                m.mode == 5 ? 20 : 0);
     }
 
     /** A client's request; the rate swings from calm to more than the upstreams can serve. */
@@ -326,23 +444,35 @@
         String key = random.nextInt(3) == 0 ? "k" + random.nextInt(12) : null;
         long work = random.nextInt(4) == 0 ? 0 : 5 * MILLI + random.nextLong(40 * MILLI);
         long left = random.nextInt(10) == 0 ? 60 * MILLI : 2 * SECOND;
-        Request request = new Request(id, cls, variant.equals("tenants") ? random.nextInt(3) : 0, key,
-                work, left, random.nextInt(5) == 0, random.nextInt(20) == 0);
+        Request request =
+                new Request(
+                        id,
+                        cls,
+                        variant.equals("tenants") ? random.nextInt(3) : 0,
+                        key,
+                        work,
+                        left,
+                        random.nextInt(5) == 0,
+                        random.nextInt(20) == 0);
         at.open.put(id, request);
         count();
         at.balancer.request(now, request);
         if (random.nextInt(25) == 0) {
-            after(1 + random.nextLong(300 * MILLI), () -> {
-                count();
-                at.balancer.clientGone(now, id);
-            });
+            after(
+                    1 + random.nextLong(300 * MILLI),
+                    () -> {
+                        count();
+                        at.balancer.clientGone(now, id);
+                    });
         }
         boolean crowd = now / (4 * SECOND) % 4 == 3;
         long gap = (crowd ? 6 : 40) * MILLI * 6 / machines.size();
         after(random.nextLong(Math.max(2, gap)), this::arrive);
     }
 
-    /** Something happens to a machine, and as a rule the balancers hear of it from the list, late. */
+    /**
+     * Something happens to a machine, and as a rule the balancers hear of it from the list, late.
+     */
     private void disturb() {
         Machine m = machines.get(random.nextInt(machines.size()));
         int what = random.nextInt(14);
@@ -361,17 +491,21 @@
         if (what >= 9) {
             Upstream told = entry(m);
             for (Instance instance : group) {
-                after(random.nextLong(300 * MILLI), () -> {
-                    count();
-                    instance.balancer.upstreams(now, ListKind.CHANGES, List.of(told));
-                });
+                after(
+                        random.nextLong(300 * MILLI),
+                        () -> {
+                            count();
+                            instance.balancer.upstreams(now, ListKind.CHANGES, List.of(told));
+                        });
             }
         }
         if (random.nextInt(12) == 0) {
             Instance instance = group.get(random.nextInt(group.size()));
             boolean whole = random.nextBoolean();
             count();
-            instance.balancer.upstreams(now, whole ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
+            instance.balancer.upstreams(
+                    now,
+                    whole ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
                     whole ? list() : List.of());
         }
         after(50 * MILLI + random.nextLong(500 * MILLI), this::disturb);
--- /dev/null
+++ b/src/test/java/yewyoke/command/AdminCompatibilityTest.java
@@ -0,0 +1,181 @@
+package yewyoke.command;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.json.JsonMapper;
+
+import io.netty.util.concurrent.DefaultPromise;
+import io.netty.util.concurrent.Future;
+import io.netty.util.concurrent.GlobalEventExecutor;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+import yewyoke.Golden;
+import yewyoke.node.Status;
+
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.time.Instant;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.function.Supplier;
+import java.util.logging.Level;
+import java.util.logging.LogRecord;
+
+/**
+ * Pins what operators' tools read: names, labels and values of the figures, answers to each path,
+ * and lines of the log. Dashboards, alerts and searches go by these names.
+ */
+@Timeout(60)
+class AdminCompatibilityTest {
+    private static Status status() {
+        Map<String, Long> attempts = new LinkedHashMap<>();
+        for (String end :
+                new String[] {
+                    "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"
+                }) {
+            attempts.put(end, 20L + attempts.size());
+        }
+        return new Status(
+                true,
+                2,
+                3,
+                4,
+                5,
+                6,
+                Map.of("served", 10L, "refused", 11L, "failed", 12L, "left", 13L),
+                attempts);
+    }
+
+    private static Admin admin(Supplier<Future<Status>> balancer) {
+        return new Admin(new InetSocketAddress("127.0.0.1", 0), "b0", balancer, null, null, null);
+    }
+
+    private static Future<Status> known() {
+        return new DefaultPromise<Status>(GlobalEventExecutor.INSTANCE).setSuccess(status());
+    }
+
+    private static HttpResponse<String> ask(Admin admin, String method, String path)
+            throws Exception {
+        HttpRequest request =
+                HttpRequest.newBuilder(
+                                URI.create("http://127.0.0.1:" + admin.address().getPort() + path))
+                        .method(method, HttpRequest.BodyPublishers.noBody())
+                        .build();
+        return HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString());
+    }
+
+    @Test
+    void figuresHaveTheirNamesLabelsAndValues() throws Exception {
+        try (Admin admin = admin(AdminCompatibilityTest::known)) {
+            HttpResponse<String> answer = ask(admin, "GET", "/metrics");
+            StringBuilder lines = new StringBuilder();
+            lines.append(answer.headers().firstValue("content-type").orElse("")).append('\n');
+            answer.body()
+                    .lines()
+                    .filter(l -> l.startsWith("yewyoke_") || l.matches("# .* yewyoke_.*"))
+                    .forEach(l -> lines.append(l).append('\n'));
+            Golden.assertMatches("command/metrics.txt", lines.toString());
+        }
+    }
+
+    /**
+     * The figures of the process itself: their names and types alone, since their values are the
+     * JVM's.
+     */
+    @Test
+    void figuresOfTheProcessHaveTheirNames() throws Exception {
+        try (Admin admin = admin(AdminCompatibilityTest::known)) {
+            TreeSet<String> names = new TreeSet<>();
+            ask(admin, "GET", "/metrics")
+                    .body()
+                    .lines()
+                    .filter(l -> l.startsWith("# TYPE"))
+                    .forEach(names::add);
+            Golden.assertMatches("command/metric-types.txt", String.join("\n", names) + "\n");
+        }
+    }
+
+    @Test
+    void everyPathAnswersAsItDid() throws Exception {
+        try (Admin admin = admin(AdminCompatibilityTest::known)) {
+            StringBuilder lines = new StringBuilder();
+            for (String asked :
+                    new String[] {
+                        "GET /members",
+                        "GET /agreement",
+                        "GET /work",
+                        "GET /other",
+                        "GET /",
+                        "POST /work",
+                        "POST /other"
+                    }) {
+                HttpResponse<String> answer = ask(admin, asked.split(" ")[0], asked.split(" ")[1]);
+                lines.append(asked)
+                        .append(": ")
+                        .append(answer.statusCode())
+                        .append(' ')
+                        .append(answer.headers().firstValue("content-type").orElse(""))
+                        .append(' ')
+                        .append(answer.body());
+            }
+            Golden.assertMatches("command/admin-answers.txt", lines.toString());
+        }
+    }
+
+    @Test
+    void aBalancerThatIsBusyIsAnsweredAsItWas() throws Exception {
+        try (Admin admin = admin(() -> new DefaultPromise<>(GlobalEventExecutor.INSTANCE))) {
+            HttpResponse<String> answer = ask(admin, "GET", "/metrics");
+            Golden.assertMatches(
+                    "command/admin-busy.txt", answer.statusCode() + " " + answer.body());
+        }
+    }
+
+    @Test
+    void aLineOfTheLogHasItsFields() throws Exception {
+        StringBuilder lines = new StringBuilder();
+        for (String logger :
+                new String[] {
+                    "yewyoke.node.Driver",
+                    "yewyoke.fleet.member.Core",
+                    "yewyoke.Balance",
+                    "io.netty.Other"
+                }) {
+            for (Level level : new Level[] {Level.SEVERE, Level.WARNING, Level.INFO, Level.FINE}) {
+                LogRecord line = new LogRecord(level, "member \"lost\"\nb3");
+                line.setLoggerName(logger);
+                line.setInstant(Instant.ofEpochSecond(1_700_000_000L, 123_456_000));
+                line.setParameters(new Object[] {Map.of("view", 7L), Map.of("why", "silent")});
+                lines.append(new JsonLines("b1").format(line).strip()).append('\n');
+            }
+        }
+        Golden.assertMatches("command/log-lines.txt", lines.toString());
+    }
+
+    /** An exception's fields; of the stack only that it is there, since it has lines of the JVM. */
+    @Test
+    void aLineOfTheLogHasTheFieldsOfAnException() throws Exception {
+        LogRecord line = new LogRecord(Level.WARNING, "gone");
+        line.setLoggerName("yewyoke.node.Driver");
+        line.setInstant(Instant.ofEpochSecond(1_700_000_000L));
+        line.setThrown(new IllegalStateException("cause"));
+        JsonNode read = JsonMapper.builder().build().readTree(new JsonLines("b1").format(line));
+        StringBuilder fields = new StringBuilder();
+        read.fields()
+                .forEachRemaining(
+                        f ->
+                                fields.append(f.getKey())
+                                        .append(" = ")
+                                        .append(
+                                                f.getKey().equals("stack")
+                                                        ? f.getValue().getNodeType()
+                                                        : f.getValue())
+                                        .append('\n'));
+        Golden.assertMatches("command/log-line-exception.txt", fields.toString());
+    }
+}
