--- a/src/test/java/yewyoke/DecisionScenario.java
+++ b/src/test/java/yewyoke/DecisionScenario.java
@@ -37,7 +37,19 @@
 final class DecisionScenario {
     /** The variants of settings. */
     static final List<String> VARIANTS =
-            List.of("alone", "reports", "probing", "peers", "tenants", "streams");
+            List.of(
+                    "alone", "reports", "probing", "peers", "tenants", "streams", "many", "hedges",
+                    "asking");
+
+    /** Upstreams, where they are not 16. */
+    private static final Map<String, Integer> SIZES =
+            Map.of("peers", 30, "alone", 6, "many", 30, "hedges", 6, "asking", 8);
+
+    /** Variants with one balancer in place of three. */
+    private static final Set<String> ALONE = Set.of("alone", "tenants", "hedges");
+
+    /** What balancers are told of the size of their group, where it is not the true one. */
+    private static final Map<String, Integer> STATED = Map.of("many", 16, "asking", 64);
 
     private static final long MILLI = 1_000;
     private static final long SECOND = 1_000_000;
@@ -185,7 +197,9 @@
                             outcome,
                             Math.max(1, now - sentAt.get(id)),
                             outcome == Outcome.OK,
-                            outcome == Outcome.OK && !variant.equals("probing")
+                            outcome == Outcome.OK
+                                            && !variant.equals("probing")
+                                            && !variant.equals("asking")
                                     ? report(machine)
                                     : null));
         }
@@ -298,15 +312,19 @@
     }
 
     private void run(long seed, int length) {
-        int size = variant.equals("peers") ? 30 : variant.equals("alone") ? 6 : 16;
+        int size = SIZES.getOrDefault(variant, 16);
         for (int i = 0; i < size; i++) {
             machines.add(new Machine(i));
         }
-        int balancers = variant.equals("alone") || variant.equals("tenants") ? 1 : 3;
+        int balancers = ALONE.contains(variant) ? 1 : 3;
         for (int i = 0; i < balancers; i++) {
             Instance instance = new Instance(i);
             group.add(instance);
-            instance.balancer = new Balance(settings(i, balancers), seed * 31 + i, instance);
+            instance.balancer =
+                    new Balance(
+                            settings(i, STATED.getOrDefault(variant, balancers)),
+                            seed * 31 + i,
+                            instance);
         }
         for (Instance instance : group) {
             instance.balancer.start(now);
@@ -324,7 +342,7 @@
     private List<RequestClass> classes() {
         boolean streams = variant.equals("streams");
         boolean tenants = variant.equals("tenants");
-        boolean peers = variant.equals("peers");
+        boolean peers = variant.equals("peers") || variant.equals("many");
         return List.of(
                 new RequestClass(
                         SECOND / 2, 0, 2 * SECOND, 1, 0.5, Effect.SAFE, Scope.ALL, SECOND, streams),
@@ -347,8 +365,8 @@
     private Settings settings(int position, int balancers) {
         boolean streams = variant.equals("streams");
         boolean tenants = variant.equals("tenants");
-        boolean probing = variant.equals("probing");
-        boolean peers = variant.equals("peers");
+        boolean probing = variant.equals("probing") || variant.equals("asking");
+        boolean peers = variant.equals("peers") || variant.equals("many");
         boolean alone = variant.equals("alone");
         List<RequestClass> classes = classes();
         List<Tenant> shares =
@@ -380,7 +398,7 @@
                 new Prices(
                         streams ? 0.05 : 0,
                         0.1,
-                        probing ? 0.0001 : 0.01,
+                        variant.equals("asking") ? 0.004 : probing ? 0.0001 : 0.01,
                         peers ? 0.0001 : 0.01,
                         0.05,
                         alone ? 0.01 : 0),
@@ -508,6 +526,7 @@
                     whole ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
                     whole ? list() : List.of());
         }
-        after(50 * MILLI + random.nextLong(500 * MILLI), this::disturb);
+        long pause = variant.equals("hedges") ? 6 * SECOND : 0;
+        after(pause + 50 * MILLI + random.nextLong(500 * MILLI), this::disturb);
     }
 }
