--- /dev/null
+++ b/src/test/java/yewyoke/fleet/agree/DatagramCompatibilityTest.java
@@ -0,0 +1,198 @@
+package yewyoke.fleet.agree;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+import yewyoke.fleet.GoldenFile;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Pins the datagrams and snapshots of the agreement: field names and order, names of kinds, lives,
+ * terms, flags. Processes of two builds vote and copy logs between them during a rolling update, so
+ * each has to read what the other writes.
+ */
+class DatagramCompatibilityTest {
+    private static final GoldenFile GOLDEN = new GoldenFile("agree-datagrams.txt");
+    private static final Life ME = new Life("b0", 0x7edcba9876543210L);
+    private static final Life OTHER = new Life("b1", 0x1234);
+    private static final Term TERM = new Term(1_700_000_000_123L, 5);
+    private static final Term BEFORE = new Term(1_700_000_000_123L, 4);
+    private static final byte[] COMMAND = {0, 1, -1, 'x'};
+    private static final Map<String, Long> CHANGE = new TreeMap<>(Map.of("b1", 0x1234L, "b2", 0L));
+
+    private static Message plain(Message.Kind kind) {
+        return Message.of(kind, ME, OTHER, TERM, 17, BEFORE, 42);
+    }
+
+    private static Entry entry(Entry.Kind kind) {
+        boolean command = kind == Entry.Kind.COMMAND;
+        boolean view = kind == Entry.Kind.FOUND || kind == Entry.Kind.VIEW;
+        return new Entry(
+                18 + kind.ordinal(),
+                TERM,
+                kind,
+                view ? CHANGE : Map.of(),
+                null,
+                command ? OTHER : null,
+                9,
+                command ? COMMAND : null);
+    }
+
+    /** Arrays compare by identity in records, so the parts are compared one by one. */
+    private static void assertSame(Entry expected, Entry read) {
+        assertEquals(expected.index(), read.index());
+        assertEquals(expected.term(), read.term());
+        assertEquals(expected.kind(), read.kind());
+        assertEquals(expected.change(), read.change());
+        assertEquals(expected.by(), read.by());
+        assertEquals(expected.number(), read.number());
+        assertArrayEquals(expected.command(), read.command());
+    }
+
+    private static void check(String name, Message m) throws Exception {
+        GOLDEN.assertWritten(name, Wire.write("dhaka", m));
+        Message read = Wire.read(GOLDEN.bytes(name), "dhaka");
+        assertEquals(m.kind(), read.kind());
+        assertEquals(m.from(), read.from());
+        assertEquals(m.to(), read.to());
+        assertEquals(m.term(), read.term());
+        assertEquals(m.index(), read.index());
+        assertEquals(m.at(), read.at());
+        assertEquals(m.number(), read.number());
+        assertEquals(m.offset(), read.offset());
+        assertEquals(m.total(), read.total());
+        assertEquals(m.yes(), read.yes());
+        assertEquals(m.voter(), read.voter());
+        assertEquals(m.ripe(), read.ripe());
+        assertEquals(m.cut(), read.cut());
+        assertArrayEquals(m.bytes(), read.bytes());
+        assertEquals(m.entries().size(), read.entries().size());
+        for (int i = 0; i < m.entries().size(); i++) {
+            assertSame(m.entries().get(i), read.entries().get(i));
+        }
+        assertTrue(Wire.isOurs(GOLDEN.bytes(name)));
+    }
+
+    private static String refusal(String datagram) {
+        byte[] bytes = datagram.getBytes(StandardCharsets.UTF_8);
+        return assertThrows(Wire.Refused.class, () -> Wire.read(bytes, "dhaka")).getMessage();
+    }
+
+    @ParameterizedTest
+    @EnumSource(Message.Kind.class)
+    void eachKindOfMessageKeepsItsBytes(Message.Kind kind) throws Exception {
+        check("kind " + kind.ordinal(), plain(kind));
+    }
+
+    @ParameterizedTest
+    @EnumSource(Entry.Kind.class)
+    void eachKindOfEntryKeepsItsBytes(Entry.Kind kind) throws Exception {
+        check("entry " + kind.ordinal(), plain(Message.Kind.APPEND).with(List.of(entry(kind)), 16));
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
+    void eachSetOfFlagsKeepsItsBytes(int flags) throws Exception {
+        Message say = plain(Message.Kind.SAY);
+        check("flags " + flags, say.says((flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0));
+    }
+
+    @Test
+    void aFirstWordHasNoReceiverAndNoTerm() throws Exception {
+        check("first word", Message.of(Message.Kind.ASK, ME, null, Term.NONE, -1, Term.NONE, 0));
+    }
+
+    @Test
+    void aMessageWithAllFieldsKeepsItsBytes() throws Exception {
+        check(
+                "all fields",
+                plain(Message.Kind.APPEND)
+                        .with(COMMAND, 1_000, 2_000)
+                        .with(Arrays.stream(Entry.Kind.values()).map(k -> entry(k)).toList(), 7)
+                        .with(CHANGE)
+                        .says(true, true, true));
+    }
+
+    @Test
+    void aPartOfASnapshotKeepsItsBytes() throws Exception {
+        byte[] part = new byte[900];
+        Arrays.fill(part, (byte) 0xA5);
+        check("part of a snapshot", plain(Message.Kind.SNAPSHOT).with(part, 900, 1_800));
+    }
+
+    @Test
+    void aSnapshotKeepsItsBytes() throws Exception {
+        Map<Life, Long> taken = new LinkedHashMap<>();
+        taken.put(OTHER, 9L);
+        taken.put(ME, 0L);
+        View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", ME.life()));
+        GOLDEN.assertWritten("snapshot", Wire.write(new Wire.Snapshot(view, taken, COMMAND)));
+        Wire.Snapshot read = Wire.snapshot(GOLDEN.bytes("snapshot"));
+        assertEquals(view, read.view());
+        assertEquals(List.copyOf(taken.entrySet()), List.copyOf(read.taken().entrySet()));
+        assertArrayEquals(COMMAND, read.machine());
+    }
+
+    @ParameterizedTest
+    @EnumSource(Entry.Kind.class)
+    void theSizeOfAnEntryIsTheOneThatPackingCountsOn(Entry.Kind kind) {
+        String size = Integer.toString(Wire.size(entry(kind)));
+        GOLDEN.assertWritten("size of entry " + kind.ordinal(), size);
+    }
+
+    @Test
+    void aDatagramOfTheGossipIsNotOurs() {
+        byte[] gossip = "{\"v\":1,\"fleet\":\"dhaka\"}".getBytes(StandardCharsets.UTF_8);
+        assertFalse(Wire.isOurs(gossip));
+    }
+
+    @Test
+    void anotherVersionIsRefusedAsSuch() {
+        assertEquals("version", refusal(GOLDEN.text("kind 0").replace("\"v\":1", "\"v\":2")));
+    }
+
+    @Test
+    void anotherFleetIsRefusedAsForeign() {
+        assertEquals("foreign", refusal(GOLDEN.text("kind 0").replace("dhaka", "delhi")));
+    }
+
+    @Test
+    void anUnknownFieldIsRefusedAsMalformed() {
+        assertEquals("malformed", refusal(GOLDEN.text("kind 0").replace("\"no\"", "\"number\"")));
+    }
+
+    @Test
+    void theNamesOfNotesInTheLogStay() {
+        assertEquals(
+                "[LEADS, LEADS_NO_MORE, FOUNDED, VIEW, RESTORED, CUT_OFF, JOINED]",
+                Arrays.toString(Note.Kind.values()));
+    }
+
+    @Test
+    void aLifeIsShownAsNameAndHexadecimalNumber() {
+        assertEquals("b1/1234", OTHER.toString());
+    }
+
+    @Test
+    void theFiguresThatHoldUnlessConfiguredStay() {
+        List<String> council = List.of("b0", "b1", "b2");
+        assertEquals(
+                new AgreeSettings(
+                        "dhaka", council, 200_000, 800_000, 3_000_000, 3_000_000, 256, 1_400),
+                AgreeSettings.of("dhaka", council));
+    }
+}
