--- /dev/null
+++ b/src/test/java/yewyoke/fleet/work/RecordedFleet.java
@@ -0,0 +1,313 @@
+package yewyoke.fleet.work;
+
+import static yewyoke.fleet.member.VirtualFleet.names;
+
+import yewyoke.fleet.agree.AgreeSettings;
+import yewyoke.fleet.agree.Agreement;
+import yewyoke.fleet.agree.Life;
+import yewyoke.fleet.agree.Note;
+import yewyoke.fleet.agree.Point;
+import yewyoke.fleet.agree.Token;
+import yewyoke.fleet.member.Event;
+import yewyoke.fleet.member.Membership;
+import yewyoke.fleet.member.Meta;
+import yewyoke.fleet.member.Settings;
+import yewyoke.lab.fault.LinkFault;
+import yewyoke.lab.virtual.Core;
+import yewyoke.lab.virtual.World;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HashSet;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * Processes with a membership, an agreement and work on machines each, in virtual time, whose
+ * actions are recorded by layer: each datagram with time, sender, receiver and bytes, each timer,
+ * each event. No line holds the name of a class or of a field, so that renaming changes no digest.
+ */
+final class RecordedFleet {
+    static final long SECOND = 1_000_000;
+    private static final LinkFault LAN = new LinkFault(false, 200, 300, 0.01, 0.01, 0);
+    private static final int MACHINES = 6;
+
+    final World world;
+    final Map<String, Node> nodes = new LinkedHashMap<>();
+    final Map<String, Integer> lines = new TreeMap<>();
+    final Map<String, String> firsts = new TreeMap<>();
+    private final Map<String, MessageDigest> digests = new TreeMap<>();
+    private final SplittableRandom lives;
+    private final int members;
+
+    RecordedFleet(long seed, int members) {
+        this.world = new World(seed, LAN);
+        this.lives = new SplittableRandom(seed);
+        this.members = members;
+        for (String name : names(members)) {
+            world.add(
+                    name,
+                    (p, itsSeed, actions) -> {
+                        Node node = new Node(p, itsSeed, actions);
+                        nodes.put(p, node);
+                        return node;
+                    });
+        }
+    }
+
+    void run(long micros) {
+        world.run(world.now() + micros);
+    }
+
+    /** The SHA-256 of all lines of a layer so far, after their number. */
+    String digest(String layer) {
+        try {
+            MessageDigest copy = (MessageDigest) digests.get(layer).clone();
+            return lines.get(layer) + " lines, " + HexFormat.of().formatHex(copy.digest());
+        } catch (CloneNotSupportedException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private void record(String layer, String process, String what) {
+        String line = world.now() + " " + process + " " + what + "\n";
+        digests.computeIfAbsent(layer, l -> sha256()).update(line.getBytes(StandardCharsets.UTF_8));
+        lines.merge(layer, 1, Integer::sum);
+    }
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    /** Hands in a plan of all machines by way of a process. */
+    void plan(String process, int atOnce) {
+        Terms terms =
+                new Terms(
+                        "patch", MACHINES, atOnce, atOnce, Terms.Apart.NOTHING, 50, MACHINES, 0, 0);
+        Node node = nodes.get(process);
+        node.agreement.propose(node.now, Command.plan(terms).write());
+        for (int i = 0; i < MACHINES; i++) {
+            Part part = new Part("h" + i, "u" + i, null, i % 2, 0, i / 4, 3);
+            node.agreement.propose(node.now, Command.part("patch", part).write());
+        }
+    }
+
+    /** Tells a process of operators' or workers' wishes. */
+    void propose(String process, Step step) {
+        Node node = nodes.get(process);
+        node.work.propose(node.now, step);
+    }
+
+    /** One life of a process. */
+    final class Node implements Core, Agreement.Out, Membership.Out, Work.Out {
+        final Agreement agreement;
+        final Agenda agenda = new Agenda();
+        final Work work;
+        long now;
+        private final String process;
+        private final Actions actions;
+        private final Membership membership;
+        private boolean changed = true;
+
+        Node(String process, long seed, Actions actions) {
+            this.process = process;
+            this.actions = actions;
+            Life me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
+            this.membership =
+                    new Membership(
+                            Settings.of("dhaka"),
+                            process,
+                            me.life(),
+                            0,
+                            process,
+                            Meta.NONE,
+                            names(3),
+                            seed,
+                            this);
+            AgreeSettings usual = AgreeSettings.of("dhaka", names(Math.min(5, members)));
+            AgreeSettings council =
+                    new AgreeSettings(
+                            "dhaka",
+                            usual.council(),
+                            usual.beat(),
+                            usual.patience(),
+                            usual.stable(),
+                            usual.settling(),
+                            16,
+                            usual.bytes());
+            this.agreement = new Agreement(council, me, seed, agenda, this);
+            WorkSettings settings = WorkSettings.of("dhaka", 300_000, 5 * SECOND);
+            this.work = new Work(settings, me, agreement, agenda, this);
+        }
+
+        private void step(long at, Runnable what) {
+            now = at;
+            what.run();
+            if (changed) {
+                changed = false;
+                Map<String, Long> there = new TreeMap<>();
+                membership.members().stream()
+                        .filter(c -> c.state().present())
+                        .forEach(c -> there.put(c.name(), c.life()));
+                agreement.present(now, there);
+                Set<Life> present = new HashSet<>();
+                there.forEach((name, life) -> present.add(new Life(name, life)));
+                work.present(present);
+            }
+            work.look(now);
+        }
+
+        /** What all jobs wait for, as operators see it. */
+        void waits() {
+            for (Job job : agenda.jobs()) {
+                String waits = work.waits(now, job);
+                record("work", process, job.machine() + " " + job.state().name() + " " + waits);
+            }
+        }
+
+        @Override
+        public void started(long at) {
+            step(
+                    at,
+                    () -> {
+                        membership.started(at);
+                        agreement.started(at);
+                        work.started(at);
+                        actions.timer("look", SECOND);
+                    });
+        }
+
+        @Override
+        public void received(long at, String from, byte[] message) {
+            step(
+                    at,
+                    () -> {
+                        if (Agreement.isOurs(message)) {
+                            agreement.received(at, message);
+                        } else if (Work.isOurs(message)) {
+                            work.received(at, message);
+                        } else {
+                            membership.received(at, from, message);
+                        }
+                    });
+        }
+
+        @Override
+        public void due(long at, String token) {
+            step(
+                    at,
+                    () -> {
+                        switch (token) {
+                            case "look" -> {
+                                waits();
+                                actions.timer("look", SECOND);
+                            }
+                            case "beat" -> agreement.due(at, token);
+                            case "work" -> work.due(at, token);
+                            default -> membership.due(at, token);
+                        }
+                    });
+        }
+
+        @Override
+        public void send(String to, byte[] datagram) {
+            String text = new String(datagram, StandardCharsets.UTF_8);
+            String layer =
+                    Agreement.isOurs(datagram)
+                            ? "agreement"
+                            : Work.isOurs(datagram) ? "work" : "membership";
+            record(layer, process, "sends to " + to + " " + text);
+            if (layer.equals("work")) {
+                firsts.putIfAbsent(text.substring(0, text.indexOf(',')), text);
+            }
+            actions.send(to, datagram);
+        }
+
+        @Override
+        public void timer(String token, long delay) {
+            String layer =
+                    token.equals("beat")
+                            ? "agreement"
+                            : token.equals("work") ? "work" : "membership";
+            record(layer, process, "timer " + token + " " + delay);
+            actions.timer(token, delay);
+        }
+
+        @Override
+        public long wall() {
+            return 1_700_000_000L * SECOND + actions.wall();
+        }
+
+        @Override
+        public long wallMillis() {
+            return wall() / 1_000;
+        }
+
+        @Override
+        public void event(Event event) {
+            changed = true;
+            String what = event.kind().name() + " " + event.claim().name() + " " + event.why();
+            record("membership", process, what);
+        }
+
+        @Override
+        public void note(Note note) {
+            String view = note.view().epoch() + "." + note.view().number() + note.view().lives();
+            record("agreement", process, note.kind().name() + " " + view + " " + note.why());
+        }
+
+        @Override
+        public void point(Point point) {
+            record("agreement", process, "point " + point.ordinal());
+        }
+
+        @Override
+        public void point(WorkPoint point) {
+            record("work", process, "point " + point.ordinal());
+        }
+
+        @Override
+        public int inFlight(String upstream) {
+            return 0;
+        }
+
+        @Override
+        public void aside(Set<String> aside) {
+            record("work", process, "keeps away from " + new TreeSet<>(aside));
+        }
+
+        @Override
+        public List<String> failing() {
+            return List.of();
+        }
+
+        @Override
+        public String worse(String upstream) {
+            return null;
+        }
+
+        @Override
+        public boolean judged(String upstream) {
+            return true;
+        }
+
+        @Override
+        public void moved(Job job) {
+            Token permit = job.permit();
+            String its = permit == null ? "none" : permit.epoch() + "." + permit.index();
+            String what = job.machine() + " is " + job.state().name() + " " + its + " " + job.why();
+            record("work", process, what);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/replication/RunCompatibilityTest.java
@@ -0,0 +1,103 @@
+package yewyoke.replication;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+import yewyoke.fleet.GoldenFile;
+import yewyoke.replication.VirtualCluster.Node;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Pins the behaviour of replication by digests of whole runs on the manual clock, with crashes,
+ * standstills and cuts: millisecond by millisecond each node's role, epoch and stored bytes, and
+ * what was acknowledged. Each message and each save draws its delay from one generator, whose next
+ * number at the end tells a run with another number of these. A change of structure keeps the
+ * digests; one of behaviour does not, and has to say so.
+ */
+class RunCompatibilityTest {
+    private static final GoldenFile GOLDEN = new GoldenFile("replication-runs.txt");
+    private static final HexFormat HEX = HexFormat.of();
+
+    private static String run(long seed, int size, int tolerated) throws Exception {
+        VirtualCluster cluster = new VirtualCluster(seed, size, 3, tolerated);
+        MessageDigest digest = MessageDigest.getInstance("SHA-256");
+        Map<String, String> last = new LinkedHashMap<>();
+        watch(cluster, 4_000, last, digest);
+        cluster.order();
+        watch(cluster, 1_000, last, digest);
+        cluster.node(0).kill();
+        watch(cluster, 3_000, last, digest);
+        cluster.order();
+        watch(cluster, 1_000, last, digest);
+        cluster.node(0).start(false);
+        cluster.node(1).frozenUntil = cluster.clock.now() + 3_000;
+        watch(cluster, 5_000, last, digest);
+        cluster.order();
+        cluster.cut(cluster.node(2).address);
+        watch(cluster, 4_000, last, digest);
+        cluster.cuts.clear();
+        cluster.order();
+        watch(cluster, 4_000, last, digest);
+        return String.join(
+                " ",
+                "epoch " + cluster.primary().replica.epoch(),
+                "of " + cluster.primary().address,
+                cluster.acknowledged + ",",
+                "next " + Long.toHexString(cluster.random.nextLong()) + ",",
+                HEX.formatHex(digest.digest()));
+    }
+
+    /** Lets time pass and digests what is another at the end of each millisecond. */
+    private static void watch(
+            VirtualCluster cluster, int millis, Map<String, String> last, MessageDigest digest) {
+        for (int i = 0; i < millis; i++) {
+            cluster.clock.run(1);
+            for (Node node : cluster.nodes.values()) {
+                String state =
+                        node.up
+                                ? node.replica.state().ordinal() + " " + node.replica.epoch()
+                                : "down";
+                String disk = node.disk == null ? "empty" : HEX.formatHex(node.disk);
+                note(cluster, node.address, state + " " + disk, last, digest);
+            }
+            note(cluster, "client", cluster.acknowledged.toString(), last, digest);
+        }
+    }
+
+    private static void note(
+            VirtualCluster cluster,
+            String who,
+            String what,
+            Map<String, String> last,
+            MessageDigest digest) {
+        if (!what.equals(last.put(who, what))) {
+            String line = cluster.clock.now() + " " + who + " " + what + "\n";
+            digest.update(line.getBytes(StandardCharsets.UTF_8));
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5})
+    void aRunOfThreeNodesIsTheSameRun(long seed) throws Exception {
+        GOLDEN.assertWritten("three nodes, seed " + seed, run(seed, 3, 1));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void aRunOfSixNodesIsTheSameRun(long seed) throws Exception {
+        GOLDEN.assertWritten("six nodes, seed " + seed, run(seed, 6, 2));
+    }
+
+    @Test
+    void twoRunsOfOneSeedAreTheSame() throws Exception {
+        assertEquals(run(11, 4, 1), run(11, 4, 1));
+    }
+}
