--- /dev/null
+++ b/src/test/java/yewyoke/fleet/carrier/OperatorsCompatibilityTest.java
@@ -0,0 +1,136 @@
+package yewyoke.fleet.carrier;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+
+import org.junit.jupiter.api.Test;
+
+import yewyoke.fleet.GoldenFile;
+import yewyoke.fleet.agree.Life;
+import yewyoke.fleet.agree.Term;
+import yewyoke.fleet.agree.Token;
+import yewyoke.fleet.agree.View;
+import yewyoke.fleet.member.Claim;
+import yewyoke.fleet.member.Event;
+import yewyoke.fleet.member.Meta;
+import yewyoke.fleet.member.Settings;
+import yewyoke.fleet.member.State;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
+
+/**
+ * Pins what operators get to see of the fleet: the JSON of the answers on members, agreement and
+ * work, and a member's line in the log with its fields. Dashboards and scripts read both by name.
+ */
+class OperatorsCompatibilityTest {
+    private static final GoldenFile GOLDEN = new GoldenFile("operators.txt");
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final Claim CLAIM =
+            new Claim(
+                    "b1",
+                    0x1234,
+                    3,
+                    State.SUSPECT,
+                    true,
+                    "10.0.0.2:7400",
+                    "b0",
+                    new Meta("zone-a", "1.4.2", 1_700_000_000_123L, List.of("drain")));
+
+    /** Keeps the lines that a logger gets. */
+    private static final class Lines extends Handler {
+        final BlockingQueue<LogRecord> records = new LinkedBlockingQueue<>();
+
+        @Override
+        public void publish(LogRecord line) {
+            records.add(line);
+        }
+
+        @Override
+        public void flush() {}
+
+        @Override
+        public void close() {}
+    }
+
+    @Test
+    void theAnswerOnMembersKeepsItsFields() throws Exception {
+        MemberCarrier.Look look =
+                new MemberCarrier.Look(
+                        CLAIM,
+                        2,
+                        1,
+                        -5,
+                        Map.of("foreign", 7L),
+                        List.of(new MemberCarrier.Held(CLAIM, 1.5)));
+        GOLDEN.assertWritten("members", JSON.writeValueAsString(look));
+    }
+
+    @Test
+    void theAnswerOnTheAgreementKeepsItsFields() throws Exception {
+        Life life = new Life("b1", 0x1234);
+        View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", 1L));
+        AgreeCarrier.Look look =
+                new AgreeCarrier.Look(
+                        life, new Term(8, 9), life, true, view, 17, 2, Map.of("malformed", 7L));
+        GOLDEN.assertWritten("agreement", JSON.writeValueAsString(look));
+    }
+
+    @Test
+    void theAnswerOnWorkKeepsItsFields() throws Exception {
+        WorkCarrier.Seen seen =
+                new WorkCarrier.Seen(
+                        "host-7", "patch", "OUT", new Token(8, 9), 17, true, "for b1", "why");
+        WorkCarrier.Look look =
+                new WorkCarrier.Look(
+                        List.of(seen),
+                        "too hot",
+                        true,
+                        true,
+                        true,
+                        List.of("b1/1234"),
+                        Map.of("patch", "names no machine"),
+                        Map.of("malformed", 7L));
+        GOLDEN.assertWritten("work", JSON.writeValueAsString(look));
+    }
+
+    @Test
+    void aMembersLineInTheLogKeepsItsWordsAndFields() throws Exception {
+        Logger logger = Logger.getLogger(MemberCarrier.class.getName());
+        Lines lines = new Lines();
+        MultiThreadIoEventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        logger.addHandler(lines);
+        try {
+            FleetConfig config =
+                    new FleetConfig(
+                            Settings.of("dhaka"),
+                            "b0",
+                            new InetSocketAddress("127.0.0.1", 0),
+                            List.of(),
+                            Map.of(),
+                            Meta.NONE);
+            MemberCarrier carrier = MemberCarrier.start(group.next(), config);
+            lines.records.clear();
+            carrier.event(new Event(Event.Kind.SUSPECTED, CLAIM, "no answer"));
+            LogRecord line = lines.records.poll(20, TimeUnit.SECONDS);
+            GOLDEN.assertWritten("log line", line.getLevel() + " " + line.getMessage());
+            assertEquals(1, line.getParameters().length);
+            GOLDEN.assertWritten("log fields", line.getParameters()[0].toString());
+        } finally {
+            logger.removeHandler(lines);
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        }
+    }
+}
