--- a/src/test/java/yewyoke/fleet/carrier/OperatorsCompatibilityTest.java
+++ b/src/test/java/yewyoke/fleet/carrier/OperatorsCompatibilityTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 import yewyoke.fleet.GoldenFile;
+import yewyoke.fleet.agree.AgreeSettings;
 import yewyoke.fleet.agree.Life;
+import yewyoke.fleet.agree.Note;
 import yewyoke.fleet.agree.Term;
 import yewyoke.fleet.agree.Token;
 import yewyoke.fleet.agree.View;
@@ -19,6 +21,7 @@
 import yewyoke.fleet.member.Meta;
 import yewyoke.fleet.member.Settings;
 import yewyoke.fleet.member.State;
+import yewyoke.fleet.work.Agenda;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -26,13 +29,15 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
 /**
  * Pins what operators get to see of the fleet: the JSON of the answers on members, agreement and
- * work, and a member's line in the log with its fields. Dashboards and scripts read both by name.
+ * work, and the lines in the log on members and agreement with their fields. Dashboards and scripts
+ * read both by name.
  */
 class OperatorsCompatibilityTest {
     private static final GoldenFile GOLDEN = new GoldenFile("operators.txt");
@@ -105,32 +110,55 @@
         GOLDEN.assertWritten("work", JSON.writeValueAsString(look));
     }
 
-    @Test
-    void aMembersLineInTheLogKeepsItsWordsAndFields() throws Exception {
-        Logger logger = Logger.getLogger(MemberCarrier.class.getName());
+    private static MemberCarrier member(MultiThreadIoEventLoopGroup group) {
+        FleetConfig config =
+                new FleetConfig(
+                        Settings.of("dhaka"),
+                        "b0",
+                        new InetSocketAddress("127.0.0.1", 0),
+                        List.of(),
+                        Map.of(),
+                        Meta.NONE);
+        return MemberCarrier.start(group.next(), config);
+    }
+
+    /** What a class logs while something is done by a member that has just started. */
+    private static LogRecord logged(Class<?> by, Consumer<MemberCarrier> what) throws Exception {
+        Logger logger = Logger.getLogger(by.getName());
         Lines lines = new Lines();
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        logger.addHandler(lines);
         try {
-            FleetConfig config =
-                    new FleetConfig(
-                            Settings.of("dhaka"),
-                            "b0",
-                            new InetSocketAddress("127.0.0.1", 0),
-                            List.of(),
-                            Map.of(),
-                            Meta.NONE);
-            MemberCarrier carrier = MemberCarrier.start(group.next(), config);
-            lines.records.clear();
-            carrier.event(new Event(Event.Kind.SUSPECTED, CLAIM, "no answer"));
+            MemberCarrier carrier = member(group);
+            logger.addHandler(lines);
+            what.accept(carrier);
             LogRecord line = lines.records.poll(20, TimeUnit.SECONDS);
-            GOLDEN.assertWritten("log line", line.getLevel() + " " + line.getMessage());
             assertEquals(1, line.getParameters().length);
-            GOLDEN.assertWritten("log fields", line.getParameters()[0].toString());
+            return line;
         } finally {
             logger.removeHandler(lines);
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
+
+    @Test
+    void aMembersLineInTheLogKeepsItsWordsAndFields() throws Exception {
+        Event event = new Event(Event.Kind.SUSPECTED, CLAIM, "no answer");
+        LogRecord line = logged(MemberCarrier.class, m -> m.event(event));
+        GOLDEN.assertWritten("log line", line.getLevel() + " " + line.getMessage());
+        GOLDEN.assertWritten("log fields", line.getParameters()[0].toString());
+    }
+
+    @Test
+    void anAgreementsLineInTheLogKeepsItsWordsAndFields() throws Exception {
+        View view = new View(8, 3, Map.of("b1", 0x1234L, "b0", 1L));
+        Note note = new Note(Note.Kind.CUT_OFF, view, "nobody was heard");
+        AgreeSettings settings = AgreeSettings.of("dhaka", List.of("b0", "b1", "b2"));
+        LogRecord line =
+                logged(
+                        AgreeCarrier.class,
+                        m -> AgreeCarrier.start(m, settings, new Agenda(), p -> {}).note(note));
+        GOLDEN.assertWritten("agreement log line", line.getLevel() + " " + line.getMessage());
+        GOLDEN.assertWritten("agreement log fields", line.getParameters()[0].toString());
+    }
 }
