--- a/src/main/java/yewyoke/fleet/carrier/AgreeCarrier.java
+++ b/src/main/java/myrtleladder/cluster/AgreeCarrier.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -11,16 +11,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import yewyoke.fleet.agree.AgreeSettings;
-import yewyoke.fleet.agree.Agreement;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Machine;
-import yewyoke.fleet.agree.Note;
-import yewyoke.fleet.agree.Point;
-import yewyoke.fleet.agree.Term;
-import yewyoke.fleet.agree.View;
-import yewyoke.fleet.member.Claim;
-import yewyoke.fleet.work.Work;
+import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Machine;
+import myrtleladder.consensus.Note;
+import myrtleladder.consensus.Point;
+import myrtleladder.consensus.Term;
+import myrtleladder.consensus.View;
+import myrtleladder.gossip.Claim;
+import myrtleladder.maintenance.Work;
 
 /**
  * A process's agreement, over the datagrams and on the event loop of its membership: what is seen there is
--- a/src/main/java/yewyoke/fleet/carrier/Balancing.java
+++ b/src/main/java/myrtleladder/cluster/Balancing.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/yewyoke/fleet/carrier/FleetConfig.java
+++ b/src/main/java/myrtleladder/cluster/FleetConfig.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import yewyoke.fleet.member.Meta;
-import yewyoke.fleet.member.Settings;
+import myrtleladder.gossip.Meta;
+import myrtleladder.gossip.Settings;
 
 /**
  * How a process takes part in its fleet.
--- a/src/main/java/yewyoke/fleet/carrier/MemberCarrier.java
+++ b/src/main/java/myrtleladder/cluster/MemberCarrier.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -22,9 +22,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import yewyoke.fleet.member.Claim;
-import yewyoke.fleet.member.Event;
-import yewyoke.fleet.member.Membership;
+import myrtleladder.gossip.Claim;
+import myrtleladder.gossip.Event;
+import myrtleladder.gossip.Membership;
 
 /**
  * A process's membership over UDP, on the event loop of the balancer: a loop that can't keep up with its
--- a/src/main/java/yewyoke/fleet/carrier/PointFault.java
+++ b/src/main/java/myrtleladder/cluster/PointFault.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -18,7 +18,7 @@
  */
 public final class PointFault implements Consumer<Enum<?>> {
     /** The property that only the lab sets. */
-    public static final String PROPERTY = "yewyoke.lab.fault";
+    public static final String PROPERTY = "myrtleladder.testbed.fault";
     /** Longer than any timer of membership or agreement. */
     private static final long STAND_MS = 12_000;
     private static final int KILLED = 137;
--- a/src/main/java/yewyoke/fleet/carrier/WorkCarrier.java
+++ b/src/main/java/myrtleladder/cluster/WorkCarrier.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
@@ -12,15 +12,15 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import yewyoke.fleet.agree.Agreement;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Token;
-import yewyoke.fleet.work.Agenda;
-import yewyoke.fleet.work.Job;
-import yewyoke.fleet.work.Step;
-import yewyoke.fleet.work.Work;
-import yewyoke.fleet.work.WorkPoint;
-import yewyoke.fleet.work.WorkSettings;
+import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Token;
+import myrtleladder.maintenance.Agenda;
+import myrtleladder.maintenance.Job;
+import myrtleladder.maintenance.Step;
+import myrtleladder.maintenance.Work;
+import myrtleladder.maintenance.WorkPoint;
+import myrtleladder.maintenance.WorkSettings;
 
 /**
  * A process's part in the work on machines, beside its agreement: on the same event loop, by the same
--- a/src/main/java/yewyoke/fleet/carrier/package-info.java
+++ b/src/main/java/myrtleladder/cluster/package-info.java
@@ -1,2 +1,2 @@
 /** Carries out on sockets what the cores of the fleet decide; loaded only where peers are configured. */
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
--- a/src/main/java/yewyoke/configuration/ClientLimits.java
+++ b/src/main/java/myrtleladder/configuration/ClientLimits.java
@@ -1,4 +1,4 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 /** Bounds on what a client may send and on how long it may take or rest. */
 public record ClientLimits(
--- a/src/main/java/yewyoke/configuration/Compression.java
+++ b/src/main/java/myrtleladder/configuration/Compression.java
@@ -1,10 +1,10 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import java.io.ByteArrayOutputStream;
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /** Documents as they are stored and sent: their JSON names the same fields hundreds of times. */
 public final class Compression {
--- a/src/main/java/yewyoke/configuration/Configuration.java
+++ b/src/main/java/myrtleladder/configuration/Configuration.java
@@ -1,4 +1,4 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /** A checked configuration, ready to route by. */
 public final class Configuration {
--- a/src/main/java/yewyoke/configuration/ConfigurationDocument.java
+++ b/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
@@ -1,10 +1,10 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /** A configuration as the operator wrote it, with the changes that orders make to it. */
 public final class ConfigurationDocument {
--- a/src/main/java/yewyoke/configuration/ConfigurationException.java
+++ b/src/main/java/myrtleladder/configuration/ConfigurationException.java
@@ -1,7 +1,7 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
-import yewyoke.io.ResultCode;
-import yewyoke.io.SystemException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.io.SystemException;
 
 /** A configuration that can't be taken, with the place of the fault in the message. */
 public final class ConfigurationException extends SystemException {
--- a/src/main/java/yewyoke/configuration/Fields.java
+++ b/src/main/java/myrtleladder/configuration/Fields.java
@@ -1,9 +1,9 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /**
  * Typed access to the fields of a JSON object; what is missing or mistyped is refused by its path.
--- a/src/main/java/yewyoke/configuration/Json.java
+++ b/src/main/java/myrtleladder/configuration/Json.java
@@ -1,4 +1,4 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import com.dslplatform.json.DslJson;
 import com.dslplatform.json.JsonReader;
@@ -7,7 +7,7 @@
 import com.dslplatform.json.ParsingException;
 import java.io.IOException;
 import java.util.Map;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /** Reads and writes JSON objects as trees that keep the order of their fields. */
 public final class Json {
--- a/src/main/java/yewyoke/configuration/Route.java
+++ b/src/main/java/myrtleladder/configuration/Route.java
@@ -1,4 +1,4 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import java.util.List;
 
--- a/src/main/java/yewyoke/configuration/Service.java
+++ b/src/main/java/myrtleladder/configuration/Service.java
@@ -1,4 +1,4 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 /** A service; {@code engine} says that its upstreams run a language model. */
 public record Service(String name, String healthCheck, int maxConnections, Engine engine) {
--- a/src/main/java/yewyoke/fleet/agree/Agreement.java
+++ b/src/main/java/myrtleladder/consensus/Agreement.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import java.io.UncheckedIOException;
 import java.util.ArrayDeque;
--- a/src/main/java/yewyoke/fleet/agree/Entry.java
+++ b/src/main/java/myrtleladder/consensus/Entry.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/yewyoke/fleet/agree/Life.java
+++ b/src/main/java/myrtleladder/consensus/Life.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 /**
  * One life of a process, from a start to its end. It is what has a vote: nothing survives a process, so the
--- a/src/main/java/yewyoke/fleet/agree/Log.java
+++ b/src/main/java/myrtleladder/consensus/Log.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/fleet/agree/Machine.java
+++ b/src/main/java/myrtleladder/consensus/Machine.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 /**
  * What is fed by the log: all processes hand theirs the same calls in the same order, so it may look at
--- a/src/main/java/yewyoke/fleet/agree/Message.java
+++ b/src/main/java/myrtleladder/consensus/Message.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/yewyoke/fleet/agree/Note.java
+++ b/src/main/java/myrtleladder/consensus/Note.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 /** Something that operators may want to know of an agreement, for the log. */
 public record Note(Kind kind, View view, String why) {
--- a/src/main/java/yewyoke/fleet/agree/Point.java
+++ b/src/main/java/myrtleladder/consensus/Point.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 /**
  * The places at which the world can go wrong between two steps of an agreement; {@code docs/faults.md} lists
--- a/src/main/java/yewyoke/fleet/agree/Term.java
+++ b/src/main/java/myrtleladder/consensus/Term.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 /**
  * A term of at most one leader (Raft, section 5.1). All terms of one founding share its epoch, so whatever a
--- a/src/main/java/yewyoke/fleet/agree/Token.java
+++ b/src/main/java/myrtleladder/consensus/Token.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 /**
  * The place of a decree among all decrees, for use as a fencing token: a later one is greater, also after
--- a/src/main/java/yewyoke/fleet/agree/Wire.java
+++ b/src/main/java/myrtleladder/consensus/Wire.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/yewyoke/control/BalancerDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerDirectory.java
@@ -1,13 +1,13 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.message.FleetMember;
-import yewyoke.message.Poll;
-import yewyoke.message.UnderWay;
+import myrtleladder.protocol.FleetMember;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.UnderWay;
 
 /** The balancers that live: those that poll, and those that their monitors on the ring hear. */
 final class BalancerDirectory {
--- a/src/main/java/yewyoke/control/CallerAnswers.java
+++ b/src/main/java/myrtleladder/controlplane/CallerAnswers.java
@@ -1,11 +1,11 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.Map;
-import yewyoke.configuration.Json;
-import yewyoke.io.Headers;
-import yewyoke.io.ServerExchange;
-import yewyoke.message.Member;
-import yewyoke.replication.Replica;
+import myrtleladder.configuration.Json;
+import myrtleladder.io.Headers;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.protocol.Member;
+import myrtleladder.replication.Replica;
 
 /** The answers that callers of the control address get in like cases. */
 final class CallerAnswers {
--- a/src/main/java/yewyoke/control/ConfigurationOrders.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationOrders.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -6,18 +6,18 @@
 import java.util.ArrayDeque;
 import java.util.HexFormat;
 import java.util.Map;
+import myrtleladder.configuration.Compression;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.ConfigurationDocument;
+import myrtleladder.configuration.ConfigurationException;
+import myrtleladder.configuration.Json;
+import myrtleladder.io.ResultCode;
+import myrtleladder.io.Scheduler;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.replication.Replica;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.configuration.Compression;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.ConfigurationDocument;
-import yewyoke.configuration.ConfigurationException;
-import yewyoke.configuration.Json;
-import yewyoke.io.ResultCode;
-import yewyoke.io.Scheduler;
-import yewyoke.io.ServerExchange;
-import yewyoke.message.Snapshot;
-import yewyoke.replication.Replica;
 
 /**
  * The operator's orders, carried out one after the other by the primary: each is checked against
--- a/src/main/java/yewyoke/control/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -1,19 +1,19 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import yewyoke.io.ResultCode;
-import yewyoke.io.SystemException;
-import yewyoke.message.StoredState;
-import yewyoke.process.NodeSettings;
-import yewyoke.process.ProgramCommand;
-import yewyoke.process.SettingsException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.io.SystemException;
+import myrtleladder.process.NodeSettings;
+import myrtleladder.process.ProgramCommand;
+import myrtleladder.process.SettingsException;
+import myrtleladder.protocol.StoredState;
 
 /** The command line of the control plane. */
 final class ControlCommand {
     private static final String SYNTAX =
-            "yewyoke-control serve | check [FILE] | rehearse | store FOLDER";
+            "myrtleladder-controlplane serve | check [FILE] | rehearse | store FOLDER";
     private static final String WORDS =
             """
 
--- a/src/main/java/yewyoke/control/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -1,26 +1,26 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.io.Scheduler;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.io.SystemException;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.replication.Peers;
+import myrtleladder.replication.Replica;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.io.Scheduler;
-import yewyoke.io.ServerExchange;
-import yewyoke.io.SystemException;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
-import yewyoke.message.ShareInstances;
-import yewyoke.replication.Peers;
-import yewyoke.replication.Replica;
 
 /**
  * The control plane on one node: the operator's orders, the heartbeats of upstreams and the polls
--- a/src/main/java/yewyoke/control/DiskThread.java
+++ b/src/main/java/myrtleladder/controlplane/DiskThread.java
@@ -1,13 +1,13 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import myrtleladder.io.EventLoop;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.replication.Storage;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.io.EventLoop;
-import yewyoke.message.StoredState;
-import yewyoke.replication.Storage;
 
 /**
  * Saves on a thread of its own, since a disk may take seconds. What waits while one save is under
--- a/src/main/java/yewyoke/control/FleetView.java
+++ b/src/main/java/myrtleladder/controlplane/FleetView.java
@@ -1,7 +1,7 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
-import yewyoke.message.FleetLoads;
-import yewyoke.message.LoadReport;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.LoadReport;
 
 /** What balancers tell each other by way of the primary: what is under way, and what is kept. */
 final class FleetView {
--- a/src/main/java/yewyoke/control/GenerationStore.java
+++ b/src/main/java/myrtleladder/controlplane/GenerationStore.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -12,6 +12,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 import java.util.zip.CRC32C;
+import myrtleladder.io.ResultCode;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.StoredState;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.mapdb.DBException;
@@ -20,9 +23,6 @@
 import org.mapdb.volume.ByteArrayVol;
 import org.mapdb.volume.SingleByteArrayVol;
 import org.mapdb.volume.Volume;
-import yewyoke.io.ResultCode;
-import yewyoke.message.MessageCodec;
-import yewyoke.message.StoredState;
 
 /**
  * The state on the disk: each save writes the whole as a new MapDB table with a checksum, syncs it,
--- a/src/main/java/yewyoke/control/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -1,16 +1,16 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.Member;
-import yewyoke.message.ShareInstances;
-import yewyoke.replication.Peers;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.replication.Peers;
 
 /**
  * Records of upstreams for members that did not take them: they are kept here and handed over once
--- a/src/main/java/yewyoke/control/InstanceReader.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReader.java
@@ -1,11 +1,11 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.List;
 import java.util.Map;
-import yewyoke.configuration.ConfigurationException;
-import yewyoke.io.ResultCode;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
+import myrtleladder.configuration.ConfigurationException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 
 /** Reads the body of an upstream's heartbeat. */
 final class InstanceReader {
--- a/src/main/java/yewyoke/control/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -1,12 +1,12 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 
 /**
  * The upstreams that heartbeats tell of. Each change has a revision; what is gone is kept for a
--- a/src/main/java/yewyoke/control/InstanceSharing.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSharing.java
@@ -1,18 +1,18 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.ShareInstances;
-import yewyoke.message.View;
-import yewyoke.replication.Peers;
-import yewyoke.replication.Replica;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.View;
+import myrtleladder.replication.Peers;
+import myrtleladder.replication.Replica;
 
 /**
  * Hands records of upstreams from the primary to the other control nodes. What is only news is
--- a/src/main/java/yewyoke/control/LoadBoard.java
+++ b/src/main/java/myrtleladder/controlplane/LoadBoard.java
@@ -1,11 +1,11 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.LoadReport;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * What all balancers have under way at each upstream, summed up from their newest reports. A report
--- a/src/main/java/yewyoke/control/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -1,23 +1,23 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.UUID;
 import java.util.concurrent.CountDownLatch;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.HttpServer;
+import myrtleladder.process.Address;
+import myrtleladder.process.NodeSettings;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.replication.Replica;
+import myrtleladder.replication.ReplicaOptions;
+import myrtleladder.rpc.MessageServer;
+import myrtleladder.rpc.PeerClient;
+import myrtleladder.signal.Signals;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.io.EventLoop;
-import yewyoke.io.HttpServer;
-import yewyoke.message.Member;
-import yewyoke.message.StoredState;
-import yewyoke.process.Address;
-import yewyoke.process.NodeSettings;
-import yewyoke.replication.Replica;
-import yewyoke.replication.ReplicaOptions;
-import yewyoke.rpc.MessageServer;
-import yewyoke.rpc.PeerClient;
-import yewyoke.signal.Signals;
 
 /** The control plane's program. */
 public final class Main {
--- a/src/main/java/yewyoke/control/OrdinalAssignment.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssignment.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import yewyoke.message.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord;
 
 /**
  * Which ordinals instances get. A new instance waits a moment for one of its service and zone to
--- a/src/main/java/yewyoke/control/PollDistribution.java
+++ b/src/main/java/myrtleladder/controlplane/PollDistribution.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -7,13 +7,13 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
-import yewyoke.message.Snapshot;
-import yewyoke.replication.Replica;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.replication.Replica;
 
 /**
  * The long polls of balancers: the primary answers each with what is newer than what the balancer
--- a/src/main/java/yewyoke/control/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -1,12 +1,12 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.KeptPrompt;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.KeptPrompt;
 
 /**
  * Which upstream keeps which shared beginning of prompts, as the balancers announced it: a log in
--- a/src/main/java/yewyoke/control/QuotaBank.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaBank.java
@@ -1,11 +1,11 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.HashMap;
 import java.util.Map;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Tenant;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Tenant;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
 
 /**
  * The quotas of all tenants, in one place: a bucket for each, from which balancers take what their
--- a/src/main/java/yewyoke/control/Rehearsal.java
+++ b/src/main/java/myrtleladder/controlplane/Rehearsal.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,18 +10,18 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import yewyoke.io.EventLoop;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.LoadReport;
-import yewyoke.message.Poll;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.UpstreamLoad;
-import yewyoke.process.Address;
-import yewyoke.process.NodeSettings;
-import yewyoke.rpc.OneCall;
-import yewyoke.rpc.PeerClient;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.process.Address;
+import myrtleladder.process.NodeSettings;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.UpstreamLoad;
+import myrtleladder.rpc.OneCall;
+import myrtleladder.rpc.PeerClient;
 
 /**
  * A control node that serves itself on the loopback for a moment. The build runs it to learn which
@@ -61,7 +61,7 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new StoreException(yewyoke.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new StoreException(myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
--- a/src/main/java/yewyoke/control/StoreException.java
+++ b/src/main/java/myrtleladder/controlplane/StoreException.java
@@ -1,7 +1,7 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
-import yewyoke.io.ResultCode;
-import yewyoke.io.SystemException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.io.SystemException;
 
 /** The disk does not take or give back the state. */
 public final class StoreException extends SystemException {
--- a/src/main/java/yewyoke/control/UpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 
 /**
  * How far an upgrade has come in each zone, for whoever replaces the upstreams: the next zone may
--- a/src/main/java/yewyoke/dataplane/Admission.java
+++ b/src/main/java/myrtleladder/dataplane/Admission.java
@@ -1,8 +1,8 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
-import yewyoke.configuration.Route;
-import yewyoke.configuration.Service;
-import yewyoke.configuration.Tenant;
+import myrtleladder.configuration.Route;
+import myrtleladder.configuration.Service;
+import myrtleladder.configuration.Tenant;
 
 /**
  * Whether a request is taken: by the time to its first event that is expected where it would go.
--- a/src/main/java/yewyoke/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -1,8 +1,8 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
-import yewyoke.io.Scheduler;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
+import myrtleladder.io.Scheduler;
 
 /** One send of a request to one upstream. */
 final class Attempt implements UpstreamLinks.User {
--- a/src/main/java/yewyoke/dataplane/Connections.java
+++ b/src/main/java/myrtleladder/dataplane/Connections.java
@@ -1,13 +1,13 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import yewyoke.io.EventLoop;
-import yewyoke.io.HttpConnection;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.HttpConnection;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
 
 /** Connections to upstreams, kept for later requests as long as the upstream keeps them. */
 final class Connections implements UpstreamLinks {
--- a/src/main/java/yewyoke/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,20 +8,20 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import myrtleladder.configuration.Compression;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.replication.Peers;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.configuration.Compression;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.io.Scheduler;
-import yewyoke.membership.MembershipAgent;
-import yewyoke.message.LoadReport;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
-import yewyoke.replication.Peers;
 
 /**
  * Long polls to the control plane: each names what this balancer has and is answered once there is
--- a/src/main/java/yewyoke/dataplane/Counters.java
+++ b/src/main/java/myrtleladder/dataplane/Counters.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 /** How often each thing of note happened. */
 final class Counters {
--- a/src/main/java/yewyoke/dataplane/DataCommand.java
+++ b/src/main/java/myrtleladder/dataplane/DataCommand.java
@@ -1,15 +1,15 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.nio.file.Path;
 import java.util.List;
-import yewyoke.io.ResultCode;
-import yewyoke.process.NodeSettings;
-import yewyoke.process.ProgramCommand;
-import yewyoke.process.SettingsException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.process.NodeSettings;
+import myrtleladder.process.ProgramCommand;
+import myrtleladder.process.SettingsException;
 
 /** The command line of the data plane. */
 final class DataCommand {
-    private static final String SYNTAX = "yewyoke-data serve | check [FILE] | rehearse";
+    private static final String SYNTAX = "myrtleladder-dataplane serve | check [FILE] | rehearse";
     private static final String WORDS =
             """
 
--- a/src/main/java/yewyoke/dataplane/EventSplitter.java
+++ b/src/main/java/myrtleladder/dataplane/EventSplitter.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/src/main/java/yewyoke/dataplane/Exchange.java
+++ b/src/main/java/myrtleladder/dataplane/Exchange.java
@@ -1,16 +1,16 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.io.ByteArrayOutputStream;
 import java.util.HashSet;
 import java.util.Set;
-import yewyoke.configuration.Route;
-import yewyoke.configuration.Service;
-import yewyoke.configuration.Tenant;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
-import yewyoke.io.ServerExchange;
-import yewyoke.message.InstanceRecord;
+import myrtleladder.configuration.Route;
+import myrtleladder.configuration.Service;
+import myrtleladder.configuration.Tenant;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.protocol.InstanceRecord;
 
 /**
  * A client's request from its arrival to its one final answer, over as many upstreams as that
--- a/src/main/java/yewyoke/dataplane/FleetKnowledge.java
+++ b/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
@@ -1,14 +1,14 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.LoadReport;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * What this balancer tells the others by way of the primary, and what it takes from them: what is
--- a/src/main/java/yewyoke/dataplane/Hashes.java
+++ b/src/main/java/myrtleladder/dataplane/Hashes.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 /** Hash functions that give the same at every balancer. */
 final class Hashes {
--- a/src/main/java/yewyoke/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -1,23 +1,23 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
+import myrtleladder.configuration.ClientLimits;
+import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.Headers;
+import myrtleladder.io.HttpServer;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.io.SystemException;
+import myrtleladder.process.Address;
+import myrtleladder.process.NodeSettings;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Alive;
+import myrtleladder.rpc.MessageServer;
+import myrtleladder.rpc.PeerClient;
+import myrtleladder.signal.Signals;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.configuration.ClientLimits;
-import yewyoke.io.EventLoop;
-import yewyoke.io.Headers;
-import yewyoke.io.HttpServer;
-import yewyoke.io.ServerExchange;
-import yewyoke.io.SystemException;
-import yewyoke.membership.MembershipAgent;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Alive;
-import yewyoke.process.Address;
-import yewyoke.process.NodeSettings;
-import yewyoke.rpc.MessageServer;
-import yewyoke.rpc.PeerClient;
-import yewyoke.signal.Signals;
 
 /** The data plane's program. */
 public final class Main {
--- a/src/main/java/yewyoke/dataplane/Names.java
+++ b/src/main/java/myrtleladder/dataplane/Names.java
@@ -1,7 +1,7 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.Set;
-import yewyoke.io.Headers;
+import myrtleladder.io.Headers;
 
 /** The header fields of the deployments' protocol, and what of a message is passed on. */
 final class Names {
--- a/src/main/java/yewyoke/dataplane/Placement.java
+++ b/src/main/java/myrtleladder/dataplane/Placement.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.Reweighting;
-import yewyoke.WeightedSchedule;
-import yewyoke.configuration.Service;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.configuration.Service;
+import myrtleladder.loadbalancer.policy.Reweighting;
+import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * Which upstream a request goes to. Health, kept parts of prompts and the expected time to the
--- a/src/main/java/yewyoke/dataplane/ReadingSpeed.java
+++ b/src/main/java/myrtleladder/dataplane/ReadingSpeed.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 /**
  * How long model upstreams take to the first event, learnt from answers that began where no other
--- a/src/main/java/yewyoke/dataplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/dataplane/Rehearsal.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -8,27 +8,27 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import yewyoke.configuration.Compression;
-import yewyoke.io.EventLoop;
-import yewyoke.io.Headers;
-import yewyoke.io.HttpServer;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ServerExchange;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.FleetMember;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
-import yewyoke.message.UpstreamLoad;
-import yewyoke.process.Address;
-import yewyoke.process.NodeSettings;
-import yewyoke.rpc.MessageServer;
-import yewyoke.rpc.OneCall;
+import myrtleladder.configuration.Compression;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.Headers;
+import myrtleladder.io.HttpServer;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.process.Address;
+import myrtleladder.process.NodeSettings;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.FleetMember;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.UpstreamLoad;
+import myrtleladder.rpc.MessageServer;
+import myrtleladder.rpc.OneCall;
 
 /**
  * A balancer that serves itself on the loopback for a moment, with stand-ins for the control plane
@@ -68,7 +68,8 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new yewyoke.io.IoException(yewyoke.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new myrtleladder.io.IoException(
+                    myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
--- a/src/main/java/yewyoke/dataplane/RetryBudget.java
+++ b/src/main/java/myrtleladder/dataplane/RetryBudget.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/yewyoke/dataplane/Router.java
+++ b/src/main/java/myrtleladder/dataplane/Router.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -6,14 +6,14 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.SplittableRandom;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Route;
-import yewyoke.configuration.Service;
-import yewyoke.configuration.Tenant;
-import yewyoke.io.Headers;
-import yewyoke.io.Scheduler;
-import yewyoke.io.ServerExchange;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Route;
+import myrtleladder.configuration.Service;
+import myrtleladder.configuration.Tenant;
+import myrtleladder.io.Headers;
+import myrtleladder.io.Scheduler;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.protocol.UpstreamLoad;
 
 /** The data plane's routing: from a request to its route, its tenant's quota and its exchange. */
 final class Router {
--- a/src/main/java/yewyoke/dataplane/TenantQuotas.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotas.java
@@ -1,14 +1,14 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Tenant;
-import yewyoke.message.Message;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Tenant;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
 
 /**
  * The quotas as this balancer uses them. The primary grants what requests count; without an answer
--- a/src/main/java/yewyoke/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -1,11 +1,11 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.HashSet;
 import java.util.Set;
-import yewyoke.WeightedSchedule;
-import yewyoke.configuration.Service;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.configuration.Service;
+import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * An incarnation of an upstream as this balancer sees it: what is under way there and how it does.
--- a/src/main/java/yewyoke/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Service;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.UnderWay;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Service;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.UnderWay;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * The upstreams that this balancer knows, by service. One that drains or is gone never comes back.
--- a/src/main/java/yewyoke/dataplane/UpstreamLinks.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamLinks.java
@@ -1,7 +1,7 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
 
 /** Connections to upstreams, each used by one request at a time. */
 interface UpstreamLinks {
--- a/src/main/java/yewyoke/dataplane/Urgency.java
+++ b/src/main/java/myrtleladder/dataplane/Urgency.java
@@ -1,6 +1,6 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
-import yewyoke.configuration.Route;
+import myrtleladder.configuration.Route;
 
 /**
  * The rank of a request among those of tenants of one priority, as it is told to a model upstream:
--- a/src/main/java/yewyoke/error/OperatorError.java
+++ b/src/main/java/myrtleladder/error/OperatorError.java
@@ -1,4 +1,4 @@
-package yewyoke.error;
+package myrtleladder.error;
 
 import java.net.SocketAddress;
 import java.nio.file.Path;
--- a/src/main/java/yewyoke/fleet/member/Claim.java
+++ b/src/main/java/myrtleladder/gossip/Claim.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 /**
  * What somebody says of a member. Claims on one name are in a total order, and everybody keeps the greatest
--- a/src/main/java/yewyoke/fleet/member/Event.java
+++ b/src/main/java/myrtleladder/gossip/Event.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 /** Something that a process has come to hold of a member, for the log and all that follow the picture. */
 public record Event(Kind kind, Claim claim, String why) {
--- a/src/main/java/yewyoke/fleet/member/Health.java
+++ b/src/main/java/myrtleladder/gossip/Health.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 /**
  * How well this process itself does, from 0 (well) to 8 (Lifeguard, section IV-A). One that gets no answers,
--- a/src/main/java/yewyoke/fleet/member/Rumours.java
+++ b/src/main/java/myrtleladder/gossip/Rumours.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/yewyoke/fleet/member/Settings.java
+++ b/src/main/java/myrtleladder/gossip/Settings.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 /**
  * The figures of a fleet's membership; the same in all of its processes. Times are microseconds.
--- a/src/main/java/yewyoke/fleet/member/State.java
+++ b/src/main/java/myrtleladder/gossip/State.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 /** What is said of a member; of two claims on one incarnation the later one of these holds. */
 public enum State {
--- a/src/main/java/yewyoke/fleet/member/Suspicion.java
+++ b/src/main/java/myrtleladder/gossip/Suspicion.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/yewyoke/fleet/member/Wire.java
+++ b/src/main/java/myrtleladder/gossip/Wire.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/yewyoke/membership/MembershipAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
@@ -1,13 +1,13 @@
-package yewyoke.membership;
+package myrtleladder.heartbeat;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Alive;
-import yewyoke.message.FleetMember;
-import yewyoke.replication.Peers;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Alive;
+import myrtleladder.protocol.FleetMember;
+import myrtleladder.replication.Peers;
 
 /**
  * Sends this process' heartbeats to its monitors and remembers those that it monitors. What it
--- a/src/main/java/yewyoke/membership/Ring.java
+++ b/src/main/java/myrtleladder/heartbeat/Ring.java
@@ -1,4 +1,4 @@
-package yewyoke.membership;
+package myrtleladder.heartbeat;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.zip.CRC32;
-import yewyoke.message.FleetMember;
+import myrtleladder.protocol.FleetMember;
 
 /** The processes on a ring, by a hash of their names; each is watched by the few that follow it. */
 public final class Ring {
--- a/src/main/java/yewyoke/io/EventLoop.java
+++ b/src/main/java/myrtleladder/io/EventLoop.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import java.io.IOException;
 import java.nio.channels.SelectionKey;
--- a/src/main/java/yewyoke/io/Headers.java
+++ b/src/main/java/myrtleladder/io/Headers.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/io/HttpConnection.java
+++ b/src/main/java/myrtleladder/io/HttpConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
 /** A client's side of one connection, with one request under way at most. */
 public final class HttpConnection {
     private static final Attribute<HttpConnection> STATE =
-            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("yewyoke.client");
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("myrtleladder.client");
     private static final FilterChain CHAIN =
             FilterChainBuilder.stateless()
                     .add(new TransportFilter())
--- a/src/main/java/yewyoke/io/HttpExchange.java
+++ b/src/main/java/myrtleladder/io/HttpExchange.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
--- a/src/main/java/yewyoke/io/HttpServer.java
+++ b/src/main/java/myrtleladder/io/HttpServer.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
     private static final int MOST_HEADER_BYTES = 64 * 1_024;
     private static final int MOST_HEADERS = 100;
     private static final Attribute<ServerConnection> STATE =
-            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("yewyoke.server");
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("myrtleladder.server");
 
     private final EventLoop loop;
     private final Consumer<ServerExchange> handler;
--- a/src/main/java/yewyoke/io/IoException.java
+++ b/src/main/java/myrtleladder/io/IoException.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 /** A failure of sockets or peers. */
 public final class IoException extends SystemException {
--- a/src/main/java/yewyoke/io/RequestHead.java
+++ b/src/main/java/myrtleladder/io/RequestHead.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 /** Method, target and header fields of a request. */
 public record RequestHead(String method, String target, Headers headers) {
--- a/src/main/java/yewyoke/io/ResultCode.java
+++ b/src/main/java/myrtleladder/io/ResultCode.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 /** Numbered results of the fleet's programs; the table in docs/errors.md has a row for each. */
 public enum ResultCode {
--- a/src/main/java/yewyoke/io/Scheduler.java
+++ b/src/main/java/myrtleladder/io/Scheduler.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 /**
  * A steady clock and timers whose tasks run one at a time, on the thread that runs everything else.
--- a/src/main/java/yewyoke/io/ServerConnection.java
+++ b/src/main/java/myrtleladder/io/ServerConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import java.util.ArrayDeque;
 import org.glassfish.grizzly.Buffer;
--- a/src/main/java/yewyoke/io/ServerExchange.java
+++ b/src/main/java/myrtleladder/io/ServerExchange.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 /** One request at a server and the answer that it is owed. */
 public interface ServerExchange {
--- a/src/main/java/yewyoke/io/SystemException.java
+++ b/src/main/java/myrtleladder/io/SystemException.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 /** A failure with a numbered result code. */
 public class SystemException extends RuntimeException {
--- a/src/main/java/yewyoke/io/TimerQueue.java
+++ b/src/main/java/myrtleladder/io/TimerQueue.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/main/java/yewyoke/command/Admin.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -40,14 +40,14 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.NoMajority;
-import yewyoke.error.OperatorError.OldPermit;
-import yewyoke.error.OperatorError.PeerBusy;
-import yewyoke.error.OperatorError.UnknownMachine;
-import yewyoke.fleet.carrier.AgreeCarrier;
-import yewyoke.fleet.carrier.MemberCarrier;
-import yewyoke.node.Status;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.NoMajority;
+import myrtleladder.error.OperatorError.OldPermit;
+import myrtleladder.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError.UnknownMachine;
+import myrtleladder.cluster.AgreeCarrier;
+import myrtleladder.cluster.MemberCarrier;
+import myrtleladder.loadbalancer.server.Status;
 
 /**
  * For operators, over the loopback: the figures of one balancer ({@code /metrics}), what it holds of its
--- a/src/main/java/yewyoke/command/Beside.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
@@ -1,11 +1,11 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import java.util.List;
 import java.util.Set;
-import yewyoke.fleet.carrier.Balancing;
-import yewyoke.fleet.carrier.WorkCarrier;
-import yewyoke.node.Running;
-import yewyoke.node.Sending;
+import myrtleladder.cluster.Balancing;
+import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.loadbalancer.server.Running;
+import myrtleladder.loadbalancer.server.Sending;
 
 /** The balancer as the work on machines knows it: neither knows of the other. */
 record Beside(Sending sending) implements Balancing {
--- a/src/main/java/yewyoke/command/ConfigCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import yewyoke.toml.TomlFile;
+import myrtleladder.toml.TomlFile;
 
 /** Looks at a configuration of ours without starting anything. */
 @Command(name = "config", description = "Checks and shows our own configuration.",
--- a/src/main/java/yewyoke/command/FleetCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/FleetCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -18,11 +18,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadOption;
-import yewyoke.error.OperatorError.NobodyAnswers;
-import yewyoke.error.OperatorError.PartOff;
-import yewyoke.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadOption;
+import myrtleladder.error.OperatorError.NobodyAnswers;
+import myrtleladder.error.OperatorError.PartOff;
+import myrtleladder.error.OperatorError.PeerBusy;
 
 /** Asks any process of a fleet what it holds. */
 @Command(name = "fleet", description = "Asks a process what it holds of its fleet.",
--- a/src/main/java/yewyoke/command/JsonLines.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/JsonLines.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import java.util.Map;
 import java.util.logging.Formatter;
@@ -18,7 +18,6 @@
  * would be one more to start.
  */
 final class JsonLines extends Formatter {
-    private static final String OURS = "yewyoke.";
     private static final String TEMPLATE = """
             {"time": {"$resolver": "timestamp", "pattern":
                 {"format": "yyyy-MM-dd'T'HH:mm:ss.SSSSSS'Z'", "timeZone": "UTC"}},
@@ -48,7 +47,7 @@
         MutableInstant at = new MutableInstant();
         at.initFromEpochSecond(line.getInstant().getEpochSecond(), line.getInstant().getNano());
         return layout.toSerializable(Log4jLogEvent.newBuilder().setInstant(at)
-                .setLevel(level(line.getLevel())).setLoggerName(subsystem(line.getLoggerName()))
+                .setLevel(level(line.getLevel())).setLoggerName(Subsystems.of(line.getLoggerName()))
                 .setMessage(new SimpleMessage(formatMessage(line)))
                 .setContextData(fields(line.getParameters())).setThrown(line.getThrown()).build());
     }
@@ -71,13 +70,4 @@
                 : value >= java.util.logging.Level.WARNING.intValue() ? WARNING
                 : value >= java.util.logging.Level.INFO.intValue() ? INFO : DEBUG;
     }
-
-    /** The package under ours, as {@code node}; whole names for those of others. */
-    private static String subsystem(String logger) {
-        if (logger == null || !logger.startsWith(OURS)) {
-            return String.valueOf(logger);
-        }
-        int end = logger.lastIndexOf('.');
-        return end < OURS.length() ? "decisions" : logger.substring(OURS.length(), end);
-    }
 }
--- a/src/main/java/yewyoke/command/Logs.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Logs.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,11 +9,10 @@
 
 /** Puts the configured log in force. */
 final class Logs {
-    private static final String OURS = "yewyoke";
     /** Loggers that were given a level; the platform forgets those that nobody holds. */
     private static final List<Logger> HELD = new ArrayList<>();
 
-    private Logs() { }
+    private Logs() {}
 
     /** From now on lines go to standard error as configured, under the name of this process. */
     static void set(Own.LogPart log, String process) {
@@ -25,17 +24,22 @@
             }
         }
         level("", log.level());
-        log.levels().forEach((subsystem, level) -> level(OURS + "." + subsystem, level));
+        log.levels()
+                .forEach(
+                        (subsystem, level) ->
+                                Subsystems.loggers(subsystem)
+                                        .forEach(logger -> level(logger, level)));
     }
 
     private static void level(String logger, Own.LogLevel level) {
         Logger named = Logger.getLogger(logger);
         HELD.add(named);
-        named.setLevel(switch (level) {
-            case ERROR -> Level.SEVERE;
-            case WARNING -> Level.WARNING;
-            case INFO -> Level.INFO;
-            case DEBUG -> Level.FINE;
-        });
+        named.setLevel(
+                switch (level) {
+                    case ERROR -> Level.SEVERE;
+                    case WARNING -> Level.WARNING;
+                    case INFO -> Level.INFO;
+                    case DEBUG -> Level.FINE;
+                });
     }
 }
--- a/src/main/java/yewyoke/command/Own.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Own.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonProperty;
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.fleet.agree.AgreeSettings;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadFile;
-import yewyoke.toml.TomlFile;
+import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.toml.TomlFile;
 
 /**
  * What operators configure in a file of ours; the platform's JSON stays apart. What the file leaves out has
--- a/src/main/java/yewyoke/command/WorkDesk.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -14,21 +14,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadPlan;
-import yewyoke.error.OperatorError.NoMajority;
-import yewyoke.error.OperatorError.OldPermit;
-import yewyoke.error.OperatorError.PeerBusy;
-import yewyoke.error.OperatorError.UnknownMachine;
-import yewyoke.fleet.agree.Token;
-import yewyoke.fleet.carrier.Balancing;
-import yewyoke.fleet.carrier.WorkCarrier;
-import yewyoke.fleet.work.Job;
-import yewyoke.fleet.work.Part;
-import yewyoke.fleet.work.State;
-import yewyoke.fleet.work.Step;
-import yewyoke.fleet.work.Terms;
-import yewyoke.toml.TomlFile;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadPlan;
+import myrtleladder.error.OperatorError.NoMajority;
+import myrtleladder.error.OperatorError.OldPermit;
+import myrtleladder.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError.UnknownMachine;
+import myrtleladder.consensus.Token;
+import myrtleladder.cluster.Balancing;
+import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.maintenance.Job;
+import myrtleladder.maintenance.Part;
+import myrtleladder.maintenance.State;
+import myrtleladder.maintenance.Step;
+import myrtleladder.maintenance.Terms;
+import myrtleladder.toml.TomlFile;
 
 /**
  * What operators and workers ask of the work on machines. All that is taken is to be decided yet: whoever
--- a/src/main/java/yewyoke/command/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/package-info.java
@@ -1,2 +1,2 @@
 /** The program's own command line. {@code serve}, {@code adapter} and {@code rehearse} go on without it. */
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
--- a/src/main/java/yewyoke/Balance.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Balance.java
@@ -1,4 +1,4 @@
-package yewyoke; // the interface of this module is in Balancer.java
+package myrtleladder.loadbalancer.policy; // the interface of this module is in Balancer.java
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/yewyoke/SettingsCheck.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
@@ -1,8 +1,8 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Tenant;
+import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.Balancer.Tenant;
 
 /** Checks settings before a module is built on them; it decides nothing. */
 public final class SettingsCheck {
--- a/src/main/java/yewyoke/node/AnswerDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/AnswerDecoder.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/yewyoke/node/Backoff.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Backoff.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import java.util.concurrent.ThreadLocalRandom;
 
--- a/src/main/java/yewyoke/node/ClientServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientServer.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -16,9 +16,9 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Request;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.settings.SettingsReader;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** The side towards clients: listens, keeps their connections within the descriptors, and drains them. */
 final class ClientServer {
--- a/src/main/java/yewyoke/node/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -25,8 +25,8 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Request;
-import yewyoke.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.error.OperatorError.BadInput;
 
 /** One client connection: its requests are handled one after another, and answered in their order. */
 final class ClientSession extends SimpleChannelInboundHandler<FullHttpRequest> implements Driver.Client {
--- a/src/main/java/yewyoke/node/Config.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Config.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -10,12 +10,12 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import yewyoke.SettingsCheck;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadConfiguration;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.error.OperatorError.NoFile;
-import yewyoke.settings.SettingsReader;
+import myrtleladder.loadbalancer.policy.SettingsCheck;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadConfiguration;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.NoFile;
+import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** What this balancer is told at its start: addresses, limits, the list as last held, and the settings. */
 record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets, int memoryMb,
--- a/src/main/java/yewyoke/node/Counts.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Counts.java
@@ -1,9 +1,9 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import yewyoke.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
 
 /** What a balancer has done since its start: plain numbers, written and read on its event loop alone. */
 final class Counts {
--- a/src/main/java/yewyoke/node/Discovery.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Discovery.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -29,9 +29,9 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.ListKind;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.error.OperatorError.BadList;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.BadList;
 
 /** Follows the list of upstreams: one watch, kept open from the version known, and single lists if asked. */
 final class Discovery {
--- a/src/main/java/yewyoke/node/Driver.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Driver.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -24,16 +24,16 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.settings.SettingsReader;
+import myrtleladder.loadbalancer.policy.Balance;
+import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.Limits;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
  * Owns the decision module and does for it on sockets what the simulator did: clock, timers, attempts and
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -11,13 +11,13 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import yewyoke.adapter.Adapter;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.AddressTaken;
-import yewyoke.error.OperatorError.LimitsTooSmall;
-import yewyoke.error.OperatorError.NotTold;
-import yewyoke.error.OperatorError.Unexpected;
-import yewyoke.signal.Signals;
+import myrtleladder.loadbalancer.simulator.Adapter;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.AddressTaken;
+import myrtleladder.error.OperatorError.LimitsTooSmall;
+import myrtleladder.error.OperatorError.NotTold;
+import myrtleladder.error.OperatorError.Unexpected;
+import myrtleladder.signal.Signals;
 
 /** Command line: {@code serve} runs one balancer on sockets, {@code adapter} the module on the simulator. */
 public final class Main {
@@ -77,7 +77,7 @@
         }
         boolean rehearse = args.length == 1 && args[0].equals("rehearse");
         if (!rehearse && (args.length != 1 || !args[0].equals("serve"))) {
-            err.println("usage: java -jar yewyoke.jar serve|adapter|rehearse");
+            err.println("usage: java -jar myrtleladder-loadbalancer.jar serve|adapter|rehearse");
             return 2;
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/main/java/yewyoke/node/Rehearsal.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Rehearsal.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -25,8 +25,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Effect;
+import myrtleladder.loadbalancer.policy.Balancer.State;
 
 /**
  * Serves requests of its own, in memory, before the first client may come. Code that has never run is loaded
--- a/src/main/java/yewyoke/node/RequestDeadline.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestDeadline.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/yewyoke/node/RequestReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestReader.java
@@ -1,15 +1,15 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.settings.SettingsReader;
+import myrtleladder.loadbalancer.policy.Balancer.Effect;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads a client's request from its HTTP message, as the settings name classes and tenants. */
 final class RequestReader {
--- a/src/main/java/yewyoke/node/Running.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Running.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
--- a/src/main/java/yewyoke/node/ServerList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ServerList.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.settings.SettingsReader;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** A list of upstreams, or changes of it, in discovery's form. */
 record ServerList(long version, boolean full, List<Entry> entries) {
--- a/src/main/java/yewyoke/node/Transport.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Transport.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/yewyoke/node/Upstreams.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Upstreams.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -25,8 +25,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.State;
 
 /**
  * The connections to upstreams, and the attempts on them. A connection carries one request at a time and is
--- a/src/main/java/yewyoke/node/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/package-info.java
@@ -1,2 +1,2 @@
 /** The balancer on real sockets, round the decision module. */
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
--- a/src/main/java/yewyoke/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package myrtleladder.loadbalancer.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,17 +7,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Tenant;
-import yewyoke.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer.Effect;
+import myrtleladder.loadbalancer.policy.Balancer.Limits;
+import myrtleladder.loadbalancer.policy.Balancer.Prices;
+import myrtleladder.loadbalancer.policy.Balancer.Ratings;
+import myrtleladder.loadbalancer.policy.Balancer.Reports;
+import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.Balancer.RuleFigures;
+import myrtleladder.loadbalancer.policy.Balancer.Scope;
+import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.Balancer.Tenant;
+import myrtleladder.error.OperatorError.BadInput;
 
 /** Reads the settings that an instance is created with. Keys it does not know are skipped. */
 public final class SettingsReader {
--- a/src/main/java/yewyoke/settings/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/package-info.java
@@ -1,2 +1,2 @@
 /** The settings as the users write them, for both the simulator's wire and the sockets. */
-package yewyoke.settings;
+package myrtleladder.loadbalancer.settings;
--- a/src/main/java/yewyoke/adapter/Adapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package myrtleladder.loadbalancer.simulator;
 
 import java.io.BufferedOutputStream;
 import java.io.ByteArrayOutputStream;
@@ -6,7 +6,7 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import yewyoke.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.BadInput;
 
 /** Command line: {@code adapter} reads batches on standard input and writes a reply for each. */
 public final class Adapter {
@@ -15,7 +15,7 @@
     /** Runs until the end of input; returns 0, 1 after bad input, 2 after a wrong command line. */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
-            err.println("usage: java -jar yewyoke.jar adapter");
+            err.println("usage: java -jar myrtleladder-loadbalancer.jar adapter");
             return 2;
         }
         Replies replies = new Replies();
--- a/src/main/java/yewyoke/adapter/Batches.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Batches.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package myrtleladder.loadbalancer.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,16 +13,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.settings.SettingsReader;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads one batch at a time and hands its events to the instances. */
 final class Batches {
--- a/src/main/java/yewyoke/adapter/Desk.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
@@ -1,11 +1,11 @@
-package yewyoke.adapter;
+package myrtleladder.loadbalancer.simulator;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewyoke.Balancer;
-import yewyoke.Balance;
-import yewyoke.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.Balance;
+import myrtleladder.error.OperatorError.BadInput;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
 final class Desk {
--- a/src/main/java/yewyoke/adapter/Replies.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Replies.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package myrtleladder.loadbalancer.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.util.HexFormat;
-import yewyoke.Balancer;
+import myrtleladder.loadbalancer.policy.Balancer;
 
 /** Writes the actions of all instances into one reply. */
 final class Replies {
--- a/src/main/java/yewyoke/adapter/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** The adapter between the decision module and a bench that speaks JSON lines; it decides nothing. */
-package yewyoke.adapter;
+package myrtleladder.loadbalancer.simulator;
--- a/src/main/java/yewyoke/fleet/work/Agenda.java
+++ b/src/main/java/myrtleladder/maintenance/Agenda.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Machine;
-import yewyoke.fleet.agree.Token;
-import yewyoke.fleet.agree.View;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Machine;
+import myrtleladder.consensus.Token;
+import myrtleladder.consensus.View;
 
 /**
  * What is agreed on the work on machines: fed by the log, the same in all processes that have heard the same
--- a/src/main/java/yewyoke/fleet/work/Command.java
+++ b/src/main/java/myrtleladder/maintenance/Command.java
@@ -1,9 +1,9 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import yewyoke.fleet.agree.Token;
+import myrtleladder.consensus.Token;
 
 /**
  * One step of the agenda as it goes into the log. What a step needs to know of the world stands in it, so
--- a/src/main/java/yewyoke/fleet/work/Job.java
+++ b/src/main/java/myrtleladder/maintenance/Job.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import java.util.Collection;
 import java.util.Comparator;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Token;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Token;
 
 /**
  * One machine on the agenda.
--- a/src/main/java/yewyoke/fleet/work/Json.java
+++ b/src/main/java/myrtleladder/maintenance/Json.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/yewyoke/fleet/work/Part.java
+++ b/src/main/java/myrtleladder/maintenance/Part.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import java.util.Map;
 
--- a/src/main/java/yewyoke/fleet/work/State.java
+++ b/src/main/java/myrtleladder/maintenance/State.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 /** Where a machine's work stands. */
 public enum State {
--- a/src/main/java/yewyoke/fleet/work/Step.java
+++ b/src/main/java/myrtleladder/maintenance/Step.java
@@ -1,8 +1,8 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.fleet.agree.Token;
+import myrtleladder.consensus.Token;
 
 /** Something that operators, or whoever does the work, want of the agenda, as it goes into the log. */
 public record Step(byte[] bytes) {
--- a/src/main/java/yewyoke/fleet/work/Work.java
+++ b/src/main/java/myrtleladder/maintenance/Work.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import yewyoke.fleet.agree.Agreement;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Token;
+import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Token;
 
 /**
  * One life's part in the work on machines. It keeps away from machines that are on the agenda, says when
--- a/src/main/java/yewyoke/fleet/work/WorkPoint.java
+++ b/src/main/java/myrtleladder/maintenance/WorkPoint.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 /**
  * The places at which the world can go wrong between two steps of the work on machines;
--- a/src/main/java/yewyoke/fleet/work/WorkSettings.java
+++ b/src/main/java/myrtleladder/maintenance/WorkSettings.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 /**
  * The figures of the work on machines; the same in all processes of a fleet. Times are microseconds.
--- a/src/main/java/yewyoke/process/Address.java
+++ b/src/main/java/myrtleladder/process/Address.java
@@ -1,6 +1,6 @@
-package yewyoke.process;
+package myrtleladder.process;
 
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /** A host by number and a port. */
 public record Address(String host, int port) {
--- a/src/main/java/yewyoke/process/NodeSettings.java
+++ b/src/main/java/myrtleladder/process/NodeSettings.java
@@ -1,4 +1,4 @@
-package yewyoke.process;
+package myrtleladder.process;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.ResultCode;
 
 /** What the platform tells a process, checked whole; fields that are not known are ignored. */
 public record NodeSettings(
--- a/src/main/java/yewyoke/process/ProgramCommand.java
+++ b/src/main/java/myrtleladder/process/ProgramCommand.java
@@ -1,14 +1,14 @@
-package yewyoke.process;
+package myrtleladder.process;
 
 import java.util.List;
 import java.util.function.ToIntFunction;
+import myrtleladder.io.ResultCode;
+import myrtleladder.io.SystemException;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.HelpFormatter;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import yewyoke.io.ResultCode;
-import yewyoke.io.SystemException;
 
 /** What the command lines of the fleet's programs have in common: help, failures, exit codes. */
 public final class ProgramCommand {
--- a/src/main/java/yewyoke/process/SettingsException.java
+++ b/src/main/java/myrtleladder/process/SettingsException.java
@@ -1,7 +1,7 @@
-package yewyoke.process;
+package myrtleladder.process;
 
-import yewyoke.io.ResultCode;
-import yewyoke.io.SystemException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.io.SystemException;
 
 /** Settings or a command line that can't be used. */
 public final class SettingsException extends SystemException {
--- a/src/main/java/yewyoke/message/Accept.java
+++ b/src/main/java/myrtleladder/protocol/Accept.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A candidate asks to accept a view. */
 public final class Accept implements Message {
--- a/src/main/java/yewyoke/message/Acknowledge.java
+++ b/src/main/java/myrtleladder/protocol/Acknowledge.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** The answer to a message that is either taken or refused for a higher epoch. */
 public final class Acknowledge implements Message {
--- a/src/main/java/yewyoke/message/Alive.java
+++ b/src/main/java/myrtleladder/protocol/Alive.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A heartbeat of a process to one of its monitors. */
 public final class Alive implements Message {
--- a/src/main/java/yewyoke/message/FleetMember.java
+++ b/src/main/java/myrtleladder/protocol/FleetMember.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A balancer with the address at which others of the fleet reach it. */
 public final class FleetMember {
--- a/src/main/java/yewyoke/message/Heartbeat.java
+++ b/src/main/java/myrtleladder/protocol/Heartbeat.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** The primary tells its view, and asks whether it still holds. */
 public final class Heartbeat implements Message {
--- a/src/main/java/yewyoke/message/InstanceRecord.java
+++ b/src/main/java/myrtleladder/protocol/InstanceRecord.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** An incarnation of an upstream as its heartbeats tell it; instances are not changed once made. */
 public final class InstanceRecord {
--- a/src/main/java/yewyoke/message/Join.java
+++ b/src/main/java/myrtleladder/protocol/Join.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A control node outside of the group asks to be admitted. */
 public final class Join implements Message {
--- a/src/main/java/yewyoke/message/JoinReply.java
+++ b/src/main/java/myrtleladder/protocol/JoinReply.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** The answer to a {@link Join}: the view that the answering node knows of, null if none. */
 public final class JoinReply implements Message {
--- a/src/main/java/yewyoke/message/KeptPrompt.java
+++ b/src/main/java/myrtleladder/protocol/KeptPrompt.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A shared beginning of prompts that an upstream was sent and so keeps. */
 public final class KeptPrompt {
--- a/src/main/java/yewyoke/message/Leave.java
+++ b/src/main/java/myrtleladder/protocol/Leave.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A control node that was asked to end asks to be taken out of the group first. */
 public final class Leave implements Message {
--- a/src/main/java/yewyoke/message/Member.java
+++ b/src/main/java/myrtleladder/protocol/Member.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /**
  * A control node: where it is reached by the fleet and by callers from outside, and the identity of
--- a/src/main/java/yewyoke/message/MessageCodec.java
+++ b/src/main/java/myrtleladder/protocol/MessageCodec.java
@@ -1,12 +1,12 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
 import io.protostuff.Schema;
 import io.protostuff.runtime.RuntimeSchema;
 import java.util.List;
-import yewyoke.io.IoException;
-import yewyoke.io.ResultCode;
+import myrtleladder.io.IoException;
+import myrtleladder.io.ResultCode;
 
 /** Messages as bytes: one byte for the type, then the fields as Protostuff. */
 public final class MessageCodec {
--- a/src/main/java/yewyoke/message/Prepare.java
+++ b/src/main/java/myrtleladder/protocol/Prepare.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A candidate asks for the promise of an epoch, or whether it would be given. */
 public final class Prepare implements Message {
--- a/src/main/java/yewyoke/message/Promise.java
+++ b/src/main/java/myrtleladder/protocol/Promise.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/message/QuotaAsk.java
+++ b/src/main/java/myrtleladder/protocol/QuotaAsk.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A balancer asks the primary for units of a tenant's quota. */
 public final class QuotaAsk implements Message {
--- a/src/main/java/yewyoke/message/QuotaGrant.java
+++ b/src/main/java/myrtleladder/protocol/QuotaGrant.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** The answer to a {@link QuotaAsk}. */
 public final class QuotaGrant implements Message {
--- a/src/main/java/yewyoke/message/Replicate.java
+++ b/src/main/java/myrtleladder/protocol/Replicate.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** The primary gives a replica the next state. */
 public final class Replicate implements Message {
--- a/src/main/java/yewyoke/message/Resign.java
+++ b/src/main/java/myrtleladder/protocol/Resign.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** A primary that is about to end or can't write asks a replica to stand at once. */
 public final class Resign implements Message {
--- a/src/main/java/yewyoke/message/UnderWay.java
+++ b/src/main/java/myrtleladder/protocol/UnderWay.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** Requests that a balancer has under way at an upstream that leaves. */
 public final class UnderWay {
--- a/src/main/java/yewyoke/message/UpstreamLoad.java
+++ b/src/main/java/myrtleladder/protocol/UpstreamLoad.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 /** What is under way at an upstream. */
 public final class UpstreamLoad {
--- a/src/main/java/yewyoke/replication/Candidacy.java
+++ b/src/main/java/myrtleladder/replication/Candidacy.java
@@ -1,4 +1,4 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.message.Accept;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Install;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.Member;
-import yewyoke.message.Prepare;
-import yewyoke.message.Promise;
-import yewyoke.message.View;
+import myrtleladder.protocol.Accept;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Install;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Prepare;
+import myrtleladder.protocol.Promise;
+import myrtleladder.protocol.View;
 
 /**
  * One attempt to install a view: promises of a majority, the state at all its replicas, then the
--- a/src/main/java/yewyoke/replication/Departure.java
+++ b/src/main/java/myrtleladder/replication/Departure.java
@@ -1,13 +1,13 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Leave;
-import yewyoke.message.LeaveReply;
-import yewyoke.message.Member;
-import yewyoke.message.View;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Leave;
+import myrtleladder.protocol.LeaveReply;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.View;
 
 /**
  * The end of a node that was asked to end: it asks the primary to be let go until neither its copy
--- a/src/main/java/yewyoke/replication/GroupPlan.java
+++ b/src/main/java/myrtleladder/replication/GroupPlan.java
@@ -1,11 +1,11 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
-import yewyoke.message.Member;
+import myrtleladder.protocol.Member;
 
 /**
  * The next group of members: with those that ask to be admitted, without those whose store is gone,
--- a/src/main/java/yewyoke/replication/GroupRequests.java
+++ b/src/main/java/myrtleladder/replication/GroupRequests.java
@@ -1,10 +1,10 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.message.Member;
+import myrtleladder.protocol.Member;
 
 /** Who asks a primary to be admitted to the group or to be let go; requests are repeated. */
 final class GroupRequests {
--- a/src/main/java/yewyoke/replication/Leadership.java
+++ b/src/main/java/myrtleladder/replication/Leadership.java
@@ -1,4 +1,4 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Heartbeat;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Replicate;
-import yewyoke.message.Snapshot;
-import yewyoke.message.View;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Heartbeat;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.View;
 
 /**
  * What a primary does: it asks the members whether its epoch still holds, hands changes to the
--- a/src/main/java/yewyoke/replication/MemberContacts.java
+++ b/src/main/java/myrtleladder/replication/MemberContacts.java
@@ -1,11 +1,11 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.message.Member;
+import myrtleladder.protocol.Member;
 
 /**
  * When each member last answered a primary. An answer counts from the moment at which its question
--- a/src/main/java/yewyoke/replication/NodeAddresses.java
+++ b/src/main/java/myrtleladder/replication/NodeAddresses.java
@@ -1,11 +1,11 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import yewyoke.message.Member;
-import yewyoke.message.View;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.View;
 
 /** The addresses of control nodes that this node may ask. */
 final class NodeAddresses {
--- a/src/main/java/yewyoke/replication/Peers.java
+++ b/src/main/java/myrtleladder/replication/Peers.java
@@ -1,7 +1,7 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.function.Consumer;
-import yewyoke.message.Message;
+import myrtleladder.protocol.Message;
 
 /** Calls to other nodes. */
 public interface Peers {
--- a/src/main/java/yewyoke/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -1,4 +1,4 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -8,21 +8,21 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Join;
+import myrtleladder.protocol.JoinReply;
+import myrtleladder.protocol.Leave;
+import myrtleladder.protocol.LeaveReply;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Resign;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.protocol.View;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import yewyoke.io.Scheduler;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.Join;
-import yewyoke.message.JoinReply;
-import yewyoke.message.Leave;
-import yewyoke.message.LeaveReply;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Resign;
-import yewyoke.message.Snapshot;
-import yewyoke.message.StoredState;
-import yewyoke.message.View;
 
 /**
  * Primary-backup replication with witnesses. A change is committed once every replica of the
--- a/src/main/java/yewyoke/replication/ReplicaOptions.java
+++ b/src/main/java/myrtleladder/replication/ReplicaOptions.java
@@ -1,7 +1,7 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.List;
-import yewyoke.message.Member;
+import myrtleladder.protocol.Member;
 
 /**
  * What a replica is told at its start. {@code self} has an empty store if the disk tells which;
--- a/src/main/java/yewyoke/replication/ReplicaTimes.java
+++ b/src/main/java/myrtleladder/replication/ReplicaTimes.java
@@ -1,4 +1,4 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 /** Times of the replication protocol in milliseconds. */
 final class ReplicaTimes {
--- a/src/main/java/yewyoke/replication/StateKeeper.java
+++ b/src/main/java/myrtleladder/replication/StateKeeper.java
@@ -1,11 +1,11 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import yewyoke.io.Scheduler;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.StoredState;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.StoredState;
 
 /**
  * The state of this node: what is in memory is on its way to the disk, and an answer that promises
--- a/src/main/java/yewyoke/replication/Storage.java
+++ b/src/main/java/myrtleladder/replication/Storage.java
@@ -1,7 +1,7 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.function.Consumer;
-import yewyoke.message.StoredState;
+import myrtleladder.protocol.StoredState;
 
 /** Keeps the state of a control node over a loss of power. */
 public interface Storage {
--- a/src/main/java/yewyoke/replication/Voter.java
+++ b/src/main/java/myrtleladder/replication/Voter.java
@@ -1,19 +1,19 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayList;
 import java.util.function.Consumer;
-import yewyoke.message.Accept;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Heartbeat;
-import yewyoke.message.Install;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Prepare;
-import yewyoke.message.Promise;
-import yewyoke.message.Replicate;
-import yewyoke.message.Snapshot;
-import yewyoke.message.StoredState;
-import yewyoke.message.View;
+import myrtleladder.protocol.Accept;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Heartbeat;
+import myrtleladder.protocol.Install;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Prepare;
+import myrtleladder.protocol.Promise;
+import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.protocol.View;
 
 /**
  * What a member answers to candidates and primaries. It takes nothing of an epoch below the one it
--- a/src/main/java/yewyoke/rpc/MessageServer.java
+++ b/src/main/java/myrtleladder/rpc/MessageServer.java
@@ -1,13 +1,13 @@
-package yewyoke.rpc;
+package myrtleladder.rpc;
 
 import java.util.function.Consumer;
-import yewyoke.io.EventLoop;
-import yewyoke.io.Headers;
-import yewyoke.io.HttpServer;
-import yewyoke.io.ServerExchange;
-import yewyoke.io.SystemException;
-import yewyoke.message.Message;
-import yewyoke.message.MessageCodec;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.Headers;
+import myrtleladder.io.HttpServer;
+import myrtleladder.io.ServerExchange;
+import myrtleladder.io.SystemException;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
 
 /** Takes the calls of other processes of the fleet. */
 public final class MessageServer {
--- a/src/main/java/yewyoke/rpc/OneCall.java
+++ b/src/main/java/myrtleladder/rpc/OneCall.java
@@ -1,9 +1,9 @@
-package yewyoke.rpc;
+package myrtleladder.rpc;
 
-import yewyoke.io.EventLoop;
-import yewyoke.io.HttpConnection;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.HttpConnection;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
 
 /** A request on a connection of its own, whose answer is only read. */
 public final class OneCall implements HttpConnection.Listener {
--- a/src/main/java/yewyoke/rpc/PeerClient.java
+++ b/src/main/java/myrtleladder/rpc/PeerClient.java
@@ -1,19 +1,19 @@
-package yewyoke.rpc;
+package myrtleladder.rpc;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewyoke.io.EventLoop;
-import yewyoke.io.Headers;
-import yewyoke.io.HttpConnection;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
-import yewyoke.io.Scheduler;
-import yewyoke.io.SystemException;
-import yewyoke.message.Message;
-import yewyoke.message.MessageCodec;
-import yewyoke.replication.Peers;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.Headers;
+import myrtleladder.io.HttpConnection;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
+import myrtleladder.io.Scheduler;
+import myrtleladder.io.SystemException;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.replication.Peers;
 
 /** Calls between the fleet's processes over connections that are kept for the next call. */
 public final class PeerClient implements Peers {
--- a/src/main/java/yewyoke/signal/Signals.java
+++ b/src/main/java/myrtleladder/signal/Signals.java
@@ -1,4 +1,4 @@
-package yewyoke.signal;
+package myrtleladder.signal;
 
 import java.lang.reflect.Proxy;
 
--- a/src/main/java/yewyoke/lab/Main.java
+++ b/src/main/java/myrtleladder/testbed/Main.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package myrtleladder.testbed;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import yewyoke.error.OperatorError.BadOption;
-import yewyoke.lab.experiment.Build;
-import yewyoke.lab.experiment.Experiment;
-import yewyoke.lab.experiment.Play;
-import yewyoke.lab.experiment.Verdict;
+import myrtleladder.error.OperatorError.BadOption;
+import myrtleladder.testbed.experiment.Build;
+import myrtleladder.testbed.experiment.Experiment;
+import myrtleladder.testbed.experiment.Play;
+import myrtleladder.testbed.experiment.Verdict;
 
 /** The lab's part of the command line. Exit status: 0 as expected, 1 not as expected, 2 it can't be done. */
 @Command(name = "lab", description = "Plays experiments with fleets of balancers on this machine.",
--- a/src/main/java/yewyoke/lab/check/Checker.java
+++ b/src/main/java/myrtleladder/testbed/checker/Checker.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.check;
+package myrtleladder.testbed.checker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.lab.check.Violation.Kind;
+import myrtleladder.testbed.checker.Violation.Kind;
 
 /**
  * Follows each request from its client to the upstreams and back. It is told what both ends saw, in the order
--- a/src/main/java/yewyoke/lab/check/ColdWindow.java
+++ b/src/main/java/myrtleladder/testbed/checker/ColdWindow.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.check;
+package myrtleladder.testbed.checker;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/src/main/java/yewyoke/lab/check/Rules.java
+++ b/src/main/java/myrtleladder/testbed/checker/Rules.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.check;
+package myrtleladder.testbed.checker;
 
 /**
  * The figures of the rules (PROTOCOL, "The rules on sockets"). Times are microseconds.
--- a/src/main/java/yewyoke/lab/check/Violation.java
+++ b/src/main/java/myrtleladder/testbed/checker/Violation.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.check;
+package myrtleladder.testbed.checker;
 
 /** One broken rule: when, by which request (or upstream, for a cold one that was overrun), and how. */
 public record Violation(Kind kind, long at, String id, String text) {
--- a/src/main/java/yewyoke/lab/check/package-info.java
+++ b/src/main/java/myrtleladder/testbed/checker/package-info.java
@@ -1,2 +1,2 @@
 /** Follows each request at both ends and says which rules were broken, and by which request. */
-package yewyoke.lab.check;
+package myrtleladder.testbed.checker;
--- a/src/main/java/yewyoke/lab/experiment/Build.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Build.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -7,9 +7,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadFile;
-import yewyoke.error.OperatorError.NoBuild;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.error.OperatorError.NoBuild;
 
 /** A build of the program: its folder, and the command that starts one balancer there. */
 public record Build(Path home, List<String> command) {
@@ -29,7 +29,7 @@
         if (!run.isTextual()) {
             throw new BadFile(deploy, 0, "run", "is missing");
         }
-        Path jar = home.resolve("target/yewyoke.jar");
+        Path jar = home.resolve("target/myrtleladder-loadbalancer.jar");
         if (!Files.exists(jar)) {
             throw new NoBuild(jar, "is missing");
         }
--- a/src/main/java/yewyoke/lab/experiment/Experiment.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Experiment.java
@@ -1,15 +1,15 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.nio.file.Path;
 import java.util.List;
-import yewyoke.lab.check.Checker.Repeat;
-import yewyoke.lab.check.Rules;
-import yewyoke.lab.stand.RequestClass;
-import yewyoke.lab.stand.UpstreamKind;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadFile;
-import yewyoke.toml.TomlFile;
+import myrtleladder.testbed.checker.Checker.Repeat;
+import myrtleladder.testbed.checker.Rules;
+import myrtleladder.testbed.fake.RequestClass;
+import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.toml.TomlFile;
 
 /** An experiment as its TOML file has it; what the file leaves out has the value that stands here. */
 public record Experiment(@JsonProperty(required = true) String name, long seed, Integer plays, double seconds,
--- a/src/main/java/yewyoke/lab/experiment/Play.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Play.java
@@ -1,15 +1,15 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.Consumer;
-import yewyoke.error.OperatorError;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.play.Fleet;
-import yewyoke.lab.stand.Clients;
-import yewyoke.lab.stand.Traffic;
+import myrtleladder.error.OperatorError;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.fake.Clients;
+import myrtleladder.testbed.fake.Traffic;
 
 /** Plays an experiment once with one build, and leaves its record and report in a folder. */
 public final class Play {
--- a/src/main/java/yewyoke/lab/experiment/PlayRecord.java
+++ b/src/main/java/myrtleladder/testbed/experiment/PlayRecord.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.play.Fleet;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.process.Fleet;
 
 /** The record of a play, one JSON object a line: the experiment, faults, requests, samples, broken rules. */
 final class PlayRecord {
--- a/src/main/java/yewyoke/lab/experiment/Report.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Report.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import java.awt.BasicStroke;
 import java.awt.Color;
@@ -26,12 +26,12 @@
 import org.jfree.data.xy.DefaultXYZDataset;
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.play.Fleet;
-import yewyoke.lab.play.ProcessSample;
-import yewyoke.lab.play.UpstreamSample;
-import yewyoke.lab.stand.Clients.Outcome;
-import yewyoke.lab.stand.RequestClass;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.process.ProcessSample;
+import myrtleladder.testbed.process.UpstreamSample;
+import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.RequestClass;
 
 /** A page with the plots of a play in it, the faults drawn over them; it needs nothing from a network. */
 final class Report {
--- a/src/main/java/yewyoke/lab/experiment/Timeline.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Timeline.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,10 +6,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
-import yewyoke.lab.experiment.Experiment.FaultPart;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
+import myrtleladder.testbed.experiment.Experiment.FaultPart;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
 
 /** Turns the timeline of an experiment into a plan: groups as {@code b0..b13} become their members. */
 final class Timeline {
--- a/src/main/java/yewyoke/lab/experiment/Verdict.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Verdict.java
@@ -1,11 +1,11 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import yewyoke.lab.play.Fleet;
-import yewyoke.lab.stand.Clients.Outcome;
-import yewyoke.lab.stand.RequestClass;
+import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.RequestClass;
 
 /**
  * What came of one play, in figures.
--- a/src/main/java/yewyoke/lab/experiment/package-info.java
+++ b/src/main/java/myrtleladder/testbed/experiment/package-info.java
@@ -1,2 +1,2 @@
 /** Experiments as files: what is played, what is expected of it, its record and its report. */
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
--- a/src/main/java/yewyoke/lab/stand/Clients.java
+++ b/src/main/java/myrtleladder/testbed/fake/Clients.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -28,9 +28,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import yewyoke.lab.check.Checker;
-import yewyoke.lab.check.Checker.Repeat;
-import yewyoke.lab.stand.Traffic.Arrival;
+import myrtleladder.testbed.checker.Checker;
+import myrtleladder.testbed.checker.Checker.Repeat;
+import myrtleladder.testbed.fake.Traffic.Arrival;
 
 /**
  * The clients, in an open loop: each request goes out at its time, whatever became of those before. They keep
--- a/src/main/java/yewyoke/lab/stand/DiscoveryServer.java
+++ b/src/main/java/myrtleladder/testbed/fake/DiscoveryServer.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -36,7 +36,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yewyoke.lab.check.Checker;
+import myrtleladder.testbed.checker.Checker;
 
 /**
  * Discovery on sockets: the whole list, and watches on its changes. It works through calls in turn and turns
--- a/src/main/java/yewyoke/lab/stand/LabClock.java
+++ b/src/main/java/myrtleladder/testbed/fake/LabClock.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 /** The one clock of a run: microseconds since it was made, by the machine's steady clock. */
 public final class LabClock {
--- a/src/main/java/yewyoke/lab/stand/RequestClass.java
+++ b/src/main/java/myrtleladder/testbed/fake/RequestClass.java
@@ -1,6 +1,6 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
-import yewyoke.lab.check.Checker.Repeat;
+import myrtleladder.testbed.checker.Checker.Repeat;
 
 /**
  * A class of requests. Times and work are microseconds.
--- a/src/main/java/yewyoke/lab/stand/Traffic.java
+++ b/src/main/java/myrtleladder/testbed/fake/Traffic.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/yewyoke/lab/stand/UpstreamKind.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamKind.java
@@ -1,6 +1,6 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
-import yewyoke.lab.check.Rules;
+import myrtleladder.testbed.checker.Rules;
 
 /**
  * What an upstream's machine can do. Times and work are microseconds; work is the time it takes at speed 1.
--- a/src/main/java/yewyoke/lab/stand/UpstreamModel.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import yewyoke.lab.check.ColdWindow;
+import myrtleladder.testbed.checker.ColdWindow;
 
 /**
  * An upstream without its sockets: requests come in, answers and the time of the next event go out. It
--- a/src/main/java/yewyoke/lab/stand/UpstreamServer.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamServer.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -30,8 +30,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToDoubleFunction;
-import yewyoke.lab.check.Checker;
-import yewyoke.lab.stand.UpstreamModel.End;
+import myrtleladder.testbed.checker.Checker;
+import myrtleladder.testbed.fake.UpstreamModel.End;
 
 /**
  * An upstream on sockets. Each balancer has an address of its own to come to, so it is known who sent what.
--- a/src/main/java/yewyoke/lab/stand/package-info.java
+++ b/src/main/java/myrtleladder/testbed/fake/package-info.java
@@ -1,2 +1,2 @@
 /** Stand-ins for what surrounds a balancer, written from the protocol. */
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
--- a/src/main/java/yewyoke/lab/fault/Fault.java
+++ b/src/main/java/myrtleladder/testbed/fault/Fault.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.fault;
+package myrtleladder.testbed.fault;
 
 /** One thing that happens to a process or to one direction of a link. */
 public sealed interface Fault {
--- a/src/main/java/yewyoke/lab/fault/LinkFault.java
+++ b/src/main/java/myrtleladder/testbed/fault/LinkFault.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.fault;
+package myrtleladder.testbed.fault;
 
 /**
  * What one direction of a link does to what is sent on it. Times are microseconds, chances lie in 0 to 1.
--- a/src/main/java/yewyoke/lab/fault/Links.java
+++ b/src/main/java/myrtleladder/testbed/fault/Links.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.fault;
+package myrtleladder.testbed.fault;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/yewyoke/lab/fault/package-info.java
+++ b/src/main/java/myrtleladder/testbed/fault/package-info.java
@@ -1,2 +1,2 @@
 /** The words for what goes wrong between processes, the same in virtual time and on real sockets. */
-package yewyoke.lab.fault;
+package myrtleladder.testbed.fault;
--- a/src/main/java/yewyoke/lab/play/BalancerConfig.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerConfig.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.play;
+package myrtleladder.testbed.process;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,9 +7,9 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import yewyoke.lab.check.Checker.Repeat;
-import yewyoke.lab.check.Rules;
-import yewyoke.lab.stand.RequestClass;
+import myrtleladder.testbed.checker.Checker.Repeat;
+import myrtleladder.testbed.checker.Rules;
+import myrtleladder.testbed.fake.RequestClass;
 
 /** What a balancer of the lab is told at its start, in the platform's form (DEPLOY). */
 public record BalancerConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
--- a/src/main/java/yewyoke/lab/play/Fleet.java
+++ b/src/main/java/myrtleladder/testbed/process/Fleet.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.play;
+package myrtleladder.testbed.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -21,25 +21,25 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.EndedAtStart;
-import yewyoke.lab.check.Checker;
-import yewyoke.lab.check.Rules;
-import yewyoke.lab.check.Violation;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.relay.Relay;
-import yewyoke.lab.stand.Clients;
-import yewyoke.lab.stand.DiscoveryServer;
-import yewyoke.lab.stand.DiscoveryServer.Entry;
-import yewyoke.lab.stand.DiscoveryServer.State;
-import yewyoke.lab.stand.Front;
-import yewyoke.lab.stand.LabClock;
-import yewyoke.lab.stand.Traffic;
-import yewyoke.lab.stand.Traffic.Arrival;
-import yewyoke.lab.stand.UpstreamKind;
-import yewyoke.lab.stand.UpstreamServer;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.EndedAtStart;
+import myrtleladder.testbed.checker.Checker;
+import myrtleladder.testbed.checker.Rules;
+import myrtleladder.testbed.checker.Violation;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.proxy.Relay;
+import myrtleladder.testbed.fake.Clients;
+import myrtleladder.testbed.fake.DiscoveryServer;
+import myrtleladder.testbed.fake.DiscoveryServer.Entry;
+import myrtleladder.testbed.fake.DiscoveryServer.State;
+import myrtleladder.testbed.fake.Front;
+import myrtleladder.testbed.fake.LabClock;
+import myrtleladder.testbed.fake.Traffic;
+import myrtleladder.testbed.fake.Traffic.Arrival;
+import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.testbed.fake.UpstreamServer;
 
 /**
  * Balancers as processes, and all that surrounds them, on the loopback of this machine. Each way from a
--- a/src/main/java/yewyoke/lab/play/ProcessSample.java
+++ b/src/main/java/myrtleladder/testbed/process/ProcessSample.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.play;
+package myrtleladder.testbed.process;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/yewyoke/lab/play/UpstreamSample.java
+++ b/src/main/java/myrtleladder/testbed/process/UpstreamSample.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.play;
+package myrtleladder.testbed.process;
 
 /**
  * What an upstream has done so far.
--- a/src/main/java/yewyoke/lab/play/package-info.java
+++ b/src/main/java/myrtleladder/testbed/process/package-info.java
@@ -1,2 +1,2 @@
 /** Runs of the lab: processes of the program, what surrounds them, and the faults of a plan. */
-package yewyoke.lab.play;
+package myrtleladder.testbed.process;
--- a/src/main/java/yewyoke/lab/relay/DatagramLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/DatagramLink.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.relay;
+package myrtleladder.testbed.proxy;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import java.net.PortUnreachableException;
 import java.util.concurrent.TimeUnit;
-import yewyoke.lab.fault.Links;
+import myrtleladder.testbed.fault.Links;
 
 /** One pair of processes over UDP, both ways. Whoever is not the target was told this address. */
 final class DatagramLink extends SimpleChannelInboundHandler<DatagramPacket> {
--- a/src/main/java/yewyoke/lab/relay/Relay.java
+++ b/src/main/java/myrtleladder/testbed/proxy/Relay.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.relay;
+package myrtleladder.testbed.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Links;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Links;
 
 /**
  * Carries what processes send to each other, and brings link faults about on the way. A process is given an
--- a/src/main/java/yewyoke/lab/relay/StreamLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamLink.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.relay;
+package myrtleladder.testbed.proxy;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yewyoke.lab.fault.Links;
+import myrtleladder.testbed.fault.Links;
 
 /**
  * One pair of processes over TCP: connections that the first opens to the second. Bytes keep their order, as
--- a/src/main/java/yewyoke/lab/relay/package-info.java
+++ b/src/main/java/myrtleladder/testbed/proxy/package-info.java
@@ -1,2 +1,2 @@
 /** Faults between processes on real sockets: each link goes through a relay of the lab. */
-package yewyoke.lab.relay;
+package myrtleladder.testbed.proxy;
--- a/src/main/java/yewyoke/lab/virtual/Core.java
+++ b/src/main/java/myrtleladder/testbed/simulation/Core.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.virtual;
+package myrtleladder.testbed.simulation;
 
 /**
  * A pure core as the world hosts it: events come in as calls, actions go out through {@link Actions} from
--- a/src/main/java/yewyoke/lab/virtual/Explorer.java
+++ b/src/main/java/myrtleladder/testbed/simulation/Explorer.java
@@ -1,8 +1,8 @@
-package yewyoke.lab.virtual;
+package myrtleladder.testbed.simulation;
 
 import java.util.List;
 import java.util.Optional;
-import yewyoke.lab.fault.Plan;
+import myrtleladder.testbed.fault.Plan;
 
 /** Plays one scenario under many drawn plans; tells of the first that fails, and how to see it again. */
 public final class Explorer {
--- a/src/main/java/yewyoke/lab/virtual/History.java
+++ b/src/main/java/myrtleladder/testbed/simulation/History.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.virtual;
+package myrtleladder.testbed.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/src/main/java/yewyoke/lab/virtual/World.java
+++ b/src/main/java/myrtleladder/testbed/simulation/World.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.virtual;
+package myrtleladder.testbed.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Links;
-import yewyoke.lab.fault.Plan;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Links;
+import myrtleladder.testbed.fault.Plan;
 
 /**
  * Processes, their clocks and the network between them, in virtual time. All that happens follows from the
--- a/src/main/java/yewyoke/lab/virtual/package-info.java
+++ b/src/main/java/myrtleladder/testbed/simulation/package-info.java
@@ -1,2 +1,2 @@
 /** Pure cores on a seeded scheduler: thousands of processes and millions of events in one thread. */
-package yewyoke.lab.virtual;
+package myrtleladder.testbed.simulation;
--- a/src/main/java/yewyoke/toml/TomlFile.java
+++ b/src/main/java/myrtleladder/toml/TomlFile.java
@@ -1,4 +1,4 @@
-package yewyoke.toml;
+package myrtleladder.toml;
 
 import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -15,9 +15,9 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.BadFile;
-import yewyoke.error.OperatorError.NoFile;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.error.OperatorError.NoFile;
 
 /** Reads TOML into records and refuses what it does not know: a mistyped key must not pass for a default. */
 public final class TomlFile {
--- a/src/main/java/yewyoke/toml/package-info.java
+++ b/src/main/java/myrtleladder/toml/package-info.java
@@ -1,2 +1,2 @@
 /** TOML files into records, with errors that name file, line and key; the platform's start loads none. */
-package yewyoke.toml;
+package myrtleladder.toml;
--- a/src/main/java/yewyoke/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Load-balancing decisions for proxies: {@link yewyoke.Balancer} is the interface. */
-package yewyoke;
--- a/src/test/java/yewyoke/fleet/GoldenFile.java
+++ b/src/test/java/myrtleladder/cluster/GoldenFile.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet;
+package myrtleladder.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/yewyoke/fleet/carrier/OperatorsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
@@ -1,28 +1,10 @@
-package yewyoke.fleet.carrier;
+package myrtleladder.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-
-import org.junit.jupiter.api.Test;
-
-import yewyoke.fleet.GoldenFile;
-import yewyoke.fleet.agree.AgreeSettings;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Note;
-import yewyoke.fleet.agree.Term;
-import yewyoke.fleet.agree.Token;
-import yewyoke.fleet.agree.View;
-import yewyoke.fleet.member.Claim;
-import yewyoke.fleet.member.Event;
-import yewyoke.fleet.member.Meta;
-import yewyoke.fleet.member.Settings;
-import yewyoke.fleet.member.State;
-import yewyoke.fleet.work.Agenda;
-
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
@@ -33,6 +15,19 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
+import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Note;
+import myrtleladder.consensus.Term;
+import myrtleladder.consensus.Token;
+import myrtleladder.consensus.View;
+import myrtleladder.gossip.Claim;
+import myrtleladder.gossip.Event;
+import myrtleladder.gossip.Meta;
+import myrtleladder.gossip.Settings;
+import myrtleladder.gossip.State;
+import myrtleladder.maintenance.Agenda;
+import org.junit.jupiter.api.Test;
 
 /**
  * Pins what operators get to see of the fleet: the JSON of the answers on members, agreement and
--- a/src/test/java/yewyoke/fleet/PointFaults.java
+++ b/src/test/java/myrtleladder/cluster/PointFaults.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet;
+package myrtleladder.cluster;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -8,10 +8,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.virtual.Core;
-import yewyoke.lab.virtual.World;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.simulation.Core;
+import myrtleladder.testbed.simulation.World;
 
 /** Faults at numbered points of processes in virtual time, one after the other, whoever passes. */
 public final class PointFaults<P extends Enum<P>> {
--- a/src/test/java/yewyoke/configuration/ConfigurationCompatibilityTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/yewyoke/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
@@ -1,14 +1,14 @@
-package yewyoke.configuration;
+package myrtleladder.configuration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
+import myrtleladder.io.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.io.ResultCode;
 
 /** What an operator may send and what each refusal is called. */
 class ConfigurationDocumentTest {
--- a/src/test/java/yewyoke/fleet/agree/AgreementCapacityTest.java
+++ b/src/test/java/myrtleladder/consensus/AgreementCapacityTest.java
@@ -1,11 +1,11 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.fleet.member.VirtualFleet.names;
+import static myrtleladder.gossip.VirtualFleet.names;
 
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import yewyoke.CapacityFigures;
+import myrtleladder.loadbalancer.policy.CapacityFigures;
 
 /** What consensus costs each member of a fleet with five voters, in hollow processes and virtual time. */
 @Tag("long")
--- a/src/test/java/yewyoke/fleet/agree/AgreementTest.java
+++ b/src/test/java/myrtleladder/consensus/AgreementTest.java
@@ -1,12 +1,12 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.fleet.agree.VirtualAgreement.SECOND;
-import static yewyoke.fleet.member.VirtualFleet.names;
+import static myrtleladder.consensus.VirtualAgreement.SECOND;
+import static myrtleladder.gossip.VirtualFleet.names;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,11 +23,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.fleet.PointFaults.At;
-import yewyoke.fleet.PointFaults.Kind;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.virtual.Explorer;
+import myrtleladder.cluster.PointFaults.At;
+import myrtleladder.cluster.PointFaults.Kind;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.simulation.Explorer;
 
 /** Agreements in virtual time with faults between them: one history, one view, and on by itself. */
 class AgreementTest {
--- a/src/test/java/yewyoke/fleet/agree/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,19 +6,17 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
-
-import yewyoke.fleet.GoldenFile;
-
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import myrtleladder.cluster.GoldenFile;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Pins the datagrams and snapshots of the agreement: field names and order, names of kinds, lives,
--- a/src/test/java/yewyoke/fleet/agree/VirtualAgreement.java
+++ b/src/test/java/myrtleladder/consensus/VirtualAgreement.java
@@ -1,6 +1,6 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
-import static yewyoke.fleet.member.VirtualFleet.names;
+import static myrtleladder.gossip.VirtualFleet.names;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
@@ -16,14 +16,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
-import yewyoke.fleet.PointFaults;
-import yewyoke.fleet.member.Event;
-import yewyoke.fleet.member.Membership;
-import yewyoke.fleet.member.Meta;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.virtual.Core;
-import yewyoke.lab.virtual.World;
+import myrtleladder.cluster.PointFaults;
+import myrtleladder.gossip.Event;
+import myrtleladder.gossip.Membership;
+import myrtleladder.gossip.Meta;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.simulation.Core;
+import myrtleladder.testbed.simulation.World;
 
 /**
  * Processes with a membership and an agreement each, in virtual time, that propose all the while; what must
@@ -124,7 +124,7 @@
             this.actions = actions;
             this.post = faults.new Post(world, process, actions);
             this.me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
-            this.membership = new Membership(yewyoke.fleet.member.Settings.of("dhaka"), process, me.life(), 0,
+            this.membership = new Membership(myrtleladder.gossip.Settings.of("dhaka"), process, me.life(), 0,
                     process, Meta.NONE, names(3), seed, this);
             this.agreement = new Agreement(settings, me, seed, machine, this);
         }
--- a/src/test/java/yewyoke/fleet/agree/WireProperties.java
+++ b/src/test/java/myrtleladder/consensus/WireProperties.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.agree;
+package myrtleladder.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/yewyoke/control/ControlAnswersCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,28 +13,28 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.protocol.Accept;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Heartbeat;
+import myrtleladder.protocol.Install;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.Prepare;
+import myrtleladder.protocol.Promise;
+import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.UnderWay;
+import myrtleladder.protocol.View;
+import myrtleladder.replication.ManualScheduler;
+import myrtleladder.replication.Replica;
+import myrtleladder.replication.ReplicaOptions;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.message.Accept;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Heartbeat;
-import yewyoke.message.Install;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.Prepare;
-import yewyoke.message.Promise;
-import yewyoke.message.Replicate;
-import yewyoke.message.ShareInstances;
-import yewyoke.message.UnderWay;
-import yewyoke.message.View;
-import yewyoke.replication.ManualScheduler;
-import yewyoke.replication.Replica;
-import yewyoke.replication.ReplicaOptions;
 
 /**
  * The control plane's HTTP interface: paths, status codes, header fields and the names of JSON
--- a/src/test/java/yewyoke/control/ControlCommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlCommandCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/yewyoke/control/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,32 +10,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.protocol.Accept;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Heartbeat;
+import myrtleladder.protocol.Install;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.Join;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.Prepare;
+import myrtleladder.protocol.Promise;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.protocol.UnderWay;
+import myrtleladder.replication.ManualScheduler;
+import myrtleladder.replication.Replica;
+import myrtleladder.replication.ReplicaOptions;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.message.Accept;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Heartbeat;
-import yewyoke.message.Install;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.Join;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
-import yewyoke.message.Prepare;
-import yewyoke.message.Promise;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
-import yewyoke.message.Replicate;
-import yewyoke.message.ShareInstances;
-import yewyoke.message.StoredState;
-import yewyoke.message.UnderWay;
-import yewyoke.replication.ManualScheduler;
-import yewyoke.replication.Replica;
-import yewyoke.replication.ReplicaOptions;
 
 /**
  * The operator's orders, heartbeats of upstreams and polls at a primary whose two peers are
@@ -447,7 +447,7 @@
         assertEquals(200, order("PUT", "0", "{'generation':2}").status);
         Heartbeat other =
                 Heartbeat.of(
-                        yewyoke.message.View.of(
+                        myrtleladder.protocol.View.of(
                                 50,
                                 Member.of("b:1", "b:2", "first-b:1"),
                                 replica.view().group,
--- a/src/test/java/yewyoke/control/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,12 +17,12 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.LoadReport;
-import yewyoke.message.Message;
-import yewyoke.message.MessageCodec;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
 
 /** Real processes of the control plane on loopback addresses, each with a folder as its disk. */
 final class ControlProcesses implements AutoCloseable {
@@ -80,7 +80,7 @@
                         "-Xmx64m",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "yewyoke.control.Main",
+                        "myrtleladder.controlplane.Main",
                         "serve");
         builder.environment().put("MYRTLELADDER_CONFIG", settings.toString());
         builder.redirectErrorStream(true);
--- a/src/test/java/yewyoke/control/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,12 +8,12 @@
 import java.net.http.HttpResponse;
 import java.nio.file.Path;
 import java.util.List;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.LoadReport;
-import yewyoke.message.UpstreamLoad;
 
 /** The worst days with real processes, sockets and files. */
 class ControlProcessesTest {
--- a/src/test/java/yewyoke/control/GenerationStoreCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/GenerationStoreCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -11,17 +11,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
+import myrtleladder.configuration.Compression;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.ConfigurationDocument;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.StoredState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.configuration.Compression;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.ConfigurationDocument;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.StoredState;
 
 /**
  * The state files of three control nodes, two generations of each, against golden files that the
--- a/src/test/java/yewyoke/control/GenerationStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/GenerationStoreTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,13 +12,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
+import myrtleladder.io.ResultCode;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.protocol.View;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.io.ResultCode;
-import yewyoke.message.Member;
-import yewyoke.message.Snapshot;
-import yewyoke.message.StoredState;
-import yewyoke.message.View;
 
 /** The state on the disk against torn, missing and damaged files. */
 class GenerationStoreTest {
--- a/src/test/java/yewyoke/control/HintedHandoffTest.java
+++ b/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
@@ -1,16 +1,16 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.Member;
-import yewyoke.message.ShareInstances;
-import yewyoke.replication.ManualScheduler;
 
 /** Records for a member that was away reach it when it is back. */
 class HintedHandoffTest {
--- a/src/test/java/yewyoke/control/InstanceRegistryTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
@@ -1,13 +1,13 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
 
 /** What heartbeats tell, in whichever order and from whomever it comes. */
 class InstanceRegistryTest {
--- a/src/test/java/yewyoke/control/LoadBoardTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadBoardTest.java
@@ -1,15 +1,15 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.LoadReport;
-import yewyoke.message.UpstreamLoad;
 
 /** Sums of what all balancers have under way. */
 class LoadBoardTest {
--- a/src/test/java/yewyoke/control/OrdinalAssignmentTest.java
+++ b/src/test/java/myrtleladder/controlplane/OrdinalAssignmentTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
 
 /** Who takes over whose place among the instances of a service. */
 class OrdinalAssignmentTest {
--- a/src/test/java/yewyoke/control/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -1,14 +1,14 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.LoadReport;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.LoadReport;
 
 /** What upstreams keep, as the balancers announced it. */
 class PromptDirectoryTest {
--- a/src/test/java/yewyoke/control/QuotaBankTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaBankTest.java
@@ -1,14 +1,14 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
 
 /** The quotas of all balancers together. */
 class QuotaBankTest {
--- a/src/test/java/yewyoke/control/RefusalsApprovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/RefusalsApprovalTest.java
@@ -1,11 +1,11 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import myrtleladder.configuration.ConfigurationDocument;
+import myrtleladder.configuration.ConfigurationException;
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.ConfigurationDocument;
-import yewyoke.configuration.ConfigurationException;
 
 /** The words in which operators are told what is wrong with a configuration. */
 class RefusalsApprovalTest {
--- a/src/test/java/yewyoke/control/WholeAnswerCall.java
+++ b/src/test/java/myrtleladder/controlplane/WholeAnswerCall.java
@@ -1,8 +1,8 @@
-package yewyoke.control;
+package myrtleladder.controlplane;
 
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ServerExchange;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ServerExchange;
 
 /** A scripted call of somebody who waits for one whole answer and stays until it comes. */
 public abstract class WholeAnswerCall implements ServerExchange {
--- a/src/test/java/yewyoke/control/model/ControlModel.java
+++ b/src/test/java/myrtleladder/controlplane/model/ControlModel.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.replication.ManualScheduler;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.replication.ManualScheduler;
 
 /**
  * The control side on one manual clock: nodes that run the code under test, with disks and links,
--- a/src/test/java/yewyoke/control/model/FivePointsTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FivePointsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.replication.Replica;
 import org.junit.jupiter.api.Test;
-import yewyoke.replication.Replica;
 
 /** What operators of such systems meet, brought about one by one. */
 class FivePointsTest {
--- a/src/test/java/yewyoke/control/model/Forger.java
+++ b/src/test/java/myrtleladder/controlplane/model/Forger.java
@@ -1,18 +1,18 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.List;
-import yewyoke.message.Accept;
-import yewyoke.message.Acknowledge;
-import yewyoke.message.Heartbeat;
-import yewyoke.message.Install;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.Prepare;
-import yewyoke.message.Promise;
-import yewyoke.message.Replicate;
-import yewyoke.message.ShareInstances;
-import yewyoke.message.Snapshot;
-import yewyoke.message.View;
+import myrtleladder.protocol.Accept;
+import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.Heartbeat;
+import myrtleladder.protocol.Install;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Prepare;
+import myrtleladder.protocol.Promise;
+import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.View;
 
 /** Takes a guard out of the protocol by forging what the network carries. */
 final class Forger {
--- a/src/test/java/yewyoke/control/model/Guard.java
+++ b/src/test/java/myrtleladder/controlplane/model/Guard.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 /**
  * A guard of the protocol that a run of the model may go without, to show that the model notices.
--- a/src/test/java/yewyoke/control/model/GuardsOfTheModelTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/GuardsOfTheModelTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/yewyoke/control/model/ModelBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
@@ -1,17 +1,17 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.List;
-import yewyoke.configuration.Compression;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.LoadReport;
-import yewyoke.message.Message;
-import yewyoke.message.MessageCodec;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
-import yewyoke.message.UpstreamLoad;
+import myrtleladder.configuration.Compression;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.UpstreamLoad;
 
 /** A balancer as the control plane sees it: it polls, and never goes back. */
 final class ModelBalancer {
--- a/src/test/java/yewyoke/control/model/ModelCall.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelCall.java
@@ -1,9 +1,9 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.function.Consumer;
-import yewyoke.control.WholeAnswerCall;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
+import myrtleladder.controlplane.WholeAnswerCall;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
 
 /** A call at a control address whose answer is handed over once, whole. */
 final class ModelCall extends WholeAnswerCall {
--- a/src/test/java/yewyoke/control/model/ModelDisk.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelDisk.java
@@ -1,12 +1,12 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import yewyoke.message.MessageCodec;
-import yewyoke.message.StoredState;
-import yewyoke.replication.ManualScheduler;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.replication.ManualScheduler;
 
 /**
  * A disk that syncs one state after the other. At a loss of power a state on its way is there whole
--- a/src/test/java/yewyoke/control/model/ModelNetwork.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelNetwork.java
@@ -1,9 +1,9 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.HashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import yewyoke.replication.ManualScheduler;
+import myrtleladder.replication.ManualScheduler;
 
 /** Links between machines: delays, cuts in one or both directions, and links that are slow. */
 final class ModelNetwork {
--- a/src/test/java/yewyoke/control/model/ModelNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelNode.java
@@ -1,21 +1,21 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewyoke.control.ControlPlane;
-import yewyoke.io.RequestHead;
-import yewyoke.io.Scheduler;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.MessageCodec;
-import yewyoke.message.StoredState;
-import yewyoke.replication.Peers;
-import yewyoke.replication.Replica;
-import yewyoke.replication.ReplicaOptions;
-import yewyoke.replication.Storage;
+import myrtleladder.controlplane.ControlPlane;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.replication.Peers;
+import myrtleladder.replication.Replica;
+import myrtleladder.replication.ReplicaOptions;
+import myrtleladder.replication.Storage;
 
 /** A control node's process, the code under test, on a machine with a disk and links. */
 final class ModelNode implements Peers, Storage, Replica.Listener {
--- a/src/test/java/yewyoke/control/model/ModelOperator.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelOperator.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 /**
  * An operator: it sends one change after the other, each again and again, unchanged, until the
--- a/src/test/java/yewyoke/control/model/ModelOrder.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelOrder.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.nio.charset.StandardCharsets;
 
--- a/src/test/java/yewyoke/control/model/ModelReader.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelReader.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 /** Somebody who reads the configuration at any node, cut off or not. */
 final class ModelReader {
--- a/src/test/java/yewyoke/control/model/OutsideCalls.java
+++ b/src/test/java/myrtleladder/controlplane/model/OutsideCalls.java
@@ -1,9 +1,9 @@
-package yewyoke.control.model;
+package myrtleladder.controlplane.model;
 
 import java.util.List;
 import java.util.function.Consumer;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
 
 /** How a caller from outside reaches control nodes: it follows redirects and gives up in time. */
 final class OutsideCalls {
--- a/src/test/java/yewyoke/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,14 +8,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import myrtleladder.configuration.Compression;
+import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.Poll;
+import myrtleladder.protocol.PollReply;
+import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Compression;
-import yewyoke.membership.MembershipAgent;
-import yewyoke.message.Message;
-import yewyoke.message.Poll;
-import yewyoke.message.PollReply;
-import yewyoke.replication.ManualScheduler;
 
 /** Which control node a balancer asks, and what it takes from whom. */
 class ControlPollerTest {
--- a/src/test/java/yewyoke/dataplane/ExchangeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ExchangeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,15 +9,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.dataplane.ScriptedLinks.Sent;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.dataplane.ScriptedLinks.Sent;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.QuotaGrant;
-import yewyoke.replication.ManualScheduler;
 
 /** Requests from arrival to final answer, with scripted upstreams on a manual clock. */
 class ExchangeTest {
@@ -299,8 +299,8 @@
         ScriptedClient client = request("/u/1");
         Sent sent = links.last();
         sent.user.head(
-                new yewyoke.io.ResponseHead(
-                        200, new yewyoke.io.Headers().add(Names.ATTEMPT, "a1"), true));
+                new myrtleladder.io.ResponseHead(
+                        200, new myrtleladder.io.Headers().add(Names.ATTEMPT, "a1"), true));
         assertEquals(502, client.status);
     }
 
--- a/src/test/java/yewyoke/dataplane/FleetKnowledgeTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
@@ -1,18 +1,18 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.LoadReport;
-import yewyoke.message.UpstreamLoad;
 
 /** What a balancer tells the others and takes from them. */
 class FleetKnowledgeTest {
@@ -29,7 +29,7 @@
                 InstanceRecord.of("i", "m", "10.0.0.1:80", "z", 64, "v", Stage.READY, 1);
         directory.take(List.of(record), true);
         upstream = directory.ready("m").get(0);
-        upstream.engine(new yewyoke.configuration.Service.Engine(64, 500_000, 3));
+        upstream.engine(new myrtleladder.configuration.Service.Engine(64, 500_000, 3));
     }
 
     private static FleetLoads answer(long epoch, long revision) {
--- a/src/test/java/yewyoke/dataplane/PlacementTest.java
+++ b/src/test/java/myrtleladder/dataplane/PlacementTest.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,15 +9,15 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.configuration.Service;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.configuration.Service;
-import yewyoke.message.FleetLoads;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.KeptPrompt;
-import yewyoke.message.UpstreamLoad;
 
 /** Which upstream a prompt goes to, by what is known of the other balancers. */
 class PlacementTest {
--- a/src/test/java/yewyoke/dataplane/ReadingSpeedTest.java
+++ b/src/test/java/myrtleladder/dataplane/ReadingSpeedTest.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -1,8 +1,8 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ServerExchange;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ServerExchange;
 
 /** A client's request and what came back. */
 final class ScriptedClient implements ServerExchange {
--- a/src/test/java/yewyoke/dataplane/ScriptedLinks.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedLinks.java
@@ -1,10 +1,10 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.io.Headers;
-import yewyoke.io.RequestHead;
-import yewyoke.io.ResponseHead;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
 
 /** Connections to upstreams that do what a test says. */
 final class ScriptedLinks implements UpstreamLinks {
--- a/src/test/java/yewyoke/dataplane/TenantQuotasTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotasTest.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.configuration.Tenant;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.QuotaGrant;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.configuration.Tenant;
-import yewyoke.message.Message;
-import yewyoke.message.QuotaAsk;
-import yewyoke.message.QuotaGrant;
 
 /** Quotas at balancers, with a scripted primary. */
 class TenantQuotasTest {
--- a/src/test/java/yewyoke/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -1,4 +1,4 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,15 +11,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.dataplane.ScriptedLinks.Sent;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.dataplane.ScriptedLinks.Sent;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.InstanceRecord.Stage;
-import yewyoke.message.QuotaGrant;
-import yewyoke.replication.ManualScheduler;
 
 /**
  * The model is upgraded zone by zone while replies are under way at several balancers: each reply
--- a/src/test/java/yewyoke/dataplane/UrgencyTest.java
+++ b/src/test/java/myrtleladder/dataplane/UrgencyTest.java
@@ -1,12 +1,12 @@
-package yewyoke.dataplane;
+package myrtleladder.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.nio.charset.StandardCharsets;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.configuration.Route;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.Configuration;
-import yewyoke.configuration.Json;
-import yewyoke.configuration.Route;
 
 /** The rank of a request at a model upstream. */
 class UrgencyTest {
--- a/src/test/java/yewyoke/error/ErrorCodesCompatibilityTest.java
+++ b/src/test/java/myrtleladder/error/ErrorCodesCompatibilityTest.java
@@ -1,8 +1,4 @@
-package yewyoke.error;
-
-import org.junit.jupiter.api.Test;
-
-import yewyoke.Golden;
+package myrtleladder.error;
 
 import java.lang.reflect.Constructor;
 import java.net.InetSocketAddress;
@@ -11,6 +7,8 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import myrtleladder.loadbalancer.policy.Golden;
+import org.junit.jupiter.api.Test;
 
 /**
  * Pins the table of error codes: each code once, with the whole message. Logs are searched for the
--- a/src/test/java/yewyoke/fleet/member/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/gossip/DatagramCompatibilityTest.java
@@ -1,18 +1,16 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
-
-import yewyoke.fleet.GoldenFile;
-
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
+import myrtleladder.cluster.GoldenFile;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /**
  * Pins the datagrams of the gossip protocol: field names and order, names of kinds and states, the
--- a/src/test/java/yewyoke/fleet/member/MembershipFiguresTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.fleet.member.VirtualFleet.LAN;
-import static yewyoke.fleet.member.VirtualFleet.SECOND;
-import static yewyoke.fleet.member.VirtualFleet.names;
+import static myrtleladder.gossip.VirtualFleet.LAN;
+import static myrtleladder.gossip.VirtualFleet.SECOND;
+import static myrtleladder.gossip.VirtualFleet.names;
 
 import java.util.List;
 import java.util.Locale;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.virtual.Explorer;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.simulation.Explorer;
 
 /** The figures of docs/membership.md, in virtual time; each line that is printed is one of its tables'. */
 @Tag("long")
--- a/src/test/java/yewyoke/fleet/member/MembershipTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipTest.java
@@ -1,12 +1,12 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.fleet.member.VirtualFleet.LAN;
-import static yewyoke.fleet.member.VirtualFleet.SECOND;
-import static yewyoke.fleet.member.VirtualFleet.names;
+import static myrtleladder.gossip.VirtualFleet.LAN;
+import static myrtleladder.gossip.VirtualFleet.SECOND;
+import static myrtleladder.gossip.VirtualFleet.names;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -15,10 +15,10 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.virtual.Explorer;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.simulation.Explorer;
 
 /** Members in virtual time, with faults between them: they find out who is there, and agree. */
 class MembershipTest {
--- a/src/test/java/yewyoke/fleet/member/VirtualFleet.java
+++ b/src/test/java/myrtleladder/gossip/VirtualFleet.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package myrtleladder.gossip;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.virtual.Core;
-import yewyoke.lab.virtual.World;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.simulation.Core;
+import myrtleladder.testbed.simulation.World;
 
 /** Memberships as processes of the virtual world; addresses are names. */
 public final class VirtualFleet {
--- a/src/test/java/yewyoke/membership/RingTest.java
+++ b/src/test/java/myrtleladder/heartbeat/RingTest.java
@@ -1,4 +1,4 @@
-package yewyoke.membership;
+package myrtleladder.heartbeat;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import myrtleladder.protocol.Alive;
+import myrtleladder.protocol.FleetMember;
+import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.Alive;
-import yewyoke.message.FleetMember;
-import yewyoke.replication.ManualScheduler;
 
 /** Who watches whom, and what a monitor hears. */
 class RingTest {
--- a/src/test/java/yewyoke/io/ResultCodeCompatibilityTest.java
+++ b/src/test/java/myrtleladder/io/ResultCodeCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,8 +7,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
+import myrtleladder.configuration.ConfigurationException;
 import org.junit.jupiter.api.Test;
-import yewyoke.configuration.ConfigurationException;
 
 /**
  * The numbers and names of the results, against a golden table. Operators look them up by number,
--- a/src/test/java/yewyoke/io/ResultCodeTest.java
+++ b/src/test/java/myrtleladder/io/ResultCodeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.io;
+package myrtleladder.io;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/yewyoke/command/AdminCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
@@ -1,18 +1,10 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-
 import io.netty.util.concurrent.DefaultPromise;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.GlobalEventExecutor;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-
-import yewyoke.Golden;
-import yewyoke.node.Status;
-
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -25,6 +17,10 @@
 import java.util.function.Supplier;
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
+import myrtleladder.loadbalancer.policy.Golden;
+import myrtleladder.loadbalancer.server.Status;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 
 /**
  * Pins what operators' tools read: names, labels and values of the figures, answers to each path,
@@ -141,9 +137,9 @@
         StringBuilder lines = new StringBuilder();
         for (String logger :
                 new String[] {
-                    "yewyoke.node.Driver",
-                    "yewyoke.fleet.member.Core",
-                    "yewyoke.Balance",
+                    "myrtleladder.loadbalancer.server.Driver",
+                    "myrtleladder.gossip.Core",
+                    "myrtleladder.loadbalancer.policy.Balance",
                     "io.netty.Other"
                 }) {
             for (Level level : new Level[] {Level.SEVERE, Level.WARNING, Level.INFO, Level.FINE}) {
@@ -161,7 +157,7 @@
     @Test
     void aLineOfTheLogHasTheFieldsOfAnException() throws Exception {
         LogRecord line = new LogRecord(Level.WARNING, "gone");
-        line.setLoggerName("yewyoke.node.Driver");
+        line.setLoggerName("myrtleladder.loadbalancer.server.Driver");
         line.setInstant(Instant.ofEpochSecond(1_700_000_000L));
         line.setThrown(new IllegalStateException("cause"));
         JsonNode read = JsonMapper.builder().build().readTree(new JsonLines("b1").format(line));
--- a/src/test/java/yewyoke/command/AgreementOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/AgreementOfProcessesTest.java
@@ -1,8 +1,8 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.command.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.Processes.ALL;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.play.Fleet;
-import yewyoke.lab.relay.Relay;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.proxy.Relay;
 
 /** Five processes of the program that agree on who belongs to them, with faults between them. */
 @Timeout(300)
--- a/src/test/java/yewyoke/command/CommandLineCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/CommandLineCompatibilityTest.java
@@ -1,11 +1,4 @@
-package yewyoke.command;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import picocli.CommandLine;
-
-import yewyoke.Golden;
+package myrtleladder.loadbalancer.admin;
 
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -14,6 +7,10 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import myrtleladder.loadbalancer.policy.Golden;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import picocli.CommandLine;
 
 /**
  * Pins the command lines: options, what is printed, and the status that each ends with. Deployment
@@ -39,7 +36,9 @@
 
     private String serve(String config, String... args) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int status = yewyoke.node.Main.run(args, config, new PrintStream(err, true), b -> {});
+        int status =
+                myrtleladder.loadbalancer.server.Main.run(
+                        args, config, new PrintStream(err, true), b -> {});
         return ("> "
                         + String.join(" ", args)
                         + "\nstatus "
--- a/src/test/java/yewyoke/command/CommandTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/CommandTest.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -84,7 +84,7 @@
     @Test
     void aLineOfTheLogIsOneObjectWithItsFields() throws Exception {
         LogRecord line = new LogRecord(Level.WARNING, "member lost\nb3");
-        line.setLoggerName("yewyoke.node.Driver");
+        line.setLoggerName("myrtleladder.loadbalancer.server.Driver");
         line.setParameters(new Object[] {Map.of("view", 7L, "why", "\"silent\"")});
         line.setThrown(new IllegalStateException("gone"));
         String text = new JsonLines("b1").format(line);
--- a/src/test/java/yewyoke/command/ErrorsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -22,23 +22,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.LogLines;
-import yewyoke.adapter.Adapter;
-import yewyoke.error.OperatorError;
-import yewyoke.error.OperatorError.AddressTaken;
-import yewyoke.error.OperatorError.BadConfiguration;
-import yewyoke.error.OperatorError.BadFile;
-import yewyoke.error.OperatorError.BadInput;
-import yewyoke.error.OperatorError.BadOption;
-import yewyoke.error.OperatorError.EndedAtStart;
-import yewyoke.error.OperatorError.LimitsTooSmall;
-import yewyoke.error.OperatorError.NoBuild;
-import yewyoke.error.OperatorError.NoFile;
-import yewyoke.error.OperatorError.NobodyAnswers;
-import yewyoke.error.OperatorError.NotTold;
-import yewyoke.error.OperatorError.PartOff;
-import yewyoke.error.OperatorError.PeerBusy;
-import yewyoke.error.OperatorError.Unexpected;
+import myrtleladder.loadbalancer.policy.LogLines;
+import myrtleladder.loadbalancer.simulator.Adapter;
+import myrtleladder.error.OperatorError;
+import myrtleladder.error.OperatorError.AddressTaken;
+import myrtleladder.error.OperatorError.BadConfiguration;
+import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.BadOption;
+import myrtleladder.error.OperatorError.EndedAtStart;
+import myrtleladder.error.OperatorError.LimitsTooSmall;
+import myrtleladder.error.OperatorError.NoBuild;
+import myrtleladder.error.OperatorError.NoFile;
+import myrtleladder.error.OperatorError.NobodyAnswers;
+import myrtleladder.error.OperatorError.NotTold;
+import myrtleladder.error.OperatorError.PartOff;
+import myrtleladder.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError.Unexpected;
 
 /** Each error that reaches an operator, as he meets it: its code, where it happened, and what he can do. */
 class ErrorsTest {
@@ -55,7 +55,7 @@
     /** What a balancer prints that can't start. */
     private static String notServed(Path config) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        assertNotEquals(0, yewyoke.node.Main.run(new String[] {"serve"},
+        assertNotEquals(0, myrtleladder.loadbalancer.server.Main.run(new String[] {"serve"},
                 config == null ? null : config.toString(), new PrintStream(err, true), b -> { }));
         return err.toString(StandardCharsets.UTF_8);
     }
@@ -108,7 +108,7 @@
     /** It warns of limits that are too small, and tries; here it then finds its address taken. */
     @Test
     void limitsThatAreTooSmallAndAddressesThatAreTakenAreNamed() throws Exception {
-        try (LogLines lines = new LogLines(yewyoke.node.Main.class);
+        try (LogLines lines = new LogLines(myrtleladder.loadbalancer.server.Main.class);
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             says(notServed(config(address, "\"memory_mb\":32,\"sockets\":100")), AddressTaken.CODE,
@@ -164,8 +164,8 @@
                 folder.toString());
         file("deploy/balancer.toml", "run = \"exit 1\"\n");
         says(failed("lab", "run", calm, "--build", folder.toString()), NoBuild.CODE, NoBuild.REMEDY,
-                "yewyoke.jar");
-        file("target/yewyoke.jar", "");
+                "myrtleladder-loadbalancer.jar");
+        file("target/myrtleladder-loadbalancer.jar", "");
         String out = folder.resolve("plays").toString();
         says(failed("lab", "run", calm, "--build", folder.toString(), "--out", out), EndedAtStart.CODE,
                 EndedAtStart.REMEDY, out);
--- a/src/test/java/yewyoke/command/FleetOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FleetOfProcessesTest.java
@@ -1,19 +1,19 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.command.Processes.ALL;
-import static yewyoke.command.Processes.alive;
-import static yewyoke.command.Processes.claim;
-import static yewyoke.command.Processes.is;
+import static myrtleladder.loadbalancer.admin.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.Processes.alive;
+import static myrtleladder.loadbalancer.admin.Processes.claim;
+import static myrtleladder.loadbalancer.admin.Processes.is;
 
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.play.BalancerProcess;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.process.BalancerProcess;
 
 /** Five processes of the program that know each other by UDP, with faults between them. */
 @Timeout(120)
--- a/src/test/java/yewyoke/command/OwnCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/OwnCompatibilityTest.java
@@ -1,14 +1,12 @@
-package yewyoke.command;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import yewyoke.Golden;
-import yewyoke.error.OperatorError;
-import yewyoke.toml.TomlFile;
+package myrtleladder.loadbalancer.admin;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
+import myrtleladder.error.OperatorError;
+import myrtleladder.loadbalancer.policy.Golden;
+import myrtleladder.toml.TomlFile;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Pins our own configuration: every key, its default, what is shown of it, and the message for each
@@ -28,7 +26,7 @@
             return "refused: "
                     + e.getMessage()
                             .replace(file.toString(), "FILE")
-                            .replaceAll("`yewyoke[.][A-Za-z0-9.$]+`", "`TYPE`");
+                            .replaceAll("`myrtleladder[.][A-Za-z0-9.$]+`", "`TYPE`");
         }
     }
 
--- a/src/test/java/yewyoke/command/PointsOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/PointsOfProcessesTest.java
@@ -1,7 +1,7 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.command.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.Processes.ALL;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import yewyoke.fleet.agree.Point;
-import yewyoke.fleet.carrier.PointFault;
-import yewyoke.lab.fault.Fault;
+import myrtleladder.consensus.Point;
+import myrtleladder.cluster.PointFault;
+import myrtleladder.testbed.fault.Fault;
 
 /**
  * Five processes, of which the first that comes to a point crashes there or stands still. Which one that is,
