--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/admin/SubsystemsTest.java
@@ -0,0 +1,40 @@
+package myrtleladder.loadbalancer.admin;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Names of subsystems, which stay when packages are renamed. */
+class SubsystemsTest {
+    @ParameterizedTest
+    @CsvSource({
+        "myrtleladder.loadbalancer.server.Driver,node",
+        "myrtleladder.loadbalancer.policy.Balance,decisions",
+        "myrtleladder.gossip.Membership,fleet.member",
+        "myrtleladder.testbed.Main,lab",
+        "myrtleladder.testbed.process.Fleet,lab.play",
+        "io.netty.channel.Channel,io.netty.channel.Channel"
+    })
+    void aLoggerIsShownUnderItsSubsystem(String logger, String subsystem) {
+        assertEquals(subsystem, Subsystems.of(logger));
+    }
+
+    @Test
+    void aSubsystemHasTheLoggersOfThoseBelowIt() {
+        assertEquals(
+                Set.of(
+                        "myrtleladder.gossip",
+                        "myrtleladder.consensus",
+                        "myrtleladder.maintenance",
+                        "myrtleladder.cluster"),
+                Set.copyOf(Subsystems.loggers("fleet")));
+    }
+
+    @Test
+    void aPackagesOwnNameIsTakenAsWell() {
+        assertEquals(java.util.List.of("myrtleladder.gossip"), Subsystems.loggers("gossip"));
+    }
+}
--- a/src/test/java/yewyoke/command/WorkOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/WorkOfProcessesTest.java
@@ -1,8 +1,8 @@
-package yewyoke.command;
+package myrtleladder.loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.command.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.Processes.ALL;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.error.OperatorError.BadPlan;
-import yewyoke.error.OperatorError.NoMajority;
-import yewyoke.error.OperatorError.OldPermit;
-import yewyoke.error.OperatorError.UnknownMachine;
-import yewyoke.lab.check.Violation;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.play.Fleet;
+import myrtleladder.error.OperatorError.BadPlan;
+import myrtleladder.error.OperatorError.NoMajority;
+import myrtleladder.error.OperatorError.OldPermit;
+import myrtleladder.error.OperatorError.UnknownMachine;
+import myrtleladder.testbed.checker.Violation;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.process.Fleet;
 
 /** Five processes that take eight upstreams out for work under traffic, with faults between them. */
 @Timeout(240)
--- a/src/test/java/yewyoke/BalanceCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/BalanceCapacityTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
 
 /** What a decision and an upstream cost one of 440 balancers, from 100 upstreams to the target's 6,300. */
 @Tag("long")
--- a/src/test/java/yewyoke/BalanceTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/BalanceTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Ratings;
+import myrtleladder.loadbalancer.policy.Balancer.Reports;
+import myrtleladder.loadbalancer.policy.Balancer.Scope;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
 
 /** Each rule and each departure of the module, acting and not acting. */
 class BalanceTest {
--- a/src/test/java/yewyoke/CapacityFigures.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/CapacityFigures.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/yewyoke/DecisionScenario.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
@@ -1,22 +1,4 @@
-package yewyoke;
-
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Tenant;
-import yewyoke.Balancer.Upstream;
+package myrtleladder.loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -28,6 +10,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.Effect;
+import myrtleladder.loadbalancer.policy.Balancer.Limits;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Prices;
+import myrtleladder.loadbalancer.policy.Balancer.Ratings;
+import myrtleladder.loadbalancer.policy.Balancer.Reports;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.Balancer.RuleFigures;
+import myrtleladder.loadbalancer.policy.Balancer.Scope;
+import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Tenant;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
 
 /**
  * A group of balancers before simulated upstreams, wholly determined by a variant of the settings
--- a/src/test/java/yewyoke/FourRulesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/FourRulesTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.Scope;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
 
 /** Random legal event sequences against the independent checker, and the checker against planted breaches. */
 class FourRulesTest {
--- a/src/test/java/yewyoke/Golden.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/Golden.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/yewyoke/LogLines.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/LogLines.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
--- a/src/test/java/yewyoke/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package myrtleladder.loadbalancer.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,15 +6,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.Effect;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.Balancer.Scope;
+import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
 
 /**
  * The four rules, judged from outside on what was told and what was done; it shares no code with the module.
--- a/src/test/java/yewyoke/node/AttemptTimingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
@@ -1,13 +1,13 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import yewyoke.node.Sockets.Client;
-import yewyoke.node.Sockets.Message;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.server.Sockets.Client;
+import myrtleladder.loadbalancer.server.Sockets.Message;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** What changes between the decision for an attempt and its first byte: time, its client, its upstream. */
 class AttemptTimingTest extends NodeFixture {
--- a/src/test/java/yewyoke/node/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,9 +11,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import yewyoke.node.Sockets.Client;
-import yewyoke.node.Sockets.Message;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.server.Sockets.Client;
+import myrtleladder.loadbalancer.server.Sockets.Message;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** A client's close, its pipelined requests and our own close, each in the worst order. */
 class ClientSessionTest extends NodeFixture {
--- a/src/test/java/yewyoke/node/ConfigCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
@@ -1,21 +1,18 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import yewyoke.Golden;
-import yewyoke.error.OperatorError;
-
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.error.OperatorError;
+import myrtleladder.loadbalancer.policy.Golden;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Pins what the platform's configuration file means, key by key, with the list of upstreams in it,
--- a/src/test/java/yewyoke/node/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import yewyoke.node.Sockets.Client;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.server.Sockets.Client;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** What a broken line of discovery held, and calls that cross with others. */
 class DiscoveryRepairTest extends NodeFixture {
--- a/src/test/java/yewyoke/node/NodeCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/NodeCapacityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,9 +11,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import yewyoke.CapacityFigures;
-import yewyoke.node.Sockets.Client;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.policy.CapacityFigures;
+import myrtleladder.loadbalancer.server.Sockets.Client;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** What the data path and lists cost one balancer, at four sizes each. */
 @Tag("long")
--- a/src/test/java/yewyoke/node/NodeFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/NodeFixture.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.node.Sockets.Client;
-import yewyoke.node.Sockets.Script;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.server.Sockets.Client;
+import myrtleladder.loadbalancer.server.Sockets.Script;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** A balancer in this process, between servers and clients on real sockets that follow a test's script. */
 abstract class NodeFixture {
--- a/src/test/java/yewyoke/node/NodeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/NodeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,12 +23,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.LogLines;
-import yewyoke.error.OperatorError.BadList;
-import yewyoke.node.Sockets.Client;
-import yewyoke.node.Sockets.Message;
-import yewyoke.node.Sockets.Script;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.policy.LogLines;
+import myrtleladder.error.OperatorError.BadList;
+import myrtleladder.loadbalancer.server.Sockets.Client;
+import myrtleladder.loadbalancer.server.Sockets.Message;
+import myrtleladder.loadbalancer.server.Sockets.Script;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** The balancer between real sockets: each test is one way for it to lose, repeat or misplace a request. */
 class NodeTest extends NodeFixture {
--- a/src/test/java/yewyoke/node/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.node.Sockets.Server;
+import myrtleladder.loadbalancer.server.Sockets.Server;
 
 /** The balancer as a process of its own: what signals do to it. */
 class ProcessTest {
--- a/src/test/java/yewyoke/fleet/work/CommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/maintenance/CommandCompatibilityTest.java
@@ -1,21 +1,19 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
-
-import yewyoke.fleet.GoldenFile;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Token;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
+import myrtleladder.cluster.GoldenFile;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Token;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /**
  * Pins the commands on machines as the log carries them, and jobs, plans and parts as snapshots
--- a/src/test/java/yewyoke/fleet/work/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -1,20 +1,20 @@
-package yewyoke.fleet.work;
-
-import static yewyoke.fleet.member.VirtualFleet.names;
-
-import yewyoke.fleet.agree.AgreeSettings;
-import yewyoke.fleet.agree.Agreement;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Note;
-import yewyoke.fleet.agree.Point;
-import yewyoke.fleet.agree.Token;
-import yewyoke.fleet.member.Event;
-import yewyoke.fleet.member.Membership;
-import yewyoke.fleet.member.Meta;
-import yewyoke.fleet.member.Settings;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.virtual.Core;
-import yewyoke.lab.virtual.World;
+package myrtleladder.maintenance;
+
+import static myrtleladder.gossip.VirtualFleet.names;
+
+import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Note;
+import myrtleladder.consensus.Point;
+import myrtleladder.consensus.Token;
+import myrtleladder.gossip.Event;
+import myrtleladder.gossip.Membership;
+import myrtleladder.gossip.Meta;
+import myrtleladder.gossip.Settings;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.simulation.Core;
+import myrtleladder.testbed.simulation.World;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/test/java/yewyoke/fleet/work/RunCompatibilityTest.java
+++ b/src/test/java/myrtleladder/maintenance/RunCompatibilityTest.java
@@ -1,22 +1,19 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
+import static myrtleladder.maintenance.RecordedFleet.SECOND;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import static yewyoke.fleet.work.RecordedFleet.SECOND;
-
+import java.util.List;
+import myrtleladder.cluster.GoldenFile;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import yewyoke.fleet.GoldenFile;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-
-import java.util.List;
-
 /**
  * Pins the behaviour of membership, agreement and work by digests of whole runs in virtual time
  * with losses, crashes, standstills and cuts: all datagrams with their times, timers, events and
--- a/src/test/java/yewyoke/fleet/work/WorkTest.java
+++ b/src/test/java/myrtleladder/maintenance/WorkTest.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.work;
+package myrtleladder.maintenance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.fleet.work.VirtualWork.SECOND;
-import static yewyoke.fleet.member.VirtualFleet.names;
+import static myrtleladder.maintenance.VirtualWork.SECOND;
+import static myrtleladder.gossip.VirtualFleet.names;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.fleet.PointFaults.At;
-import yewyoke.fleet.PointFaults.Kind;
-import yewyoke.fleet.agree.Life;
-import yewyoke.fleet.agree.Token;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.virtual.Explorer;
+import myrtleladder.cluster.PointFaults.At;
+import myrtleladder.cluster.PointFaults.Kind;
+import myrtleladder.consensus.Life;
+import myrtleladder.consensus.Token;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.simulation.Explorer;
 
 /** Work on machines in virtual time with faults between the processes that agree on it. */
 class WorkTest {
--- a/src/test/java/yewyoke/process/NodeSettingsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/process/NodeSettingsCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.process;
+package myrtleladder.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/yewyoke/process/NodeSettingsTest.java
+++ b/src/test/java/myrtleladder/process/NodeSettingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.process;
+package myrtleladder.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
+import myrtleladder.io.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.io.ResultCode;
 
 /** The settings file, and what is told when it can't be used. */
 class NodeSettingsTest {
--- a/src/test/java/yewyoke/process/ProgramCommandTest.java
+++ b/src/test/java/myrtleladder/process/ProgramCommandTest.java
@@ -1,10 +1,10 @@
-package yewyoke.process;
+package myrtleladder.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import myrtleladder.io.ResultCode;
 import org.junit.jupiter.api.Test;
-import yewyoke.io.ResultCode;
 
 /** Exit codes of the fleet's programs. */
 class ProgramCommandTest {
--- a/src/test/java/yewyoke/message/MessageCompatibilityTest.java
+++ b/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,12 +13,12 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.stream.Stream;
+import myrtleladder.io.IoException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import yewyoke.io.IoException;
-import yewyoke.io.ResultCode;
-import yewyoke.message.InstanceRecord.Stage;
 
 /**
  * The bytes of each message between control plane and data plane and among control nodes, against
--- a/src/test/java/yewyoke/message/ReportSizeTest.java
+++ b/src/test/java/myrtleladder/protocol/ReportSizeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/message/SampleMessages.java
+++ b/src/test/java/myrtleladder/protocol/SampleMessages.java
@@ -1,9 +1,9 @@
-package yewyoke.message;
+package myrtleladder.protocol;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.message.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord.Stage;
 
 /** A message of each type with every field set to a value of its own, and one as it is created. */
 final class SampleMessages {
--- a/src/test/java/yewyoke/replication/GroupPlanTest.java
+++ b/src/test/java/myrtleladder/replication/GroupPlanTest.java
@@ -1,4 +1,4 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,8 +9,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import myrtleladder.protocol.Member;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.Member;
 
 /** Who belongs to the next group, for each size and number of losses that is served. */
 class GroupPlanTest {
--- a/src/test/java/yewyoke/replication/ManualScheduler.java
+++ b/src/test/java/myrtleladder/replication/ManualScheduler.java
@@ -1,7 +1,7 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
-import yewyoke.io.Scheduler;
-import yewyoke.io.TimerQueue;
+import myrtleladder.io.Scheduler;
+import myrtleladder.io.TimerQueue;
 
 /** A clock that moves only when told to. */
 public final class ManualScheduler implements Scheduler {
--- a/src/test/java/yewyoke/replication/MemberContactsTest.java
+++ b/src/test/java/myrtleladder/replication/MemberContactsTest.java
@@ -1,10 +1,10 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import myrtleladder.protocol.Member;
 import org.junit.jupiter.api.Test;
-import yewyoke.message.Member;
 
 /** An answer counts from the time at which its question was sent. */
 class MemberContactsTest {
--- a/src/test/java/yewyoke/replication/ReplicaExplorationTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaExplorationTest.java
@@ -1,12 +1,12 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.replication.VirtualCluster.Node;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import yewyoke.replication.VirtualCluster.Node;
 
 /**
  * Drawn schedules of kills, wipes, freezes, cuts and disk troubles. What was acknowledged is never
--- a/src/test/java/yewyoke/replication/RunCompatibilityTest.java
+++ b/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
@@ -1,19 +1,17 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-
-import yewyoke.fleet.GoldenFile;
-import yewyoke.replication.VirtualCluster.Node;
-
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import myrtleladder.cluster.GoldenFile;
+import myrtleladder.replication.VirtualCluster.Node;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Pins the behaviour of replication by digests of whole runs on the manual clock, with crashes,
--- a/src/test/java/yewyoke/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -1,4 +1,4 @@
-package yewyoke.replication;
+package myrtleladder.replication;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import yewyoke.io.Scheduler;
-import yewyoke.message.InstanceRecord;
-import yewyoke.message.Member;
-import yewyoke.message.Message;
-import yewyoke.message.MessageCodec;
-import yewyoke.message.StoredState;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.StoredState;
 
 /**
  * Control nodes on one manual clock, with disks, links and a client that remembers what was
--- a/src/test/java/yewyoke/lab/check/CheckerTest.java
+++ b/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.check;
+package myrtleladder.testbed.checker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.lab.check.Checker.Repeat;
-import yewyoke.lab.check.Violation.Kind;
+import myrtleladder.testbed.checker.Checker.Repeat;
+import myrtleladder.testbed.checker.Violation.Kind;
 
 /** What a balancer can do wrong is found, each by its rule and its id; what it may do is not. */
 class CheckerTest {
--- a/src/test/java/yewyoke/lab/experiment/ExperimentCompatibilityTest.java
+++ b/src/test/java/myrtleladder/testbed/experiment/ExperimentCompatibilityTest.java
@@ -1,31 +1,28 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import yewyoke.lab.check.Checker.Repeat;
-import yewyoke.lab.check.Rules;
-import yewyoke.lab.check.Violation;
-import yewyoke.lab.fault.Plan;
-import yewyoke.lab.play.Fleet;
-import yewyoke.lab.play.ProcessSample;
-import yewyoke.lab.play.UpstreamSample;
-import yewyoke.lab.stand.Clients.Outcome;
-import yewyoke.lab.stand.RequestClass;
-import yewyoke.lab.stand.Traffic.Arrival;
-
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import myrtleladder.testbed.checker.Checker.Repeat;
+import myrtleladder.testbed.checker.Rules;
+import myrtleladder.testbed.checker.Violation;
+import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.RequestClass;
+import myrtleladder.testbed.fake.Traffic.Arrival;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.process.ProcessSample;
+import myrtleladder.testbed.process.UpstreamSample;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Pins the experiment files of the lab, with all keys that one may have, and the record and the
--- a/src/test/java/yewyoke/lab/experiment/ExperimentTest.java
+++ b/src/test/java/myrtleladder/testbed/experiment/ExperimentTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.experiment;
+package myrtleladder.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.Plan;
-import yewyoke.error.OperatorError.BadFile;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.error.OperatorError.BadFile;
 
 /** Experiment files: what is wrong in one is named with file, line and key; groups become their members. */
 class ExperimentTest {
--- a/src/test/java/yewyoke/lab/stand/UpstreamModelTest.java
+++ b/src/test/java/myrtleladder/testbed/fake/UpstreamModelTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.stand;
+package myrtleladder.testbed.fake;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.lab.check.Rules;
-import yewyoke.lab.stand.UpstreamModel.End;
+import myrtleladder.testbed.checker.Rules;
+import myrtleladder.testbed.fake.UpstreamModel.End;
 
 /** The stand-in does the work that its machine can do, no more and no less, and fails as real ones do. */
 class UpstreamModelTest {
--- a/src/test/java/yewyoke/lab/play/BrokenBalancer.java
+++ b/src/test/java/myrtleladder/testbed/process/BrokenBalancer.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.play;
+package myrtleladder.testbed.process;
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
@@ -19,7 +19,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import yewyoke.lab.check.Violation.Kind;
+import myrtleladder.testbed.checker.Violation.Kind;
 
 /** A balancer that is wrong in one way, on purpose: so that the checker is seen to find it. */
 public final class BrokenBalancer {
--- a/src/test/java/yewyoke/lab/relay/RelayTest.java
+++ b/src/test/java/myrtleladder/testbed/proxy/RelayTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.relay;
+package myrtleladder.testbed.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,8 +18,8 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
 
 /** Faults on real sockets: bytes keep their order whatever the link does, and each direction fails alone. */
 @Timeout(60)
--- a/src/test/java/yewyoke/lab/virtual/WorldTest.java
+++ b/src/test/java/myrtleladder/testbed/simulation/WorldTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.virtual;
+package myrtleladder.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.lab.fault.Fault;
-import yewyoke.lab.fault.LinkFault;
-import yewyoke.lab.fault.Plan;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
 
 /** The virtual world: it repeats itself to the last event, and finds what a core gets wrong under faults. */
 class WorldTest {
