--- a/src/main/java/myrtleladder/loadbalancer/policy/Balance.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Balance.java
@@ -12,60 +12,96 @@
 import java.util.TreeSet;
 
 /**
- * The decisions. Each period every upstream is reweighted by how far its reported utilisation lies below or
- * above the fleet mean; a request goes to an upstream in proportion to (weight / (in-flight + 1))^bias. What
- * goes beyond that is a factor on the weight or a filter before the pick, and says what it guards against.
+ * The decisions. Each period every upstream is reweighted by how far its reported utilisation lies
+ * below or above the fleet mean; a request goes to an upstream in proportion to (weight /
+ * (in-flight + 1))^bias. What goes beyond that is a factor on the weight or a filter before the
+ * pick, and says what it guards against.
  */
 public final class Balance implements Balancer {
 
-    // ---- Settings and tunables -----------------------------------------------------------------------
+    // ---- Settings and tunables
+    // -----------------------------------------------------------------------
 
     private static final long SWEEP = 10_000; // mean time between looks at what is held; jittered
-    private static final long IDLE_SWEEP = 50_000; // with nothing held: timers cost CPU in large groups
-    private static final long PERIOD = 250_000; // mean reweighting period, jittered: balancers drift apart
-    private static final long FRESH = 3_000_000; // an older report says nothing; the mean weight applies
+    private static final long IDLE_SWEEP =
+            50_000; // with nothing held: timers cost CPU in large groups
+    private static final long PERIOD =
+            250_000; // mean reweighting period, jittered: balancers drift apart
+    private static final long FRESH =
+            3_000_000; // an older report says nothing; the mean weight applies
     private static final double BIAS = 4; // of the pick: a clearly shorter line nearly always wins
-    private static final double CROSSING = 80; // own zone's preference for each point that crossing costs
+    private static final double CROSSING =
+            80; // own zone's preference for each point that crossing costs
     private static final double OWN_HOME = 4; // how much likelier a key's home is in the own zone
-    private static final double HOME = 2.5; // preference for a key's home, where warm keys save work
-    private static final int SAMPLE = 12; // upstreams that a pick draws among; the home is always one
-    private static final double UNPROVEN = 0.74; // preference for an upstream just back from ejection
-    private static final double UNPROVEN_UNSAFE = 0.38; // the same for a request that cannot be tried again
-    private static final double FIRST_TOTAL = 3; // in flight by all before anything is known: a short line
+    private static final double HOME =
+            2.5; // preference for a key's home, where warm keys save work
+    private static final int SAMPLE =
+            12; // upstreams that a pick draws among; the home is always one
+    private static final double UNPROVEN =
+            0.74; // preference for an upstream just back from ejection
+    private static final double UNPROVEN_UNSAFE =
+            0.38; // the same for a request that cannot be tried again
+    private static final double FIRST_TOTAL =
+            3; // in flight by all before anything is known: a short line
     private static final double LEAST_LIMIT = 0.05; // lower bound of our own in-flight limit
-    private static final double WAIT_SHARE = 0.18; // waiting aimed at under our own limit, of the aim
-    private static final double WAIT_MORE = 0.12, FEW = 4; // added with FEW balancers: the line is ours
-    private static final double LIMIT_CUT = 0.8, DEEPEST_CUT = 0.4; // least and most cut on too long a wait
+    private static final double WAIT_SHARE =
+            0.18; // waiting aimed at under our own limit, of the aim
+    private static final double WAIT_MORE = 0.12,
+            FEW = 4; // added with FEW balancers: the line is ours
+    private static final double LIMIT_CUT = 0.8,
+            DEEPEST_CUT = 0.4; // least and most cut on too long a wait
     private static final double FULL_CUT = 0.7; // cut on a rejection: a full queue is plain
     private static final double LIMIT_STEP = 0.3; // step up for a round of answers in time
-    private static final double LEAST_DRIFT = Math.log(2) / 30e6; // least time doubles in half a minute
-    private static final double SMOOTH = 0.15; // smoothing of each answer into an upstream's own times
-    private static final double SMOOTH_ALL = 0.02; // and into those over all: many more answers feed them
-    private static final double HANG_TIMES = 6; // typical answer times without an answer that mean it hangs
-    private static final double HEDGE_TIMES = 3, HEDGE_MISSED = 2; // answer times, if two are missed
-    private static final double HEDGE_BUDGET = 0.02, HEDGE_SAVED = 3; // hedges for each request, and at most
-    private static final double HEDGE_WINDOW = 0.6; // part of the time for repeats after which to hedge
-    private static final long FIRST_EJECTION = 1_000_000, LONGEST_EJECTION = 8_000_000; // doubled each time
-    private static final double PANIC = 0.4; // panic threshold: with fewer left, ejections are ignored
-    private static final int SHARERS = 12; // balancers to an upstream: few enough to tell and to be connected
+    private static final double LEAST_DRIFT =
+            Math.log(2) / 30e6; // least time doubles in half a minute
+    private static final double SMOOTH =
+            0.15; // smoothing of each answer into an upstream's own times
+    private static final double SMOOTH_ALL =
+            0.02; // and into those over all: many more answers feed them
+    private static final double HANG_TIMES =
+            6; // typical answer times without an answer that mean it hangs
+    private static final double HEDGE_TIMES = 3,
+            HEDGE_MISSED = 2; // answer times, if two are missed
+    private static final double HEDGE_BUDGET = 0.02,
+            HEDGE_SAVED = 3; // hedges for each request, and at most
+    private static final double HEDGE_WINDOW =
+            0.6; // part of the time for repeats after which to hedge
+    private static final long FIRST_EJECTION = 1_000_000,
+            LONGEST_EJECTION = 8_000_000; // doubled each time
+    private static final double PANIC =
+            0.4; // panic threshold: with fewer left, ejections are ignored
+    private static final int SHARERS =
+            12; // balancers to an upstream: few enough to tell and to be connected
     private static final int LEAST_SUBSET = 2; // upstreams to a balancer: with one there is no pick
-    private static final double NEWS_POINTS = 0.02; // points of the result that in-flight news may cost
+    private static final double NEWS_POINTS =
+            0.02; // points of the result that in-flight news may cost
     private static final double ASK_SAVED = 10; // requests' worth of asking saved up for those held
     private static final double SHORT_LINE = 3; // one that rejects at less is draining, not full
-    private static final double AIM_CARE = 0.6, TOLD_CARE = 0.8; // part of the time left that a line may take
-    private static final double HELD_CHANCE = 0.25; // a sweep's, to send what is held where others hold too
-    private static final long FIRST_ASK = 5_000; // expected round trip of a probe until one was seen
+    private static final double AIM_CARE = 0.6,
+            TOLD_CARE = 0.8; // part of the time left that a line may take
+    private static final double HELD_CHANCE =
+            0.25; // a sweep's, to send what is held where others hold too
+    private static final long FIRST_ASK =
+            5_000; // expected round trip of a probe until one was seen
     private static final int MESSAGE_BYTES = 4; // three name the upstream, one is in-flight
     private static final double UNIT_PARTS = 8; // in messages, in-flight is counted in eighths
     private static final double PROBE_POINTS = 0.003; // points that slow steady probing may cost
-    private static final long PROBE_GAP = 300_000; // no upstream is probed more often than this by it
-    private static final long ASK_AGAIN = 1_000_000; // mean pause before a failed subscription is tried again
-    private static final long LONGEST_ASK_AGAIN = 2_000_000; // up to this: news count as told after 6 s
-    private static final double COLD_SPREAD = 5; // standard deviations kept free of a cold upstream's budget
-    private static final double COLD_COST = 1.2; // least bucket for a cold upstream, in mean requests
-    private static final double RATE_SHARE = 0.08; // smoothing of each period into the rate of work done
-    private static final long COLD_OFFER = 250_000; // saved budget not used for so long is forgotten
-    private static final long MARGIN_TICKS = 3; // a final answer is given this early, since ticks are coarse
+    private static final long PROBE_GAP =
+            300_000; // no upstream is probed more often than this by it
+    private static final long ASK_AGAIN =
+            1_000_000; // mean pause before a failed subscription is tried again
+    private static final long LONGEST_ASK_AGAIN =
+            2_000_000; // up to this: news count as told after 6 s
+    private static final double COLD_SPREAD =
+            5; // standard deviations kept free of a cold upstream's budget
+    private static final double COLD_COST =
+            1.2; // least bucket for a cold upstream, in mean requests
+    private static final double RATE_SHARE =
+            0.08; // smoothing of each period into the rate of work done
+    private static final long COLD_OFFER =
+            250_000; // saved budget not used for so long is forgotten
+    private static final long MARGIN_TICKS =
+            3; // a final answer is given this early, since ticks are coarse
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final Settings settings;
@@ -81,10 +117,14 @@
     private final Map<Integer, Up> byHash = new HashMap<>();
     private final List<Up> ups = new ArrayList<>();
     private final Map<String, Req> open = new HashMap<>();
-    private final PriorityQueue<Req> byDeadline = new PriorityQueue<>(
-            Comparator.<Req>comparingLong(r -> r.deadline).thenComparingLong(r -> r.number));
-    private final TreeSet<Req> held = new TreeSet<>(
-            Comparator.<Req>comparingDouble(r -> -r.value).thenComparingLong(r -> -r.number));
+    private final PriorityQueue<Req> byDeadline =
+            new PriorityQueue<>(
+                    Comparator.<Req>comparingLong(r -> r.deadline)
+                            .thenComparingLong(r -> r.number));
+    private final TreeSet<Req> held =
+            new TreeSet<>(
+                    Comparator.<Req>comparingDouble(r -> -r.value)
+                            .thenComparingLong(r -> -r.number));
     private final double[] classTook, refusedAfter, tenantTokens;
     private final long[] tenantAt, classAnswers;
     private long requestNumber, requestsSince, ratePeriods, askPause;
@@ -100,16 +140,23 @@
         this.out = out;
         this.random = new SplittableRandom(seed);
         this.margin = MARGIN_TICKS * Math.max(settings.tick(), 1_000);
-        long tightest = settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
+        long tightest =
+                settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
         this.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / settings.groupSize());
         this.waitTarget = (long) (waitShare * tightest);
         this.typicalPace = TOLD_CARE * tightest / FIRST_TOTAL;
         Limits limits = settings.limits();
-        this.tells = limits.peers() && settings.groupSize() > 1
-                && 2.0 * SHARERS * MESSAGE_BYTES / 256 * settings.prices().peer() < NEWS_POINTS;
+        this.tells =
+                limits.peers()
+                        && settings.groupSize() > 1
+                        && 2.0 * SHARERS * MESSAGE_BYTES / 256 * settings.prices().peer()
+                                < NEWS_POINTS;
         this.asksEach = NEWS_POINTS / Math.max(settings.prices().probe(), 1e-6);
-        this.asks = limits.probes() && settings.reports() == Reports.BY_PROBE && asksEach > LEAST_SUBSET
-                && settings.groupSize() > 1;
+        this.asks =
+                limits.probes()
+                        && settings.reports() == Reports.BY_PROBE
+                        && asksEach > LEAST_SUBSET
+                        && settings.groupSize() > 1;
         this.tenantTokens = new double[settings.tenants().size()];
         this.tenantAt = new long[settings.tenants().size()];
         this.refusedAfter = new double[settings.classes().size()];
@@ -132,7 +179,12 @@
         List<Integer> sharers;
         // health
         double limit, least, took, errors;
-        long cutAt, leastAt, progressAt, answeredAt = NEVER, ejectedUntil, ejection = FIRST_EJECTION;
+        long cutAt,
+                leastAt,
+                progressAt,
+                answeredAt = NEVER,
+                ejectedUntil,
+                ejection = FIRST_EJECTION;
         long pausedUntil;
         boolean hanging;
         // cold-start budget
@@ -146,7 +198,9 @@
         }
 
         /** Rendezvous hashing: which upstreams a balancer prefers, as any other can work out. */
-        long rank(long salt) { return mix(hash * 0x9E3779B97F4A7C15L ^ salt); }
+        long rank(long salt) {
+            return mix(hash * 0x9E3779B97F4A7C15L ^ salt);
+        }
     }
 
     private static final class Try {
@@ -182,15 +236,22 @@
         }
 
         /** The first attempt that may have run; one still out may have. */
-        Try guard() { return tries.stream().filter(t -> t.mayHaveRun).findFirst().orElse(null); }
+        Try guard() {
+            return tries.stream().filter(t -> t.mayHaveRun).findFirst().orElse(null);
+        }
 
-        long outstanding() { return tries.stream().filter(t -> t.outstanding).count(); }
+        long outstanding() {
+            return tries.stream().filter(t -> t.outstanding).count();
+        }
 
         /** Whether an attempt there went unanswered for so long that another was begun. */
-        boolean leftUnanswered(Up up) { return tries.stream().anyMatch(t -> t.hedged && t.up == up); }
+        boolean leftUnanswered(Up up) {
+            return tries.stream().anyMatch(t -> t.hedged && t.up == up);
+        }
     }
 
-    @Override public void start(long now) {
+    @Override
+    public void start(long now) {
         nextReweight = now + jitter(PERIOD);
         nextProbe = now + jitter(PROBE_GAP);
         sweepIn(SWEEP, now);
@@ -199,11 +260,15 @@
         }
     }
 
-    private long jitter(long period) { return period / 2 + random.nextLong(period); }
+    private long jitter(long period) {
+        return period / 2 + random.nextLong(period);
+    }
 
-    // ---- Upstream list -------------------------------------------------------------------------------
+    // ---- Upstream list
+    // -------------------------------------------------------------------------------
 
-    @Override public void upstreams(long now, ListKind kind, List<Upstream> entries) {
+    @Override
+    public void upstreams(long now, ListKind kind, List<Upstream> entries) {
         if (kind == ListKind.UNAVAILABLE) {
             askPause = Math.min(LONGEST_ASK_AGAIN, askPause == 0 ? ASK_AGAIN : 2 * askPause);
             askAgainAt = now + jitter(askPause);
@@ -224,7 +289,9 @@
         pump(now);
     }
 
-    /** A new process starts afresh: what the old one held and what was known of it say nothing now. */
+    /**
+     * A new process starts afresh: what the old one held and what was known of it say nothing now.
+     */
     private void apply(long now, Upstream e) {
         Up up = byId.get(e.id());
         if (up == null || e.launchedAt() > up.entry.launchedAt()) {
@@ -242,36 +309,45 @@
         up.entry = e;
     }
 
-    // ---- Reweighting ---------------------------------------------------------------------------------
+    // ---- Reweighting
+    // ---------------------------------------------------------------------------------
 
     private void reweight(long now) {
         double units = 0;
         for (Up up : ups) {
             units += up.least;
-            up.utilisation = now - up.reportAt > FRESH ? Double.NaN
-                    : Math.max(0, Math.min(1, up.report.utilisation()));
+            up.utilisation =
+                    now - up.reportAt > FRESH
+                            ? Double.NaN
+                            : Math.max(0, Math.min(1, up.report.utilisation()));
         }
         unitTook = units / Math.max(1, ups.size());
         Reweighting.period(ups);
     }
 
     private double rating(Up up) {
-        return settings.ratings() == Ratings.NONE || !(up.entry.rating() > 0) ? 1 : up.entry.rating();
+        return settings.ratings() == Ratings.NONE || !(up.entry.rating() > 0)
+                ? 1
+                : up.entry.rating();
     }
 
     private void learn(Up up, LoadReport report, long now) {
-        if (up == null || report == null || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
+        if (up == null
+                || report == null
+                || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
             return;
         }
         up.report = report;
         up.reportAt = now;
     }
 
-    // ---- Health --------------------------------------------------------------------------------------
+    // ---- Health
+    // --------------------------------------------------------------------------------------
 
     /**
-     * The in-flight limit: additive increase, multiplicative decrease on the waiting seen at an upstream.
-     * Only answers move it, with one cut at most for each round of sends, or one slow answer would close it.
+     * The in-flight limit: additive increase, multiplicative decrease on the waiting seen at an
+     * upstream. Only answers move it, with one cut at most for each round of sends, or one slow
+     * answer would close it.
      */
     private void adjustLimit(Up up, Try t, double wait, long aim, long now) {
         double target = waitShare * aim;
@@ -287,8 +363,9 @@
     }
 
     /**
-     * What of an answer's time was waiting: all beyond the least service time seen lately. The reported
-     * service time will not do: it rises with the crowd on an upstream that slows down when crowded.
+     * What of an answer's time was waiting: all beyond the least service time seen lately. The
+     * reported service time will not do: it rises with the crowd on an upstream that slows down
+     * when crowded.
      */
     private double waitOf(Up up, Req r, long took, long now) {
         boolean hinted = r.request.expectedWork() > 0;
@@ -307,8 +384,9 @@
     private void checkHanging(long now) {
         for (Up up : ups) {
             long quiet = now - up.progressAt;
-            double expected = HANG_TIMES * Math.max(Math.max(up.took, typicalTook), waitTarget)
-                    + up.workInFlight * Math.max(1, up.least);
+            double expected =
+                    HANG_TIMES * Math.max(Math.max(up.took, typicalTook), waitTarget)
+                            + up.workInFlight * Math.max(1, up.least);
             if (!up.hanging && up.inFlight > 0 && quiet > expected) {
                 up.hanging = true;
                 eject(up, now);
@@ -346,7 +424,8 @@
             up.pace = Math.max(up.pace, smooth(up.pace, end.took() / Math.max(1, t.line), SMOOTH));
             adjustLimit(up, t, end.took() - ownService(r, up.least), r.cls.aim(), now);
         } else if (end.outcome() == Outcome.CONNECT_FAILED && up.answeredAt < t.sentAt) {
-            eject(up, now); // nothing answered since it was sent: dead, not a full table of connections
+            eject(up, now); // nothing answered since it was sent: dead, not a full table of
+            // connections
         } else if (end.outcome() == Outcome.FULL) {
             up.limit = Math.max(LEAST_LIMIT, Math.min(up.limit, up.inFlight + 1) * FULL_CUT);
             if ((tells || asks && fresh(up, now)) && t.line < SHORT_LINE) {
@@ -381,11 +460,13 @@
         return left < PANIC * ups.size();
     }
 
-    // ---- The pick ------------------------------------------------------------------------------------
+    // ---- The pick
+    // ------------------------------------------------------------------------------------
 
     /**
-     * Draws an upstream of the subset in proportion to weight / (in-flight + 1)^bias; null if none may
-     * take it now. Preferences are stated in in-flight terms: one of 2 makes up for a line twice as long.
+     * Draws an upstream of the subset in proportion to weight / (in-flight + 1)^bias; null if none
+     * may take it now. Preferences are stated in in-flight terms: one of 2 makes up for a line
+     * twice as long.
      */
     private Up pick(Req r, long now, boolean pressing) {
         boolean panic = panic(now);
@@ -400,9 +481,15 @@
         double sum = 0;
         for (int i = 0; i < scores.length; i++) {
             Up up = open.get(i);
-            double preference = rating(up) * warmth(up, now) * Math.pow(1 - up.errors, 2) * zoneFactor(up)
-                    * (up == r.home ? HOME : 1) * (up.ejection <= FIRST_EJECTION ? 1
-                    : r.cls.effect() == Effect.UNSAFE ? UNPROVEN_UNSAFE : UNPROVEN);
+            double preference =
+                    rating(up)
+                            * warmth(up, now)
+                            * Math.pow(1 - up.errors, 2)
+                            * zoneFactor(up)
+                            * (up == r.home ? HOME : 1)
+                            * (up.ejection <= FIRST_EJECTION
+                                    ? 1
+                                    : r.cls.effect() == Effect.UNSAFE ? UNPROVEN_UNSAFE : UNPROVEN);
             double weight = up.weight * Math.pow(preference, BIAS);
             scores[i] = weight / Math.pow(loadUnits(up) + others(up, now) + 1, BIAS);
             sum += scores[i];
@@ -411,8 +498,9 @@
     }
 
     /**
-     * Leaves a random few, and the home if it is among them. Drawn among all of a large fleet, the home's
-     * preference was one against dozens: its keys were served everywhere, and everywhere cold.
+     * Leaves a random few, and the home if it is among them. Drawn among all of a large fleet, the
+     * home's preference was one against dozens: its keys were served everywhere, and everywhere
+     * cold.
      */
     private void sample(List<Up> open, Up home) {
         if (open.size() <= SAMPLE) {
@@ -426,8 +514,11 @@
     }
 
     private boolean mayTake(Up up, Req r, long now, boolean panic) {
-        return maySend(r, up, now) && !r.leftUnanswered(up) && (panic || !ejected(up, now))
-                && !silent(up, now) && coldRoom(up, now);
+        return maySend(r, up, now)
+                && !r.leftUnanswered(up)
+                && (panic || !ejected(up, now))
+                && !silent(up, now)
+                && coldRoom(up, now);
     }
 
     private Up draw(List<Up> candidates, double[] scores, double sum) {
@@ -440,42 +531,57 @@
         return last;
     }
 
-    private double size(Req r) { return r.request.expectedWork() > 0 ? r.cost / Math.max(meanCost, 1) : 1; }
+    private double size(Req r) {
+        return r.request.expectedWork() > 0 ? r.cost / Math.max(meanCost, 1) : 1;
+    }
 
-    /** In flight, half by count and half by hinted work in mean requests: one heavy request holds up many. */
+    /**
+     * In flight, half by count and half by hinted work in mean requests: one heavy request holds up
+     * many.
+     */
     private double loadUnits(Up up) {
         return (up.inFlight + Math.max(0, up.workInFlight) / Math.max(meanCost, 1)) / 2;
     }
 
     /**
-     * Whether a request sent now is likely answered within its aim. Where all in flight is known, that is the
-     * line before it times the pace at which this upstream's line moves; else an in-flight limit of our own.
+     * Whether a request sent now is likely answered within its aim. Where all in flight is known,
+     * that is the line before it times the pace at which this upstream's line moves; else an
+     * in-flight limit of our own.
      */
     private boolean hasRoom(Up up, Req r, long now) {
         if (tells || asks) {
             double line = loadUnits(up) + others(up, now);
             double care = asks ? AIM_CARE : TOLD_CARE;
-            return line < 1 - 1 / UNIT_PARTS || (line + size(r)) * up.pace <= care * (r.aimAt - now);
+            return line < 1 - 1 / UNIT_PARTS
+                    || (line + size(r)) * up.pace <= care * (r.aimAt - now);
         }
         return now >= up.pausedUntil
                 && up.inFlight + others(up, now) + 1 <= Math.max(1, up.limit * warmth(up, now));
     }
 
     /**
-     * The pause that makes an in-flight limit under 1 true on average. With many balancers one request of
-     * each is a long line, and taken as 1 such a limit shortened it no further. A short line by all together
-     * is always left. The time is bounded: a starting balancer's first answers wait for its own cold code.
+     * The pause that makes an in-flight limit under 1 true on average. With many balancers one
+     * request of each is a long line, and taken as 1 such a limit shortened it no further. A short
+     * line by all together is always left. The time is bounded: a starting balancer's first answers
+     * wait for its own cold code.
      */
     private long pauseAfter(Up up, long took, long now) {
         double limit = Math.max(FIRST_TOTAL / settings.groupSize(), up.limit * warmth(up, now));
-        return limit < 1 ? (long) (Math.min(took, waitTarget / waitShare / 2) * (1 / limit - 1)) : 0;
+        return limit < 1
+                ? (long) (Math.min(took, waitTarget / waitShare / 2) * (1 / limit - 1))
+                : 0;
     }
 
     private double zoneFactor(Up up) {
-        return up.entry.zone() == settings.zone() ? 1 + CROSSING * settings.prices().crossZone() : 1;
+        return up.entry.zone() == settings.zone()
+                ? 1 + CROSSING * settings.prices().crossZone()
+                : 1;
     }
 
-    /** Where a key is at home: the same upstream at every balancer, by rendezvous hashing, if it is well. */
+    /**
+     * Where a key is at home: the same upstream at every balancer, by rendezvous hashing, if it is
+     * well.
+     */
     private Up homeOf(Req r, long now) {
         String key = r.request.key();
         if (!settings.warmKeys() || key == null) {
@@ -501,11 +607,14 @@
         return z ^ (z >>> 31);
     }
 
-    // ---- Attempts and retries ------------------------------------------------------------------------
+    // ---- Attempts and retries
+    // ------------------------------------------------------------------------
 
     /** What rules 1 to 3 leave open for a further attempt. */
     private boolean maySend(Req r, Up up, long now) {
-        if (r.ended || r.streaming || r.tries.size() >= settings.limits().maxAttempts()
+        if (r.ended
+                || r.streaming
+                || r.tries.size() >= settings.limits().maxAttempts()
                 || now >= r.deadline) {
             return false;
         }
@@ -516,18 +625,22 @@
             return false;
         }
         Try guard = r.guard();
-        return guard == null || r.cls.effect() == Effect.SAFE
-                || r.cls.effect() == Effect.KEYED && sameGroup(r.cls.scope(), guard.up, up)
-                && now - guard.sentAt < r.cls.memorySpan() - margin;
+        return guard == null
+                || r.cls.effect() == Effect.SAFE
+                || r.cls.effect() == Effect.KEYED
+                        && sameGroup(r.cls.scope(), guard.up, up)
+                        && now - guard.sentAt < r.cls.memorySpan() - margin;
     }
 
     private static boolean sameGroup(Scope scope, Up a, Up b) {
-        return scope == Scope.ALL || scope == Scope.ZONE && a.entry.zone() == b.entry.zone()
+        return scope == Scope.ALL
+                || scope == Scope.ZONE && a.entry.zone() == b.entry.zone()
                 || scope == Scope.CELL && a.entry.cell() == b.entry.cell();
     }
 
     private static boolean mayRefuse(Req r) {
-        return r.cls.effect() == Effect.SAFE || r.guard() == null
+        return r.cls.effect() == Effect.SAFE
+                || r.guard() == null
                 || r.cls.effect() == Effect.KEYED && r.cls.scope() == Scope.ALL;
     }
 
@@ -547,7 +660,8 @@
         tell(up, now);
     }
 
-    @Override public void outcome(long now, AttemptEnd end) {
+    @Override
+    public void outcome(long now, AttemptEnd end) {
         Req r = open.get(end.request());
         if (r == null || end.attempt() < 0 || end.attempt() >= r.tries.size()) {
             return;
@@ -574,12 +688,16 @@
         pump(now);
     }
 
-    /** After an attempt has failed: another one where that is legal and of use, else the final answer. */
+    /**
+     * After an attempt has failed: another one where that is legal and of use, else the final
+     * answer.
+     */
     private void next(Req r, long now) {
         Up up = now >= r.deadline - margin || r.guard() == null ? null : pick(r, now, true);
         if (up != null) {
             send(r, up, now);
-        } else if (now < r.deadline - margin && r.guard() == null
+        } else if (now < r.deadline - margin
+                && r.guard() == null
                 && r.tries.size() < settings.limits().maxAttempts()) {
             hold(r, true, now);
         } else {
@@ -588,9 +706,10 @@
     }
 
     /**
-     * Sends a request once more whose attempt is out at an upstream that has answered nothing since. One that
-     * vanished or hangs is known only after several answer times; by then the time in which a keyed request
-     * may be repeated was often over, and it failed at its deadline with nothing else to be done.
+     * Sends a request once more whose attempt is out at an upstream that has answered nothing
+     * since. One that vanished or hangs is known only after several answer times; by then the time
+     * in which a keyed request may be repeated was often over, and it failed at its deadline with
+     * nothing else to be done.
      */
     private void hedge(long now) {
         List<Req> silent = new ArrayList<>();
@@ -612,7 +731,9 @@
         }
     }
 
-    /** Whether the last attempt is the only one out, and its upstream has been silent for too long. */
+    /**
+     * Whether the last attempt is the only one out, and its upstream has been silent for too long.
+     */
     private boolean isSilent(Req r, long now) {
         if (r.ended || r.streaming || r.cls.effect() == Effect.UNSAFE || r.tries.isEmpty()) {
             return false;
@@ -621,7 +742,8 @@
         if (!last.outstanding || last.up.progressAt > last.sentAt || r.outstanding() != 1) {
             return false;
         }
-        double seen = Math.max(typicalTook, Math.max(last.up.took, classTook[r.request.classIndex()]));
+        double seen =
+                Math.max(typicalTook, Math.max(last.up.took, classTook[r.request.classIndex()]));
         double typical = Math.max(seen, waitTarget); // nothing is seen at first
         // To a balancer that sees few answers of an upstream, its silence says little.
         double missed = last.up.doneRate / Math.max(meanCost, 1) * (now - last.sentAt);
@@ -634,7 +756,10 @@
                 && now + typical <= (r.cls.lateWorth() > 0 ? r.deadline : r.aimAt);
     }
 
-    /** The final answer of a request that could not be served: a refusal where legal, else a failure. */
+    /**
+     * The final answer of a request that could not be served: a refusal where legal, else a
+     * failure.
+     */
     private void finish(Req r, long now) {
         hold(r, false, now);
         if (mayRefuse(r)) {
@@ -649,9 +774,14 @@
         conclude(r, now);
     }
 
-    /** When to come back: what is held now is served or refused within its aim, so the line is new then. */
+    /**
+     * When to come back: what is held now is served or refused within its aim, so the line is new
+     * then.
+     */
     private long comeBackAfter(Req r) {
-        return settings.limits().retryAfter() ? Math.min(r.cls.aim(), settings.limits().maxRetryAfter()) : 0;
+        return settings.limits().retryAfter()
+                ? Math.min(r.cls.aim(), settings.limits().maxRetryAfter())
+                : 0;
     }
 
     private void conclude(Req r, long now) {
@@ -669,30 +799,41 @@
         open.computeIfPresent(r.request.id(), (id, q) -> r.outstanding() == 0 ? null : q);
     }
 
-    @Override public void opened(long now, String request, int attempt) {
+    @Override
+    public void opened(long now, String request, int attempt) {
         if (open.containsKey(request)) {
             open.get(request).streaming = true;
         }
     }
 
-    @Override public void clientGone(long now, String request) {
+    @Override
+    public void clientGone(long now, String request) {
         if (open.containsKey(request) && !open.get(request).ended) {
             conclude(open.get(request), now);
         }
     }
 
-    // ---- Admission and load shedding -----------------------------------------------------------------
+    // ---- Admission and load shedding
+    // -----------------------------------------------------------------
 
-    @Override public void request(long now, Request request) {
-        Req r = new Req(request, settings.classes().get(request.classIndex()), requestNumber++, now);
+    @Override
+    public void request(long now, Request request) {
+        Req r =
+                new Req(
+                        request,
+                        settings.classes().get(request.classIndex()),
+                        requestNumber++,
+                        now);
         double typical = classTook[request.classIndex()];
         if (request.retry()) {
             // Its aim runs from the first try, and a refusal is what mostly lies behind it.
             r.aimAt -= (long) refusedAfter[request.classIndex()];
         }
         r.cost = request.expectedWork() > 0 ? request.expectedWork() : typical > 0 ? typical : 1;
-        r.value = r.cls.worth() / (settings.worthByWork() ? 1 : r.cost)
-                * (withinShare(request.tenant(), now) ? 1 : settings.overShareWorth());
+        r.value =
+                r.cls.worth()
+                        / (settings.worthByWork() ? 1 : r.cost)
+                        * (withinShare(request.tenant(), now) ? 1 : settings.overShareWorth());
         meanCost = smooth(meanCost, r.cost, 0.01);
         requestsSince++;
         hedgeTokens = Math.min(HEDGE_SAVED, hedgeTokens + HEDGE_BUDGET);
@@ -706,11 +847,13 @@
     }
 
     /**
-     * Our part of a tenant's allowance as a bucket of one second. What lies beyond it only loses its place
-     * among held requests: that part is a guess, since traffic is not spread alike.
+     * Our part of a tenant's allowance as a bucket of one second. What lies beyond it only loses
+     * its place among held requests: that part is a guess, since traffic is not spread alike.
      */
     private boolean withinShare(int tenant, long now) {
-        if (tenant < 0 || tenant >= tenantAt.length || settings.tenants().get(tenant).allowance() <= 0) {
+        if (tenant < 0
+                || tenant >= tenantAt.length
+                || settings.tenants().get(tenant).allowance() <= 0) {
             return true;
         }
         double rate = settings.tenants().get(tenant).allowance() / settings.groupSize();
@@ -731,7 +874,10 @@
         r.waiting = on;
     }
 
-    /** Sends what is held, dearest first, as long as upstreams have room; but first keys to their homes. */
+    /**
+     * Sends what is held, dearest first, as long as upstreams have room; but first keys to their
+     * homes.
+     */
     private void pump(long now) {
         if (!held.isEmpty() && nextSweep - now > 2 * SWEEP) {
             sweepIn(jitter(SWEEP), now);
@@ -740,16 +886,20 @@
             return;
         }
         if (settings.warmKeys() && held.size() > 1) {
-            // With scarce room the first would take it, keys be served cold everywhere and the jam last.
+            // With scarce room the first would take it, keys be served cold everywhere and the jam
+            // last.
             boolean panic = panic(now);
             for (Req r : new ArrayList<>(held)) {
-                if (r.home != null && !r.late && hasRoom(r.home, r, now) && mayTake(r.home, r, now, panic)) {
+                if (r.home != null
+                        && !r.late
+                        && hasRoom(r.home, r, now)
+                        && mayTake(r.home, r, now, panic)) {
                     send(r, r.home, now);
                 }
             }
         }
         int misses = 0;
-        for (Req r = held.isEmpty() ? null : held.first(); r != null && misses < 3;) {
+        for (Req r = held.isEmpty() ? null : held.first(); r != null && misses < 3; ) {
             Req following = held.higher(r);
             Up up = pick(r, now, false);
             if (up != null) {
@@ -765,8 +915,10 @@
     private void shed(long now) {
         for (Req r : new ArrayList<>(held)) {
             double late = r.cls.lateWorth();
-            double least = tells || asks ? size(r) * typicalPace
-                    : Math.max(ownService(r, unitTook), classTook[r.request.classIndex()]);
+            double least =
+                    tells || asks
+                            ? size(r) * typicalPace
+                            : Math.max(ownService(r, unitTook), classTook[r.request.classIndex()]);
             if (now + least > r.aimAt && late <= 0) {
                 finish(r, now);
             } else if (now + least > r.aimAt && !r.late) {
@@ -778,25 +930,28 @@
         }
     }
 
-    // ---- Cold-start budget ---------------------------------------------------------------------------
+    // ---- Cold-start budget
+    // ---------------------------------------------------------------------------
 
     private double warmth(Up up, long now) {
         double age = Math.max(0, now - up.entry.launchedAt());
         RuleFigures f = settings.rules();
-        return up.entry.launchedAt() <= 0 || age >= f.coldTime() ? 1
+        return up.entry.launchedAt() <= 0 || age >= f.coldTime()
+                ? 1
                 : f.startCapacity() + (1 - f.startCapacity()) * age / f.coldTime();
     }
 
     /**
-     * A cold upstream takes fallMultiple times its capacity at most. Our part follows from what a warm one
-     * does for us: over all balancers this sums to the capacity, however unevenly traffic is spread. Work
-     * that was sent and turned away does not count, or a storm of rejections would swell the budget.
+     * A cold upstream takes fallMultiple times its capacity at most. Our part follows from what a
+     * warm one does for us: over all balancers this sums to the capacity, however unevenly traffic
+     * is spread. Work that was sent and turned away does not count, or a storm of rejections would
+     * swell the budget.
      *
-     * <p>Nobody sees what the others send at this moment, so chance must not break the budget either: see
-     * {@link #coldRate}. The bucket starts at random, and what is saved is forgotten unless used soon: all
-     * balancers take to the same upstream when its reports show it idle, and would all have saved for it. A
-     * mean request's budget lets any request go and a dear one leaves a debt, or those that can best bear a
-     * slow upstream would never go to one.
+     * <p>Nobody sees what the others send at this moment, so chance must not break the budget
+     * either: see {@link #coldRate}. The bucket starts at random, and what is saved is forgotten
+     * unless used soon: all balancers take to the same upstream when its reports show it idle, and
+     * would all have saved for it. A mean request's budget lets any request go and a dear one
+     * leaves a debt, or those that can best bear a slow upstream would never go to one.
      */
     private boolean coldRoom(Up up, long now) {
         double warmth = warmth(up, now);
@@ -816,26 +971,36 @@
         return up.tokens >= meanCost;
     }
 
-    private double firstTokens() { return meanCost * (2 * random.nextDouble() - 1); }
+    private double firstTokens() {
+        return meanCost * (2 * random.nextDouble() - 1);
+    }
 
     /**
-     * Work that we may send to a cold upstream in a microsecond. All balancers together send about at random;
-     * so many mean requests are aimed at that COLD_SPREAD standard deviations more are within the budget. A
-     * fixed part of the budget is too much of a small one, and leaves most of a large one idle.
+     * Work that we may send to a cold upstream in a microsecond. All balancers together send about
+     * at random; so many mean requests are aimed at that COLD_SPREAD standard deviations more are
+     * within the budget. A fixed part of the budget is too much of a small one, and leaves most of
+     * a large one idle.
      */
     private double coldRate(Up up, double warmth) {
         double budget = settings.rules().fallMultiple() * warmth * warmRate * rating(up);
-        double requests = budget * settings.groupSize() * settings.rules().fallTime() / Math.max(meanCost, 1);
+        double requests =
+                budget * settings.groupSize() * settings.rules().fallTime() / Math.max(meanCost, 1);
         double root = Math.sqrt(requests + COLD_SPREAD * COLD_SPREAD / 4) - COLD_SPREAD / 2;
         return requests > 0 ? budget * root * root / requests : 0;
     }
 
-    /** At least a mean request: those with hints small enough for the bucket are dearer than they say. */
-    private double coldCharge(Req r) { return Math.max(r.cost, meanCost); }
+    /**
+     * At least a mean request: those with hints small enough for the bucket are dearer than they
+     * say.
+     */
+    private double coldCharge(Req r) {
+        return Math.max(r.cost, meanCost);
+    }
 
     /**
-     * Smooths the rates, the first ones as a plain mean since requests come: from nothing, it took a
-     * restarted balancer seconds to see what a warm upstream does, and cold ones got nothing meanwhile.
+     * Smooths the rates, the first ones as a plain mean since requests come: from nothing, it took
+     * a restarted balancer seconds to see what a warm upstream does, and cold ones got nothing
+     * meanwhile.
      */
     private void measureRates(long now, long period) {
         ratePeriods += requestNumber > 0 ? 1 : 0;
@@ -854,9 +1019,11 @@
         requestsSince = 0;
     }
 
-    // ---- Deadlines and timers ------------------------------------------------------------------------
+    // ---- Deadlines and timers
+    // ------------------------------------------------------------------------
 
-    @Override public void timer(long now, String token) {
+    @Override
+    public void timer(long now, String token) {
         if (token.equals("due")) {
             dueAt = now >= dueAt ? Long.MAX_VALUE : dueAt;
             expire(now);
@@ -893,13 +1060,15 @@
         probe(now);
         ask(now);
         if (!tells || random.nextDouble() < HELD_CHANCE) {
-            pump(now); // news is a network delay old: else all sharers take the same freed place at once
+            pump(now); // news is a network delay old: else all sharers take the same freed place
+            // at once
         }
     }
 
     /**
-     * Ends what is overdue and sets a timer for the next: on the sweep alone, an answer came up to a sweep
-     * less the margin after the deadline, and that is beyond the slack where ticks are short.
+     * Ends what is overdue and sets a timer for the next: on the sweep alone, an answer came up to
+     * a sweep less the margin after the deadline, and that is beyond the slack where ticks are
+     * short.
      */
     private void expire(long now) {
         while (!byDeadline.isEmpty()) {
@@ -919,9 +1088,14 @@
         }
     }
 
-    /** A slow steady probe where reports come no other way; its rate follows from price and traffic. */
+    /**
+     * A slow steady probe where reports come no other way; its rate follows from price and traffic.
+     */
     private void probe(long now) {
-        if (asks || settings.reports() != Reports.BY_PROBE || !settings.limits().probes() || now < nextProbe
+        if (asks
+                || settings.reports() != Reports.BY_PROBE
+                || !settings.limits().probes()
+                || now < nextProbe
                 || ups.isEmpty()) {
             return;
         }
@@ -933,7 +1107,8 @@
         out.probe(oldest.id);
     }
 
-    @Override public void probed(long now, String upstream, Outcome outcome, LoadReport load) {
+    @Override
+    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {
         Up up = byId.get(upstream);
         if (up != null && outcome == Outcome.OK) {
             learn(up, load, now);
@@ -952,17 +1127,24 @@
         }
     }
 
-    // ---- What other balancers have in flight ---------------------------------------------------------
+    // ---- What other balancers have in flight
+    // ---------------------------------------------------------
 
     /**
-     * Each balancer uses a subset of a large fleet. With few requests a second it would know next to
-     * nothing of dozens of upstreams; of few it can be told all, and none needs a connection to everyone.
+     * Each balancer uses a subset of a large fleet. With few requests a second it would know next
+     * to nothing of dozens of upstreams; of few it can be told all, and none needs a connection to
+     * everyone.
      */
     private int subset() {
-        return (int) Math.max(LEAST_SUBSET, Math.ceil((double) SHARERS * ups.size() / settings.groupSize()));
+        return (int)
+                Math.max(
+                        LEAST_SUBSET,
+                        Math.ceil((double) SHARERS * ups.size() / settings.groupSize()));
     }
 
-    /** The subset; the ejected stay in but do not count, or nothing is left to ask when many fail. */
+    /**
+     * The subset; the ejected stay in but do not count, or nothing is left to ask when many fail.
+     */
     private List<Up> candidates(long now) {
         int size = 0;
         for (int left = subset(); size < ups.size() && left > 0; size++) {
@@ -973,7 +1155,8 @@
 
     /** What others have in flight at an upstream, by their messages or by its last report. */
     private double others(Up up, long now) {
-        double seen = up.others > 0 ? up.others - (now - up.seenAt) / Math.max(1, up.pace) : 0, told = 0;
+        double seen = up.others > 0 ? up.others - (now - up.seenAt) / Math.max(1, up.pace) : 0,
+                told = 0;
         for (long[] t : up.told.values()) {
             told += now - t[0] < 2 * waitTarget / waitShare ? t[1] / UNIT_PARTS : 0;
         }
@@ -987,8 +1170,12 @@
         }
         boolean panic = panic(now);
         for (Up up : candidates(now)) {
-            boolean known = fresh(up, now) || up.askedAt > up.seenAt && now - up.askedAt < waitTarget;
-            if (!known && (panic || !ejected(up, now)) && askTokens >= 1 && hasRoom(up, held.first(), now)) {
+            boolean known =
+                    fresh(up, now) || up.askedAt > up.seenAt && now - up.askedAt < waitTarget;
+            if (!known
+                    && (panic || !ejected(up, now))
+                    && askTokens >= 1
+                    && hasRoom(up, held.first(), now)) {
                 askTokens--;
                 up.askedAt = now;
                 out.probe(up.id);
@@ -1000,10 +1187,14 @@
         }
     }
 
-    private boolean fresh(Up up, long now) { return now - up.seenAt <= 4 * askTook; }
+    private boolean fresh(Up up, long now) {
+        return now - up.seenAt <= 4 * askTook;
+    }
 
     /** It stands still, or asking was too dear: in a jam, blind sends crowded every upstream. */
-    private boolean silent(Up up, long now) { return asks && !fresh(up, now); }
+    private boolean silent(Up up, long now) {
+        return asks && !fresh(up, now);
+    }
 
     /** Tells the others that use an upstream what we have in flight there. */
     private void tell(Up up, long now) {
@@ -1018,7 +1209,10 @@
         up.sharers.forEach(p -> out.tell(p, body));
     }
 
-    /** Who else has this upstream in its subset; counted no further than needed, or large groups burn CPU. */
+    /**
+     * Who else has this upstream in its subset; counted no further than needed, or large groups
+     * burn CPU.
+     */
     private void findSharers(Up up) {
         up.sharers = new ArrayList<>();
         int size = Math.min(subset(), ups.size());
@@ -1036,7 +1230,8 @@
     }
 
     /** A garbled or foreign message names no upstream that we know, and changes nothing. */
-    @Override public void peerMessage(long now, int from, byte[] body) {
+    @Override
+    public void peerMessage(long now, int from, byte[] body) {
         if (!tells || body.length != MESSAGE_BYTES || from < 0 || from >= settings.groupSize()) {
             return;
         }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Reweighting.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Reweighting.java
@@ -3,22 +3,27 @@
 import java.util.Collection;
 
 /**
- * The weights of upstreams: each period those below the mean utilisation of the fresh figures gain and those
- * above it lose, in proportion to their distance from it; one without a fresh figure takes the mean weight.
+ * The weights of upstreams: each period those below the mean utilisation of the fresh figures gain
+ * and those above it lose, in proportion to their distance from it; one without a fresh figure
+ * takes the mean weight.
  */
 public final class Reweighting {
-    private static final double GAIN = 1; // change of the log weight per period, for 1.0 off the mean
+    private static final double GAIN =
+            1; // change of the log weight per period, for 1.0 off the mean
     private static final double LEAK = 0.02; // share of the log weight forgotten each period
-    private static final double CLAMP = 6; // bound of the log weight: 4.5 times as many in flight either way
+    private static final double CLAMP =
+            6; // bound of the log weight: 4.5 times as many in flight either way
 
-    private Reweighting() { }
+    private Reweighting() {}
 
     /** What is kept of one upstream. */
     public static class Weighed {
         /** The weight's logarithm. */
         public double logWeight;
+
         /** The weight by which picks go. */
         public double weight = 1;
+
         /** The last figure, 0 to 1; NaN if there is no fresh one. */
         public double utilisation = Double.NaN;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
@@ -6,7 +6,7 @@
 
 /** Checks settings before a module is built on them; it decides nothing. */
 public final class SettingsCheck {
-    private SettingsCheck() { }
+    private SettingsCheck() {}
 
     /** Refuses bad settings with the name of the field. */
     public static void check(Settings s) {
@@ -31,7 +31,9 @@
         }
         require(s.limits().maxAttempts() >= 1, "limits.maxAttempts");
         require(s.limits().maxOpen() >= 0, "limits.maxOpen");
-        require(s.rules().startCapacity() >= 0 && s.rules().startCapacity() <= 1, "rules.startCapacity");
+        require(
+                s.rules().startCapacity() >= 0 && s.rules().startCapacity() <= 1,
+                "rules.startCapacity");
         require(s.rules().coldTime() >= 0, "rules.coldTime");
         require(s.rules().drainGrace() >= 0, "rules.drainGrace");
         require(s.rules().fallMultiple() >= 0, "rules.fallMultiple");
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightedSchedule.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedSchedule.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 
 /**
- * Picks in proportion to weight / (in-flight + 1)^bias by earliest deadline first: each candidate's deadline
- * is the inverse of that figure behind its own last pick, and the earliest is taken. One that could not be
- * picked for a while is due at once, but is owed no more than that.
+ * Picks in proportion to weight / (in-flight + 1)^bias by earliest deadline first: each candidate's
+ * deadline is the inverse of that figure behind its own last pick, and the earliest is taken. One
+ * that could not be picked for a while is due at once, but is owed no more than that.
  */
 public final class WeightedSchedule {
     private final double bias;
--- a/src/main/java/myrtleladder/loadbalancer/server/AnswerDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/AnswerDecoder.java
@@ -10,9 +10,10 @@
 import java.util.List;
 
 /**
- * Reads answers as the protocol has them, one for each request written. The library takes a header line with
- * a blank and no colon for a name without a value; such an answer can't be read, so it is no answer and must
- * not be passed on. And what comes when no answer is due, were it kept, would answer the next request.
+ * Reads answers as the protocol has them, one for each request written. The library takes a header
+ * line with a blank and no colon for a name without a value; such an answer can't be read, so it is
+ * no answer and must not be passed on. And what comes when no answer is due, were it kept, would
+ * answer the next request.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
     private boolean due;
@@ -23,7 +24,8 @@
         due = true;
     }
 
-    @Override protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
+    @Override
+    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
         if (!due) {
             in.skipBytes(in.readableBytes());
@@ -41,7 +43,8 @@
     }
 
     /** The name ends at the first colon or blank, so there is always a byte behind it. */
-    @Override protected AsciiString splitHeaderName(byte[] line, int start, int length) {
+    @Override
+    protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (length == 0 || line[start + length] != ':') {
             throw new IllegalArgumentException("a header line without a name and a colon");
         }
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientServer.java
@@ -16,34 +16,48 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
 import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
-/** The side towards clients: listens, keeps their connections within the descriptors, and drains them. */
+/**
+ * The side towards clients: listens, keeps their connections within the descriptors, and drains
+ * them.
+ */
 final class ClientServer {
     /**
-     * Part of the connections that are kept between requests. With more, an answer says that its connection
-     * closes: to close one that looks idle can cross with the next request on it, which is then lost.
+     * Part of the connections that are kept between requests. With more, an answer says that its
+     * connection closes: to close one that looks idle can cross with the next request on it, which
+     * is then lost.
      */
     private static final double KEPT_PART = 0.5;
-    /** So many clients beyond the limit are let in to be refused; with more, upstreams lacked descriptors. */
+
+    /**
+     * So many clients beyond the limit are let in to be refused; with more, upstreams lacked
+     * descriptors.
+     */
     private static final int REFUSED_AT_ONCE = 24;
+
     /**
-     * Bytes of one read, and reads of one connection in a turn of the loop. Reading stops only between two
-     * reads, and the codec closes a connection with 128 requests unanswered: a read must not hold that many.
+     * Bytes of one read, and reads of one connection in a turn of the loop. Reading stops only
+     * between two reads, and the codec closes a connection with 128 requests unanswered: a read
+     * must not hold that many.
      */
     private static final int LEAST_READ = 64;
+
     private static final int FIRST_READ = 2 * 1024;
     private static final int LARGEST_READ = 8 * 1024;
     private static final int READS_AT_ONCE = 16;
+
     /** At a planned stop idle connections are closed one by one, this far apart. */
     private static final long BETWEEN_CLOSES_MS = 1;
+
     /**
-     * Memory for requests that wait behind another on their connection: of one connection, and of all. Up to
-     * there a connection is read on, since its end is seen in no other way.
+     * Memory for requests that wait behind another on their connection: of one connection, and of
+     * all. Up to there a connection is read on, since its end is seen in no other way.
      */
     private static final long WAITING_BYTES = 96 * 1024;
+
     private static final long WAITING_BYTES_IN_ALL = 4 * 1024 * 1024;
 
     private final EventLoop loop;
@@ -51,15 +65,20 @@
     private final RequestReader reader;
     private final int maxConnections;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
+
     /** The connections between requests. */
     private final Set<ClientSession> idle = new LinkedHashSet<>();
+
     private final Promise<Void> drained;
     private volatile Channel listening;
     private long waitingBytes;
     private boolean open;
     private boolean stopping;
     private boolean closing;
-    /** The last answers of a planned stop are given: nobody would answer what is sent on after that. */
+
+    /**
+     * The last answers of a planned stop are given: nobody would answer what is sent on after that.
+     */
     private boolean ended;
 
     ClientServer(EventLoop loop, Driver driver, SettingsReader.Found facts, int maxConnections) {
@@ -72,13 +91,19 @@
 
     /** Begins to listen; the future fails if the address can't be had. */
     ChannelFuture bind(Transport transport, InetSocketAddress address) {
-        ChannelFuture bound = transport.server(loop)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, smallReads())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
-                        new ClientSession(ClientServer.this, driver, channel).install();
-                    }
-                }).bind(transport.address(address));
+        ChannelFuture bound =
+                transport
+                        .server(loop)
+                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, smallReads())
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        new ClientSession(ClientServer.this, driver, channel)
+                                                .install();
+                                    }
+                                })
+                        .bind(transport.address(address));
         listening = bound.channel();
         return bound;
     }
@@ -114,12 +139,14 @@
         return listening.localAddress();
     }
 
-    // ---- A planned stop --------------------------------------------------------------------------------
+    // ---- A planned stop
+    // --------------------------------------------------------------------------------
 
     /**
-     * A planned stop: goes on as before while clients still come, but in ill health; then answers all that
-     * was taken, the last of it as failed when time runs out, and closes connections between requests. The
-     * future is done when nothing can be pending any more; at once if no client could come yet.
+     * A planned stop: goes on as before while clients still come, but in ill health; then answers
+     * all that was taken, the last of it as failed when time runs out, and closes connections
+     * between requests. The future is done when nothing can be pending any more; at once if no
+     * client could come yet.
      */
     Promise<Void> drain(long keepAcceptingMs, long lastAnswerMs) {
         if (listening == null) {
@@ -127,21 +154,28 @@
             return drained;
         }
         loop.execute(() -> stopping = true);
-        loop.schedule(() -> {
-            closing = true;
-            listening.close();
-            closeIdle();
-        }, keepAcceptingMs, TimeUnit.MILLISECONDS);
-        loop.schedule(() -> {
-            ended = true;
-            driver.failAll();
-        }, lastAnswerMs, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    closing = true;
+                    listening.close();
+                    closeIdle();
+                },
+                keepAcceptingMs,
+                TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    ended = true;
+                    driver.failAll();
+                },
+                lastAnswerMs,
+                TimeUnit.MILLISECONDS);
         return drained;
     }
 
     /**
-     * Closes one idle connection at a time: between two the loop reads what has come. All in one go, requests
-     * that came while the first ones were being closed would be lost with the last ones.
+     * Closes one idle connection at a time: between two the loop reads what has come. All in one
+     * go, requests that came while the first ones were being closed would be lost with the last
+     * ones.
      */
     private void closeIdle() {
         idle.stream().findFirst().ifPresent(ClientSession::close);
@@ -157,7 +191,8 @@
         }
     }
 
-    // ---- For the sessions ------------------------------------------------------------------------------
+    // ---- For the sessions
+    // ------------------------------------------------------------------------------
 
     /** A new session, of a connection that this listener accepted. */
     void opened(ClientSession session, Channel listener) {
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -25,17 +25,25 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
 import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
 
-/** One client connection: its requests are handled one after another, and answered in their order. */
-final class ClientSession extends SimpleChannelInboundHandler<FullHttpRequest> implements Driver.Client {
+/**
+ * One client connection: its requests are handled one after another, and answered in their order.
+ */
+final class ClientSession extends SimpleChannelInboundHandler<FullHttpRequest>
+        implements Driver.Client {
     private static final System.Logger LOG = System.getLogger(ClientSession.class.getName());
     private static final String HEALTH = "/healthz";
-    /** How long a request may take to come whole. Peers that send none are owed an end within 3 s. */
+
+    /**
+     * How long a request may take to come whole. Peers that send none are owed an end within 3 s.
+     */
     private static final long REQUEST_MS = 2_000;
+
     /** How long a connection that we end is still read, for its client to see the end first. */
     private static final long LINGER_MS = 250;
+
     /** How long a client may leave answers unread, before it counts as gone. */
     private static final long UNREAD_MS = 10_000;
 
@@ -47,16 +55,24 @@
     private long waitingBytes;
     private String current;
     private ScheduledFuture<?> unread;
+
     /** Came when all connections were taken. Those that came before are served all the same. */
     private boolean beyond;
+
     private boolean busy;
     private boolean lastRequest;
     private boolean stalled;
     private boolean ending;
 
-    /** A request that has been read, and when it can have come, in microseconds of the driver's clock. */
+    /**
+     * A request that has been read, and when it can have come, in microseconds of the driver's
+     * clock.
+     */
     private record Received(FullHttpRequest message, long cameAt) {
-        /** What it takes of the memory for requests that wait: its body, and about this for the rest. */
+        /**
+         * What it takes of the memory for requests that wait: its body, and about this for the
+         * rest.
+         */
         private static final long OVERHEAD = 2_048;
 
         long bytes() {
@@ -73,16 +89,22 @@
 
     /** Puts this session and what it needs before it into the channel's pipeline. */
     void install() {
-        channel.pipeline().addLast(deadline, new HttpServerCodec(),
-                new HttpObjectAggregator(Upstreams.MAX_BODY), this);
+        channel.pipeline()
+                .addLast(
+                        deadline,
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(Upstreams.MAX_BODY),
+                        this);
     }
 
-    @Override public void channelActive(ChannelHandlerContext ctx) {
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
         beyond = server.isFull();
         server.opened(this, channel.parent());
     }
 
-    @Override public void channelInactive(ChannelHandlerContext ctx) {
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
         forgetWaiting();
         stopWaitingForReader();
         if (current != null) {
@@ -92,17 +114,21 @@
         server.closed(this, channel.parent());
     }
 
-    @Override public boolean isConnected() {
+    @Override
+    public boolean isConnected() {
         return channel.isActive();
     }
 
-    // ---- Requests --------------------------------------------------------------------------------------
+    // ---- Requests
+    // --------------------------------------------------------------------------------------
 
     /**
-     * Only takes note of a request: it is begun when all that has come in this turn of the loop is read. The
-     * end of its connection may be behind it, or that of another one for which an attempt would begin.
+     * Only takes note of a request: it is begun when all that has come in this turn of the loop is
+     * read. The end of its connection may be behind it, or that of another one for which an attempt
+     * would begin.
      */
-    @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
         deadline.met();
         if (ending || lastRequest) {
             message.release();
@@ -118,22 +144,31 @@
         }
     }
 
-    /** After a loop that was late, the next turn reads first: the end of this connection may have come. */
+    /**
+     * After a loop that was late, the next turn reads first: the end of this connection may have
+     * come.
+     */
     private void begin() {
         if (driver.isLate()) {
             // Set from a task, a timer comes behind the reads of the next turn.
-            channel.eventLoop().execute(
-                    () -> channel.eventLoop().schedule(this::next, 0, TimeUnit.MILLISECONDS));
+            channel.eventLoop()
+                    .execute(
+                            () ->
+                                    channel.eventLoop()
+                                            .schedule(this::next, 0, TimeUnit.MILLISECONDS));
         } else {
             channel.eventLoop().execute(this::next);
         }
     }
 
-    /** Stops reading when too much waits; a client that sends more at once waits for its answers. */
+    /**
+     * Stops reading when too much waits; a client that sends more at once waits for its answers.
+     */
     private void account(long bytes) {
         waitingBytes += bytes;
         server.account(bytes);
-        channel.config().setAutoRead(ending || waiting.isEmpty() || !server.holdsTooMuch(waitingBytes));
+        channel.config()
+                .setAutoRead(ending || waiting.isEmpty() || !server.holdsTooMuch(waitingBytes));
     }
 
     private void forgetWaiting() {
@@ -165,7 +200,8 @@
     private void take(Received received) {
         FullHttpRequest message = received.message();
         if (message.decoderResult().isFailure()) {
-            // What follows on this connection can't be told apart any more, and would go unanswered.
+            // What follows on this connection can't be told apart any more, and would go
+            // unanswered.
             lastRequest = true;
             reject(message, "malformed request");
             return;
@@ -177,8 +213,12 @@
             // Throws on escapes that can't be decoded; from here that still ends in an answer.
             if (uri.path().equals(HEALTH)) {
                 message.release();
-                answer(server.isHealthy() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        Unpooled.EMPTY_BUFFER, 0);
+                answer(
+                        server.isHealthy()
+                                ? HttpResponseStatus.OK
+                                : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        Unpooled.EMPTY_BUFFER,
+                        0);
                 return;
             }
             request = server.read(message, uri, driver.now() - received.cameAt());
@@ -198,62 +238,81 @@
         driver.request(request, message, this);
     }
 
-    /** A request that is still whole in our hands is answered first. A plain close is safe to cross. */
+    /**
+     * A request that is still whole in our hands is answered first. A plain close is safe to cross.
+     */
     private void requestOverdue() {
         if (!busy) {
             close();
         }
     }
 
-    // ---- Answers ---------------------------------------------------------------------------------------
+    // ---- Answers
+    // ---------------------------------------------------------------------------------------
 
     private void reject(FullHttpRequest message, String why) {
         message.release();
-        answer(HttpResponseStatus.BAD_REQUEST, Unpooled.copiedBuffer(why + "\n",
-                StandardCharsets.UTF_8), 0);
+        answer(
+                HttpResponseStatus.BAD_REQUEST,
+                Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8),
+                0);
     }
 
-    @Override public void served(ByteBuf body) {
+    @Override
+    public void served(ByteBuf body) {
         answer(HttpResponseStatus.OK, body, 0);
     }
 
-    @Override public void refused(long retryAfter) {
+    @Override
+    public void refused(long retryAfter) {
         answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfter);
     }
 
-    @Override public void failed() {
+    @Override
+    public void failed() {
         answer(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
     }
 
     private void answer(HttpResponseStatus status, ByteBuf body, long retryAfter) {
         current = null;
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        DefaultFullHttpResponse answer =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         if (retryAfter > 0) {
-            answer.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    BigDecimal.valueOf(retryAfter, 6).toPlainString());
+            answer.headers()
+                    .set(
+                            HttpHeaderNames.RETRY_AFTER,
+                            BigDecimal.valueOf(retryAfter, 6).toPlainString());
         }
         // Whatever has been read is owed its answer before the connection may end.
         boolean last = lastRequest || waiting.isEmpty() && server.closesWithAnswers();
         HttpUtil.setKeepAlive(answer, !last);
-        channel.writeAndFlush(answer).addListener(written -> {
-            if (!written.isSuccess()) {
-                channel.close();
-            } else if (last) {
-                close();
-            }
-        });
+        channel.writeAndFlush(answer)
+                .addListener(
+                        written -> {
+                            if (!written.isSuccess()) {
+                                channel.close();
+                            } else if (last) {
+                                close();
+                            }
+                        });
         if (!last) {
-            // Not from within the module's event: the next request on this connection is one of its own.
+            // Not from within the module's event: the next request on this connection is one of its
+            // own.
             channel.eventLoop().execute(this::next);
         }
     }
 
-    /** A client that does not read its answers is given no more of them, and at last counts as gone. */
-    @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    /**
+     * A client that does not read its answers is given no more of them, and at last counts as gone.
+     */
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         stopWaitingForReader();
         if (!channel.isWritable()) {
-            unread = ctx.executor().schedule(() -> channel.close(), UNREAD_MS, TimeUnit.MILLISECONDS);
+            unread =
+                    ctx.executor()
+                            .schedule(() -> channel.close(), UNREAD_MS, TimeUnit.MILLISECONDS);
         } else if (stalled) {
             stalled = false;
             channel.eventLoop().execute(this::next);
@@ -267,12 +326,14 @@
         }
     }
 
-    // ---- The end ---------------------------------------------------------------------------------------
+    // ---- The end
+    // ---------------------------------------------------------------------------------------
 
     /**
-     * Ends the connection between requests. Closed at once, with bytes unread or on their way, it would be
-     * reset, and a reset takes along what the client has not read yet; so our side ends first, and what still
-     * comes is read and dropped for a moment. A client resends a request that crossed with the end.
+     * Ends the connection between requests. Closed at once, with bytes unread or on their way, it
+     * would be reset, and a reset takes along what the client has not read yet; so our side ends
+     * first, and what still comes is read and dropped for a moment. A client resends a request that
+     * crossed with the end.
      */
     void close() {
         if (ending) {
@@ -287,22 +348,26 @@
             return;
         }
         channel.pipeline().addFirst(new Discard());
-        duplex.shutdownOutput().addListener(done -> {
-            if (!done.isSuccess()) {
-                channel.close();
-            }
-        });
+        duplex.shutdownOutput()
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                channel.close();
+                            }
+                        });
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Drops what comes. */
     private static final class Discard extends ChannelInboundHandlerAdapter {
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
             ReferenceCountUtil.release(message);
         }
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
             LOG.log(System.Logger.Level.ERROR, "closed a client connection after a failure", cause);
         }
--- a/src/main/java/myrtleladder/loadbalancer/server/Config.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Config.java
@@ -10,16 +10,25 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import myrtleladder.loadbalancer.policy.SettingsCheck;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadConfiguration;
 import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.error.OperatorError.NoFile;
+import myrtleladder.loadbalancer.policy.SettingsCheck;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
-/** What this balancer is told at its start: addresses, limits, the list as last held, and the settings. */
-record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets, int memoryMb,
-        ServerList known, SettingsReader.Found facts) {
+/**
+ * What this balancer is told at its start: addresses, limits, the list as last held, and the
+ * settings.
+ */
+record Config(
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        int memoryMb,
+        ServerList known,
+        SettingsReader.Found facts) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 192;
@@ -36,8 +45,12 @@
         } catch (BadInput e) {
             throw new BadConfiguration(file, e.what());
         } catch (JsonProcessingException e) {
-            throw new BadConfiguration(file, "line " + e.getLocation().getLineNr() + ": "
-                    + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new BadConfiguration(
+                    file,
+                    "line "
+                            + e.getLocation().getLineNr()
+                            + ": "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException | IllegalArgumentException e) {
             throw new BadConfiguration(file, String.valueOf(e.getMessage()));
         }
@@ -61,8 +74,10 @@
                 case "discovery" -> discovery = address(json.getText());
                 case "seed" -> seed = seed(json.getText());
                 case "limits" -> limits(json, limits);
-                case "known" -> known = value == JsonToken.START_OBJECT ? ServerList.read(json) : known;
-                case "settings" -> facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
+                case "known" ->
+                        known = value == JsonToken.START_OBJECT ? ServerList.read(json) : known;
+                case "settings" ->
+                        facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
                 default -> json.skipChildren();
             }
         }
--- a/src/main/java/myrtleladder/loadbalancer/server/Counts.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Counts.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import myrtleladder.loadbalancer.policy.Balancer.Outcome;
 
-/** What a balancer has done since its start: plain numbers, written and read on its event loop alone. */
+/**
+ * What a balancer has done since its start: plain numbers, written and read on its event loop
+ * alone.
+ */
 final class Counts {
     private static final Outcome[] OUTCOMES = Outcome.values();
     long requests;
--- a/src/main/java/myrtleladder/loadbalancer/server/Discovery.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Discovery.java
@@ -29,17 +29,25 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
 import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.error.OperatorError.BadList;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
 
-/** Follows the list of upstreams: one watch, kept open from the version known, and single lists if asked. */
+/**
+ * Follows the list of upstreams: one watch, kept open from the version known, and single lists if
+ * asked.
+ */
 final class Discovery {
     private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
     private static final String LIST = "/v1/servers";
     private static final int MAX_LINE = 4 << 20;
-    /** A watch says something every 2 s; one silent for longer may be cut off, and what it has is unheard. */
+
+    /**
+     * A watch says something every 2 s; one silent for longer may be cut off, and what it has is
+     * unheard.
+     */
     private static final long SILENCE_MS = 3_000;
+
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final EventLoop loop;
@@ -52,13 +60,20 @@
     private Call watch;
     private Call repair;
     private final Backoff watchBackoff = new Backoff();
+
     /** A line could not be read, so what is known may lack something until the next whole list. */
     private boolean incomplete;
+
     private final Backoff repairBackoff = new Backoff();
     private boolean badLineLogged;
 
     /** With {@code asked} the module says when to call; otherwise the watch opens itself again. */
-    Discovery(EventLoop loop, Transport transport, InetSocketAddress address, boolean asked, long version,
+    Discovery(
+            EventLoop loop,
+            Transport transport,
+            InetSocketAddress address,
+            boolean asked,
+            long version,
             Driver driver) {
         this.loop = loop;
         this.transport = transport;
@@ -97,24 +112,39 @@
 
     private Call call(String uri) {
         Call call = new Call();
-        ChannelFuture connecting = transport.client(loop)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(),
-                                new ReadTimeoutHandler(SILENCE_MS, TimeUnit.MILLISECONDS), new Body(),
-                                new LineBasedFrameDecoder(MAX_LINE), call);
-                    }
-                }).connect(transport.address(address));
+        ChannelFuture connecting =
+                transport
+                        .client(loop)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new ReadTimeoutHandler(
+                                                                SILENCE_MS, TimeUnit.MILLISECONDS),
+                                                        new Body(),
+                                                        new LineBasedFrameDecoder(MAX_LINE),
+                                                        call);
+                                    }
+                                })
+                        .connect(transport.address(address));
         call.channel = connecting.channel();
-        connecting.addListener(f -> {
-            if (f.isSuccess()) {
-                DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                        HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
-                request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-                call.channel.writeAndFlush(request);
-            }
-        });
+        connecting.addListener(
+                f -> {
+                    if (f.isSuccess()) {
+                        DefaultFullHttpRequest request =
+                                new DefaultFullHttpRequest(
+                                        HttpVersion.HTTP_1_1,
+                                        HttpMethod.GET,
+                                        uri,
+                                        Unpooled.EMPTY_BUFFER);
+                        request.headers().set(HttpHeaderNames.HOST, address.getHostString());
+                        call.channel.writeAndFlush(request);
+                    }
+                });
         call.channel.closeFuture().addListener(f -> ended(call));
         return call;
     }
@@ -137,11 +167,14 @@
                 loop.execute(driver::listUnavailable);
             }
         } else if (watching && wanted) {
-            loop.schedule(() -> {
-                if (wanted && watch == null) {
-                    watch(true);
-                }
-            }, watchBackoff.next(), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (wanted && watch == null) {
+                            watch(true);
+                        }
+                    },
+                    watchBackoff.next(),
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -150,11 +183,14 @@
         if (!incomplete || repair != null) {
             return;
         }
-        loop.schedule(() -> {
-            if (incomplete && repair == null) {
-                repair = call(LIST);
-            }
-        }, repairBackoff.next(), TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (incomplete && repair == null) {
+                        repair = call(LIST);
+                    }
+                },
+                repairBackoff.next(),
+                TimeUnit.MILLISECONDS);
     }
 
     /** The body of a 200 answer as bytes; its end counts as the end of a line. */
@@ -163,7 +199,8 @@
             super(HttpObject.class);
         }
 
-        @Override protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) {
+        @Override
+        protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) {
             if (part instanceof HttpResponse response && response.status().code() != 200
                     || part.decoderResult().isFailure()) {
                 ctx.close();
@@ -181,13 +218,14 @@
 
     /** One call: each line that is not empty is a list, or a part of one that comes indented. */
     private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
-        private final ListLines lines = new ListLines(MAX_LINE,
-                () -> broken("a list that was not closed"));
+        private final ListLines lines =
+                new ListLines(MAX_LINE, () -> broken("a list that was not closed"));
         private Channel channel;
         private boolean told;
         private boolean superseded;
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
             watchBackoff.reset();
             byte[] whole = lines.add(ByteBufUtil.getBytes(line));
             if (whole != null && whole.length > 0) {
@@ -218,11 +256,16 @@
                 incomplete = false;
                 repairBackoff.reset();
             }
-            // Not before all is read that has come: clients that have left get nothing sent for them.
-            loop.execute(() -> driver.list(list.full() ? ListKind.COMPLETE : ListKind.CHANGES, list));
+            // Not before all is read that has come: clients that have left get nothing sent for
+            // them.
+            loop.execute(
+                    () -> driver.list(list.full() ? ListKind.COMPLETE : ListKind.CHANGES, list));
         }
 
-        /** What a broken line held is known again with a whole list, which is asked for beside the watch. */
+        /**
+         * What a broken line held is known again with a whole list, which is asked for beside the
+         * watch.
+         */
         private void broken(String why) {
             incomplete = true;
             repairSoon();
@@ -232,9 +275,13 @@
             }
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException || cause instanceof ReadTimeoutException)) {
-                LOG.log(System.Logger.Level.ERROR, "closed a call to discovery after a failure", cause);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "closed a call to discovery after a failure",
+                        cause);
             }
             ctx.close();
         }
--- a/src/main/java/myrtleladder/loadbalancer/server/ListLines.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ListLines.java
@@ -3,9 +3,10 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Joins the lines of a list that comes indented. One line is one object as a rule; where an object goes on
- * over further lines, these are counted in until its braces close. An object that begins at the start of a
- * line ends whatever was not closed before it: a broken one costs itself and not all that come after it.
+ * Joins the lines of a list that comes indented. One line is one object as a rule; where an object
+ * goes on over further lines, these are counted in until its braces close. An object that begins at
+ * the start of a line ends whatever was not closed before it: a broken one costs itself and not all
+ * that come after it.
  */
 final class ListLines {
     private final int longest;
@@ -13,15 +14,23 @@
     private final Runnable broken;
     private int depth;
 
-    /** Objects of at most so many bytes; {@code broken} is told of each that was begun and never closed. */
+    /**
+     * Objects of at most so many bytes; {@code broken} is told of each that was begun and never
+     * closed.
+     */
     ListLines(int longest, Runnable broken) {
         this.longest = longest;
         this.broken = broken;
     }
 
-    /** What is complete with this line, an object or what can't become one; null if more has to come. */
+    /**
+     * What is complete with this line, an object or what can't become one; null if more has to
+     * come.
+     */
     byte[] add(byte[] line) {
-        if (line.length > 0 && line[0] == '{' || line.length == 0 || begun.size() + line.length > longest) {
+        if (line.length > 0 && line[0] == '{'
+                || line.length == 0
+                || begun.size() + line.length > longest) {
             if (begun.size() > 0) {
                 broken.run();
             }
@@ -43,7 +52,9 @@
         return whole;
     }
 
-    /** Braces and brackets that a line opens, less those that it closes; a text ends with its line. */
+    /**
+     * Braces and brackets that a line opens, less those that it closes; a text ends with its line.
+     */
     private static int opens(byte[] line) {
         int opens = 0;
         boolean text = false;
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -11,51 +11,75 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import myrtleladder.loadbalancer.simulator.Adapter;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.AddressTaken;
 import myrtleladder.error.OperatorError.LimitsTooSmall;
 import myrtleladder.error.OperatorError.NotTold;
 import myrtleladder.error.OperatorError.Unexpected;
+import myrtleladder.loadbalancer.simulator.Adapter;
 import myrtleladder.signal.Signals;
 
-/** Command line: {@code serve} runs one balancer on sockets, {@code adapter} the module on the simulator. */
+/**
+ * Command line: {@code serve} runs one balancer on sockets, {@code adapter} the module on the
+ * simulator.
+ */
 public final class Main {
     private static final System.Logger LOG = System.getLogger(Main.class.getName());
+
     /** Descriptors that the JVM itself needs: jars, selector, log. */
     private static final int OWN_DESCRIPTORS = 64;
+
     /** Less leaves next to nothing for clients and upstreams. */
     private static final int LEAST_DESCRIPTORS = 2 * OWN_DESCRIPTORS;
-    /** The JVM with its classes, compiled code and a small heap: 59 MB are resident when it is ready. */
+
+    /**
+     * The JVM with its classes, compiled code and a small heap: 59 MB are resident when it is
+     * ready.
+     */
     private static final int LEAST_MEMORY_MB = 64;
+
     /** Of the rest clients get this part at most; upstreams have the others. */
     private static final double CLIENT_PART = 0.75;
 
     /** SIGKILL comes so long after SIGTERM at the earliest, and the longest deadline later. */
     private static final long KILL_MS = 700;
+
     /** A longer deadline counts as this one. */
     private static final long LONGEST_DEADLINE_MS = 3_000;
-    /** All is answered so long before SIGKILL: what that finds unanswered is lost, and we may run late. */
+
+    /**
+     * All is answered so long before SIGKILL: what that finds unanswered is lost, and we may run
+     * late.
+     */
     private static final long SPARE_MS = 300;
+
     /** Nothing new is taken for so long before the last answer; few requests take longer. */
     private static final long LAST_REQUESTS_MS = 500;
-    /** The same where others serve meanwhile: a stop that is late by half of this still loses nothing. */
+
+    /**
+     * The same where others serve meanwhile: a stop that is late by half of this still loses
+     * nothing.
+     */
     private static final long LAST_REQUESTS_OF_MANY_MS = 1_500;
-    /** New connections come for up to 0.4 s after SIGTERM; a little later none waits to be accepted. */
+
+    /**
+     * New connections come for up to 0.4 s after SIGTERM; a little later none waits to be accepted.
+     */
     private static final long LEAST_ACCEPTING_MS = 500;
 
     /**
-     * Of more than this, a balancer listens only after its rehearsal: the machine takes connections from then
-     * on, their requests are ours to answer, and clients do better elsewhere. With so few there is hardly any
-     * other, and to wait a second here is better than to be refused.
+     * Of more than this, a balancer listens only after its rehearsal: the machine takes connections
+     * from then on, their requests are ours to answer, and clients do better elsewhere. With so few
+     * there is hardly any other, and to wait a second here is better than to be refused.
      */
     private static final int FEW = 4;
 
-    private Main() { }
+    private Main() {}
 
     /**
-     * Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}). {@code rehearse} ends by
-     * itself after it has loaded what serving needs: the build has the JVM keep that in an archive.
+     * Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}). {@code rehearse}
+     * ends by itself after it has loaded what serving needs: the build has the JVM keep that in an
+     * archive.
      */
     public static void main(String[] args) {
         int exit = run(args, System.getenv("NODE_CONFIG"), System.err);
@@ -64,14 +88,19 @@
         }
     }
 
-    /** Returns 0 once serving or at the adapter's end, 1 if that failed, 2 after a wrong command line. */
+    /**
+     * Returns 0 once serving or at the adapter's end, 1 if that failed, 2 after a wrong command
+     * line.
+     */
     static int run(String[] args, String config, PrintStream err) {
-        return run(args, config, err, balancer -> { });
+        return run(args, config, err, balancer -> {});
     }
 
-    /** The same; {@code serving} gets the balancer when all is there, and may put off its opening. */
-    public static int run(String[] args, String config, PrintStream err,
-            Consumer<Running> serving) {
+    /**
+     * The same; {@code serving} gets the balancer when all is there, and may put off its opening.
+     */
+    public static int run(
+            String[] args, String config, PrintStream err, Consumer<Running> serving) {
         if (args.length == 1 && args[0].equals("adapter")) {
             return Adapter.run(args, System.in, System.out, err);
         }
@@ -92,8 +121,9 @@
             if (!rehearse) {
                 Signals.on("HUP", () -> reload(file, server));
                 // On SIGTERM the JVM waits for this hook while the event loop goes on.
-                Runtime.getRuntime().addShutdownHook(
-                        new Thread(() -> stop(found, server).awaitUninterruptibly()));
+                Runtime.getRuntime()
+                        .addShutdownHook(
+                                new Thread(() -> stop(found, server).awaitUninterruptibly()));
             }
             boolean few = found.facts().settings().groupSize() <= FEW;
             if (few) {
@@ -125,7 +155,10 @@
         }
     }
 
-    /** It may still do, so it tries; whoever looks for the cause of what follows finds it in the log. */
+    /**
+     * It may still do, so it tries; whoever looks for the cause of what follows finds it in the
+     * log.
+     */
     private static void warn(Path file, Config config) {
         if (config.memoryMb() < LEAST_MEMORY_MB) {
             warn(new LimitsTooSmall(file, "limits.memory_mb", config.memoryMb(), LEAST_MEMORY_MB));
@@ -144,11 +177,14 @@
         return e instanceof OperatorError o ? o : new Unexpected(e);
     }
 
-    /** When a planned stop takes nothing new any more, and when it answers all that is left, in ms. */
+    /**
+     * When a planned stop takes nothing new any more, and when it answers all that is left, in ms.
+     */
     record Stop(long keepAccepting, long lastAnswer) {
         /**
-         * With no other balancer to go to, each moment not served is lost: serves as long as is safe. With
-         * others, requests lost to a loop that is late cost more than those that others serve.
+         * With no other balancer to go to, each moment not served is lost: serves as long as is
+         * safe. With others, requests lost to a loop that is late cost more than those that others
+         * serve.
          */
         static Stop of(long longestDeadline, double balancers) {
             long last = KILL_MS + Math.min(LONGEST_DEADLINE_MS, longestDeadline) - SPARE_MS;
@@ -158,8 +194,11 @@
     }
 
     private static Future<Void> stop(Config config, ClientServer server) {
-        long deadline = config.facts().settings().classes().stream().mapToLong(c -> c.giveUp() / 1_000).max()
-                .orElse(0);
+        long deadline =
+                config.facts().settings().classes().stream()
+                        .mapToLong(c -> c.giveUp() / 1_000)
+                        .max()
+                        .orElse(0);
         Stop stop = Stop.of(deadline, config.facts().settings().groupSize());
         return server.drain(stop.keepAccepting(), stop.lastAnswer());
     }
@@ -182,18 +221,32 @@
     }
 
     /** Brings up a balancer that follows discovery already, but to which no client can come yet. */
-    static ClientServer follow(Config config, EventLoop loop, Transport transport) throws Exception {
-        Callable<ClientServer> start = () -> {
-            int descriptors = Math.max(0, config.sockets() - OWN_DESCRIPTORS);
-            int forClients = Math.max(1, (int) (CLIENT_PART * descriptors));
-            var settings = config.facts().settings();
-            Upstreams upstreams = new Upstreams(loop, transport, settings.limits().connectTimeout(),
-                    settings.limits().connectIdle(), Math.max(1, descriptors - forClients));
-            Driver driver = new Driver(loop, config, upstreams);
-            driver.start(new Discovery(loop, transport, config.discovery(), settings.askForList(),
-                    config.known().version(), driver), config.known());
-            return new ClientServer(loop, driver, config.facts(), forClients);
-        };
+    static ClientServer follow(Config config, EventLoop loop, Transport transport)
+            throws Exception {
+        Callable<ClientServer> start =
+                () -> {
+                    int descriptors = Math.max(0, config.sockets() - OWN_DESCRIPTORS);
+                    int forClients = Math.max(1, (int) (CLIENT_PART * descriptors));
+                    var settings = config.facts().settings();
+                    Upstreams upstreams =
+                            new Upstreams(
+                                    loop,
+                                    transport,
+                                    settings.limits().connectTimeout(),
+                                    settings.limits().connectIdle(),
+                                    Math.max(1, descriptors - forClients));
+                    Driver driver = new Driver(loop, config, upstreams);
+                    driver.start(
+                            new Discovery(
+                                    loop,
+                                    transport,
+                                    config.discovery(),
+                                    settings.askForList(),
+                                    config.known().version(),
+                                    driver),
+                            config.known());
+                    return new ClientServer(loop, driver, config.facts(), forClients);
+                };
         return loop.inEventLoop() ? start.call() : loop.submit(start).get();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/Rehearsal.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Rehearsal.java
@@ -29,25 +29,32 @@
 import myrtleladder.loadbalancer.policy.Balancer.State;
 
 /**
- * Serves requests of its own, in memory, before the first client may come. Code that has never run is loaded
- * and interpreted at many times the CPU of a warm one; with part of a core, a balancer that opened cold was
- * seconds behind its clients, and the requests that timed out meanwhile came back as more.
+ * Serves requests of its own, in memory, before the first client may come. Code that has never run
+ * is loaded and interpreted at many times the CPU of a warm one; with part of a core, a balancer
+ * that opened cold was seconds behind its clients, and the requests that timed out meanwhile came
+ * back as more.
  */
 final class Rehearsal {
     private static final System.Logger LOG = System.getLogger(Rehearsal.class.getName());
     private static final int CLIENTS = 16;
+
     /**
-     * One on each connection is enough for every class of the common path to be loaded and linked, and that
-     * is most of what a first request costs. What is left cold is compiled while it serves, for some
-     * milliseconds a request. Where many balancers share the traffic, that is cheaper than to be away longer;
-     * a few take it at full blast, and opened cold they fell behind.
+     * One on each connection is enough for every class of the common path to be loaded and linked,
+     * and that is most of what a first request costs. What is left cold is compiled while it
+     * serves, for some milliseconds a request. Where many balancers share the traffic, that is
+     * cheaper than to be away longer; a few take it at full blast, and opened cold they fell
+     * behind.
      */
     private static final int FEWEST = CLIENTS;
+
     private static final int MOST = 100;
+
     /** So many requests are rehearsed by all balancers together, as far as the bounds allow. */
     private static final int BY_ALL = 400;
+
     /** A restarted balancer is missed: rather open somewhat cold than late. */
     private static final long LONGEST_MS = 6_000;
+
     private static final int UPSTREAMS = 4;
     private static final int BODY = 1_000;
     private final Config config;
@@ -66,8 +73,8 @@
     }
 
     /**
-     * Runs until warm, or for the longest time allowed; a balancer that can't rehearse starts cold. Returns
-     * how many requests were served.
+     * Runs until warm, or for the longest time allowed; a balancer that can't rehearse starts cold.
+     * Returns how many requests were served.
      */
     static int run(Config config) throws InterruptedException {
         ManualIoEventLoop loop =
@@ -90,8 +97,9 @@
     }
 
     /**
-     * Ends what has a name of its own in this process. The loop itself is only let go of: told to end, it has
-     * that announced by a thread of the library, which the process would start for this alone.
+     * Ends what has a name of its own in this process. The loop itself is only let go of: told to
+     * end, it has that announced by a thread of the library, which the process would start for this
+     * alone.
      */
     private void close() throws InterruptedException {
         List<ChannelFuture> closing = channels.stream().map(Channel::close).toList();
@@ -101,8 +109,8 @@
     }
 
     /**
-     * One turn of the loop, on the caller's thread: on a thread of its own the loop was seen to spin for
-     * good at a start, where only one thread runs at a time.
+     * One turn of the loop, on the caller's thread: on a thread of its own the loop was seen to
+     * spin for good at a start, where only one thread runs at a time.
      */
     private void turn() throws InterruptedException {
         if (loop.runNow() == 0) {
@@ -119,25 +127,55 @@
     }
 
     private void play() throws Exception {
-        List<ServerList.Entry> upstreams = IntStream.range(0, UPSTREAMS).mapToObj(this::upstream).toList();
+        List<ServerList.Entry> upstreams =
+                IntStream.range(0, UPSTREAMS).mapToObj(this::upstream).toList();
         for (ServerList.Entry u : upstreams) {
-            await(Transport.MEMORY.server(loop).childHandler(new ChannelInitializer<Channel>() {
-                @Override protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpServerCodec(),
-                            new HttpObjectAggregator(Upstreams.MAX_BODY), new Upstream());
-                }
-            }).bind(Transport.MEMORY.address(u.addr())));
+            await(
+                    Transport.MEMORY
+                            .server(loop)
+                            .childHandler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel channel) {
+                                            channel.pipeline()
+                                                    .addLast(
+                                                            new HttpServerCodec(),
+                                                            new HttpObjectAggregator(
+                                                                    Upstreams.MAX_BODY),
+                                                            new Upstream());
+                                        }
+                                    })
+                            .bind(Transport.MEMORY.address(u.addr())));
         }
-        Config rehearsed = new Config(config.listen(), config.discovery(), config.seed(), config.sockets(),
-                config.memoryMb(), new ServerList(0, true, upstreams), config.facts());
-        await(Main.follow(rehearsed, loop, Transport.MEMORY).bind(Transport.MEMORY, config.listen()));
+        Config rehearsed =
+                new Config(
+                        config.listen(),
+                        config.discovery(),
+                        config.seed(),
+                        config.sockets(),
+                        config.memoryMb(),
+                        new ServerList(0, true, upstreams),
+                        config.facts());
+        await(
+                Main.follow(rehearsed, loop, Transport.MEMORY)
+                        .bind(Transport.MEMORY, config.listen()));
         for (int i = 0; i < CLIENTS; i++) {
-            await(Transport.MEMORY.client(loop).handler(new ChannelInitializer<Channel>() {
-                @Override protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpClientCodec(),
-                            new HttpObjectAggregator(Upstreams.MAX_BODY), new Client());
-                }
-            }).connect(Transport.MEMORY.address(config.listen())));
+            await(
+                    Transport.MEMORY
+                            .client(loop)
+                            .handler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel channel) {
+                                            channel.pipeline()
+                                                    .addLast(
+                                                            new HttpClientCodec(),
+                                                            new HttpObjectAggregator(
+                                                                    Upstreams.MAX_BODY),
+                                                            new Client());
+                                        }
+                                    })
+                            .connect(Transport.MEMORY.address(config.listen())));
         }
         long begun = System.nanoTime();
         while (left > 0 && System.nanoTime() - begun < TimeUnit.MILLISECONDS.toNanos(LONGEST_MS)) {
@@ -146,8 +184,15 @@
     }
 
     private ServerList.Entry upstream(int number) {
-        return new ServerList.Entry("rehearsal-" + number, new InetSocketAddress(
-                config.listen().getAddress(), number + 1), "", "", number, State.READY, 1, 0);
+        return new ServerList.Entry(
+                "rehearsal-" + number,
+                new InetSocketAddress(config.listen().getAddress(), number + 1),
+                "",
+                "",
+                number,
+                State.READY,
+                1,
+                0);
     }
 
     private static ByteBuf body() {
@@ -156,9 +201,11 @@
 
     /** Stands for a server. */
     private final class Upstream extends SimpleChannelInboundHandler<FullHttpRequest> {
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK, body());
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+            FullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body());
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
             answer.headers().set("X-Backend-Load", "cpu=0." + ++answered % 10 + ",rps=9,err_rps=0");
             ctx.writeAndFlush(answer);
@@ -167,11 +214,13 @@
 
     /** Stands for a client: one request at a time, over and over. */
     private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
-        @Override public void channelActive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
             send(ctx);
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             served += answer.status().code() == HttpResponseStatus.OK.code() ? 1 : 0;
             left--;
             if (left > 0) {
@@ -184,11 +233,17 @@
             int c = number % config.facts().classes().size();
             String name = config.facts().classes().get(c);
             boolean get = config.facts().settings().classes().get(c).effect() == Effect.SAFE;
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, get ? HttpMethod.GET
-                    : HttpMethod.POST, "/" + name + "?key=k" + number % BODY, get ? Unpooled.EMPTY_BUFFER
-                    : body());
-            request.headers().set("Host", "rehearsal").set("X-Correlation-Id", "rehearsal-" + number)
-                    .set("X-Service-Class", name).set(Driver.TIME_LEFT, 1_000)
+            FullHttpRequest request =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1,
+                            get ? HttpMethod.GET : HttpMethod.POST,
+                            "/" + name + "?key=k" + number % BODY,
+                            get ? Unpooled.EMPTY_BUFFER : body());
+            request.headers()
+                    .set("Host", "rehearsal")
+                    .set("X-Correlation-Id", "rehearsal-" + number)
+                    .set("X-Service-Class", name)
+                    .set(Driver.TIME_LEFT, 1_000)
                     .set("Idempotency-Key", "rehearsal-" + number)
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             if (!config.facts().tenants().isEmpty()) {
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestReader.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
+import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.loadbalancer.policy.Balancer.Effect;
 import myrtleladder.loadbalancer.policy.Balancer.Request;
 import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads a client's request from its HTTP message, as the settings name classes and tenants. */
@@ -34,14 +34,18 @@
         return id;
     }
 
-    /** Reads a request that has waited here for so many microseconds; they are taken from its time. */
+    /**
+     * Reads a request that has waited here for so many microseconds; they are taken from its time.
+     */
     Request read(FullHttpRequest message, QueryStringDecoder uri, long waited) throws BadInput {
         HttpHeaders headers = message.headers();
         int classIndex = facts.classes().indexOf(headers.get(SERVICE_CLASS));
         require(classIndex >= 0, SERVICE_CLASS);
         RequestClass requestClass = facts.settings().classes().get(classIndex);
         Effect effect = requestClass.effect();
-        require(message.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST), "method");
+        require(
+                message.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST),
+                "method");
         // Without the key upstreams couldn't drop a repeat.
         require(effect != Effect.KEYED || headers.contains(IDEMPOTENCY_KEY), IDEMPOTENCY_KEY);
         int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(TENANT));
@@ -49,8 +53,14 @@
         long timeLeft = number(headers, Driver.TIME_LEFT, requestClass.giveUp() / 1_000) * 1_000;
         long hint = number(headers, WORK_HINT, 0);
         List<String> keys = uri.parameters().get(KEY);
-        return new Request(id(message), classIndex, tenant, keys == null ? null : keys.get(0), hint,
-                Math.max(0, timeLeft - waited), effect != Effect.SAFE,
+        return new Request(
+                id(message),
+                classIndex,
+                tenant,
+                keys == null ? null : keys.get(0),
+                hint,
+                Math.max(0, timeLeft - waited),
+                effect != Effect.SAFE,
                 "1".equals(headers.get(CLIENT_RETRY)));
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/server/Sending.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Sending.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a part beside the balancer may know of its sending, and say of it; on its event loop alone. */
+/**
+ * What a part beside the balancer may know of its sending, and say of it; on its event loop alone.
+ */
 public interface Sending {
     /** Who has a say on each attempt. */
     interface Restraint {
@@ -15,12 +17,14 @@
     }
 
     /** An upstream as discovery told it last. */
-    record Listed(String id, String zone, String kind, int cell, boolean ready) { }
+    record Listed(String id, String zone, String kind, int cell, boolean ready) {}
 
     /** From now on each attempt is asked for. */
     void restrain(Restraint restraint);
 
-    /** Upstreams that count as draining, in place of those before; {@code cold} ones have come back. */
+    /**
+     * Upstreams that count as draining, in place of those before; {@code cold} ones have come back.
+     */
     void setAside(Set<String> away, Set<String> cold);
 
     /** Attempts that are out. */
--- a/src/main/java/myrtleladder/loadbalancer/server/ServerList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ServerList.java
@@ -7,31 +7,47 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.loadbalancer.policy.Balancer.State;
 import myrtleladder.loadbalancer.policy.Balancer.Upstream;
-import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** A list of upstreams, or changes of it, in discovery's form. */
 record ServerList(long version, boolean full, List<Entry> entries) {
     static final ServerList EMPTY = new ServerList(0, true, List.of());
-    private static final Map<String, State> STATES = Map.of(
-            "Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
+    private static final Map<String, State> STATES =
+            Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
     /** One upstream as listed; {@code startedMs} is Unix time, 0 for long ago. */
-    record Entry(String id, InetSocketAddress addr, String zone, String kind, int cell, State state,
-            double weight, long startedMs) {
+    record Entry(
+            String id,
+            InetSocketAddress addr,
+            String zone,
+            String kind,
+            int cell,
+            State state,
+            double weight,
+            long startedMs) {
 
         /**
-         * The same for the module, whose clock is Unix time in microseconds that never steps. An entry told
-         * again thus has exactly the same start, and only a real restart looks like one.
+         * The same for the module, whose clock is Unix time in microseconds that never steps. An
+         * entry told again thus has exactly the same start, and only a real restart looks like one.
          */
         Upstream toModule(SettingsReader.Found facts) {
-            return new Upstream(id, place(facts.zones(), zone), place(facts.kinds(), kind), cell, state,
-                    weight, startedMs * 1_000);
+            return new Upstream(
+                    id,
+                    place(facts.zones(), zone),
+                    place(facts.kinds(), kind),
+                    cell,
+                    state,
+                    weight,
+                    startedMs * 1_000);
         }
 
-        /** A name that the settings lack gets a place of its own, so that two such zones aren't one group. */
+        /**
+         * A name that the settings lack gets a place of its own, so that two such zones aren't one
+         * group.
+         */
         private static int place(List<String> names, String name) {
             int place = names.indexOf(name);
             return place >= 0 ? place : names.size() + (name.hashCode() & 0xFFFFFF);
--- a/src/main/java/myrtleladder/loadbalancer/server/Status.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Status.java
@@ -11,8 +11,16 @@
  * @param connections open or coming up, to upstreams
  * @param connects connections opened to upstreams so far
  * @param requests taken so far
- * @param answers given so far: {@code served}, {@code refused}, {@code failed}; {@code left}: no answer due
+ * @param answers given so far: {@code served}, {@code refused}, {@code failed}; {@code left}: no
+ *     answer due
  * @param attempts ended so far, by how they ended
  */
-public record Status(boolean ready, int upstreams, int open, int connections, long connects, long requests,
-        Map<String, Long> answers, Map<String, Long> attempts) { }
+public record Status(
+        boolean ready,
+        int upstreams,
+        int open,
+        int connections,
+        long connects,
+        long requests,
+        Map<String, Long> answers,
+        Map<String, Long> attempts) {}
--- a/src/main/java/myrtleladder/loadbalancer/server/Transport.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Transport.java
@@ -16,33 +16,44 @@
 enum Transport {
     /** The network. */
     TCP {
-        @Override Bootstrap client(EventLoop loop) {
-            return new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        @Override
+        Bootstrap client(EventLoop loop) {
+            return new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true);
         }
 
-        @Override ServerBootstrap server(EventLoop loop) {
-            return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+        @Override
+        ServerBootstrap server(EventLoop loop) {
+            return new ServerBootstrap()
+                    .group(loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true);
         }
 
-        @Override SocketAddress address(InetSocketAddress address) {
+        @Override
+        SocketAddress address(InetSocketAddress address) {
             return address;
         }
     },
 
     /** Nothing leaves the process, and no descriptor is used. */
     MEMORY {
-        @Override Bootstrap client(EventLoop loop) {
+        @Override
+        Bootstrap client(EventLoop loop) {
             return new Bootstrap().group(loop).channel(LocalChannel.class);
         }
 
-        @Override ServerBootstrap server(EventLoop loop) {
+        @Override
+        ServerBootstrap server(EventLoop loop) {
             return new ServerBootstrap().group(loop).channel(LocalServerChannel.class);
         }
 
-        @Override SocketAddress address(InetSocketAddress address) {
+        @Override
+        SocketAddress address(InetSocketAddress address) {
             return new LocalAddress(address.toString());
         }
     };
--- a/src/main/java/myrtleladder/loadbalancer/server/Upstreams.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Upstreams.java
@@ -29,16 +29,23 @@
 import myrtleladder.loadbalancer.policy.Balancer.State;
 
 /**
- * The connections to upstreams, and the attempts on them. A connection carries one request at a time and is
- * kept for the next one; nothing is ever sent again from here.
+ * The connections to upstreams, and the attempts on them. A connection carries one request at a
+ * time and is kept for the next one; nothing is ever sent again from here.
  */
 final class Upstreams {
     private static final System.Logger LOG = System.getLogger(Upstreams.class.getName());
+
     /** The largest body of the protocol. */
     static final int MAX_BODY = 64 * 1024;
+
     private static final String NOT_RUN = "X-Unprocessed";
-    /** Part of the upstream's idle time after which we drop a connection: never write to a dying one. */
+
+    /**
+     * Part of the upstream's idle time after which we drop a connection: never write to a dying
+     * one.
+     */
     private static final double IDLE_PART = 0.6;
+
     private static final long SWEEP_MS = 250;
 
     private final EventLoop loop;
@@ -50,24 +57,39 @@
     private int connections;
     private long connects;
 
-    Upstreams(EventLoop loop, Transport transport, long connectTimeoutMicros, long connectIdleMicros,
+    Upstreams(
+            EventLoop loop,
+            Transport transport,
+            long connectTimeoutMicros,
+            long connectIdleMicros,
             int maxConnections) {
         this.loop = loop;
         this.transport = transport;
         this.maxConnections = maxConnections;
         this.idleNanos = (long) (connectIdleMicros * 1_000 * IDLE_PART);
-        this.bootstrap = transport.client(loop)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMicros / 1_000))
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpRequestEncoder(), new AnswerDecoder(),
-                                new HttpObjectAggregator(MAX_BODY));
-                    }
-                });
+        this.bootstrap =
+                transport
+                        .client(loop)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.max(1, connectTimeoutMicros / 1_000))
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpRequestEncoder(),
+                                                        new AnswerDecoder(),
+                                                        new HttpObjectAggregator(MAX_BODY));
+                                    }
+                                });
         loop.scheduleWithFixedDelay(this::dropIdle, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Gets the end of an exchange, exactly once; the answer, if any, is released after the call. */
+    /**
+     * Gets the end of an exchange, exactly once; the answer, if any, is released after the call.
+     */
     interface Listener {
         void ended(Outcome outcome, FullHttpResponse answer);
     }
@@ -94,7 +116,8 @@
                 continue;
             }
             Server server = servers.computeIfAbsent(e.id(), id -> new Server());
-            // Connections to a process that is no more end as a reset, after which a request may have run.
+            // Connections to a process that is no more end as a reset, after which a request may
+            // have run.
             boolean replaced = !e.addr().equals(server.addr) || e.startedMs() != server.startedMs;
             server.addr = e.addr();
             server.startedMs = e.startedMs();
@@ -150,11 +173,12 @@
     }
 
     /**
-     * Starts an exchange; takes over the request. {@code mayBegin} is asked when it has its connection, right
-     * before it is written. The listener is never called from within this call, so that the caller has
-     * the exchange in hand before its end.
+     * Starts an exchange; takes over the request. {@code mayBegin} is asked when it has its
+     * connection, right before it is written. The listener is never called from within this call,
+     * so that the caller has the exchange in hand before its end.
      */
-    Exchange start(String id, FullHttpRequest request, BooleanSupplier mayBegin, Listener listener) {
+    Exchange start(
+            String id, FullHttpRequest request, BooleanSupplier mayBegin, Listener listener) {
         Exchange exchange = new Exchange(request, mayBegin, listener);
         Server server = servers.get(id);
         if (server == null || !server.ready) {
@@ -186,8 +210,10 @@
     private boolean closeOldestIdle() {
         Server oldest = null;
         for (Server server : servers.values()) {
-            if (!server.idle.isEmpty() && (oldest == null
-                    || server.idle.peekLast().idleSince < oldest.idle.peekLast().idleSince)) {
+            if (!server.idle.isEmpty()
+                    && (oldest == null
+                            || server.idle.peekLast().idleSince
+                                    < oldest.idle.peekLast().idleSince)) {
                 oldest = server;
             }
         }
@@ -205,14 +231,22 @@
         exchange.channel = connecting.channel();
         connecting.channel().closeFuture().addListener(f -> connections--);
         // Not before the next turn has read all that has come meanwhile: its client may have left.
-        connecting.addListener(f -> loop.schedule(() -> connected(server, addr, exchange, connecting),
-                0, TimeUnit.MILLISECONDS));
+        connecting.addListener(
+                f ->
+                        loop.schedule(
+                                () -> connected(server, addr, exchange, connecting),
+                                0,
+                                TimeUnit.MILLISECONDS));
     }
 
-    private void connected(Server server, InetSocketAddress addr, Exchange exchange,
-            ChannelFuture connecting) {
-        // The list may have changed meanwhile: nothing new goes to an upstream that drains or has moved.
-        if (!connecting.isSuccess() || exchange.ended || !server.ready || !server.addr.equals(addr)) {
+    private void connected(
+            Server server, InetSocketAddress addr, Exchange exchange, ChannelFuture connecting) {
+        // The list may have changed meanwhile: nothing new goes to an upstream that drains or has
+        // moved.
+        if (!connecting.isSuccess()
+                || exchange.ended
+                || !server.ready
+                || !server.addr.equals(addr)) {
             connecting.channel().close();
             exchange.end(Outcome.CONNECT_FAILED, null);
             return;
@@ -249,15 +283,19 @@
             channel.pipeline().get(AnswerDecoder.class).expect();
             FullHttpRequest message = request;
             request = null;
-            channel.writeAndFlush(message).addListener(f -> {
-                written = f.isSuccess();
-                if (!written) {
-                    broken();
-                }
-            });
+            channel.writeAndFlush(message)
+                    .addListener(
+                            f -> {
+                                written = f.isSuccess();
+                                if (!written) {
+                                    broken();
+                                }
+                            });
         }
 
-        /** The connection is lost. Before the last byte was written the upstream can't have begun. */
+        /**
+         * The connection is lost. Before the last byte was written the upstream can't have begun.
+         */
         private void broken() {
             channel.close();
             boolean mayHaveRun = written;
@@ -265,7 +303,10 @@
             loop.execute(() -> end(mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED, null));
         }
 
-        /** Stops waiting. The socket is closed before this returns: a further attempt is no second copy. */
+        /**
+         * Stops waiting. The socket is closed before this returns: a further attempt is no second
+         * copy.
+         */
         void abandon() {
             ended = true;
             release();
@@ -307,25 +348,32 @@
             this.channel = channel;
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             Exchange exchange = current;
             if (exchange != null && answer.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                return; // The final answer follows; left to come later, it would be the next request's.
+                return; // The final answer follows; left to come later, it would be the next
+                // request's.
             }
-            // An answer of no length ends with its connection. A reset is no such end: it may cut one short.
-            if (exchange == null || answer.decoderResult().isFailure() || isReset
+            // An answer of no length ends with its connection. A reset is no such end: it may cut
+            // one short.
+            if (exchange == null
+                    || answer.decoderResult().isFailure()
+                    || isReset
                     || !channel.isActive() && !exchange.written) {
                 channel.close();
                 return;
             }
             current = null;
             answer.retain();
-            // Only when all that has come is read: more behind the answer, or the end, forbids to go on here.
-            loop.execute(() -> {
-                keepOrClose(exchange, answer);
-                exchange.end(outcome(answer), answer);
-                answer.release();
-            });
+            // Only when all that has come is read: more behind the answer, or the end, forbids to
+            // go on here.
+            loop.execute(
+                    () -> {
+                        keepOrClose(exchange, answer);
+                        exchange.end(outcome(answer), answer);
+                        answer.release();
+                    });
         }
 
         private void keepOrClose(Exchange exchange, FullHttpResponse answer) {
@@ -336,9 +384,13 @@
             }
         }
 
-        /** Keeps the connection for the next request, unless it leads to a process that is no more. */
+        /**
+         * Keeps the connection for the next request, unless it leads to a process that is no more.
+         */
         private void keep() {
-            if (server.ready && channel.isActive() && server.addr.equals(addr)
+            if (server.ready
+                    && channel.isActive()
+                    && server.addr.equals(addr)
                     && server.startedMs == startedMs) {
                 idleSince = System.nanoTime();
                 server.idle.push(this);
@@ -350,12 +402,14 @@
         private static Outcome outcome(FullHttpResponse answer) {
             return switch (answer.status().code()) {
                 case 200 -> Outcome.OK;
-                case 503, 504 -> "1".equals(answer.headers().get(NOT_RUN)) ? Outcome.FULL : Outcome.ERROR;
+                case 503, 504 ->
+                        "1".equals(answer.headers().get(NOT_RUN)) ? Outcome.FULL : Outcome.ERROR;
                 default -> Outcome.ERROR;
             };
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             server.idle.remove(this);
             if (current != null) {
                 current.broken();
@@ -363,10 +417,14 @@
             }
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             isReset = true;
             if (!(cause instanceof IOException || cause instanceof CodecException)) {
-                LOG.log(System.Logger.Level.ERROR, "closed an upstream's connection after a failure", cause);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "closed an upstream's connection after a failure",
+                        cause);
             }
             channel.close();
         }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
@@ -10,7 +10,7 @@
 
 /** Command line: {@code adapter} reads batches on standard input and writes a reply for each. */
 public final class Adapter {
-    private Adapter() { }
+    private Adapter() {}
 
     /** Runs until the end of input; returns 0, 1 after bad input, 2 after a wrong command line. */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
@@ -3,9 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import myrtleladder.loadbalancer.policy.Balancer;
-import myrtleladder.loadbalancer.policy.Balance;
 import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balance;
+import myrtleladder.loadbalancer.policy.Balancer;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
 final class Desk {
@@ -17,11 +17,13 @@
     }
 
     void create(int who, long now, long seed, Balancer.Settings settings) {
-        guarded(who, () -> {
-            Balancer balancer = new Balance(settings, seed, replies.forInstance(who));
-            instances.put(who, balancer);
-            balancer.start(now);
-        });
+        guarded(
+                who,
+                () -> {
+                    Balancer balancer = new Balance(settings, seed, replies.forInstance(who));
+                    instances.put(who, balancer);
+                    balancer.start(now);
+                });
     }
 
     void destroy(int who) {
--- a/src/main/java/myrtleladder/maintenance/Command.java
+++ b/src/main/java/myrtleladder/maintenance/Command.java
@@ -6,8 +6,8 @@
 import myrtleladder.consensus.Token;
 
 /**
- * One step of the agenda as it goes into the log. What a step needs to know of the world stands in it, so
- * that all take it alike.
+ * One step of the agenda as it goes into the log. What a step needs to know of the world stands in
+ * it, so that all take it alike.
  *
  * @param name of a plan, machine or process, by kind
  * @param token of the order or permit that it is about, null where there is none
@@ -15,28 +15,53 @@
  * @param text a reason for people
  * @param down machines that fail by themselves, for orders and permits
  */
-record Command(Kind kind, String name, Token token, long at, String text, Terms terms, Part part,
+record Command(
+        Kind kind,
+        String name,
+        Token token,
+        long at,
+        String text,
+        Terms terms,
+        Part part,
         List<String> down) {
     /** What is to happen. */
     enum Kind {
-        /** The proposer may send to upstreams from now on. */ REGISTER,
-        /** A life that is not in the view has not been seen for long. */ GONE,
-        /** Operators say that the process of that name has ended. */ ENDED,
-        /** Nothing that was granted before the founding can be going on any more. */ SAFE,
-        /** A plan begins. */ PLAN,
-        /** One machine of it. */ PART,
-        /** The proposer knows the plan with this token. */ KNOW,
-        /** It is a machine's turn. */ ORDER,
-        /** The proposer sends nothing there any more. */ CLEAR,
-        /** The work may begin. */ GRANT,
-        /** The work is done. */ DONE,
-        /** The machine has proved itself. */ TAKEN_IN,
-        /** It has not. */ FAIL,
-        /** The work takes too long. */ OVERDUE,
-        /** Nothing more is taken out. */ HALT,
-        /** Things go on. */ RESUME,
-        /** A machine, or all that wait of a plan, are taken off the agenda. */ WITHDRAW,
-        /** A machine goes before the others. */ FIRST
+        /** The proposer may send to upstreams from now on. */
+        REGISTER,
+        /** A life that is not in the view has not been seen for long. */
+        GONE,
+        /** Operators say that the process of that name has ended. */
+        ENDED,
+        /** Nothing that was granted before the founding can be going on any more. */
+        SAFE,
+        /** A plan begins. */
+        PLAN,
+        /** One machine of it. */
+        PART,
+        /** The proposer knows the plan with this token. */
+        KNOW,
+        /** It is a machine's turn. */
+        ORDER,
+        /** The proposer sends nothing there any more. */
+        CLEAR,
+        /** The work may begin. */
+        GRANT,
+        /** The work is done. */
+        DONE,
+        /** The machine has proved itself. */
+        TAKEN_IN,
+        /** It has not. */
+        FAIL,
+        /** The work takes too long. */
+        OVERDUE,
+        /** Nothing more is taken out. */
+        HALT,
+        /** Things go on. */
+        RESUME,
+        /** A machine, or all that wait of a plan, are taken off the agenda. */
+        WITHDRAW,
+        /** A machine goes before the others. */
+        FIRST
     }
 
     static Command of(Kind kind, String name, Token token) {
@@ -64,11 +89,26 @@
     }
 
     byte[] write() {
-        return Json.write(Json.map("do", kind.name(), "name", name, "epoch", token == null ? null
-                : token.epoch(), "index", token == null ? null : token.index(), "at", at == 0 ? null : at,
-                "text", text, "terms",
-                terms == null ? null : terms.toMap(), "part", part == null ? null : part.toMap(), "down",
-                down.isEmpty() ? null : down));
+        return Json.write(
+                Json.map(
+                        "do",
+                        kind.name(),
+                        "name",
+                        name,
+                        "epoch",
+                        token == null ? null : token.epoch(),
+                        "index",
+                        token == null ? null : token.index(),
+                        "at",
+                        at == 0 ? null : at,
+                        "text",
+                        text,
+                        "terms",
+                        terms == null ? null : terms.toMap(),
+                        "part",
+                        part == null ? null : part.toMap(),
+                        "down",
+                        down.isEmpty() ? null : down));
     }
 
     @SuppressWarnings("unchecked") // a list of anything else is refused below
@@ -78,11 +118,19 @@
             Map<String, Object> terms = Json.object(map, "terms");
             Map<String, Object> part = Json.object(map, "part");
             List<String> down = (List<String>) map.getOrDefault("down", List.of());
-            Token token = map.containsKey("epoch") ? new Token(Json.number(map, "epoch"),
-                    Json.number(map, "index")) : null;
-            return new Command(Kind.valueOf(Json.text(map, "do")), Json.text(map, "name"), token,
-                    Json.number(map, "at"), Json.text(map, "text"), terms == null ? null : Terms.of(terms),
-                    part == null ? null : Part.of(part), down);
+            Token token =
+                    map.containsKey("epoch")
+                            ? new Token(Json.number(map, "epoch"), Json.number(map, "index"))
+                            : null;
+            return new Command(
+                    Kind.valueOf(Json.text(map, "do")),
+                    Json.text(map, "name"),
+                    token,
+                    Json.number(map, "at"),
+                    Json.text(map, "text"),
+                    terms == null ? null : Terms.of(terms),
+                    part == null ? null : Part.of(part),
+                    down);
         } catch (ClassCastException | IllegalArgumentException | NullPointerException e) {
             throw new IOException("not a step of an agenda", e);
         }
--- a/src/main/java/myrtleladder/maintenance/Json.java
+++ b/src/main/java/myrtleladder/maintenance/Json.java
@@ -12,11 +12,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Objects of text, whole numbers, truths, objects and lists as JSON, and back; an absent value is null. */
+/**
+ * Objects of text, whole numbers, truths, objects and lists as JSON, and back; an absent value is
+ * null.
+ */
 final class Json {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Json() { }
+    private Json() {}
 
     /** Names and values in turn. */
     static Map<String, Object> map(Object... pairs) {
--- a/src/main/java/myrtleladder/maintenance/Part.java
+++ b/src/main/java/myrtleladder/maintenance/Part.java
@@ -11,17 +11,40 @@
  * @param zone with kind and cell as discovery tells them
  * @param seconds so long its work takes at most
  */
-public record Part(String machine, String upstream, String member, long zone, long kind, long cell,
+public record Part(
+        String machine,
+        String upstream,
+        String member,
+        long zone,
+        long kind,
+        long cell,
         long seconds) {
     Map<String, Object> toMap() {
-        return Json.map("machine", machine, "upstream", upstream, "member", member, "zone", zone,
-                "kind", kind,
-                "cell", cell, "seconds", seconds);
+        return Json.map(
+                "machine",
+                machine,
+                "upstream",
+                upstream,
+                "member",
+                member,
+                "zone",
+                zone,
+                "kind",
+                kind,
+                "cell",
+                cell,
+                "seconds",
+                seconds);
     }
 
     static Part of(Map<String, Object> map) {
-        return new Part(Json.text(map, "machine"), Json.text(map, "upstream"), Json.text(map, "member"),
-                Json.number(map, "zone"), Json.number(map, "kind"), Json.number(map, "cell"),
+        return new Part(
+                Json.text(map, "machine"),
+                Json.text(map, "upstream"),
+                Json.text(map, "member"),
+                Json.number(map, "zone"),
+                Json.number(map, "kind"),
+                Json.number(map, "cell"),
                 Json.number(map, "seconds"));
     }
 }
--- a/src/main/java/myrtleladder/maintenance/Step.java
+++ b/src/main/java/myrtleladder/maintenance/Step.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import myrtleladder.consensus.Token;
 
-/** Something that operators, or whoever does the work, want of the agenda, as it goes into the log. */
+/**
+ * Something that operators, or whoever does the work, want of the agenda, as it goes into the log.
+ */
 public record Step(byte[] bytes) {
     private static Step of(Command command) {
         return new Step(command.write());
--- a/src/main/java/myrtleladder/maintenance/Terms.java
+++ b/src/main/java/myrtleladder/maintenance/Terms.java
@@ -14,12 +14,24 @@
  * @param priority the greater goes first among plans with one deadline
  * @param deadline by when it is wanted, as Unix time in milliseconds; 0 for none
  */
-public record Terms(String plan, long machines, long atOnce, long perZone, Apart apart, long keepPercent,
-        long all, long priority, long deadline) {
+public record Terms(
+        String plan,
+        long machines,
+        long atOnce,
+        long perZone,
+        Apart apart,
+        long keepPercent,
+        long all,
+        long priority,
+        long deadline) {
     private static final int WHOLE = 100;
 
     /** What two machines may not have in common while both are missing. */
-    public enum Apart { NOTHING, CELL, KIND }
+    public enum Apart {
+        NOTHING,
+        CELL,
+        KIND
+    }
 
     /** So many upstreams may not serve at a time. */
     long sparable() {
@@ -34,19 +46,43 @@
         if (atOnce < 1 || perZone < 1) {
             return "allows no machine to be out";
         }
-        return sparable() < 1 ? "keeps " + keepPercent + "% of " + all
-                + " upstreams, which leaves none to spare"
+        return sparable() < 1
+                ? "keeps " + keepPercent + "% of " + all + " upstreams, which leaves none to spare"
                 : null;
     }
 
     Map<String, Object> toMap() {
-        return Json.map("plan", plan, "machines", machines, "atOnce", atOnce, "perZone", perZone, "apart",
-                apart.name(), "keep", keepPercent, "all", all, "priority", priority, "deadline", deadline);
+        return Json.map(
+                "plan",
+                plan,
+                "machines",
+                machines,
+                "atOnce",
+                atOnce,
+                "perZone",
+                perZone,
+                "apart",
+                apart.name(),
+                "keep",
+                keepPercent,
+                "all",
+                all,
+                "priority",
+                priority,
+                "deadline",
+                deadline);
     }
 
     static Terms of(Map<String, Object> map) {
-        return new Terms(Json.text(map, "plan"), Json.number(map, "machines"), Json.number(map, "atOnce"),
-                Json.number(map, "perZone"), Apart.valueOf(Json.text(map, "apart")), Json.number(map, "keep"),
-                Json.number(map, "all"), Json.number(map, "priority"), Json.number(map, "deadline"));
+        return new Terms(
+                Json.text(map, "plan"),
+                Json.number(map, "machines"),
+                Json.number(map, "atOnce"),
+                Json.number(map, "perZone"),
+                Apart.valueOf(Json.text(map, "apart")),
+                Json.number(map, "keep"),
+                Json.number(map, "all"),
+                Json.number(map, "priority"),
+                Json.number(map, "deadline"));
     }
 }
