--- a/src/main/java/myrtleladder/maintenance/Work.java
+++ b/src/main/java/myrtleladder/maintenance/Work.java
@@ -16,18 +16,21 @@
 import myrtleladder.consensus.Token;
 
 /**
- * One life's part in the work on machines. It keeps away from machines that are on the agenda, says when
- * nothing of its own is in flight there, and, while it leads, moves the agenda on.
+ * One life's part in the work on machines. It keeps away from machines that are on the agenda, says
+ * when nothing of its own is in flight there, and, while it leads, moves the agenda on.
  *
- * <p>Who is cut off does not hear whose turn it is. So a process goes by what it knows only as long as it has
- * leave: an answer of a leader with a majority, which counts from when it was asked for (as in a lease of
- * Gray and Cheriton, 1989). Without leave it keeps away from all machines of the plans that it knows, but for
- * those reserved. A leader proposes a permit only when whoever has not said to keep away can have no leave.
+ * <p>Who is cut off does not hear whose turn it is. So a process goes by what it knows only as long
+ * as it has leave: an answer of a leader with a majority, which counts from when it was asked for
+ * (as in a lease of Gray and Cheriton, 1989). Without leave it keeps away from all machines of the
+ * plans that it knows, but for those reserved. A leader proposes a permit only when whoever has not
+ * said to keep away can have no leave.
  */
 public final class Work {
     private static final String BEAT = "work";
+
     /** A proposal that has had no effect for so long is made again. */
     private static final long AGAIN = 2_000_000;
+
     private static final byte[] BEGINS = "{\"leave\":".getBytes(StandardCharsets.US_ASCII);
 
     private final WorkSettings settings;
@@ -53,7 +56,9 @@
 
     /** Where the actions go, and what is asked of the world. */
     public interface Out {
-        /** Sends a datagram to a process of that name; it may be late, lost, doubled or overtaken. */
+        /**
+         * Sends a datagram to a process of that name; it may be late, lost, doubled or overtaken.
+         */
         void send(String name, byte[] datagram);
 
         /** Asks for {@link Work#due} after a delay by the steady clock. */
@@ -81,10 +86,12 @@
         void moved(Job job);
 
         /** A point of fault is passed; only tests do anything here. */
-        default void point(WorkPoint point) { }
+        default void point(WorkPoint point) {}
     }
 
-    /** The work of a life that was not started yet; {@code agenda} is what {@code agreement} feeds. */
+    /**
+     * The work of a life that was not started yet; {@code agenda} is what {@code agreement} feeds.
+     */
     public Work(WorkSettings settings, Life me, Agreement agreement, Agenda agenda, Out out) {
         this.settings = settings;
         this.me = me;
@@ -93,7 +100,8 @@
         this.out = out;
     }
 
-    // ---- What happens to it ----------------------------------------------------------------------------
+    // ---- What happens to it
+    // ----------------------------------------------------------------------------
 
     /** Begins. */
     public void started(long now) {
@@ -162,7 +170,8 @@
         }
     }
 
-    // ---- What can be asked of it -----------------------------------------------------------------------
+    // ---- What can be asked of it
+    // -----------------------------------------------------------------------
 
     /** Whether this process may send to an upstream at this moment. */
     public boolean maySend(long now, String upstream) {
@@ -207,12 +216,15 @@
         if (job.state() == State.DRAINING) {
             List<Life> others = new ArrayList<>(agenda.mustBeClear());
             others.removeAll(job.clear());
-            return others.isEmpty() ? null : "for " + others + " to say that nothing is in flight there";
+            return others.isEmpty()
+                    ? null
+                    : "for " + others + " to say that nothing is in flight there";
         }
         return null;
     }
 
-    // ---- Keeping away ----------------------------------------------------------------------------------
+    // ---- Keeping away
+    // ----------------------------------------------------------------------------------
 
     private void notice() {
         List<Job> jobs = agenda.jobs();
@@ -224,7 +236,7 @@
                     case DRAINING -> out.point(WorkPoint.ORDERED);
                     case OUT -> out.point(WorkPoint.GRANTED);
                     case WARMING -> out.point(WorkPoint.DONE);
-                    default -> { }
+                    default -> {}
                 }
             }
         }
@@ -258,13 +270,15 @@
         }
         Token knows = agenda.knows(me);
         // What was sent before it was known must not be out any more when others go by that.
-        if (latest != null && (knows == null || knows.compareTo(latest) < 0)
+        if (latest != null
+                && (knows == null || knows.compareTo(latest) < 0)
                 && now - planSince >= settings.attempt()) {
             propose(now, Command.of(Command.Kind.KNOW, me.name(), latest));
         }
         for (Job job : agenda.jobs()) {
             String upstream = job.part().upstream();
-            if (job.state() == State.DRAINING && !job.clear().contains(me)
+            if (job.state() == State.DRAINING
+                    && !job.clear().contains(me)
                     && (upstream == null || out.inFlight(upstream) == 0)) {
                 propose(now, Command.of(Command.Kind.CLEAR, job.machine(), job.ordered()));
             }
@@ -272,8 +286,9 @@
     }
 
     /**
-     * Has a step decided that somebody wants. One that is asked for again and again goes into the log once in
-     * a while: steps are decided one after the other, and those of this process wait behind it.
+     * Has a step decided that somebody wants. One that is asked for again and again goes into the
+     * log once in a while: steps are decided one after the other, and those of this process wait
+     * behind it.
      */
     public void propose(long now, Step step) {
         if (isNew(now, new String(step.bytes(), StandardCharsets.UTF_8))) {
@@ -302,23 +317,37 @@
             case CLEAR -> out.point(WorkPoint.CLEARING);
             case GRANT -> out.point(WorkPoint.GRANTING);
             case TAKEN_IN -> out.point(WorkPoint.TAKING_IN);
-            default -> { }
+            default -> {}
         }
         agreement.propose(now, bytes);
     }
 
-    // ---- Leave -----------------------------------------------------------------------------------------
+    // ---- Leave
+    // -----------------------------------------------------------------------------------------
 
     private void askLeave(long now) {
         Life leader = agreement.leader();
         if (leader != null && !leader.equals(me)) {
             out.point(WorkPoint.LEAVE_ASKING);
-            out.send(leader.name(), Json.write(Json.map("leave", "ask", "fleet", settings.fleet(), "from",
-                    map(me), "at", now)));
+            out.send(
+                    leader.name(),
+                    Json.write(
+                            Json.map(
+                                    "leave",
+                                    "ask",
+                                    "fleet",
+                                    settings.fleet(),
+                                    "from",
+                                    map(me),
+                                    "at",
+                                    now)));
         }
     }
 
-    /** Whoever has leave knows all that was decided when he got it, so he is told up to where that goes. */
+    /**
+     * Whoever has leave knows all that was decided when he got it, so he is told up to where that
+     * goes.
+     */
     private void leaveAsked(long now, Life from, long at) {
         out.point(WorkPoint.LEAVE_ASKED);
         if (!agreement.leads() || !agreement.decides(now) || !agenda.registered(from)) {
@@ -326,8 +355,22 @@
         }
         leaves.put(from, now);
         out.point(WorkPoint.LEAVE_GIVEN);
-        out.send(from.name(), Json.write(Json.map("leave", "given", "fleet", settings.fleet(), "from",
-                map(me), "to", map(from), "at", at, "upto", agreement.applied())));
+        out.send(
+                from.name(),
+                Json.write(
+                        Json.map(
+                                "leave",
+                                "given",
+                                "fleet",
+                                settings.fleet(),
+                                "from",
+                                map(me),
+                                "to",
+                                map(from),
+                                "at",
+                                at,
+                                "upto",
+                                agreement.applied())));
     }
 
     private void leaveTaken(long now, Life from, long at, long upto) {
@@ -337,26 +380,44 @@
         }
     }
 
-    /** Whether a life may have leave, as far as this leader can tell: who led before may have given some. */
+    /**
+     * Whether a life may have leave, as far as this leader can tell: who led before may have given
+     * some.
+     */
     private boolean mayHaveLeave(long now, Life life) {
         return now - ledSince < settings.leaveIsOver()
                 || now - leaves.getOrDefault(life, Long.MIN_VALUE / 2) < settings.leaveIsOver();
     }
 
-    // ---- Leading ---------------------------------------------------------------------------------------
+    // ---- Leading
+    // ---------------------------------------------------------------------------------------
 
     private void lead(long now) {
         if (!agenda.isSafe() && now - epochSince >= settings.longest()) {
-            propose(now, new Command(Command.Kind.SAFE, me.name(), null, epoch, null, null, null, List.of()));
+            propose(
+                    now,
+                    new Command(
+                            Command.Kind.SAFE,
+                            me.name(),
+                            null,
+                            epoch,
+                            null,
+                            null,
+                            null,
+                            List.of()));
         }
         for (Life life : agenda.present()) {
-            boolean lost = !agreement.view().has(life) && !present.contains(life.toString())
-                    && !life.equals(me);
+            boolean lost =
+                    !agreement.view().has(life)
+                            && !present.contains(life.toString())
+                            && !life.equals(me);
             if (!lost) {
                 unseen.remove(life);
             } else if (now - unseen.computeIfAbsent(life, l -> now) >= settings.lost()) {
-                propose(now, Command.of(Command.Kind.GONE, life.name(), null)
-                        .because(Long.toHexString(life.life())));
+                propose(
+                        now,
+                        Command.of(Command.Kind.GONE, life.name(), null)
+                                .because(Long.toHexString(life.life())));
             }
         }
         List<String> failing = out.failing();
@@ -366,8 +427,10 @@
                 case ASKED -> {
                     // One at a time: the next is judged with this one out.
                     if (!ordered && waits(now, job) == null) {
-                        propose(now, Command.of(Command.Kind.ORDER, job.machine(), job.asked())
-                                .beside(failing));
+                        propose(
+                                now,
+                                Command.of(Command.Kind.ORDER, job.machine(), job.asked())
+                                        .beside(failing));
                         ordered = true;
                     }
                 }
@@ -378,18 +441,22 @@
                     }
                 }
                 case WARMING -> judge(now, job);
-                default -> { }
+                default -> {}
             }
         }
     }
 
     private void grant(long now, Job job, List<String> failing) {
-        boolean silent = agenda.gone().stream().allMatch(l -> job.clear().contains(l)
-                || !mayHaveLeave(now, l));
+        boolean silent =
+                agenda.gone().stream()
+                        .allMatch(l -> job.clear().contains(l) || !mayHaveLeave(now, l));
         if (silent && waits(now, job) == null) {
             long until = out.wallMillis() + 1_000 * job.part().seconds();
-            propose(now, Command.of(Command.Kind.GRANT, job.machine(), job.ordered()).until(until)
-                    .beside(failing));
+            propose(
+                    now,
+                    Command.of(Command.Kind.GRANT, job.machine(), job.ordered())
+                            .until(until)
+                            .beside(failing));
         }
     }
 
@@ -399,8 +466,12 @@
             propose(now, Command.of(Command.Kind.TAKEN_IN, job.machine(), job.permit()));
         } else if (out.judged(upstream)) {
             String worse = out.worse(upstream);
-            propose(now, worse == null ? Command.of(Command.Kind.TAKEN_IN, job.machine(), job.permit())
-                    : Command.of(Command.Kind.FAIL, job.machine(), job.permit()).because(worse));
+            propose(
+                    now,
+                    worse == null
+                            ? Command.of(Command.Kind.TAKEN_IN, job.machine(), job.permit())
+                            : Command.of(Command.Kind.FAIL, job.machine(), job.permit())
+                                    .because(worse));
         }
     }
 
--- a/src/main/java/myrtleladder/testbed/experiment/Build.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Build.java
@@ -21,7 +21,10 @@
         try {
             run = new TomlMapper().readTree(Files.readString(deploy)).path("run");
         } catch (JsonProcessingException e) {
-            throw new BadFile(deploy, e.getLocation() == null ? 0 : e.getLocation().getLineNr(), "",
+            throw new BadFile(
+                    deploy,
+                    e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
+                    "",
                     e.getOriginalMessage());
         } catch (IOException e) {
             throw new NoBuild(deploy, "is missing or can't be read");
--- a/src/main/java/myrtleladder/testbed/experiment/PlayRecord.java
+++ b/src/main/java/myrtleladder/testbed/experiment/PlayRecord.java
@@ -11,13 +11,17 @@
 import myrtleladder.testbed.fault.Plan;
 import myrtleladder.testbed.process.Fleet;
 
-/** The record of a play, one JSON object a line: the experiment, faults, requests, samples, broken rules. */
+/**
+ * The record of a play, one JSON object a line: the experiment, faults, requests, samples, broken
+ * rules.
+ */
 final class PlayRecord {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
-    private PlayRecord() { }
+    private PlayRecord() {}
 
-    static void write(Path file, Experiment experiment, Plan plan, Fleet.Result result) throws IOException {
+    static void write(Path file, Experiment experiment, Plan plan, Fleet.Result result)
+            throws IOException {
         try (Writer out = Files.newBufferedWriter(file)) {
             line(out, Map.of("experiment", experiment));
             for (Plan.Step step : plan.steps()) {
@@ -40,8 +44,17 @@
                 line(out, Map.of("load", sample));
             }
             for (var violation : result.violations()) {
-                line(out, Map.of("violation", violation.kind(), "at", violation.at(), "id", violation.id(),
-                        "text", violation.text()));
+                line(
+                        out,
+                        Map.of(
+                                "violation",
+                                violation.kind(),
+                                "at",
+                                violation.at(),
+                                "id",
+                                violation.id(),
+                                "text",
+                                violation.text()));
             }
         }
     }
--- a/src/main/java/myrtleladder/testbed/experiment/Timeline.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Timeline.java
@@ -11,13 +11,16 @@
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.fault.Plan;
 
-/** Turns the timeline of an experiment into a plan: groups as {@code b0..b13} become their members. */
+/**
+ * Turns the timeline of an experiment into a plan: groups as {@code b0..b13} become their members.
+ */
 final class Timeline {
     private static final Pattern GROUP = Pattern.compile("([bu])(\\d+)(?:\\.\\.\\1(\\d+))?");
-    private static final Set<String> OF_PROCESSES = Set.of("kill", "restart", "pause", "resume", "drain");
+    private static final Set<String> OF_PROCESSES =
+            Set.of("kill", "restart", "pause", "resume", "drain");
     private static final Set<String> OF_LINKS = Set.of("cut", "slow", "heal", "reset");
 
-    private Timeline() { }
+    private Timeline() {}
 
     static Plan plan(Experiment experiment) {
         List<Plan.Step> steps = new ArrayList<>();
@@ -26,12 +29,15 @@
             FaultPart part = parts.get(i);
             String where = "fault[" + i + "]";
             if (!(part.atS() >= 0 && part.atS() < experiment.seconds())) {
-                throw new IllegalArgumentException(where + ".at-s: " + part.atS() + " is outside of the run");
+                throw new IllegalArgumentException(
+                        where + ".at-s: " + part.atS() + " is outside of the run");
             }
             List<Fault> faults = faults(part, where, experiment);
             for (int n = 0; n < faults.size(); n++) {
-                steps.add(new Plan.Step((long) (part.atS() * 1e6 + n * part.everyMs() * 1e3),
-                        faults.get(n)));
+                steps.add(
+                        new Plan.Step(
+                                (long) (part.atS() * 1e6 + n * part.everyMs() * 1e3),
+                                faults.get(n)));
             }
         }
         return new Plan(steps);
@@ -41,13 +47,14 @@
         List<Fault> faults = new ArrayList<>();
         if (OF_PROCESSES.contains(part.what())) {
             for (String who : members(part.who(), where + ".who", experiment)) {
-                faults.add(switch (part.what()) {
-                    case "kill" -> new Fault.Kill(who);
-                    case "restart" -> new Fault.Restart(who);
-                    case "pause" -> new Fault.Pause(who);
-                    case "resume" -> new Fault.Resume(who);
-                    default -> new Fault.Drain(who);
-                });
+                faults.add(
+                        switch (part.what()) {
+                            case "kill" -> new Fault.Kill(who);
+                            case "restart" -> new Fault.Restart(who);
+                            case "pause" -> new Fault.Pause(who);
+                            case "resume" -> new Fault.Resume(who);
+                            default -> new Fault.Drain(who);
+                        });
             }
         } else if (OF_LINKS.contains(part.what())) {
             for (String from : members(part.from(), where + ".from", experiment)) {
@@ -69,9 +76,17 @@
     private static Fault ofLink(FaultPart part, String from, String to) {
         return switch (part.what()) {
             case "cut" -> new Fault.Link(from, to, LinkFault.CUT);
-            case "slow" -> new Fault.Link(from, to, new LinkFault(false, (long) (part.delayMs() * 1e3),
-                    (long) (part.jitterMs() * 1e3), part.loss(), part.duplicate(),
-                    (long) (part.kbPerS() * 1e3)));
+            case "slow" ->
+                    new Fault.Link(
+                            from,
+                            to,
+                            new LinkFault(
+                                    false,
+                                    (long) (part.delayMs() * 1e3),
+                                    (long) (part.jitterMs() * 1e3),
+                                    part.loss(),
+                                    part.duplicate(),
+                                    (long) (part.kbPerS() * 1e3)));
             case "heal" -> new Fault.Heal(from, to);
             default -> new Fault.Reset(from, to);
         };
@@ -89,14 +104,15 @@
                 continue;
             }
             if (!m.matches()) {
-                throw new IllegalArgumentException(where + ": " + group + " is not a name as b3 or u0..u9");
+                throw new IllegalArgumentException(
+                        where + ": " + group + " is not a name as b3 or u0..u9");
             }
             int first = Integer.parseInt(m.group(2));
             int last = m.group(3) == null ? first : Integer.parseInt(m.group(3));
             int most = m.group(1).equals("b") ? experiment.balancers() : experiment.upstreams();
             if (last < first || last >= most) {
-                throw new IllegalArgumentException(where + ": " + group + " goes beyond the " + most
-                        + " there are");
+                throw new IllegalArgumentException(
+                        where + ": " + group + " goes beyond the " + most + " there are");
             }
             IntStream.rangeClosed(first, last).forEach(n -> members.add(m.group(1) + n));
         }
--- a/src/main/java/myrtleladder/testbed/fake/RequestClass.java
+++ b/src/main/java/myrtleladder/testbed/fake/RequestClass.java
@@ -11,5 +11,12 @@
  * @param giveUp a client stops waiting after this
  * @param memory upstreams drop a repeat of a keyed one for so long
  */
-public record RequestClass(String name, Repeat repeat, double share, double work, long aim, long giveUp,
-        double worth, long memory) { }
+public record RequestClass(
+        String name,
+        Repeat repeat,
+        double share,
+        double work,
+        long aim,
+        long giveUp,
+        double worth,
+        long memory) {}
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamKind.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamKind.java
@@ -3,7 +3,8 @@
 import myrtleladder.testbed.checker.Rules;
 
 /**
- * What an upstream's machine can do. Times and work are microseconds; work is the time it takes at speed 1.
+ * What an upstream's machine can do. Times and work are microseconds; work is the time it takes at
+ * speed 1.
  *
  * @param cores requests in work at once
  * @param speed work done in a microsecond by one core
@@ -17,8 +18,18 @@
  * @param errorChance chance that a request which has run is answered with an error
  * @param rules when it is cold, and when it falls over
  */
-public record UpstreamKind(int cores, double speed, int queue, int connections, long keyMemory,
-        int keyRoom, double keySaving, long reportPeriod, long reportDelay, double errorChance, Rules rules) {
+public record UpstreamKind(
+        int cores,
+        double speed,
+        int queue,
+        int connections,
+        long keyMemory,
+        int keyRoom,
+        double keySaving,
+        long reportPeriod,
+        long reportDelay,
+        double errorChance,
+        Rules rules) {
 
     /** Refuses values that mean nothing, by name. */
     public UpstreamKind {
--- a/src/main/java/myrtleladder/testbed/fault/Links.java
+++ b/src/main/java/myrtleladder/testbed/fault/Links.java
@@ -5,18 +5,20 @@
 import java.util.SplittableRandom;
 
 /**
- * The faults in force by direction, and the draws that follow from them. Each direction draws from a stream
- * of its own: what one link does hangs on its own messages alone, and two runs of a seed agree on it.
+ * The faults in force by direction, and the draws that follow from them. Each direction draws from
+ * a stream of its own: what one link does hangs on its own messages alone, and two runs of a seed
+ * agree on it.
  */
 public final class Links {
     private final long seed;
     private final LinkFault usual;
     private final Map<Direction, LinkFault> faults = new HashMap<>();
     private final Map<Direction, SplittableRandom> draws = new HashMap<>();
+
     /** Until when a direction with a bound on its bytes is taken up by what was sent before. */
     private final Map<Direction, Long> takenUp = new HashMap<>();
 
-    private record Direction(String from, String to) { }
+    private record Direction(String from, String to) {}
 
     /** Links that all behave as {@code usual} until a fault is set. */
     public Links(long seed, LinkFault usual) {
@@ -46,9 +48,9 @@
     }
 
     /**
-     * The delays after which copies of a message sent now arrive: none if it is lost, mostly one. A message
-     * that finds the link cut draws nothing, or the length of a cut would change what comes after it. All
-     * calls have to give {@code now}, microseconds, by one clock.
+     * The delays after which copies of a message sent now arrive: none if it is lost, mostly one. A
+     * message that finds the link cut draws nothing, or the length of a cut would change what comes
+     * after it. All calls have to give {@code now}, microseconds, by one clock.
      */
     public long[] arrivals(long now, String from, String to, int bytes) {
         Direction direction = new Direction(from, to);
@@ -56,8 +58,12 @@
         if (fault.cut()) {
             return new long[0];
         }
-        SplittableRandom random = draws.computeIfAbsent(direction,
-                d -> new SplittableRandom((seed * 31 + from.hashCode()) * 31 + to.hashCode()));
+        SplittableRandom random =
+                draws.computeIfAbsent(
+                        direction,
+                        d ->
+                                new SplittableRandom(
+                                        (seed * 31 + from.hashCode()) * 31 + to.hashCode()));
         // Drawn in any case, so that a change of one chance leaves the other draws as they were.
         boolean lost = random.nextDouble() < fault.loss();
         boolean twice = random.nextDouble() < fault.duplicate();
--- a/src/main/java/myrtleladder/testbed/fault/Plan.java
+++ b/src/main/java/myrtleladder/testbed/fault/Plan.java
@@ -10,11 +10,12 @@
 public record Plan(List<Step> steps) {
     /** No faults at all. */
     public static final Plan QUIET = new Plan(List.of());
+
     private static final long LONGEST_STEP = 3_600_000_000L;
     private static final long WORST_DRIFT = 200;
 
     /** One fault at its time. */
-    public record Step(long at, Fault fault) { }
+    public record Step(long at, Fault fault) {}
 
     /** Keeps the steps in the order of their times; those of one time stay as they were given. */
     public Plan {
@@ -22,8 +23,8 @@
     }
 
     /**
-     * Draws a plan whose faults all lie before {@code until}: processes killed, started, paused and let go,
-     * links cut one way or both, lossy, slow and healed, clocks stepped and set off.
+     * Draws a plan whose faults all lie before {@code until}: processes killed, started, paused and
+     * let go, links cut one way or both, lossy, slow and healed, clocks stepped and set off.
      */
     public static Plan draw(long seed, List<String> processes, int steps, long until) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -45,17 +46,25 @@
             case 4 -> new Fault.StepClock(one, random.nextLong(-LONGEST_STEP, LONGEST_STEP));
             case 5 -> new Fault.Drift(one, random.nextLong(-WORST_DRIFT, WORST_DRIFT + 1));
             case 6 -> new Fault.Link(one, other, LinkFault.CUT);
-            case 7 -> new Fault.Link(one, other, new LinkFault(false, random.nextLong(200_000),
-                    random.nextLong(100_000), random.nextDouble() / 2, random.nextDouble() / 2));
+            case 7 ->
+                    new Fault.Link(
+                            one,
+                            other,
+                            new LinkFault(
+                                    false,
+                                    random.nextLong(200_000),
+                                    random.nextLong(100_000),
+                                    random.nextDouble() / 2,
+                                    random.nextDouble() / 2));
             case 8 -> new Fault.Heal(one, other);
             default -> new Fault.HealAll();
         };
     }
 
     /**
-     * The least plan that still fails, as far as leaving steps out goes (delta debugging: Zeller and
-     * Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002, section 3). {@code fails} has to
-     * give the same answer for the same plan each time.
+     * The least plan that still fails, as far as leaving steps out goes (delta debugging: Zeller
+     * and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002, section 3). {@code
+     * fails} has to give the same answer for the same plan each time.
      */
     public Plan shrink(Predicate<Plan> fails) {
         List<Step> left = steps;
@@ -81,7 +90,8 @@
     }
 
     /** One step a line, with its time in seconds. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         StringBuilder text = new StringBuilder();
         for (Step step : steps) {
             text.append(String.format("%n  %.6f s  %s", step.at() / 1e6, step.fault()));
--- a/src/main/java/myrtleladder/testbed/process/BalancerConfig.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerConfig.java
@@ -12,8 +12,17 @@
 import myrtleladder.testbed.fake.RequestClass;
 
 /** What a balancer of the lab is told at its start, in the platform's form (DEPLOY). */
-public record BalancerConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int position, int balancers, int sockets, String known, List<RequestClass> classes, Rules rules) {
+public record BalancerConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int position,
+        int balancers,
+        int sockets,
+        String known,
+        List<RequestClass> classes,
+        Rules rules) {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int MOST_TRIES = 4;
 
@@ -55,8 +64,11 @@
         for (RequestClass c : classes) {
             out.writeStartObject();
             out.writeStringField("name", c.name());
-            out.writeStringField("repeat", c.repeat() == Repeat.FREE ? "free"
-                    : c.repeat() == Repeat.KEYED ? "guarded" : "single_shot");
+            out.writeStringField(
+                    "repeat",
+                    c.repeat() == Repeat.FREE
+                            ? "free"
+                            : c.repeat() == Repeat.KEYED ? "guarded" : "single_shot");
             out.writeStringField("dedup-scope", "all");
             out.writeNumberField("aim-s", c.aim() / 1e6);
             out.writeNumberField("give-up-s", c.giveUp() / 1e6);
@@ -88,7 +100,8 @@
         out.writeEndObject();
     }
 
-    private static void names(JsonGenerator out, String field, List<String> names) throws IOException {
+    private static void names(JsonGenerator out, String field, List<String> names)
+            throws IOException {
         out.writeArrayFieldStart(field);
         for (String n : names) {
             out.writeString(n);
--- a/src/main/java/myrtleladder/testbed/process/BalancerProcess.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerProcess.java
@@ -16,9 +16,16 @@
     private final Path log;
     private volatile Process process;
 
-    /** One that is started by {@code command} in {@code home} and told of its file by NODE_CONFIG. */
-    public BalancerProcess(String name, InetSocketAddress listen, List<String> command, Path home,
-            Path config, Path log) {
+    /**
+     * One that is started by {@code command} in {@code home} and told of its file by NODE_CONFIG.
+     */
+    public BalancerProcess(
+            String name,
+            InetSocketAddress listen,
+            List<String> command,
+            Path home,
+            Path config,
+            Path log) {
         this.name = name;
         this.listen = listen;
         this.command = List.copyOf(command);
@@ -42,8 +49,10 @@
         kill();
         ProcessBuilder builder = new ProcessBuilder(command).directory(home.toFile());
         builder.environment().put("NODE_CONFIG", config.toString());
-        process = builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+        process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
     }
 
     /** Whether it runs, be it stopped or not. */
@@ -51,7 +60,9 @@
         return process != null && process.isAlive();
     }
 
-    /** What the machine says of it now; nothing if it does not run, or the machine does not tell. */
+    /**
+     * What the machine says of it now; nothing if it does not run, or the machine does not tell.
+     */
     public Optional<ProcessSample> sample(long at) {
         return alive() ? ProcessSample.of(at, name, process.toHandle()) : Optional.empty();
     }
@@ -59,11 +70,15 @@
     /** Sends it a signal by its name, as STOP, CONT, HUP or TERM. */
     public void signal(String signal) throws IOException, InterruptedException {
         if (alive()) {
-            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
     }
 
-    /** Ends it at once, and waits until it is gone: a signal that it ignores would leave it behind. */
+    /**
+     * Ends it at once, and waits until it is gone: a signal that it ignores would leave it behind.
+     */
     public void kill() throws InterruptedException {
         if (process != null) {
             close();
@@ -72,7 +87,8 @@
     }
 
     /** A command that is a shell, and waits for what it started, would leave that behind. */
-    @Override public void close() {
+    @Override
+    public void close() {
         if (process != null) {
             List<ProcessHandle> started = process.descendants().toList();
             process.destroyForcibly();
--- a/src/main/java/myrtleladder/testbed/process/Fleet.java
+++ b/src/main/java/myrtleladder/testbed/process/Fleet.java
@@ -26,10 +26,6 @@
 import myrtleladder.testbed.checker.Checker;
 import myrtleladder.testbed.checker.Rules;
 import myrtleladder.testbed.checker.Violation;
-import myrtleladder.testbed.fault.Fault;
-import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.proxy.Relay;
 import myrtleladder.testbed.fake.Clients;
 import myrtleladder.testbed.fake.DiscoveryServer;
 import myrtleladder.testbed.fake.DiscoveryServer.Entry;
@@ -40,10 +36,15 @@
 import myrtleladder.testbed.fake.Traffic.Arrival;
 import myrtleladder.testbed.fake.UpstreamKind;
 import myrtleladder.testbed.fake.UpstreamServer;
+import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.proxy.Relay;
 
 /**
- * Balancers as processes, and all that surrounds them, on the loopback of this machine. Each way from a
- * balancer to an upstream goes through a relay, so that it can fail alone. Closing ends every process.
+ * Balancers as processes, and all that surrounds them, on the loopback of this machine. Each way
+ * from a balancer to an upstream goes through a relay, so that it can fail alone. Closing ends
+ * every process.
  */
 public final class Fleet implements AutoCloseable {
     private static final long CALL_MICROS = 20_000;
@@ -53,7 +54,8 @@
     private static final long SAMPLE_MS = 500;
 
     private final Layout layout;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final LabClock clock = new LabClock();
     private final Checker checker;
@@ -66,36 +68,58 @@
     private final List<Ended> ended = new ArrayList<>();
     private final List<ProcessSample> processes = new ArrayList<>();
     private final List<UpstreamSample> loads = new ArrayList<>();
+
     /** Ctrl-C, too, ends what was started. */
     private final Thread atExit = new Thread(this::killAll);
+
     /** Faults of processes wait for the machine; on the event loop they would make the lab late. */
     private final ScheduledExecutorService hand = Executors.newSingleThreadScheduledExecutor();
+
     /** Why the hand could not do what it had to; what the play tells is worth nothing then. */
     private final AtomicReference<RuntimeException> trouble = new AtomicReference<>();
 
     /**
      * What a fleet is made of. Balancers are named b0, b1 and so on, upstreams u0, u1 and so on.
      *
-     * @param warmUp so many microseconds of like traffic come first and do not count: a cold lab is late
-     * @param command starts one balancer, in the folder {@code home}; {@code {name}} stands for its name
+     * @param warmUp so many microseconds of like traffic come first and do not count: a cold lab is
+     *     late
+     * @param command starts one balancer, in the folder {@code home}; {@code {name}} stands for its
+     *     name
      * @param folder takes configurations and logs
      */
-    public record Layout(int balancers, int upstreams, UpstreamKind kind, Rules rules, Traffic traffic,
-            Clients.Retries retries, LinkFault links, long seed, long warmUp, List<String> command, Path home,
-            Path folder) { }
+    public record Layout(
+            int balancers,
+            int upstreams,
+            UpstreamKind kind,
+            Rules rules,
+            Traffic traffic,
+            Clients.Retries retries,
+            LinkFault links,
+            long seed,
+            long warmUp,
+            List<String> command,
+            Path home,
+            Path folder) {}
 
     /** What became of one first try; times are microseconds. */
-    public record Ended(Arrival arrival, Clients.Outcome outcome, long took, int tries, long sentLate) { }
+    public record Ended(
+            Arrival arrival, Clients.Outcome outcome, long took, int tries, long sentLate) {}
 
     /** How far a play has come: its time in microseconds, requests ended, rules broken. */
-    public record Progress(long at, int ended, int violations) { }
+    public record Progress(long at, int ended, int violations) {}
 
     /** What came of a play. */
-    public record Result(List<Ended> ended, List<Violation> violations, long discoveryCalls,
-            long connections, List<ProcessSample> processes, List<UpstreamSample> loads) {
+    public record Result(
+            List<Ended> ended,
+            List<Violation> violations,
+            long discoveryCalls,
+            long connections,
+            List<ProcessSample> processes,
+            List<UpstreamSample> loads) {
         /** Part of the first tries that ended so. */
         public double part(Clients.Outcome outcome) {
-            return ended.stream().filter(e -> e.outcome() == outcome).count() / (double) ended.size();
+            return ended.stream().filter(e -> e.outcome() == outcome).count()
+                    / (double) ended.size();
         }
 
         /** How late the lab itself sent, in microseconds, at a part of all first tries. */
@@ -111,9 +135,17 @@
         this.checker = new Checker(layout.rules());
         this.relay = new Relay(layout.seed(), layout.links());
         this.discovery = new DiscoveryServer(loop, clock, checker, CALL_MICROS, LONGEST_CALL_WAIT);
-        this.clients = new Clients(loop, clock, checker, front, layout.traffic().classes(),
-                layout.retries(), layout.rules().answerSlack() + 1_000, layout.seed(),
-                (a, o, took, tries, late) -> ended.add(new Ended(a, o, took, tries, late)));
+        this.clients =
+                new Clients(
+                        loop,
+                        clock,
+                        checker,
+                        front,
+                        layout.traffic().classes(),
+                        layout.retries(),
+                        layout.rules().answerSlack() + 1_000,
+                        layout.seed(),
+                        (a, o, took, tries, late) -> ended.add(new Ended(a, o, took, tries, late)));
         List<String> names = new ArrayList<>();
         for (int b = 0; b < layout.balancers(); b++) {
             names.add("b" + b);
@@ -130,7 +162,11 @@
                 startBalancer(name, names.indexOf(name));
             }
             loop.execute(clients::watchHealth);
-            await(() -> front.complete() || !balancers.values().stream().allMatch(BalancerProcess::alive));
+            await(
+                    () ->
+                            front.complete()
+                                    || !balancers.values().stream()
+                                            .allMatch(BalancerProcess::alive));
             up = loop.submit(front::complete).syncUninterruptibly().getNow();
         } finally {
             if (!up) {
@@ -142,11 +178,25 @@
         }
     }
 
-    /** Starts an upstream with a way to it for each balancer; waits for the event loop, so not on it. */
+    /**
+     * Starts an upstream with a way to it for each balancer; waits for the event loop, so not on
+     * it.
+     */
     private Entry upstream(String id, long age, List<String> names) {
-        UpstreamServer server = loop.submit(() -> new UpstreamServer(id, layout.kind(), age,
-                layout.seed() + id.hashCode(), loop, clock, checker, clients::workOf))
-                .syncUninterruptibly().getNow();
+        UpstreamServer server =
+                loop.submit(
+                                () ->
+                                        new UpstreamServer(
+                                                id,
+                                                layout.kind(),
+                                                age,
+                                                layout.seed() + id.hashCode(),
+                                                loop,
+                                                clock,
+                                                checker,
+                                                clients::workOf))
+                        .syncUninterruptibly()
+                        .getNow();
         Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         for (String name : names) {
             addresses.put(name, relay.stream(name, id, server.openFor(name)));
@@ -157,8 +207,8 @@
     }
 
     /**
-     * An address of the loopback that nobody else uses. On a common one, the port of a balancer that is down
-     * can be taken by somebody's connection.
+     * An address of the loopback that nobody else uses. On a common one, the port of a balancer
+     * that is down can be taken by somebody's connection.
      */
     private static String ownAddress(int position) {
         long pid = ProcessHandle.current().pid();
@@ -171,15 +221,34 @@
             free.bind(new InetSocketAddress(ownAddress(position), 0));
             listen = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        String known = loop.submit(() -> discovery.json(name, true, 0)).syncUninterruptibly().getNow();
+        String known =
+                loop.submit(() -> discovery.json(name, true, 0)).syncUninterruptibly().getNow();
         Path config = layout.folder().resolve(name + ".json");
         InetSocketAddress list = relay.stream(name, "discovery", discovery.openFor(name));
-        Files.writeString(config, new BalancerConfig(name, listen, list,
-                layout.seed() + position, position, layout.balancers(), 1_024, known,
-                layout.traffic().classes(), layout.rules()).json());
-        List<String> command = layout.command().stream().map(a -> a.replace("{name}", name)).toList();
-        BalancerProcess process = new BalancerProcess(name, listen, command,
-                layout.home(), config, layout.folder().resolve(name + ".log"));
+        Files.writeString(
+                config,
+                new BalancerConfig(
+                                name,
+                                listen,
+                                list,
+                                layout.seed() + position,
+                                position,
+                                layout.balancers(),
+                                1_024,
+                                known,
+                                layout.traffic().classes(),
+                                layout.rules())
+                        .json());
+        List<String> command =
+                layout.command().stream().map(a -> a.replace("{name}", name)).toList();
+        BalancerProcess process =
+                new BalancerProcess(
+                        name,
+                        listen,
+                        command,
+                        layout.home(),
+                        config,
+                        layout.folder().resolve(name + ".log"));
         balancers.put(name, process);
         front.add(name, listen);
         process.start();
@@ -188,11 +257,16 @@
     /** Waits until something is so, as seen from the event loop. */
     private void await(BooleanSupplier so) throws InterruptedException {
         Promise<Void> done = loop.newPromise();
-        var look = loop.scheduleWithFixedDelay(() -> {
-            if (so.getAsBoolean()) {
-                done.trySuccess(null);
-            }
-        }, 0, LOOK_MS, TimeUnit.MILLISECONDS);
+        var look =
+                loop.scheduleWithFixedDelay(
+                        () -> {
+                            if (so.getAsBoolean()) {
+                                done.trySuccess(null);
+                            }
+                        },
+                        0,
+                        LOOK_MS,
+                        TimeUnit.MILLISECONDS);
         try {
             done.sync();
         } finally {
@@ -202,41 +276,64 @@
 
     /** Plays the traffic for so long, under a plan, up to the end of the last request. */
     public Result play(long micros, Plan plan) throws InterruptedException {
-        return play(micros, plan, progress -> { });
+        return play(micros, plan, progress -> {});
     }
 
     /** The same, and tells twice a second how far it has come. */
-    public Result play(long micros, Plan plan, Consumer<Progress> listener) throws InterruptedException {
+    public Result play(long micros, Plan plan, Consumer<Progress> listener)
+            throws InterruptedException {
         if (layout.warmUp() > 0) {
-            List<Arrival> before = layout.traffic().draw(~layout.seed(), layout.warmUp()).stream()
-                    .map(a -> new Arrival(a.at(), -1 - a.number(), a.classIndex(), a.key(), a.work()))
-                    .toList();
+            List<Arrival> before =
+                    layout.traffic().draw(~layout.seed(), layout.warmUp()).stream()
+                            .map(
+                                    a ->
+                                            new Arrival(
+                                                    a.at(),
+                                                    -1 - a.number(),
+                                                    a.classIndex(),
+                                                    a.key(),
+                                                    a.work()))
+                            .toList();
             loop.execute(() -> clients.play(before, clock.micros()));
             await(clients::done);
             loop.submit(ended::clear).syncUninterruptibly();
         }
         // What a cold lab saw tells of the lab.
-        int warmUpBroke = loop.submit(() -> checker.violations().size()).syncUninterruptibly().getNow();
+        int warmUpBroke =
+                loop.submit(() -> checker.violations().size()).syncUninterruptibly().getNow();
         List<Arrival> arrivals = layout.traffic().draw(layout.seed(), micros);
         long from = clock.micros();
         loop.execute(() -> clients.play(arrivals, from));
         for (Plan.Step step : plan.steps()) {
-            hand.schedule(byHand(() -> bring(step.fault())), from + step.at() - clock.micros(),
+            hand.schedule(
+                    byHand(() -> bring(step.fault())),
+                    from + step.at() - clock.micros(),
                     TimeUnit.MICROSECONDS);
         }
-        hand.scheduleAtFixedRate(byHand(() -> listener.accept(sample(from))), 0, SAMPLE_MS,
-                TimeUnit.MILLISECONDS);
+        hand.scheduleAtFixedRate(
+                byHand(() -> listener.accept(sample(from))), 0, SAMPLE_MS, TimeUnit.MILLISECONDS);
         await(() -> clients.done() || trouble.get() != null);
         if (trouble.get() != null) {
             throw trouble.get();
         }
-        return loop.submit(() -> {
-            checker.expire(clock.micros());
-            long connections = upstreams.values().stream().mapToLong(UpstreamServer::accepted).sum();
-            List<Violation> found = checker.violations();
-            return new Result(List.copyOf(ended), found.subList(warmUpBroke, found.size()), discovery.calls(),
-                    connections, List.copyOf(processes), List.copyOf(loads));
-        }).syncUninterruptibly().getNow();
+        return loop.submit(
+                        () -> {
+                            checker.expire(clock.micros());
+                            long connections =
+                                    upstreams.values().stream()
+                                            .mapToLong(UpstreamServer::accepted)
+                                            .sum();
+                            List<Violation> found = checker.violations();
+                            return new Result(
+                                    List.copyOf(ended),
+                                    found.subList(warmUpBroke, found.size()),
+                                    discovery.calls(),
+                                    connections,
+                                    List.copyOf(processes),
+                                    List.copyOf(loads));
+                        })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** What a scheduled task throws, nobody hears of. */
@@ -252,15 +349,25 @@
 
     private Progress sample(long from) {
         long at = clock.micros() - from;
-        List<ProcessSample> now = balancers.values().stream().flatMap(b -> b.sample(at).stream()).toList();
-        return loop.submit(() -> {
-            processes.addAll(now);
-            upstreams.forEach((id, u) -> loads.add(new UpstreamSample(at, id, u.model().spent())));
-            return new Progress(at, ended.size(), checker.violations().size());
-        }).syncUninterruptibly().getNow();
+        List<ProcessSample> now =
+                balancers.values().stream().flatMap(b -> b.sample(at).stream()).toList();
+        return loop.submit(
+                        () -> {
+                            processes.addAll(now);
+                            upstreams.forEach(
+                                    (id, u) ->
+                                            loads.add(
+                                                    new UpstreamSample(at, id, u.model().spent())));
+                            return new Progress(at, ended.size(), checker.violations().size());
+                        })
+                .syncUninterruptibly()
+                .getNow();
     }
 
-    /** Brings a fault about now; a process is named, or one direction of a link from balancer to upstream. */
+    /**
+     * Brings a fault about now; a process is named, or one direction of a link from balancer to
+     * upstream.
+     */
     public void bring(Fault fault) {
         try {
             if (fault instanceof Fault.Kill f && balancers.containsKey(f.process())) {
@@ -278,8 +385,10 @@
                 loop.submit(() -> upstreams.get(f.process()).stop()).syncUninterruptibly();
                 Entry cold = upstream(f.process(), 0, List.copyOf(balancers.keySet()));
                 loop.submit(() -> discovery.change(List.of(cold))).syncUninterruptibly();
-            } else if (fault instanceof Fault.Link || fault instanceof Fault.Heal
-                    || fault instanceof Fault.HealAll || fault instanceof Fault.Reset) {
+            } else if (fault instanceof Fault.Link
+                    || fault instanceof Fault.Heal
+                    || fault instanceof Fault.HealAll
+                    || fault instanceof Fault.Reset) {
                 relay.bring(fault);
             } else {
                 loop.submit(() -> toUpstream(fault)).syncUninterruptibly();
@@ -313,20 +422,24 @@
             upstreams.get(f.process()).model().drain();
             discovery.retire(f.process());
         } else {
-            throw new IllegalArgumentException("no such process, or no such fault of one: " + fault);
+            throw new IllegalArgumentException(
+                    "no such process, or no such fault of one: " + fault);
         }
     }
 
     /** Ends all that was started, at once. */
-    @Override public void close() {
+    @Override
+    public void close() {
         hand.shutdownNow();
         killAll();
         Runtime.getRuntime().removeShutdownHook(atExit);
         relay.close();
-        loop.submit(() -> {
-            upstreams.values().forEach(UpstreamServer::stop);
-            discovery.stop();
-        }).syncUninterruptibly();
+        loop.submit(
+                        () -> {
+                            upstreams.values().forEach(UpstreamServer::stop);
+                            discovery.stop();
+                        })
+                .syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
--- a/src/main/java/myrtleladder/testbed/process/UpstreamSample.java
+++ b/src/main/java/myrtleladder/testbed/process/UpstreamSample.java
@@ -6,4 +6,4 @@
  * @param at microseconds of the run
  * @param spent time of its cores given to requests in this life, in microseconds
  */
-public record UpstreamSample(long at, String upstream, double spent) { }
+public record UpstreamSample(long at, String upstream, double spent) {}
--- a/src/main/java/myrtleladder/testbed/proxy/DatagramLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/DatagramLink.java
@@ -32,12 +32,19 @@
     }
 
     InetSocketAddress bind() {
-        channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(this)
-                .bind(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly().channel();
+        channel =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioDatagramChannel.class)
+                        .handler(this)
+                        .bind(new InetSocketAddress("127.0.0.1", 0))
+                        .syncUninterruptibly()
+                        .channel();
         return (InetSocketAddress) channel.localAddress();
     }
 
-    @Override protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
         boolean back = packet.sender().equals(target);
         if (!back) {
             sender = packet.sender();
@@ -48,16 +55,24 @@
         }
         long now = System.nanoTime() / 1_000;
         int bytes = packet.content().readableBytes();
-        for (long delay : back ? links.arrivals(now, to, from, bytes)
-                : links.arrivals(now, from, to, bytes)) {
+        for (long delay :
+                back
+                        ? links.arrivals(now, to, from, bytes)
+                        : links.arrivals(now, from, to, bytes)) {
             ByteBuf copy = packet.content().copy();
-            loop.schedule(() -> ctx.writeAndFlush(new DatagramPacket(copy, receiver)), delay,
+            loop.schedule(
+                    () -> ctx.writeAndFlush(new DatagramPacket(copy, receiver)),
+                    delay,
                     TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Whoever sends to a process that is down is told so by the machine; a network would say nothing. */
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    /**
+     * Whoever sends to a process that is down is told so by the machine; a network would say
+     * nothing.
+     */
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof PortUnreachableException)) {
             ctx.fireExceptionCaught(cause);
         }
--- a/src/main/java/myrtleladder/testbed/proxy/Relay.java
+++ b/src/main/java/myrtleladder/testbed/proxy/Relay.java
@@ -13,13 +13,16 @@
 import myrtleladder.testbed.fault.Links;
 
 /**
- * Carries what processes send to each other, and brings link faults about on the way. A process is given an
- * address of the relay in place of its peer's, one for each pair, and so the relay knows who sends to whom.
+ * Carries what processes send to each other, and brings link faults about on the way. A process is
+ * given an address of the relay in place of its peer's, one for each pair, and so the relay knows
+ * who sends to whom.
  *
- * <p>All of it lives on one event loop, which owns the links. Faults of processes are not its affair.
+ * <p>All of it lives on one event loop, which owns the links. Faults of processes are not its
+ * affair.
  */
 public final class Relay implements AutoCloseable {
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Links links;
     private final List<StreamLink> streams = new ArrayList<>();
@@ -30,7 +33,10 @@
         this.links = new Links(seed, usual);
     }
 
-    /** Opens a way over TCP from one process to the address of another; returns where to connect instead. */
+    /**
+     * Opens a way over TCP from one process to the address of another; returns where to connect
+     * instead.
+     */
     public InetSocketAddress stream(String from, String to, InetSocketAddress target) {
         StreamLink link = new StreamLink(loop, links, from, to, target);
         loop.submit(() -> streams.add(link)).syncUninterruptibly();
@@ -38,8 +44,9 @@
     }
 
     /**
-     * Opens a way over UDP from one process to the address of another; returns where to send instead. What
-     * the other sends back to where it heard from goes to the first by the opposite direction of the link.
+     * Opens a way over UDP from one process to the address of another; returns where to send
+     * instead. What the other sends back to where it heard from goes to the first by the opposite
+     * direction of the link.
      */
     public InetSocketAddress datagrams(String from, String to, InetSocketAddress target) {
         DatagramLink link = new DatagramLink(loop, links, from, to, target);
@@ -49,22 +56,25 @@
 
     /** Brings about a fault of links; it is in force when this returns. */
     public void bring(Fault fault) {
-        loop.submit(() -> {
-            if (fault instanceof Fault.Link f) {
-                links.set(f.from(), f.to(), f.fault());
-                between(f.from(), f.to()).forEach(StreamLink::go);
-            } else if (fault instanceof Fault.Heal f) {
-                links.heal(f.from(), f.to());
-                between(f.from(), f.to()).forEach(StreamLink::go);
-            } else if (fault instanceof Fault.HealAll) {
-                links.healAll();
-                streams.forEach(StreamLink::go);
-            } else if (fault instanceof Fault.Reset f) {
-                between(f.one(), f.other()).forEach(StreamLink::reset);
-            } else {
-                throw new IllegalArgumentException("not a fault of a link: " + fault);
-            }
-        }).syncUninterruptibly();
+        loop.submit(
+                        () -> {
+                            if (fault instanceof Fault.Link f) {
+                                links.set(f.from(), f.to(), f.fault());
+                                between(f.from(), f.to()).forEach(StreamLink::go);
+                            } else if (fault instanceof Fault.Heal f) {
+                                links.heal(f.from(), f.to());
+                                between(f.from(), f.to()).forEach(StreamLink::go);
+                            } else if (fault instanceof Fault.HealAll) {
+                                links.healAll();
+                                streams.forEach(StreamLink::go);
+                            } else if (fault instanceof Fault.Reset f) {
+                                between(f.one(), f.other()).forEach(StreamLink::reset);
+                            } else {
+                                throw new IllegalArgumentException(
+                                        "not a fault of a link: " + fault);
+                            }
+                        })
+                .syncUninterruptibly();
     }
 
     private List<StreamLink> between(String one, String other) {
@@ -72,11 +82,14 @@
     }
 
     /** Ends all links; what is on its way is gone. */
-    @Override public void close() {
-        loop.submit(() -> {
-            streams.forEach(StreamLink::close);
-            datagrams.forEach(DatagramLink::close);
-        }).syncUninterruptibly();
+    @Override
+    public void close() {
+        loop.submit(
+                        () -> {
+                            streams.forEach(StreamLink::close);
+                            datagrams.forEach(DatagramLink::close);
+                        })
+                .syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/myrtleladder/testbed/proxy/StreamLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamLink.java
@@ -24,13 +24,14 @@
 import myrtleladder.testbed.fault.Links;
 
 /**
- * One pair of processes over TCP: connections that the first opens to the second. Bytes keep their order, as
- * TCP has it: a lost piece is late by a retransmission; behind a cut all waits until the cut is healed. An
- * end of a connection waits its turn like bytes, so a cut hides it too.
+ * One pair of processes over TCP: connections that the first opens to the second. Bytes keep their
+ * order, as TCP has it: a lost piece is late by a retransmission; behind a cut all waits until the
+ * cut is healed. An end of a connection waits its turn like bytes, so a cut hides it too.
  */
 final class StreamLink {
     /** What a lost piece costs: the least retransmission time of common kernels. */
     private static final long RETRANSMIT_MICROS = 200_000;
+
     /** Beyond so much on its way the sender is held back, as a full window would. */
     private static final int WINDOW = 256 * 1024;
 
@@ -51,19 +52,29 @@
     }
 
     InetSocketAddress bind() {
-        listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childHandler(new ChannelInboundHandlerAdapter() {
-                    @Override public boolean isSharable() {
-                        return true;
-                    }
-
-                    @Override public void channelActive(ChannelHandlerContext ctx) {
-                        ctx.pipeline().remove(this);
-                        connect((SocketChannel) ctx.channel());
-                    }
-                }).bind(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly().channel();
+        listening =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childOption(ChannelOption.AUTO_READ, false)
+                        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                        .childHandler(
+                                new ChannelInboundHandlerAdapter() {
+                                    @Override
+                                    public boolean isSharable() {
+                                        return true;
+                                    }
+
+                                    @Override
+                                    public void channelActive(ChannelHandlerContext ctx) {
+                                        ctx.pipeline().remove(this);
+                                        connect((SocketChannel) ctx.channel());
+                                    }
+                                })
+                        .bind(new InetSocketAddress("127.0.0.1", 0))
+                        .syncUninterruptibly()
+                        .channel();
         return (InetSocketAddress) listening.localAddress();
     }
 
@@ -117,38 +128,50 @@
         }
 
         /** Bytes, or the end of the connection where {@code bytes} is null. */
-        private record Piece(ByteBuf bytes, long due) { }
+        private record Piece(ByteBuf bytes, long due) {}
 
         void connectWhenNotCut() {
             if (connecting || links.cut(sender, receiver) || links.cut(receiver, sender)) {
                 return;
             }
             connecting = true;
-            ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                    .option(ChannelOption.AUTO_READ, false).handler(other).connect(target);
+            ChannelFuture connected =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                            .option(ChannelOption.AUTO_READ, false)
+                            .handler(other)
+                            .connect(target);
             other.channel = (SocketChannel) connected.channel();
-            connected.addListener(f -> {
-                if (f.isSuccess()) {
-                    channel.config().setAutoRead(true);
-                    other.channel.config().setAutoRead(true);
-                } else {
-                    other.broken = true; // a refusal has to come back over the link like anything else
-                    other.go();
-                }
-            });
+            connected.addListener(
+                    f -> {
+                        if (f.isSuccess()) {
+                            channel.config().setAutoRead(true);
+                            other.channel.config().setAutoRead(true);
+                        } else {
+                            other.broken =
+                                    true; // a refusal has to come back over the link like anything
+                            // else
+                            other.go();
+                        }
+                    });
         }
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
             put((ByteBuf) message);
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             go();
             other.go();
         }
 
-        @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        @Override
+        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
                 put(null);
             }
@@ -157,8 +180,10 @@
         private void put(ByteBuf piece) {
             long now = System.nanoTime() / 1_000;
             int size = piece == null ? 0 : piece.readableBytes();
-            long[] arrivals = links.cut(sender, receiver) ? new long[] {0}
-                    : links.arrivals(now, sender, receiver, size);
+            long[] arrivals =
+                    links.cut(sender, receiver)
+                            ? new long[] {0}
+                            : links.arrivals(now, sender, receiver, size);
             long delay = arrivals.length == 0 ? RETRANSMIT_MICROS : arrivals[0];
             lastDue = Math.max(lastDue, now + delay);
             onItsWay.add(new Piece(piece, lastDue));
@@ -170,7 +195,8 @@
         /** Passes on what is due, in order; comes again for the rest. */
         void go() {
             if (channel == null) {
-                return; // behind a cut: it can have sent nothing, and the other side sees to connecting
+                return; // behind a cut: it can have sent nothing, and the other side sees to
+                // connecting
             }
             if (other.channel == null) {
                 connectWhenNotCut();
@@ -205,42 +231,56 @@
             }
         }
 
-        /** Passes the end on behind all that was written; with both ends passed on the connection is over. */
+        /**
+         * Passes the end on behind all that was written; with both ends passed on the connection is
+         * over.
+         */
         private void end() {
-            other.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
-                ended = true;
-                if (other.ended) {
-                    channel.close();
-                    other.channel.close();
-                } else {
-                    other.channel.shutdownOutput();
-                }
-            });
+            other.channel
+                    .writeAndFlush(Unpooled.EMPTY_BUFFER)
+                    .addListener(
+                            f -> {
+                                ended = true;
+                                if (other.ended) {
+                                    channel.close();
+                                    other.channel.close();
+                                } else {
+                                    other.channel.shutdownOutput();
+                                }
+                            });
         }
 
         private void comeAgain(long micros) {
             if (!comesAgain) {
                 comesAgain = true;
-                loop.schedule(() -> {
-                    comesAgain = false;
-                    go();
-                }, micros, TimeUnit.MICROSECONDS);
+                loop.schedule(
+                        () -> {
+                            comesAgain = false;
+                            go();
+                        },
+                        micros,
+                        TimeUnit.MICROSECONDS);
             }
         }
 
-        /** A reset of one end reaches the other one; where the link is cut, only once that is healed. */
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        /**
+         * A reset of one end reaches the other one; where the link is cut, only once that is
+         * healed.
+         */
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             broken = true;
             go();
         }
 
         void reset() {
             for (Side side : List.of(this, other)) {
-                side.onItsWay.forEach(p -> {
-                    if (p.bytes() != null) {
-                        p.bytes().release();
-                    }
-                });
+                side.onItsWay.forEach(
+                        p -> {
+                            if (p.bytes() != null) {
+                                p.bytes().release();
+                            }
+                        });
                 side.onItsWay.clear();
                 sides.remove(side);
                 if (side.channel != null && side.channel.isOpen()) {
--- a/src/main/java/myrtleladder/testbed/simulation/Core.java
+++ b/src/main/java/myrtleladder/testbed/simulation/Core.java
@@ -1,8 +1,9 @@
 package myrtleladder.testbed.simulation;
 
 /**
- * A pure core as the world hosts it: events come in as calls, actions go out through {@link Actions} from
- * within them. It keeps no time and draws no chance of its own. Times are microseconds of its steady clock.
+ * A pure core as the world hosts it: events come in as calls, actions go out through {@link
+ * Actions} from within them. It keeps no time and draws no chance of its own. Times are
+ * microseconds of its steady clock.
  */
 public interface Core {
     /** The process has just started. */
@@ -29,7 +30,10 @@
         void note(String text);
     }
 
-    /** Makes the core of a process each time it starts; what it keeps over a crash hangs on the maker. */
+    /**
+     * Makes the core of a process each time it starts; what it keeps over a crash hangs on the
+     * maker.
+     */
     interface Maker {
         /** A core for one life of the process, with a seed of its own. */
         Core make(String name, long seed, Actions actions);
--- a/src/main/java/myrtleladder/testbed/simulation/History.java
+++ b/src/main/java/myrtleladder/testbed/simulation/History.java
@@ -9,8 +9,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What happened in a world: the last lines in full, and a digest of all. Two runs of one seed have the same
- * digest, or something in them hangs on more than the seed.
+ * What happened in a world: the last lines in full, and a digest of all. Two runs of one seed have
+ * the same digest, or something in them hangs on more than the seed.
  */
 public final class History {
     private static final int KEPT = 2_000;
--- a/src/main/java/myrtleladder/testbed/simulation/World.java
+++ b/src/main/java/myrtleladder/testbed/simulation/World.java
@@ -14,8 +14,9 @@
 import myrtleladder.testbed.fault.Plan;
 
 /**
- * Processes, their clocks and the network between them, in virtual time. All that happens follows from the
- * seed, the processes and the plan: events of one moment come in the order in which they were brought about.
+ * Processes, their clocks and the network between them, in virtual time. All that happens follows
+ * from the seed, the processes and the plan: events of one moment come in the order in which they
+ * were brought about.
  */
 public final class World {
     private static final double MILLION = 1e6;
@@ -24,8 +25,12 @@
     private final Links links;
     private final History history = new History();
     private final Map<String, Process> processes = new LinkedHashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private long now;
     private long numbers;
     private long handled;
@@ -36,7 +41,7 @@
         this.links = new Links(seed, usual);
     }
 
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long at, long number, Runnable what) {}
 
     /** Adds a process and starts it now. */
     public void add(String name, Core.Maker maker) {
@@ -190,34 +195,45 @@
 
         /** The network hands a message to whoever runs under the name when it comes. */
         private void deliver(String from, byte[] message) {
-            handle(life, t -> {
-                history.add(now, name, () -> "hears " + message.length + " bytes of " + from);
-                core.received(t, from, message);
-            });
+            handle(
+                    life,
+                    t -> {
+                        history.add(
+                                now, name, () -> "hears " + message.length + " bytes of " + from);
+                        core.received(t, from, message);
+                    });
         }
 
-        @Override public void send(String to, byte[] message) {
+        @Override
+        public void send(String to, byte[] message) {
             byte[] copy = message.clone();
             for (long delay : links.arrivals(now, name, to, copy.length)) {
-                at(now + delay, () -> {
-                    Process there = processes.get(to);
-                    if (there != null) {
-                        there.deliver(name, copy);
-                    }
-                });
+                at(
+                        now + delay,
+                        () -> {
+                            Process there = processes.get(to);
+                            if (there != null) {
+                                there.deliver(name, copy);
+                            }
+                        });
             }
         }
 
-        @Override public void timer(String token, long delay) {
+        @Override
+        public void timer(String token, long delay) {
             int its = life;
-            at(now + Math.max(0, Math.round(delay / rate)), () -> handle(its, t -> core.due(t, token)));
+            at(
+                    now + Math.max(0, Math.round(delay / rate)),
+                    () -> handle(its, t -> core.due(t, token)));
         }
 
-        @Override public long wall() {
+        @Override
+        public long wall() {
             return steady() + wallOffset;
         }
 
-        @Override public void note(String text) {
+        @Override
+        public void note(String text) {
             history.add(now, name, () -> text);
         }
     }
--- a/src/main/java/myrtleladder/toml/TomlFile.java
+++ b/src/main/java/myrtleladder/toml/TomlFile.java
@@ -19,23 +19,30 @@
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.error.OperatorError.NoFile;
 
-/** Reads TOML into records and refuses what it does not know: a mistyped key must not pass for a default. */
+/**
+ * Reads TOML into records and refuses what it does not know: a mistyped key must not pass for a
+ * default.
+ */
 public final class TomlFile {
-    private static final TomlMapper TOML = TomlMapper.builder()
-            .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .enable(DeserializationFeature.FAIL_ON_NUMBERS_FOR_ENUMS)
-            .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
-            .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
-            .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS).build();
+    private static final TomlMapper TOML =
+            TomlMapper.builder()
+                    .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .enable(DeserializationFeature.FAIL_ON_NUMBERS_FOR_ENUMS)
+                    .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
+                    .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
+                    .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
+                    .build();
 
-    private static final JsonMapper JSON = JsonMapper.builder()
-            .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-            .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
-            .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
-            .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS).build();
+    private static final JsonMapper JSON =
+            JsonMapper.builder()
+                    .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
+                    .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
+                    .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
+                    .build();
 
-    private TomlFile() { }
+    private TomlFile() {}
 
     /** Reads a whole file as one record. */
     public static <T> T read(Path file, Class<T> type) throws OperatorError {
@@ -52,15 +59,30 @@
         return parse(file, text, type);
     }
 
-    /** Reads a text as one record, as JSON if it begins as that does; {@code file} names it in errors. */
+    /**
+     * Reads a text as one record, as JSON if it begins as that does; {@code file} names it in
+     * errors.
+     */
     public static <T> T parse(Path file, String text, Class<T> type) throws BadFile {
         try {
             return (text.stripLeading().startsWith("{") ? JSON : TOML).readValue(text, type);
         } catch (JsonMappingException e) {
-            throw new BadFile(file, lineOf(text, e.getPath()), e.getPath().stream().map(r ->
-                    r.getFieldName() == null ? "[" + r.getIndex() + "]" : r.getFieldName())
-                    .collect(Collectors.joining(".")).replace(".[", "["),
-                    e.getOriginalMessage().lines().findFirst().orElse("").replaceAll(" \\(class .*", ""));
+            throw new BadFile(
+                    file,
+                    lineOf(text, e.getPath()),
+                    e.getPath().stream()
+                            .map(
+                                    r ->
+                                            r.getFieldName() == null
+                                                    ? "[" + r.getIndex() + "]"
+                                                    : r.getFieldName())
+                            .collect(Collectors.joining("."))
+                            .replace(".[", "["),
+                    e.getOriginalMessage()
+                            .lines()
+                            .findFirst()
+                            .orElse("")
+                            .replaceAll(" \\(class .*", ""));
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
             throw new BadFile(file, at == null ? 0 : at.getLineNr(), "", e.getOriginalMessage());
@@ -80,7 +102,10 @@
         return TOML.writeValueAsString(value);
     }
 
-    /** Where a key stands; the library reads the whole file first and forgets it. 0 if it stands nowhere. */
+    /**
+     * Where a key stands; the library reads the whole file first and forgets it. 0 if it stands
+     * nowhere.
+     */
     private static int lineOf(String text, List<JsonMappingException.Reference> path) {
         String[] lines = text.split("\\R");
         int line = 0;
--- a/src/main/java/myrtleladder/toml/package-info.java
+++ b/src/main/java/myrtleladder/toml/package-info.java
@@ -1,2 +1,5 @@
-/** TOML files into records, with errors that name file, line and key; the platform's start loads none. */
+/**
+ * TOML files into records, with errors that name file, line and key; the platform's start loads
+ * none.
+ */
 package myrtleladder.toml;
--- a/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
@@ -90,8 +90,8 @@
                         + "'path_prefix':'/','backend':'s',"
                         + "'timeout_ms':0}],'services':[{'name':'s'}]}",
                 "NO_WEIGHT|{'generation':8,'routes':[{'name':'r','hostname':'h',"
-                        + "'path_prefix':'/','timeout_ms':1,"
-                        + "'traffic_split':[{'backend':'s','weight':0}]}],'services':[{'name':'s'}]}",
+                    + "'path_prefix':'/','timeout_ms':1,"
+                    + "'traffic_split':[{'backend':'s','weight':0}]}],'services':[{'name':'s'}]}",
                 "SAME_PLACE|{'generation':8,'routes':[{'name':'r','hostname':'h',"
                         + "'path_prefix':'/','timeout_ms':1,"
                         + "'backend':'s'},{'name':'q','hostname':'H','path_prefix':'/',"
