--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionModuleTest.java
@@ -0,0 +1,98 @@
+package myrtleladder.loadbalancer.policy;
+
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.domain.JavaMethodCall;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.lang.ArchRule;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * What makes the decision module one module: the deploy file names its folder and nothing else, and
+ * nothing in it does I/O, reads a clock or starts a thread. The limits on its lines that stood here
+ * before were lifted; width of lines is the formatter's.
+ */
+class DecisionModuleTest {
+    private static final String PACKAGE = "myrtleladder.loadbalancer.policy";
+
+    private static final DescribedPredicate<JavaMethodCall> READING_A_CLOCK =
+            DescribedPredicate.describe(
+                    "reading a clock",
+                    call ->
+                            call.getTargetOwner().isEquivalentTo(System.class)
+                                    && List.of("nanoTime", "currentTimeMillis")
+                                            .contains(call.getTarget().getName()));
+
+    private static final ArchRule NO_IO =
+            noClasses()
+                    .that()
+                    .resideInAPackage(PACKAGE)
+                    .should()
+                    .dependOnClassesThat(
+                            resideInAnyPackage(
+                                    "java.io..",
+                                    "java.nio..",
+                                    "java.net..",
+                                    "java.time..",
+                                    "java.util.concurrent..",
+                                    "java.util.logging.."));
+
+    private static final ArchRule NO_THREADS =
+            noClasses()
+                    .that()
+                    .resideInAPackage(PACKAGE)
+                    .should()
+                    .dependOnClassesThat()
+                    .areAssignableTo(Thread.class);
+
+    private static final ArchRule NO_CLOCK =
+            noClasses().that().resideInAPackage(PACKAGE).should().callMethodWhere(READING_A_CLOCK);
+
+    private static JavaClasses classes(ImportOption option) {
+        return new ClassFileImporter().withImportOption(option).importPackages(PACKAGE);
+    }
+
+    @Test
+    void theDeployFileNamesTheFolderOfAllDecisions() throws IOException {
+        List<String> policy =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("policy = "))
+                        .map(line -> line.replaceFirst("#.*", "").strip())
+                        .toList();
+        assertEquals(
+                List.of("policy = [\"src/main/java/myrtleladder/loadbalancer/policy\"]"), policy);
+    }
+
+    @Test
+    void decisionsDoNoIo() {
+        NO_IO.check(classes(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS));
+    }
+
+    @Test
+    void decisionsStartNoThreads() {
+        NO_THREADS.check(classes(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS));
+    }
+
+    @Test
+    void decisionsReadNoClock() {
+        NO_CLOCK.check(classes(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS));
+    }
+
+    /** This test itself does I/O, so the rule finds it among the tests. */
+    @Test
+    void theRuleOnIoFindsAnOffender() {
+        assertThrows(
+                AssertionError.class,
+                () -> NO_IO.check(classes(ImportOption.Predefined.ONLY_INCLUDE_TESTS)));
+    }
+}
