--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -2,6 +2,18 @@
 
 import static myrtleladder.gossip.VirtualFleet.names;
 
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HashSet;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import myrtleladder.consensus.AgreeSettings;
 import myrtleladder.consensus.Agreement;
 import myrtleladder.consensus.Life;
@@ -16,19 +28,6 @@
 import myrtleladder.testbed.simulation.Core;
 import myrtleladder.testbed.simulation.World;
 
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.HashSet;
-import java.util.HexFormat;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
-import java.util.TreeSet;
-
 /**
  * Processes with a membership, an agreement and work on machines each, in virtual time, whose
  * actions are recorded by layer: each datagram with time, sender, receiver and bytes, each timer,
--- a/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
+++ b/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import myrtleladder.testbed.checker.Checker.Repeat;
+import myrtleladder.testbed.checker.Violation.Kind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import myrtleladder.testbed.checker.Checker.Repeat;
-import myrtleladder.testbed.checker.Violation.Kind;
 
 /** What a balancer can do wrong is found, each by its rule and its id; what it may do is not. */
 class CheckerTest {
