--- a/src/main/java/myrtleladder/controlplane/BalancerDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerDirectory.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.protocol.FleetMember;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.UnderWay;
+import myrtleladder.protocol.BalancerAddress;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.PollRequest;
 
 /** The balancers that live: those that poll, and those that their monitors on the ring hear. */
 final class BalancerDirectory {
@@ -20,11 +20,11 @@
         String address;
         long heardAt;
         int told;
-        List<UnderWay> underWay = List.of();
+        List<InFlightRequests> underWay = List.of();
     }
 
     /** Takes a poll, with what the balancer hears of those that it monitors. */
-    void heard(Poll poll, long now) {
+    void heard(PollRequest poll, long now) {
         for (String name : poll.alive) {
             Entry monitored = entries.get(name);
             if (monitored != null) {
@@ -69,9 +69,9 @@
     }
 
     /** Who lives. */
-    List<FleetMember> members() {
-        List<FleetMember> members = new ArrayList<>();
-        entries.forEach((name, entry) -> members.add(FleetMember.of(name, entry.address)));
+    List<BalancerAddress> members() {
+        List<BalancerAddress> members = new ArrayList<>();
+        entries.forEach((name, entry) -> members.add(BalancerAddress.of(name, entry.address)));
         return members;
     }
 
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -9,14 +9,14 @@
 import myrtleladder.io.Scheduler;
 import myrtleladder.io.ServerExchange;
 import myrtleladder.io.SystemException;
-import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
-import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
 import org.apache.logging.log4j.LogManager;
@@ -284,40 +284,42 @@
 
     /** Takes a message of another process of the fleet. */
     public void receive(Message message, Consumer<Message> answer) {
-        if (message instanceof Poll poll) {
+        if (message instanceof PollRequest poll) {
             polls.take(poll, answer);
-        } else if (message instanceof QuotaAsk ask) {
+        } else if (message instanceof QuotaRequest ask) {
             answer.accept(grant(ask));
-        } else if (message instanceof ShareInstances shared) {
+        } else if (message instanceof ShareInstancesRequest shared) {
             take(shared, answer);
         } else if (!replica.receive(message, answer)) {
             answer.accept(null);
         }
     }
 
-    private QuotaGrant grant(QuotaAsk ask) {
+    private QuotaResponse grant(QuotaRequest ask) {
         if (!leading || !replica.recentlyConfirmed()) {
-            return QuotaGrant.of(false, 0, 0);
+            return QuotaResponse.of(false, 0, 0);
         }
         long now = scheduler.now();
-        QuotaGrant grant = bank.grant(ask, now);
+        QuotaResponse grant = bank.grant(ask, now);
         fleet.take(ask.load, now);
         grant.loads = fleet.tell(ask.load, replica.view().epoch, now);
         return grant;
     }
 
-    private void take(ShareInstances shared, Consumer<Message> answer) {
+    private void take(ShareInstancesRequest shared, Consumer<Message> answer) {
         if (shared.epoch < replica.epoch()) {
-            answer.accept(Acknowledge.of(false, replica.epoch(), replica.self()));
+            answer.accept(AcknowledgeResponse.of(false, replica.epoch(), replica.self()));
             return;
         }
         inherit(shared.instances);
         if (shared.durably) {
             replica.saveInstancesNow(
-                    ok -> answer.accept(Acknowledge.of(ok, replica.epoch(), replica.self())));
+                    ok ->
+                            answer.accept(
+                                    AcknowledgeResponse.of(ok, replica.epoch(), replica.self())));
         } else {
             saveSoon();
-            answer.accept(Acknowledge.of(true, replica.epoch(), replica.self()));
+            answer.accept(AcknowledgeResponse.of(true, replica.epoch(), replica.self()));
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
-import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Peers;
 
 /**
@@ -71,10 +71,10 @@
             List<InstanceRecord> records = new ArrayList<>(hints.get(member).values());
             peers.call(
                     member.address,
-                    ShareInstances.of(epoch, records, false),
+                    ShareInstancesRequest.of(epoch, records, false),
                     ANSWER,
                     answer -> {
-                        if (answer instanceof Acknowledge reply && reply.taken) {
+                        if (answer instanceof AcknowledgeResponse reply && reply.taken) {
                             taken(member, records);
                         }
                     });
--- a/src/main/java/myrtleladder/controlplane/InstanceSharing.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSharing.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.View;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
@@ -52,7 +52,8 @@
     /** Gives a record to the other nodes. */
     void share(InstanceRecord record) {
         View view = replica.view();
-        ShareInstances message = ShareInstances.of(view.epoch, List.of(record), false);
+        ShareInstancesRequest message =
+                ShareInstancesRequest.of(view.epoch, List.of(record), false);
         for (Member member : view.group) {
             if (!member.equals(replica.self())) {
                 hand(member, message, taken -> {});
@@ -73,13 +74,13 @@
                 boolean copy = view.replicas.contains(member);
                 hand(
                         member,
-                        ShareInstances.of(view.epoch, List.of(record), copy),
+                        ShareInstancesRequest.of(view.epoch, List.of(record), copy),
                         taken -> durable.answered(member, taken));
             }
         }
     }
 
-    private void hand(Member member, ShareInstances message, Consumer<Boolean> done) {
+    private void hand(Member member, ShareInstancesRequest message, Consumer<Boolean> done) {
         peers.call(
                 member.address,
                 message,
@@ -96,7 +97,9 @@
 
     /** Another node may answer at an address by now: its word is not the member's. */
     private static boolean takenBy(Member member, Message answer) {
-        return answer instanceof Acknowledge reply && reply.taken && member.equals(reply.member);
+        return answer instanceof AcknowledgeResponse reply
+                && reply.taken
+                && member.equals(reply.member);
     }
 
     /** Counts the replicas that have a record on their disks. */
--- a/src/main/java/myrtleladder/controlplane/PollDistribution.java
+++ b/src/main/java/myrtleladder/controlplane/PollDistribution.java
@@ -10,8 +10,8 @@
 import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.replication.Replica;
 
@@ -36,7 +36,7 @@
     private boolean leading;
 
     /** A poll that waits for news. */
-    private record HeldPoll(Poll poll, Consumer<Message> answer, long since) {}
+    private record HeldPoll(PollRequest poll, Consumer<Message> answer, long since) {}
 
     /**
      * Creates the distribution; {@code settled} tells whether each upstream that lives has had the
@@ -99,7 +99,7 @@
     }
 
     /** Takes a poll: it is answered at once if there is news, else when there is some. */
-    void take(Poll poll, Consumer<Message> answer) {
+    void take(PollRequest poll, Consumer<Message> answer) {
         if (!leading || !replica.recentlyConfirmed()) {
             answer.accept(notPrimary());
             return;
@@ -117,7 +117,7 @@
         }
     }
 
-    private boolean hasNews(Poll poll) {
+    private boolean hasNews(PollRequest poll) {
         return poll.epoch != replica.view().epoch
                 || poll.generation < committed().generation
                 || poll.revision < registry.revision()
@@ -134,8 +134,8 @@
         due.forEach(p -> p.answer().accept(reply(p.poll())));
     }
 
-    private PollReply notPrimary() {
-        PollReply reply = new PollReply();
+    private PollResponse notPrimary() {
+        PollResponse reply = new PollResponse();
         Member primary = replica.primary();
         reply.primary = primary == null || primary.equals(replica.self()) ? "" : primary.address;
         reply.epoch = replica.view() == null ? 0 : replica.view().epoch;
@@ -151,12 +151,12 @@
         return new ArrayList<>(addresses);
     }
 
-    private PollReply reply(Poll poll) {
+    private PollResponse reply(PollRequest poll) {
         if (!replica.recentlyConfirmed()) {
             return notPrimary();
         }
         boolean young = !settled();
-        PollReply reply = new PollReply();
+        PollResponse reply = new PollResponse();
         reply.valid = true;
         reply.primary = replica.self().address;
         reply.members = addresses();
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.KeptPrompt;
 
 /**
  * Which upstream keeps which shared beginning of prompts, as the balancers announced it: a log in
@@ -17,12 +17,12 @@
     private static final int MOST_KEPT = 8_192;
     private static final int MOST_TOLD = 128; // bounds the bytes of an answer
 
-    private final TreeMap<Long, KeptPrompt> byRevision = new TreeMap<>();
+    private final TreeMap<Long, CachedPrompt> byRevision = new TreeMap<>();
     private final Map<Place, Long> revisions = new HashMap<>();
     private long revision;
 
     private record Place(long prompt, int upstream) {
-        static Place of(KeptPrompt kept) {
+        static Place of(CachedPrompt kept) {
             return new Place(kept.prompt, kept.upstream);
         }
     }
@@ -35,8 +35,8 @@
     }
 
     /** Takes announcements. */
-    void take(List<KeptPrompt> announced) {
-        for (KeptPrompt kept : announced) {
+    void take(List<CachedPrompt> announced) {
+        for (CachedPrompt kept : announced) {
             Long before = revisions.put(Place.of(kept), ++revision);
             if (before != null) {
                 byRevision.remove(before);
@@ -52,7 +52,7 @@
     void tell(FleetLoads answer, long known) {
         answer.promptRevision = Math.min(known, revision);
         answer.prompts = new ArrayList<>();
-        for (Map.Entry<Long, KeptPrompt> entry : byRevision.tailMap(known, false).entrySet()) {
+        for (Map.Entry<Long, CachedPrompt> entry : byRevision.tailMap(known, false).entrySet()) {
             if (answer.prompts.size() == MOST_TOLD) {
                 return;
             }
--- a/src/main/java/myrtleladder/controlplane/QuotaBank.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaBank.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Tenant;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 
 /**
  * The quotas of all tenants, in one place: a bucket for each, from which balancers take what their
@@ -78,23 +78,23 @@
      * Grants what a balancer asks for, or tells when there may be some; a negative number of units
      * is given back.
      */
-    QuotaGrant grant(QuotaAsk ask, long now) {
+    QuotaResponse grant(QuotaRequest ask, long now) {
         Bucket bucket = buckets.get(ask.tenant);
         if (bucket == null) {
-            return QuotaGrant.of(true, ask.units, 0);
+            return QuotaResponse.of(true, ask.units, 0);
         }
         bucket.fill(now);
         if (ask.units < 0) {
             bucket.level = Math.min(bucket.most, bucket.level - ask.units);
-            return QuotaGrant.of(true, 0, 0);
+            return QuotaResponse.of(true, 0, 0);
         }
         if (bucket.level <= 0) {
-            return QuotaGrant.of(
+            return QuotaResponse.of(
                     true, 0, Math.max(1, Math.round(-bucket.level / bucket.rate * 1_000)));
         }
         double ahead = bucket.level > FULL * bucket.most ? mostAhead() : 0;
         bucket.level -= ask.units + ahead;
-        return QuotaGrant.of(true, ask.units + ahead, 0);
+        return QuotaResponse.of(true, ask.units + ahead, 0);
     }
 
     /** What all balancers keep of a tenant together has to fit into the slack. */
--- a/src/main/java/myrtleladder/controlplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/controlplane/Rehearsal.java
@@ -15,10 +15,10 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
-import myrtleladder.protocol.KeptPrompt;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.LoadReport;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.QuotaAsk;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.UpstreamLoad;
 import myrtleladder.rpc.OneCall;
 import myrtleladder.rpc.PeerClient;
@@ -110,10 +110,10 @@
                     call("GET", "/status", "", "");
                     call("DELETE", "/instances/i", "", "");
                     PeerClient peers = new PeerClient(loop);
-                    Poll poll = new Poll();
+                    PollRequest poll = new PollRequest();
                     poll.load = report();
                     peers.call(HOST + ":" + internal, poll, STEP, answer -> {});
-                    QuotaAsk ask = QuotaAsk.of("t", 1);
+                    QuotaRequest ask = QuotaRequest.of("t", 1);
                     ask.load = report();
                     peers.call(HOST + ":" + internal, ask, STEP, answer -> {});
                     loop.schedule(
@@ -130,7 +130,7 @@
         report.balancer = "e";
         report.sequence = 1;
         report.loads.add(UpstreamLoad.of(1, 1, 1));
-        report.prompts.add(KeptPrompt.of(1, 1));
+        report.prompts.add(CachedPrompt.of(1, 1));
         return report;
     }
 
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -15,10 +15,10 @@
 import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.Peers;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -98,7 +98,7 @@
     }
 
     /** Asks the primary that answered last. */
-    void ask(QuotaAsk ask, long timeoutMs, Consumer<Message> answer) {
+    void ask(QuotaRequest ask, long timeoutMs, Consumer<Message> answer) {
         if (epoch == 0 || target.isEmpty()) {
             answer.accept(null);
         } else {
@@ -108,7 +108,7 @@
     }
 
     private void granted(LoadReport report, Message message, Consumer<Message> answer) {
-        if (message instanceof QuotaGrant grant && grant.valid) {
+        if (message instanceof QuotaResponse grant && grant.valid) {
             router.fleet().take(report, grant.loads, scheduler.now());
         }
         answer.accept(message);
@@ -127,7 +127,7 @@
         if (target.isEmpty()) {
             target = nextTarget();
         }
-        Poll poll = new Poll();
+        PollRequest poll = new PollRequest();
         poll.balancer = balancer;
         poll.leaving = leaving;
         poll.epoch = epoch;
@@ -178,7 +178,7 @@
         if (leaving) {
             return;
         }
-        if (!(message instanceof PollReply reply)) {
+        if (!(message instanceof PollResponse reply)) {
             if (scheduler.now() - askedAt > SILENT) {
                 // one that refuses may just be starting
                 silences.put(
@@ -208,7 +208,7 @@
         poll();
     }
 
-    private void take(PollReply reply) {
+    private void take(PollResponse reply) {
         if (reply.epoch > epoch) {
             LOG.info("epoch {} of {} follows {}", reply.epoch, reply.primary, epoch);
         }
--- a/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
+++ b/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
 
@@ -94,7 +94,7 @@
         }
         waiting.stream()
                 .limit(MOST_ANNOUNCED)
-                .forEach(a -> report.prompts.add(KeptPrompt.of(a.prompt(), a.upstream())));
+                .forEach(a -> report.prompts.add(CachedPrompt.of(a.prompt(), a.upstream())));
         return report;
     }
 
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -11,8 +11,8 @@
 import myrtleladder.io.SystemException;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Alive;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.PeerClient;
 import myrtleladder.signal.Signals;
@@ -94,10 +94,11 @@
                 settings.ip(),
                 internalPort,
                 (message, answer) -> {
-                    if (message instanceof Alive alive) {
+                    if (message instanceof BalancerHeartbeat alive) {
                         agent.heard(alive);
                     }
-                    answer.accept(Acknowledge.of(message instanceof Alive, 0, null));
+                    answer.accept(
+                            AcknowledgeResponse.of(message instanceof BalancerHeartbeat, 0, null));
                 });
         agent.start();
         new HttpServer(
--- a/src/main/java/myrtleladder/dataplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/dataplane/Rehearsal.java
@@ -16,16 +16,16 @@
 import myrtleladder.io.ServerExchange;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
+import myrtleladder.protocol.BalancerAddress;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.FleetMember;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.protocol.UpstreamLoad;
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.OneCall;
@@ -112,12 +112,12 @@
     }
 
     private void control(Message message, java.util.function.Consumer<Message> answer) {
-        if (message instanceof QuotaAsk ask) {
-            QuotaGrant grant = QuotaGrant.of(true, ask.units, 0);
+        if (message instanceof QuotaRequest ask) {
+            QuotaResponse grant = QuotaResponse.of(true, ask.units, 0);
             grant.loads = loads();
             answer.accept(grant);
-        } else if (message instanceof Poll poll && poll.generation == 0) {
-            PollReply reply = new PollReply();
+        } else if (message instanceof PollRequest poll && poll.generation == 0) {
+            PollResponse reply = new PollResponse();
             reply.valid = true;
             reply.epoch = 1;
             reply.generation = 3;
@@ -129,8 +129,8 @@
             reply.members = List.of(reply.primary);
             reply.balancerList =
                     List.of(
-                            FleetMember.of("n", HOST + ":" + control),
-                            FleetMember.of("m", HOST + ":" + control));
+                            BalancerAddress.of("n", HOST + ":" + control),
+                            BalancerAddress.of("m", HOST + ":" + control));
             reply.instances = List.of(instance("i", "s"), instance("j", "p"));
             reply.loads = loads();
             answer.accept(reply);
@@ -143,7 +143,7 @@
         loads.known = true;
         loads.promptRevision = 1;
         loads.loads.add(UpstreamLoad.of(UpstreamLoad.keyOf("i"), 1, 1));
-        loads.prompts.add(KeptPrompt.of(1, UpstreamLoad.keyOf("i")));
+        loads.prompts.add(CachedPrompt.of(1, UpstreamLoad.keyOf("i")));
         return loads;
     }
 
--- a/src/main/java/myrtleladder/dataplane/TenantQuotas.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotas.java
@@ -7,8 +7,8 @@
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Tenant;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 
 /**
  * The quotas as this balancer uses them. The primary grants what requests count; without an answer
@@ -27,7 +27,7 @@
     /** Where grants come from. */
     interface Bank {
         /** Asks the primary; the answer is null if none came in time. */
-        void ask(QuotaAsk ask, long timeoutMs, java.util.function.Consumer<Message> answer);
+        void ask(QuotaRequest ask, long timeoutMs, java.util.function.Consumer<Message> answer);
     }
 
     private final Bank bank;
@@ -84,7 +84,7 @@
             decided.accept(fallBack(bucket, cost, now));
         } else {
             bank.ask(
-                    QuotaAsk.of(tenant.name(), cost - bucket.units),
+                    QuotaRequest.of(tenant.name(), cost - bucket.units),
                     ANSWER,
                     answer -> answered(bucket, cost, answer, decided));
         }
@@ -96,7 +96,7 @@
     }
 
     private void answered(Bucket bucket, double cost, Message answer, LongConsumer decided) {
-        if (!(answer instanceof QuotaGrant grant) || !grant.valid) {
+        if (!(answer instanceof QuotaResponse grant) || !grant.valid) {
             silentSince = Math.min(silentSince, clock);
             askAgainAt = clock + ASK_AGAIN;
             decided.accept(fallBack(bucket, cost, clock));
@@ -140,7 +140,7 @@
             return;
         }
         if (silentSince == Long.MAX_VALUE) {
-            bank.ask(QuotaAsk.of(tenant.name(), -cost), ANSWER, answer -> {});
+            bank.ask(QuotaRequest.of(tenant.name(), -cost), ANSWER, answer -> {});
         } else {
             bucket.fallback = Math.min(0, bucket.fallback + cost);
         }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -12,10 +12,10 @@
 import java.util.function.Consumer;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Service;
+import myrtleladder.protocol.CachedPrompt;
+import myrtleladder.protocol.InFlightRequests;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.KeptPrompt;
-import myrtleladder.protocol.UnderWay;
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
@@ -109,9 +109,9 @@
     }
 
     /** What is under way at upstreams that take no more requests; it ends where it began. */
-    List<UnderWay> underWayAtLeaving() {
+    List<InFlightRequests> underWayAtLeaving() {
         finishing.removeIf(upstream -> upstream.own() == 0);
-        return finishing.stream().map(u -> UnderWay.of(u.record().id, u.own())).toList();
+        return finishing.stream().map(u -> InFlightRequests.of(u.record().id, u.own())).toList();
     }
 
     /** An answer showed that this incarnation is not at its address any more. */
@@ -168,13 +168,13 @@
     }
 
     /** Takes what upstreams keep by what other balancers sent them. */
-    void takePrompts(List<KeptPrompt> prompts, long now) {
+    void takePrompts(List<CachedPrompt> prompts, long now) {
         if (prompts.isEmpty()) {
             return;
         }
         Map<Integer, Upstream> byKey = new HashMap<>();
         byId.values().forEach(upstream -> byKey.put(upstream.key(), upstream));
-        for (KeptPrompt kept : prompts) {
+        for (CachedPrompt kept : prompts) {
             Upstream upstream = byKey.get(kept.upstream);
             if (upstream != null) {
                 upstream.memory().told(kept.prompt, now);
--- a/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Alive;
-import myrtleladder.protocol.FleetMember;
+import myrtleladder.protocol.BalancerAddress;
+import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.replication.Peers;
 
 /**
@@ -36,19 +36,19 @@
     /** Begins to send heartbeats. */
     public void start() {
         scheduler.schedule(HEARTBEAT, this::start);
-        for (FleetMember monitor : ring.monitorsOf(name, MONITORS)) {
-            peers.call(monitor.address, Alive.of(name), ANSWER, answer -> {});
+        for (BalancerAddress monitor : ring.monitorsOf(name, MONITORS)) {
+            peers.call(monitor.address, BalancerHeartbeat.of(name), ANSWER, answer -> {});
         }
     }
 
     /** Takes the processes that there are. */
-    public void members(List<FleetMember> members) {
+    public void members(List<BalancerAddress> members) {
         ring = new Ring(members);
         heardAt.keySet().removeIf(known -> members.stream().noneMatch(m -> m.name.equals(known)));
     }
 
     /** Takes a heartbeat. */
-    public void heard(Alive alive) {
+    public void heard(BalancerHeartbeat alive) {
         heardAt.put(alive.name, scheduler.now());
     }
 
--- a/src/main/java/myrtleladder/heartbeat/Ring.java
+++ b/src/main/java/myrtleladder/heartbeat/Ring.java
@@ -6,17 +6,17 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.zip.CRC32;
-import myrtleladder.protocol.FleetMember;
+import myrtleladder.protocol.BalancerAddress;
 
 /** The processes on a ring, by a hash of their names; each is watched by the few that follow it. */
 public final class Ring {
-    private final List<FleetMember> order;
+    private final List<BalancerAddress> order;
 
     /** Creates a ring of the given processes. */
-    public Ring(Collection<FleetMember> members) {
+    public Ring(Collection<BalancerAddress> members) {
         order = new ArrayList<>(members);
         order.sort(
-                Comparator.<FleetMember>comparingLong(m -> position(m.name))
+                Comparator.<BalancerAddress>comparingLong(m -> position(m.name))
                         .thenComparing(m -> m.name));
     }
 
@@ -30,8 +30,8 @@
      * The processes that watch one: those that follow it, as many as asked for if there are so
      * many.
      */
-    public List<FleetMember> monitorsOf(String name, int count) {
-        List<FleetMember> monitors = new ArrayList<>();
+    public List<BalancerAddress> monitorsOf(String name, int count) {
+        List<BalancerAddress> monitors = new ArrayList<>();
         int at = 0;
         while (at < order.size() && !order.get(at).name.equals(name)) {
             at++;
--- a/src/main/java/myrtleladder/protocol/Acknowledge.java
+++ b/src/main/java/myrtleladder/protocol/AcknowledgeResponse.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** The answer to a message that is either taken or refused for a higher epoch. */
-public final class Acknowledge implements Message {
+public final class AcknowledgeResponse implements Message {
     /** Whether it was taken. */
     public boolean taken;
 
@@ -12,8 +12,8 @@
     public Member member;
 
     /** Creates a message from its parts. */
-    public static Acknowledge of(boolean taken, long promised, Member member) {
-        Acknowledge message = new Acknowledge();
+    public static AcknowledgeResponse of(boolean taken, long promised, Member member) {
+        AcknowledgeResponse message = new AcknowledgeResponse();
         message.taken = taken;
         message.promised = promised;
         message.member = member;
--- a/src/main/java/myrtleladder/protocol/FleetMember.java
+++ b/src/main/java/myrtleladder/protocol/BalancerAddress.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** A balancer with the address at which others of the fleet reach it. */
-public final class FleetMember {
+public final class BalancerAddress {
     /** Its name. */
     public String name = "";
 
@@ -9,8 +9,8 @@
     public String address = "";
 
     /** Creates a member from its parts. */
-    public static FleetMember of(String name, String address) {
-        FleetMember member = new FleetMember();
+    public static BalancerAddress of(String name, String address) {
+        BalancerAddress member = new BalancerAddress();
         member.name = name;
         member.address = address;
         return member;
--- a/src/main/java/myrtleladder/protocol/Alive.java
+++ b/src/main/java/myrtleladder/protocol/BalancerHeartbeat.java
@@ -1,13 +1,13 @@
 package myrtleladder.protocol;
 
 /** A heartbeat of a process to one of its monitors. */
-public final class Alive implements Message {
+public final class BalancerHeartbeat implements Message {
     /** The process. */
     public String name = "";
 
     /** Creates a message from its parts. */
-    public static Alive of(String name) {
-        Alive message = new Alive();
+    public static BalancerHeartbeat of(String name) {
+        BalancerHeartbeat message = new BalancerHeartbeat();
         message.name = name;
         return message;
     }
--- a/src/main/java/myrtleladder/protocol/KeptPrompt.java
+++ b/src/main/java/myrtleladder/protocol/CachedPrompt.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** A shared beginning of prompts that an upstream was sent and so keeps. */
-public final class KeptPrompt {
+public final class CachedPrompt {
     /** A hash of the beginning, part by part. */
     public long prompt;
 
@@ -9,8 +9,8 @@
     public int upstream;
 
     /** Creates a message from its parts. */
-    public static KeptPrompt of(long prompt, int upstream) {
-        KeptPrompt made = new KeptPrompt();
+    public static CachedPrompt of(long prompt, int upstream) {
+        CachedPrompt made = new CachedPrompt();
         made.prompt = prompt;
         made.upstream = upstream;
         return made;
--- a/src/main/java/myrtleladder/protocol/FleetLoads.java
+++ b/src/main/java/myrtleladder/protocol/FleetLoads.java
@@ -15,7 +15,7 @@
     public List<UpstreamLoad> loads = new ArrayList<>();
 
     /** Beginnings of prompts that upstreams keep, as far as they are new to the balancer. */
-    public List<KeptPrompt> prompts = new ArrayList<>();
+    public List<CachedPrompt> prompts = new ArrayList<>();
 
     /** How far the balancer knows them with this answer, within the epoch. */
     public long promptRevision;
--- a/src/main/java/myrtleladder/protocol/UnderWay.java
+++ b/src/main/java/myrtleladder/protocol/InFlightRequests.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** Requests that a balancer has under way at an upstream that leaves. */
-public final class UnderWay {
+public final class InFlightRequests {
     /** The upstream's incarnation. */
     public String instance = "";
 
@@ -9,8 +9,8 @@
     public int requests;
 
     /** Creates a message from its parts. */
-    public static UnderWay of(String instance, int requests) {
-        UnderWay made = new UnderWay();
+    public static InFlightRequests of(String instance, int requests) {
+        InFlightRequests made = new InFlightRequests();
         made.instance = instance;
         made.requests = requests;
         return made;
--- a/src/main/java/myrtleladder/protocol/Install.java
+++ b/src/main/java/myrtleladder/protocol/InstallStateRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The whole state for a member that is to be a replica of the view of this epoch. */
-public final class Install implements Message {
+public final class InstallStateRequest implements Message {
     /** The epoch. */
     public long epoch;
 
@@ -15,8 +15,9 @@
     public List<InstanceRecord> instances = new ArrayList<>();
 
     /** Creates a message from its parts. */
-    public static Install of(long epoch, Snapshot snapshot, List<InstanceRecord> instances) {
-        Install message = new Install();
+    public static InstallStateRequest of(
+            long epoch, Snapshot snapshot, List<InstanceRecord> instances) {
+        InstallStateRequest message = new InstallStateRequest();
         message.epoch = epoch;
         message.snapshot = snapshot;
         message.instances = new ArrayList<>(instances);
--- a/src/main/java/myrtleladder/protocol/LeaveReply.java
+++ b/src/main/java/myrtleladder/protocol/LeaveResponse.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
-/** The answer to a {@link Leave}. */
-public final class LeaveReply implements Message {
+/** The answer to a {@link LeaveRequest}. */
+public final class LeaveResponse implements Message {
     /** Whether neither the vote nor the copy of the member that asks is needed any more. */
     public boolean released;
 
@@ -9,8 +9,8 @@
     public View view;
 
     /** Creates a message from its parts. */
-    public static LeaveReply of(boolean released, View view) {
-        LeaveReply message = new LeaveReply();
+    public static LeaveResponse of(boolean released, View view) {
+        LeaveResponse message = new LeaveResponse();
         message.released = released;
         message.view = view;
         return message;
--- a/src/main/java/myrtleladder/protocol/LoadReport.java
+++ b/src/main/java/myrtleladder/protocol/LoadReport.java
@@ -21,7 +21,7 @@
     public List<UpstreamLoad> loads = new ArrayList<>();
 
     /** Beginnings of prompts that it sent to upstreams and has not told yet. */
-    public List<KeptPrompt> prompts = new ArrayList<>();
+    public List<CachedPrompt> prompts = new ArrayList<>();
 
     /** The epoch of the last answer. */
     public long epoch;
--- a/src/main/java/myrtleladder/protocol/MessageCodec.java
+++ b/src/main/java/myrtleladder/protocol/MessageCodec.java
@@ -13,24 +13,24 @@
     private static final List<Class<? extends Message>> TYPES =
             List.of(
                     StoredState.class,
-                    Prepare.class,
-                    Promise.class,
-                    Install.class,
-                    Accept.class,
-                    Replicate.class,
-                    Heartbeat.class,
-                    Resign.class,
-                    Acknowledge.class,
-                    Join.class,
-                    JoinReply.class,
-                    ShareInstances.class,
-                    Poll.class,
-                    PollReply.class,
-                    QuotaAsk.class,
-                    QuotaGrant.class,
-                    Alive.class,
-                    Leave.class,
-                    LeaveReply.class);
+                    PrepareRequest.class,
+                    PrepareResponse.class,
+                    InstallStateRequest.class,
+                    AcceptViewRequest.class,
+                    ReplicateRequest.class,
+                    HeartbeatRequest.class,
+                    ResignRequest.class,
+                    AcknowledgeResponse.class,
+                    JoinRequest.class,
+                    JoinResponse.class,
+                    ShareInstancesRequest.class,
+                    PollRequest.class,
+                    PollResponse.class,
+                    QuotaRequest.class,
+                    QuotaResponse.class,
+                    BalancerHeartbeat.class,
+                    LeaveRequest.class,
+                    LeaveResponse.class);
     private static final int BUFFER = 1_024;
 
     private MessageCodec() {}
--- a/src/main/java/myrtleladder/protocol/Poll.java
+++ b/src/main/java/myrtleladder/protocol/PollRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A balancer asks for all that is newer than what it has; the answer may wait for news. */
-public final class Poll implements Message {
+public final class PollRequest implements Message {
     /** The balancer's incarnation. */
     public String balancer = "";
 
@@ -36,7 +36,7 @@
     public int balancers;
 
     /** What it has under way at upstreams that leave. */
-    public List<UnderWay> underWay = new ArrayList<>();
+    public List<InFlightRequests> underWay = new ArrayList<>();
 
     /** Whether news are wanted at once, even if there are none. */
     public boolean immediate;
--- a/src/main/java/myrtleladder/protocol/PollReply.java
+++ b/src/main/java/myrtleladder/protocol/PollResponse.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The answer to a {@link Poll}. */
-public final class PollReply implements Message {
+/** The answer to a {@link PollRequest}. */
+public final class PollResponse implements Message {
     /**
      * Whether the answering node is primary; if not, only {@code members}, {@code primary} and
      * {@code epoch} are told.
@@ -42,7 +42,7 @@
     public long memberRevision;
 
     /** The balancers, empty if the asking one has them. */
-    public List<FleetMember> balancerList = new ArrayList<>();
+    public List<BalancerAddress> balancerList = new ArrayList<>();
 
     /** How many balancers there are. */
     public int balancers;
--- a/src/main/java/myrtleladder/protocol/Prepare.java
+++ b/src/main/java/myrtleladder/protocol/PrepareRequest.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** A candidate asks for the promise of an epoch, or whether it would be given. */
-public final class Prepare implements Message {
+public final class PrepareRequest implements Message {
     /** The epoch asked for. */
     public long epoch;
 
@@ -12,8 +12,8 @@
     public boolean trial;
 
     /** Creates a message from its parts. */
-    public static Prepare of(long epoch, Member candidate, boolean trial) {
-        Prepare message = new Prepare();
+    public static PrepareRequest of(long epoch, Member candidate, boolean trial) {
+        PrepareRequest message = new PrepareRequest();
         message.epoch = epoch;
         message.candidate = candidate;
         message.trial = trial;
--- a/src/main/java/myrtleladder/protocol/Promise.java
+++ b/src/main/java/myrtleladder/protocol/PrepareResponse.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The answer to a {@link Prepare}. */
-public final class Promise implements Message {
+/** The answer to a {@link PrepareRequest}. */
+public final class PrepareResponse implements Message {
     /** Whether the promise is given. */
     public boolean granted;
 
--- a/src/main/java/myrtleladder/protocol/QuotaAsk.java
+++ b/src/main/java/myrtleladder/protocol/QuotaRequest.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** A balancer asks the primary for units of a tenant's quota. */
-public final class QuotaAsk implements Message {
+public final class QuotaRequest implements Message {
     /** The tenant. */
     public String tenant = "";
 
@@ -12,8 +12,8 @@
     public LoadReport load;
 
     /** Creates a message from its parts. */
-    public static QuotaAsk of(String tenant, double units) {
-        QuotaAsk message = new QuotaAsk();
+    public static QuotaRequest of(String tenant, double units) {
+        QuotaRequest message = new QuotaRequest();
         message.tenant = tenant;
         message.units = units;
         return message;
--- a/src/main/java/myrtleladder/protocol/QuotaGrant.java
+++ b/src/main/java/myrtleladder/protocol/QuotaResponse.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
-/** The answer to a {@link QuotaAsk}. */
-public final class QuotaGrant implements Message {
+/** The answer to a {@link QuotaRequest}. */
+public final class QuotaResponse implements Message {
     /** Whether the answering node is primary. */
     public boolean valid;
 
@@ -15,8 +15,8 @@
     public FleetLoads loads;
 
     /** Creates a message from its parts. */
-    public static QuotaGrant of(boolean valid, double units, long waitMs) {
-        QuotaGrant message = new QuotaGrant();
+    public static QuotaResponse of(boolean valid, double units, long waitMs) {
+        QuotaResponse message = new QuotaResponse();
         message.valid = valid;
         message.units = units;
         message.waitMs = waitMs;
--- a/src/main/java/myrtleladder/protocol/Replicate.java
+++ b/src/main/java/myrtleladder/protocol/ReplicateRequest.java
@@ -1,7 +1,7 @@
 package myrtleladder.protocol;
 
 /** The primary gives a replica the next state. */
-public final class Replicate implements Message {
+public final class ReplicateRequest implements Message {
     /** The epoch of the primary. */
     public long epoch;
 
@@ -15,8 +15,8 @@
     public String order = "";
 
     /** Creates a message from its parts. */
-    public static Replicate of(long epoch, byte[] document, long generation, String order) {
-        Replicate message = new Replicate();
+    public static ReplicateRequest of(long epoch, byte[] document, long generation, String order) {
+        ReplicateRequest message = new ReplicateRequest();
         message.epoch = epoch;
         message.document = document;
         message.generation = generation;
--- a/src/main/java/myrtleladder/protocol/ShareInstances.java
+++ b/src/main/java/myrtleladder/protocol/ShareInstancesRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The primary gives the other control nodes what it has heard of upstreams. */
-public final class ShareInstances implements Message {
+public final class ShareInstancesRequest implements Message {
     /** The epoch of the primary. */
     public long epoch;
 
@@ -15,8 +15,9 @@
     public boolean durably;
 
     /** Creates a message from its parts. */
-    public static ShareInstances of(long epoch, List<InstanceRecord> instances, boolean durably) {
-        ShareInstances message = new ShareInstances();
+    public static ShareInstancesRequest of(
+            long epoch, List<InstanceRecord> instances, boolean durably) {
+        ShareInstancesRequest message = new ShareInstancesRequest();
         message.durably = durably;
         message.epoch = epoch;
         message.instances = new ArrayList<>(instances);
--- a/src/main/java/myrtleladder/replication/Candidacy.java
+++ b/src/main/java/myrtleladder/replication/Candidacy.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import myrtleladder.protocol.Accept;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Install;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.InstallStateRequest;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
-import myrtleladder.protocol.Prepare;
-import myrtleladder.protocol.Promise;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
 import myrtleladder.protocol.View;
 
 /**
@@ -36,7 +36,7 @@
     private final boolean baseChosen;
     private final boolean withTrial;
     private final long begunAt;
-    private final Map<Member, Promise> promises = new HashMap<>();
+    private final Map<Member, PrepareResponse> promises = new HashMap<>();
     private final Set<String> asked = new HashSet<>();
     private final Set<Member> accepted = new LinkedHashSet<>();
     private final Set<Member> installed = new LinkedHashSet<>();
@@ -116,10 +116,11 @@
             replica.peers()
                     .call(
                             member.address,
-                            Prepare.of(asking, replica.self(), trial),
+                            PrepareRequest.of(asking, replica.self(), trial),
                             ReplicaTimes.CALL,
                             answer -> {
-                                if (answer instanceof Promise promise && promise.member != null) {
+                                if (answer instanceof PrepareResponse promise
+                                        && promise.member != null) {
                                     promised(promise, trial, sentAt);
                                 } else if (asking == epoch) {
                                     asked.remove(member.address);
@@ -128,7 +129,7 @@
         }
     }
 
-    private void promised(Promise promise, boolean trial, long sentAt) {
+    private void promised(PrepareResponse promise, boolean trial, long sentAt) {
         if (step != (trial ? Step.TRIAL : Step.PREPARING)) {
             return;
         }
@@ -185,7 +186,7 @@
     /** The last view that may have committed changes, as far as those who promised know. */
     private View lastAccepted() {
         View last = replica.stored().accepted;
-        for (Promise promise : promises.values()) {
+        for (PrepareResponse promise : promises.values()) {
             if (promise.accepted != null && (last == null || promise.accepted.epoch > last.epoch)) {
                 last = promise.accepted;
             }
@@ -277,13 +278,13 @@
             replica.peers()
                     .call(
                             member.address,
-                            Install.of(epoch, replica.stored().snapshot, inherited()),
+                            InstallStateRequest.of(epoch, replica.stored().snapshot, inherited()),
                             ReplicaTimes.DISK_PATIENCE,
                             answer -> {
                                 if (step != Step.INSTALLING) {
                                     return;
                                 }
-                                if (answer instanceof Acknowledge reply
+                                if (answer instanceof AcknowledgeResponse reply
                                         && reply.taken
                                         && member.equals(reply.member)) {
                                     installed.add(member);
@@ -318,10 +319,10 @@
                 replica.peers()
                         .call(
                                 member.address,
-                                Accept.of(view),
+                                AcceptViewRequest.of(view),
                                 ReplicaTimes.CALL,
                                 answer -> {
-                                    if (answer instanceof Acknowledge reply
+                                    if (answer instanceof AcknowledgeResponse reply
                                             && reply.taken
                                             && reply.member != null) {
                                         accepted.add(reply.member);
@@ -343,7 +344,7 @@
 
     private List<InstanceRecord> inherited() {
         Map<String, InstanceRecord> latest = new LinkedHashMap<>();
-        for (Promise promise : promises.values()) {
+        for (PrepareResponse promise : promises.values()) {
             promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
         }
         replica.instances().forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
--- a/src/main/java/myrtleladder/replication/Departure.java
+++ b/src/main/java/myrtleladder/replication/Departure.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Leave;
-import myrtleladder.protocol.LeaveReply;
+import myrtleladder.protocol.LeaveRequest;
+import myrtleladder.protocol.LeaveResponse;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.View;
 
@@ -71,10 +71,10 @@
         }
         peers.call(
                 target,
-                Leave.of(self),
+                LeaveRequest.of(self),
                 ReplicaTimes.CALL,
                 answer -> {
-                    if (ended || !(answer instanceof LeaveReply reply)) {
+                    if (ended || !(answer instanceof LeaveResponse reply)) {
                         return;
                     }
                     if (reply.view != null) {
--- a/src/main/java/myrtleladder/replication/Leadership.java
+++ b/src/main/java/myrtleladder/replication/Leadership.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Heartbeat;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.ReplicateRequest;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.View;
 
@@ -254,7 +254,7 @@
                 replica.peers()
                         .call(
                                 member.address,
-                                Heartbeat.of(view),
+                                HeartbeatRequest.of(view),
                                 ReplicaTimes.CALL,
                                 answer -> heartbeatAnswered(view, sentAt, answer, heard, progress));
             }
@@ -268,7 +268,7 @@
             Set<Member> heard,
             Consumer<Set<Member>> progress) {
         boolean current = replica.state() == Replica.State.PRIMARY && replica.view() == view;
-        if (!current || !(answer instanceof Acknowledge reply) || reply.member == null) {
+        if (!current || !(answer instanceof AcknowledgeResponse reply) || reply.member == null) {
             return;
         }
         if (reply.promised > view.epoch) {
@@ -296,7 +296,7 @@
         pending = change;
         replica.saveState(
                 replica.stored().withSnapshot(next), ok -> replicated(change, ok, replica.self()));
-        Replicate message = Replicate.of(view.epoch, document, generation, order);
+        ReplicateRequest message = ReplicateRequest.of(view.epoch, document, generation, order);
         for (Member member : view.replicas) {
             if (!member.equals(replica.self())) {
                 hand(change, message, member);
@@ -304,7 +304,7 @@
         }
     }
 
-    private void hand(Pending change, Replicate message, Member member) {
+    private void hand(Pending change, ReplicateRequest message, Member member) {
         long sentAt = scheduler.now();
         replica.peers()
                 .call(
@@ -313,13 +313,13 @@
                         ReplicaTimes.DISK_PATIENCE,
                         answer -> {
                             boolean taken =
-                                    answer instanceof Acknowledge reply
+                                    answer instanceof AcknowledgeResponse reply
                                             && reply.taken
                                             && member.equals(reply.member);
                             if (taken) {
                                 contacts.answered(member, sentAt);
                             }
-                            if (answer instanceof Acknowledge reply
+                            if (answer instanceof AcknowledgeResponse reply
                                     && reply.promised > replica.epoch()) {
                                 replica.deposed(reply.promised);
                             }
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -9,15 +9,15 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.Join;
-import myrtleladder.protocol.JoinReply;
-import myrtleladder.protocol.Leave;
-import myrtleladder.protocol.LeaveReply;
+import myrtleladder.protocol.JoinRequest;
+import myrtleladder.protocol.JoinResponse;
+import myrtleladder.protocol.LeaveRequest;
+import myrtleladder.protocol.LeaveResponse;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Resign;
+import myrtleladder.protocol.ResignRequest;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
@@ -276,7 +276,11 @@
         become(State.FOLLOWER, why);
         lastHeard = scheduler.now();
         if (successor != null) {
-            peers.call(successor.address, Resign.of(known.epoch), ReplicaTimes.CALL, answer -> {});
+            peers.call(
+                    successor.address,
+                    ResignRequest.of(known.epoch),
+                    ReplicaTimes.CALL,
+                    answer -> {});
         }
     }
 
@@ -446,10 +450,10 @@
         joinTurn++;
         peers.call(
                 target,
-                Join.of(self),
+                JoinRequest.of(self),
                 ReplicaTimes.CALL,
                 answer -> {
-                    if (answer instanceof JoinReply reply && reply.view != null) {
+                    if (answer instanceof JoinResponse reply && reply.view != null) {
                         learn(reply.view);
                     }
                 });
@@ -605,21 +609,21 @@
     public boolean receive(Message message, Consumer<Message> answer) {
         if (!identityStored) {
             answer.accept(null);
-        } else if (message instanceof Resign resign) {
+        } else if (message instanceof ResignRequest resign) {
             resigned(resign, answer);
-        } else if (message instanceof Join join) {
+        } else if (message instanceof JoinRequest join) {
             joined(join, answer);
-        } else if (message instanceof Leave leave) {
+        } else if (message instanceof LeaveRequest leave) {
             boolean released = state == State.PRIMARY && leadership.leave(leave.member);
-            answer.accept(LeaveReply.of(released, known));
+            answer.accept(LeaveResponse.of(released, known));
         } else {
             return voter.receive(message, answer);
         }
         return true;
     }
 
-    private void resigned(Resign message, Consumer<Message> answer) {
-        answer.accept(Acknowledge.of(true, stored().promised, self));
+    private void resigned(ResignRequest message, Consumer<Message> answer) {
+        answer.accept(AcknowledgeResponse.of(true, stored().promised, self));
         boolean next = known != null && known.epoch == message.epoch && holdsCopy();
         if (next
                 && departure == null
@@ -629,10 +633,10 @@
         }
     }
 
-    private void joined(Join message, Consumer<Message> answer) {
+    private void joined(JoinRequest message, Consumer<Message> answer) {
         if (state == State.PRIMARY) {
             leadership.join(message.member);
         }
-        answer.accept(JoinReply.of(known));
+        answer.accept(JoinResponse.of(known));
     }
 }
--- a/src/main/java/myrtleladder/replication/Voter.java
+++ b/src/main/java/myrtleladder/replication/Voter.java
@@ -2,15 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.function.Consumer;
-import myrtleladder.protocol.Accept;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Heartbeat;
-import myrtleladder.protocol.Install;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
+import myrtleladder.protocol.InstallStateRequest;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Prepare;
-import myrtleladder.protocol.Promise;
-import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
+import myrtleladder.protocol.ReplicateRequest;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
@@ -29,15 +29,15 @@
 
     /** Answers a message of the protocol; whether it is one for a voter. */
     boolean receive(Message message, Consumer<Message> answer) {
-        if (message instanceof Prepare prepare) {
+        if (message instanceof PrepareRequest prepare) {
             prepare(prepare, answer);
-        } else if (message instanceof Install install) {
+        } else if (message instanceof InstallStateRequest install) {
             install(install, answer);
-        } else if (message instanceof Accept accept) {
+        } else if (message instanceof AcceptViewRequest accept) {
             accept(accept.view, answer);
-        } else if (message instanceof Replicate replicate) {
+        } else if (message instanceof ReplicateRequest replicate) {
             replicate(replicate, answer);
-        } else if (message instanceof Heartbeat heartbeat) {
+        } else if (message instanceof HeartbeatRequest heartbeat) {
             heartbeat(heartbeat.view, answer);
         } else {
             return false;
@@ -49,15 +49,15 @@
         return replica.stored();
     }
 
-    private Acknowledge reply(boolean taken) {
-        return Acknowledge.of(taken, stored().promised, replica.self());
+    private AcknowledgeResponse reply(boolean taken) {
+        return AcknowledgeResponse.of(taken, stored().promised, replica.self());
     }
 
     private void saveThenAcknowledge(StoredState next, Consumer<Message> answer) {
         replica.saveState(next, ok -> answer.accept(ok ? reply(true) : null));
     }
 
-    private void prepare(Prepare message, Consumer<Message> answer) {
+    private void prepare(PrepareRequest message, Consumer<Message> answer) {
         if (message.trial) {
             boolean free = message.epoch > stored().promised && !replica.hears(message.candidate);
             answer.accept(promise(free));
@@ -82,8 +82,8 @@
                 });
     }
 
-    private Promise promise(boolean granted) {
-        Promise promise = new Promise();
+    private PrepareResponse promise(boolean granted) {
+        PrepareResponse promise = new PrepareResponse();
         promise.granted = granted;
         promise.promised = stored().promised;
         promise.member = replica.self();
@@ -92,7 +92,7 @@
         return promise;
     }
 
-    private void install(Install message, Consumer<Message> answer) {
+    private void install(InstallStateRequest message, Consumer<Message> answer) {
         if (message.epoch != stored().promised) {
             answer.accept(reply(false));
             return;
@@ -113,7 +113,7 @@
         saveThenAcknowledge(stored().withAccepted(view), answer);
     }
 
-    private void replicate(Replicate message, Consumer<Message> answer) {
+    private void replicate(ReplicateRequest message, Consumer<Message> answer) {
         View accepted = stored().accepted;
         boolean current =
                 accepted != null
--- a/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
@@ -15,20 +15,20 @@
 import java.util.function.Consumer;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
-import myrtleladder.protocol.Accept;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Heartbeat;
-import myrtleladder.protocol.Install;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.InstallStateRequest;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.Prepare;
-import myrtleladder.protocol.Promise;
-import myrtleladder.protocol.Replicate;
-import myrtleladder.protocol.ShareInstances;
-import myrtleladder.protocol.UnderWay;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
+import myrtleladder.protocol.ReplicateRequest;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.View;
 import myrtleladder.replication.ManualScheduler;
 import myrtleladder.replication.Replica;
@@ -110,20 +110,20 @@
 
     private static Message reply(String to, Message message) {
         Member peer = Member.of(to, to.replace(":1", ":2"), "first-" + to);
-        if (message instanceof Prepare prepare) {
-            Promise promise = new Promise();
+        if (message instanceof PrepareRequest prepare) {
+            PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
             promise.promised = prepare.epoch;
             promise.member = peer;
             return promise;
         }
         boolean known =
-                message instanceof Accept
-                        || message instanceof Install
-                        || message instanceof Replicate
-                        || message instanceof Heartbeat
-                        || message instanceof ShareInstances;
-        return known ? Acknowledge.of(true, 0, peer) : null;
+                message instanceof AcceptViewRequest
+                        || message instanceof InstallStateRequest
+                        || message instanceof ReplicateRequest
+                        || message instanceof HeartbeatRequest
+                        || message instanceof ShareInstancesRequest;
+        return known ? AcknowledgeResponse.of(true, 0, peer) : null;
     }
 
     private Call answer(String method, String path, Headers headers, String body) {
@@ -191,10 +191,10 @@
     void theUpgradeHasTheGoldenFields() throws IOException {
         heartbeat("i1", "ready", 1);
         heartbeat("i2", "draining", 1);
-        Poll poll = new Poll();
+        PollRequest poll = new PollRequest();
         poll.balancer = "e";
         poll.address = "e:1";
-        poll.underWay.add(UnderWay.of("i2", 5));
+        poll.underWay.add(InFlightRequests.of("i2", 5));
         poll.immediate = true;
         plane.receive(poll, reply -> {});
         Call call = get("/upgrade");
@@ -308,8 +308,8 @@
         assertEquals(
                 List.of("d1aa155ffbd6e3710acd9d1e7d8fc973"),
                 sent.stream()
-                        .filter(m -> m instanceof Replicate)
-                        .map(m -> ((Replicate) m).order)
+                        .filter(m -> m instanceof ReplicateRequest)
+                        .map(m -> ((ReplicateRequest) m).order)
                         .distinct()
                         .toList());
     }
@@ -328,7 +328,9 @@
         Member self = Member.of("a:1", "a:2", "s");
         Member primary = Member.of("b:1", "b:2", "first-b:1");
         List<Member> group = List.of(self, primary);
-        plane.receive(Accept.of(View.of(9, primary, List.of(self), group, group)), reply -> {});
+        plane.receive(
+                AcceptViewRequest.of(View.of(9, primary, List.of(self), group, group)),
+                reply -> {});
         clock.run(20);
         Call call = get("/config?x=1");
         assertEquals(307, call.status);
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -12,25 +12,25 @@
 import java.util.Map;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
-import myrtleladder.protocol.Accept;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Heartbeat;
-import myrtleladder.protocol.Install;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.InstallStateRequest;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.Join;
+import myrtleladder.protocol.JoinRequest;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
-import myrtleladder.protocol.Prepare;
-import myrtleladder.protocol.Promise;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
-import myrtleladder.protocol.Replicate;
-import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
+import myrtleladder.protocol.ReplicateRequest;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.StoredState;
-import myrtleladder.protocol.UnderWay;
 import myrtleladder.replication.ManualScheduler;
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.ReplicaOptions;
@@ -115,20 +115,20 @@
 
     private Message reply(String to, Message message) {
         Member peer = Member.of(to, to.replace(":1", ":2"), "first-" + to);
-        if (message instanceof Prepare prepare) {
-            Promise promise = new Promise();
+        if (message instanceof PrepareRequest prepare) {
+            PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
             promise.promised = prepare.epoch;
             promise.member = peer;
             return promise;
         }
         boolean known =
-                message instanceof Accept
-                        || message instanceof Install
-                        || message instanceof Replicate
-                        || message instanceof Heartbeat
-                        || message instanceof ShareInstances;
-        return known ? Acknowledge.of(promisedByPeers == 0, promisedByPeers, peer) : null;
+                message instanceof AcceptViewRequest
+                        || message instanceof InstallStateRequest
+                        || message instanceof ReplicateRequest
+                        || message instanceof HeartbeatRequest
+                        || message instanceof ShareInstancesRequest;
+        return known ? AcknowledgeResponse.of(promisedByPeers == 0, promisedByPeers, peer) : null;
     }
 
     private Call order(String method, String match, String body) {
@@ -155,16 +155,16 @@
         return call;
     }
 
-    private PollReply poll(long generation, long epoch, long revision, boolean complete) {
-        Poll poll = new Poll();
+    private PollResponse poll(long generation, long epoch, long revision, boolean complete) {
+        PollRequest poll = new PollRequest();
         poll.balancer = "e";
         poll.address = "e:1";
         poll.generation = generation;
         poll.epoch = epoch;
         poll.revision = revision;
         poll.complete = complete;
-        PollReply[] reply = new PollReply[1];
-        plane.receive(poll, answer -> reply[0] = (PollReply) answer);
+        PollResponse[] reply = new PollResponse[1];
+        plane.receive(poll, answer -> reply[0] = (PollResponse) answer);
         return reply[0];
     }
 
@@ -172,7 +172,8 @@
     void aChangeIsAcknowledgedOnceItsReplicaHasItAndReadBackWhole() {
         Call put = order("PUT", "0", "{'generation':3,'services':[{'name':'s'}]}");
         assertEquals(200, put.status);
-        assertTrue(sent.stream().anyMatch(m -> m instanceof Replicate r && r.generation == 3));
+        assertTrue(
+                sent.stream().anyMatch(m -> m instanceof ReplicateRequest r && r.generation == 3));
         assertEquals(
                 "{\"generation\":3,\"services\":[{\"name\":\"s\"}]}",
                 order("GET", null, "").answer);
@@ -249,7 +250,7 @@
                 sent.stream()
                         .anyMatch(
                                 m ->
-                                        m instanceof ShareInstances s
+                                        m instanceof ShareInstancesRequest s
                                                 && s.instances.get(0).stage == Stage.DRAINING));
         peersAnswer = false;
         Call gone = new Call("DELETE", "/instances/i", null, "");
@@ -270,7 +271,9 @@
         assertEquals(200, gone.status);
         assertEquals(Stage.GONE, saved.instances.get(0).stage);
         long durably =
-                sent.stream().filter(m -> m instanceof ShareInstances s && s.durably).count();
+                sent.stream()
+                        .filter(m -> m instanceof ShareInstancesRequest s && s.durably)
+                        .count();
         assertEquals(replica.view().replicas.size() - 1, durably);
     }
 
@@ -284,7 +287,7 @@
                 sent.stream()
                         .anyMatch(
                                 m ->
-                                        m instanceof ShareInstances s
+                                        m instanceof ShareInstancesRequest s
                                                 && s.durably
                                                 && s.instances.get(0).id.equals("never-heard")
                                                 && s.instances.get(0).stage == Stage.GONE));
@@ -318,8 +321,8 @@
         }
     }
 
-    private void pollWith(UnderWay... underWay) {
-        Poll poll = new Poll();
+    private void pollWith(InFlightRequests... underWay) {
+        PollRequest poll = new PollRequest();
         poll.balancer = "e";
         poll.address = "e:1";
         poll.underWay.addAll(List.of(underWay));
@@ -334,11 +337,11 @@
         heartbeat("i3", "ready", 1);
         assertTrue(upgrade().contains("\"without_ordinal\":1"), upgrade());
         heartbeat("i1", "draining", 9);
-        pollWith(UnderWay.of("i1", 2));
+        pollWith(InFlightRequests.of("i1", 2));
         assertTrue(upgrade().contains("\"draining\":1"), upgrade());
         plane.handle(new Call("DELETE", "/instances/i1", null, ""));
         heartbeats(10, 1, "i2", "i3");
-        pollWith(UnderWay.of("i1", 2));
+        pollWith(InFlightRequests.of("i1", 2));
         assertTrue(upgrade().startsWith("{\"settled\":false"), upgrade());
         assertTrue(upgrade().contains("\"under_way\":2"), upgrade());
         pollWith();
@@ -377,17 +380,17 @@
     void aPollIsHeldUntilThereIsNewsAndHearsOfItAtOnce() {
         order("PUT", "0", "{'generation':3}");
         clock.run(4_000);
-        PollReply first = poll(0, 0, 0, false);
+        PollResponse first = poll(0, 0, 0, false);
         assertTrue(first.valid && first.complete && first.whole && first.document.length > 0);
-        Poll waiting = new Poll();
+        PollRequest waiting = new PollRequest();
         waiting.balancer = "e";
         waiting.address = "e:1";
         waiting.generation = 3;
         waiting.epoch = first.epoch;
         waiting.revision = first.revision;
         waiting.complete = true;
-        PollReply[] reply = new PollReply[1];
-        plane.receive(waiting, answer -> reply[0] = (PollReply) answer);
+        PollResponse[] reply = new PollResponse[1];
+        plane.receive(waiting, answer -> reply[0] = (PollResponse) answer);
         assertNull(reply[0]);
         heartbeat("i", "ready", 1);
         assertNotNull(reply[0]);
@@ -395,7 +398,7 @@
         assertEquals(0, reply[0].document.length);
         reply[0] = null;
         waiting.revision++;
-        plane.receive(waiting, answer -> reply[0] = (PollReply) answer);
+        plane.receive(waiting, answer -> reply[0] = (PollResponse) answer);
         clock.run(600);
         assertNotNull(reply[0]);
     }
@@ -403,13 +406,13 @@
     @Test
     void quotasPollsAndHeartbeatsAreAnsweredWhileThePrimaryChangesItsView() {
         order("PUT", "0", "{'generation':3}");
-        plane.receive(Join.of(Member.of("d:1", "d:2", "d")), answer -> {});
+        plane.receive(JoinRequest.of(Member.of("d:1", "d:2", "d")), answer -> {});
         while (replica.state() == Replica.State.PRIMARY) {
             clock.run(1);
         }
         assertEquals(Replica.State.CANDIDATE, replica.state());
-        QuotaGrant[] grant = new QuotaGrant[1];
-        plane.receive(QuotaAsk.of("t", 5), answer -> grant[0] = (QuotaGrant) answer);
+        QuotaResponse[] grant = new QuotaResponse[1];
+        plane.receive(QuotaRequest.of("t", 5), answer -> grant[0] = (QuotaResponse) answer);
         assertTrue(grant[0].valid);
         assertTrue(poll(0, 0, 0, false).valid);
         Call beat = heartbeat("i", "ready", 1);
@@ -417,7 +420,7 @@
         clock.run(100);
         peersAnswer = false;
         clock.run(2_000);
-        plane.receive(QuotaAsk.of("t", 5), answer -> grant[0] = (QuotaGrant) answer);
+        plane.receive(QuotaRequest.of("t", 5), answer -> grant[0] = (QuotaResponse) answer);
         assertFalse(grant[0].valid);
     }
 
@@ -445,8 +448,8 @@
     @Test
     void anotherNodeNamesThePrimary() {
         assertEquals(200, order("PUT", "0", "{'generation':2}").status);
-        Heartbeat other =
-                Heartbeat.of(
+        HeartbeatRequest other =
+                HeartbeatRequest.of(
                         myrtleladder.protocol.View.of(
                                 50,
                                 Member.of("b:1", "b:2", "first-b:1"),
--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -21,8 +21,8 @@
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
 
 /** Real processes of the control plane on loopback addresses, each with a folder as its disk. */
 final class ControlProcesses implements AutoCloseable {
@@ -164,12 +164,12 @@
         long end = System.nanoTime() + PATIENCE * 1_000_000;
         while (System.nanoTime() < end) {
             for (String name : names()) {
-                Poll poll = new Poll();
+                PollRequest poll = new PollRequest();
                 poll.balancer = report.balancer;
                 poll.address = report.balancer + ":1";
                 poll.immediate = true;
                 poll.load = report;
-                if (message(name, poll) instanceof PollReply reply
+                if (message(name, poll) instanceof PollResponse reply
                         && reply.valid
                         && reply.loads.known) {
                     return reply.loads;
--- a/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -8,8 +8,8 @@
 import java.net.http.HttpResponse;
 import java.nio.file.Path;
 import java.util.List;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.Test;
@@ -80,7 +80,7 @@
         report.process = 1;
         report.sequence = sequence;
         report.loads.add(UpstreamLoad.of(UPSTREAM, requests, 100 * requests));
-        report.prompts.add(KeptPrompt.of(77, UPSTREAM));
+        report.prompts.add(CachedPrompt.of(77, UPSTREAM));
         return report;
     }
 
--- a/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
+++ b/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
@@ -4,11 +4,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import myrtleladder.protocol.Acknowledge;
+import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.Member;
-import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
@@ -28,9 +28,9 @@
                         clock,
                         (to, message, timeout, answer) -> {
                             if (back[0]) {
-                                taken.addAll(((ShareInstances) message).instances);
+                                taken.addAll(((ShareInstancesRequest) message).instances);
                             }
-                            answer.accept(back[0] ? Acknowledge.of(true, 1, null) : null);
+                            answer.accept(back[0] ? AcknowledgeResponse.of(true, 1, null) : null);
                         });
         Member away = Member.of("b:1", "b:2", "store");
         handoff.keep(away, record("i", Stage.READY, 1), 1);
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -5,8 +5,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.LoadReport;
 import org.junit.jupiter.api.Test;
 
@@ -26,28 +26,28 @@
 
     @Test
     void eachIsToldOnceWhatIsNewToTheBalancer() {
-        directory.take(List.of(KeptPrompt.of(11, 1), KeptPrompt.of(12, 2)));
+        directory.take(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
         FleetLoads first = told(0);
         assertEquals(List.of(11L, 12L), prompts(first));
         assertEquals(List.of(), prompts(told(first.promptRevision)));
-        directory.take(List.of(KeptPrompt.of(13, 1)));
+        directory.take(List.of(CachedPrompt.of(13, 1)));
         assertEquals(List.of(13L), prompts(told(first.promptRevision)));
     }
 
     @Test
     void anAnnouncementThatArrivesAgainIsKeptOnce() {
-        directory.take(List.of(KeptPrompt.of(11, 1), KeptPrompt.of(12, 2)));
-        directory.take(List.of(KeptPrompt.of(11, 1)));
+        directory.take(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
+        directory.take(List.of(CachedPrompt.of(11, 1)));
         assertEquals(List.of(12L, 11L), prompts(told(0)));
-        directory.take(List.of(KeptPrompt.of(11, 3)));
+        directory.take(List.of(CachedPrompt.of(11, 3)));
         assertEquals(List.of(12L, 11L, 11L), prompts(told(0)));
     }
 
     @Test
     void longNewsAreToldInParts() {
-        List<KeptPrompt> announced = new ArrayList<>();
+        List<CachedPrompt> announced = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            announced.add(KeptPrompt.of(i, 1));
+            announced.add(CachedPrompt.of(i, 1));
         }
         directory.take(announced);
         List<Long> all = new ArrayList<>();
@@ -64,7 +64,7 @@
     @Test
     void theOldestGiveWayAndMemoryIsBounded() {
         for (int i = 0; i < 20_000; i++) {
-            directory.take(List.of(KeptPrompt.of(i, 1)));
+            directory.take(List.of(CachedPrompt.of(i, 1)));
         }
         assertEquals(20_000 - 8_192, told(0).prompts.get(0).prompt);
     }
@@ -75,7 +75,7 @@
         view.lead(0);
         LoadReport report = new LoadReport();
         report.balancer = "a";
-        report.prompts.add(KeptPrompt.of(11, 1));
+        report.prompts.add(CachedPrompt.of(11, 1));
         view.take(report, 10);
         LoadReport other = new LoadReport();
         other.balancer = "b";
--- a/src/test/java/myrtleladder/controlplane/QuotaBankTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaBankTest.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
 
 /** The quotas of all balancers together. */
@@ -30,7 +30,7 @@
         bank.use(configuration(70_000, 112_000), true, 0);
         double granted = 0;
         for (long now = 0; now < 8_000; now += 10) {
-            QuotaGrant grant = bank.grant(QuotaAsk.of("t", 17_000), now);
+            QuotaResponse grant = bank.grant(QuotaRequest.of("t", 17_000), now);
             granted += grant.units;
         }
         double allowed = (70_000 * 8 + 112_000) * 1.1 + 190_000;
@@ -42,24 +42,24 @@
     void aLargeRequestIsNotPassedOverForSmallOnes() {
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
-        assertEquals(5_000, bank.grant(QuotaAsk.of("t", 5_000), 0).units, 1_000);
-        QuotaGrant empty = bank.grant(QuotaAsk.of("t", 1), 100);
+        assertEquals(5_000, bank.grant(QuotaRequest.of("t", 5_000), 0).units, 1_000);
+        QuotaResponse empty = bank.grant(QuotaRequest.of("t", 1), 100);
         assertEquals(0, empty.units);
         assertTrue(empty.waitMs > 3_000, "waits " + empty.waitMs);
-        assertEquals(1, bank.grant(QuotaAsk.of("t", 1), 100 + empty.waitMs + 1).units);
+        assertEquals(1, bank.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).units);
     }
 
     @Test
     void aChangedQuotaKeepsItsLevelAndAnotherPrimaryBeginsLow() {
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
-        bank.grant(QuotaAsk.of("t", 3_000), 0);
+        bank.grant(QuotaRequest.of("t", 3_000), 0);
         bank.use(configuration(1_000, 9_000), false, 0);
-        assertEquals(0, bank.grant(QuotaAsk.of("t", 1), 0).units);
+        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).units);
         bank.clear();
         bank.use(configuration(1_000, 1_000), false, 0);
-        bank.grant(QuotaAsk.of("t", 400), 0);
-        assertEquals(0, bank.grant(QuotaAsk.of("t", 1), 0).units);
+        bank.grant(QuotaRequest.of("t", 400), 0);
+        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).units);
     }
 
     @Test
@@ -69,7 +69,7 @@
         bank.use(configuration(446_000, 446_000), true, 0);
         double ahead = 0;
         for (int balancer = 0; balancer < 56; balancer++) {
-            ahead += bank.grant(QuotaAsk.of("t", 1_000), 0).units - 1_000;
+            ahead += bank.grant(QuotaRequest.of("t", 1_000), 0).units - 1_000;
         }
         assertTrue(ahead <= 0.25 * 190_000 + 1, "ahead " + ahead);
         assertTrue(ahead > 0, "nothing ahead");
@@ -79,16 +79,16 @@
     void unitsThatAreGivenBackCanBeGrantedAgain() {
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
-        bank.grant(QuotaAsk.of("t", 1_000), 0);
-        assertEquals(0, bank.grant(QuotaAsk.of("t", 400), 0).units);
-        bank.grant(QuotaAsk.of("t", -700), 0);
-        assertEquals(400, bank.grant(QuotaAsk.of("t", 400), 0).units);
+        bank.grant(QuotaRequest.of("t", 1_000), 0);
+        assertEquals(0, bank.grant(QuotaRequest.of("t", 400), 0).units);
+        bank.grant(QuotaRequest.of("t", -700), 0);
+        assertEquals(400, bank.grant(QuotaRequest.of("t", 400), 0).units);
     }
 
     @Test
     void aTenantWithoutLimitIsAlwaysGranted() {
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1, 1), true, 0);
-        assertEquals(1e9, bank.grant(QuotaAsk.of("free", 1e9), 0).units);
+        assertEquals(1e9, bank.grant(QuotaRequest.of("free", 1e9), 0).units);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/Forger.java
+++ b/src/test/java/myrtleladder/controlplane/model/Forger.java
@@ -1,16 +1,16 @@
 package myrtleladder.controlplane.model;
 
 import java.util.List;
-import myrtleladder.protocol.Accept;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Heartbeat;
-import myrtleladder.protocol.Install;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
+import myrtleladder.protocol.InstallStateRequest;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Prepare;
-import myrtleladder.protocol.Promise;
-import myrtleladder.protocol.Replicate;
-import myrtleladder.protocol.ShareInstances;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
+import myrtleladder.protocol.ReplicateRequest;
+import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.View;
 
@@ -35,14 +35,16 @@
         }
         return switch (missing) {
             case COPY_BEFORE_VIEW ->
-                    message instanceof Install install ? yes(install.epoch, called) : null;
+                    message instanceof InstallStateRequest install
+                            ? yes(install.epoch, called)
+                            : null;
             case MAJORITY_OF_THE_GROUP -> vote(message, called);
             case MAJORITY_OF_THE_GROUP_BEFORE ->
                     dropped(caller, called) ? vote(message, called) : null;
             case ROUND_TRIP_BEFORE_A_READ ->
-                    message instanceof Heartbeat beat ? yes(beat.view.epoch, called) : null;
+                    message instanceof HeartbeatRequest beat ? yes(beat.view.epoch, called) : null;
             case SWAP_AT_ADMISSION ->
-                    message instanceof Heartbeat beat && !model.reaches(caller.address, to)
+                    message instanceof HeartbeatRequest beat && !model.reaches(caller.address, to)
                             ? yes(beat.view.epoch, called)
                             : null;
             default -> null;
@@ -50,18 +52,18 @@
     }
 
     private static Message vote(Message message, Member called) {
-        if (message instanceof Prepare prepare) {
-            Promise promise = new Promise();
+        if (message instanceof PrepareRequest prepare) {
+            PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
             promise.promised = prepare.epoch;
             promise.member = called;
             return promise;
         }
-        return message instanceof Accept accept ? yes(accept.view.epoch, called) : null;
+        return message instanceof AcceptViewRequest accept ? yes(accept.view.epoch, called) : null;
     }
 
-    private static Acknowledge yes(long epoch, Member member) {
-        return Acknowledge.of(true, epoch, member);
+    private static AcknowledgeResponse yes(long epoch, Member member) {
+        return AcknowledgeResponse.of(true, epoch, member);
     }
 
     /** Whether a member belongs to the group before a change of the group alone. */
@@ -73,7 +75,8 @@
     }
 
     private Member memberAt(ModelNode caller, String to, Message message) {
-        View view = message instanceof Accept accept ? accept.view : caller.replica().view();
+        View view =
+                message instanceof AcceptViewRequest accept ? accept.view : caller.replica().view();
         if (view == null) {
             return null;
         }
@@ -93,7 +96,8 @@
             raise(node, message);
         } else if (missing == Guard.DIGEST_OF_AN_ORDER) {
             forgetOrders(message);
-        } else if (missing == Guard.DURABLE_DEPARTURE && message instanceof ShareInstances share) {
+        } else if (missing == Guard.DURABLE_DEPARTURE
+                && message instanceof ShareInstancesRequest share) {
             share.durably = false;
         }
         return message;
@@ -102,23 +106,23 @@
     private static void raise(ModelNode node, Message message) {
         long promised = node.replica().epoch();
         View accepted = node.replica().view();
-        if (message instanceof Replicate replicate && accepted != null) {
+        if (message instanceof ReplicateRequest replicate && accepted != null) {
             replicate.epoch = Math.max(replicate.epoch, promised);
-        } else if (message instanceof Heartbeat beat) {
+        } else if (message instanceof HeartbeatRequest beat) {
             beat.view.epoch = Math.max(beat.view.epoch, promised);
-        } else if (message instanceof Accept accept) {
+        } else if (message instanceof AcceptViewRequest accept) {
             accept.view.epoch = Math.max(accept.view.epoch, promised);
-        } else if (message instanceof Install install) {
+        } else if (message instanceof InstallStateRequest install) {
             install.epoch = Math.max(install.epoch, promised);
-        } else if (message instanceof ShareInstances share) {
+        } else if (message instanceof ShareInstancesRequest share) {
             share.epoch = Math.max(share.epoch, promised);
         }
     }
 
     private static void forgetOrders(Message message) {
-        if (message instanceof Replicate replicate) {
+        if (message instanceof ReplicateRequest replicate) {
             replicate.order = "forgotten";
-        } else if (message instanceof Install install) {
+        } else if (message instanceof InstallStateRequest install) {
             Snapshot snapshot = install.snapshot;
             install.snapshot = Snapshot.of(snapshot.document, snapshot.generation, List.of());
         }
--- a/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import myrtleladder.configuration.Compression;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
 import myrtleladder.protocol.UpstreamLoad;
 
 /** A balancer as the control plane sees it: it polls, and never goes back. */
@@ -47,7 +47,7 @@
         if (target.isEmpty()) {
             target = nodes.get(model.random.nextInt(nodes.size())).address;
         }
-        Poll poll = new Poll();
+        PollRequest poll = new PollRequest();
         poll.balancer = name;
         poll.address = name + ":1";
         poll.epoch = epoch;
@@ -65,7 +65,7 @@
     }
 
     private void answered(long sentAt, Message message) {
-        if (!(message instanceof PollReply reply)) {
+        if (!(message instanceof PollResponse reply)) {
             target = "";
         } else if (!reply.valid || reply.epoch < epoch) {
             target = reply.primary.equals(target) ? "" : reply.primary;
@@ -86,7 +86,7 @@
         report.epoch = fleetEpoch;
         report.promptRevision = promptRevision;
         report.loads.add(UpstreamLoad.of(UPSTREAM, REQUESTS, 0));
-        report.prompts.add(KeptPrompt.of(name.hashCode(), UPSTREAM));
+        report.prompts.add(CachedPrompt.of(name.hashCode(), UPSTREAM));
         return report;
     }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    private void take(PollReply reply, long sentAt) {
+    private void take(PollResponse reply, long sentAt) {
         if (reply.loads != null) {
             takeLoads(reply.loads);
         }
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -11,8 +11,8 @@
 import myrtleladder.configuration.Compression;
 import myrtleladder.heartbeat.MembershipAgent;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Poll;
-import myrtleladder.protocol.PollReply;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -21,7 +21,7 @@
 class ControlPollerTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final List<String> asked = new ArrayList<>();
-    private final List<Poll> polls = new ArrayList<>();
+    private final List<PollRequest> polls = new ArrayList<>();
     private Consumer<Message> answer;
     private Router router;
     private ControlPoller poller;
@@ -41,7 +41,7 @@
                         clock,
                         (to, message, timeout, back) -> {
                             asked.add(to);
-                            polls.add((Poll) message);
+                            polls.add((PollRequest) message);
                             answer = back;
                         },
                         router,
@@ -52,8 +52,8 @@
         poller.start();
     }
 
-    private static PollReply reply(long epoch, long generation) {
-        PollReply reply = new PollReply();
+    private static PollResponse reply(long epoch, long generation) {
+        PollResponse reply = new PollResponse();
         reply.valid = true;
         reply.epoch = epoch;
         reply.generation = generation;
@@ -115,8 +115,8 @@
         assertTrue(List.of("a:1", "b:1").contains(last()));
     }
 
-    private static PollReply names(String primary, long epoch) {
-        PollReply reply = new PollReply();
+    private static PollResponse names(String primary, long epoch) {
+        PollResponse reply = new PollResponse();
         reply.primary = primary;
         reply.epoch = epoch;
         return reply;
@@ -162,7 +162,7 @@
 
     @Test
     void aBackupsWordLeadsToThePrimary() {
-        PollReply other = new PollReply();
+        PollResponse other = new PollResponse();
         other.primary = "c:1";
         answer.accept(other);
         clock.run(60);
--- a/src/test/java/myrtleladder/dataplane/ExchangeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ExchangeTest.java
@@ -14,7 +14,7 @@
 import myrtleladder.dataplane.ScriptedLinks.Sent;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -47,7 +47,7 @@
 
     private final ManualScheduler clock = new ManualScheduler();
     private final ScriptedLinks links = new ScriptedLinks();
-    private QuotaGrant grant = QuotaGrant.of(true, 1_000_000, 0);
+    private QuotaResponse grant = QuotaResponse.of(true, 1_000_000, 0);
     private Router router;
 
     @BeforeEach
@@ -118,7 +118,7 @@
 
     @Test
     void whatIsOverTheQuotaIsToldWhenToComeBack() {
-        grant = QuotaGrant.of(true, 0, 700);
+        grant = QuotaResponse.of(true, 0, 700);
         ScriptedClient client = request("/s/1", Names.USAGE, "1400,80");
         assertEquals(429, client.status);
         assertEquals("0.700", client.headers.get(Names.RETRY_AFTER));
--- a/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.BeforeEach;
@@ -103,7 +103,7 @@
         fleet.take(fleet.report(), answer(4, 9), NOW);
         FleetLoads old = answer(3, 50);
         old.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        old.prompts.add(KeptPrompt.of(PROMPT.subject(), upstream.key()));
+        old.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
         fleet.take(fleet.report(), old, NOW);
         assertEquals(0, upstream.others(NOW));
         assertEquals(0, upstream.memory().kept(PROMPT, NOW));
@@ -113,8 +113,8 @@
     @Test
     void beginningsThatOthersSentAreKnownToBeKept() {
         FleetLoads answer = answer(3, 7);
-        answer.prompts.add(KeptPrompt.of(PROMPT.subject(), upstream.key()));
-        answer.prompts.add(KeptPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
+        answer.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
+        answer.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
         fleet.take(fleet.report(), answer, NOW);
         assertEquals(5_000, upstream.memory().kept(PROMPT, NOW));
         assertEquals(7, fleet.report().promptRevision);
--- a/src/test/java/myrtleladder/dataplane/PlacementTest.java
+++ b/src/test/java/myrtleladder/dataplane/PlacementTest.java
@@ -12,10 +12,10 @@
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
 import myrtleladder.configuration.Service;
+import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.KeptPrompt;
 import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.Test;
 
@@ -64,7 +64,7 @@
 
     private static FleetLoads keeps(String prompt, Upstream upstream) {
         FleetLoads answer = new FleetLoads();
-        answer.prompts.add(KeptPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
+        answer.prompts.add(CachedPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
         return answer;
     }
 
@@ -176,7 +176,7 @@
         view.tell(new FleetLoads(), NOW);
         Upstream home = view.pick("a:9000,x:100", NOW);
         FleetLoads answer = new FleetLoads();
-        answer.prompts.add(KeptPrompt.of(PromptParts.parse("a:9000,x:100").subject(), 1));
+        answer.prompts.add(CachedPrompt.of(PromptParts.parse("a:9000,x:100").subject(), 1));
         answer.loads.add(UpstreamLoad.of(1, 50, 500_000));
         view.tell(answer, NOW);
         assertEquals(home, view.pick("a:9000,x:100", NOW));
--- a/src/test/java/myrtleladder/dataplane/TenantQuotasTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotasTest.java
@@ -12,8 +12,8 @@
 import myrtleladder.configuration.Json;
 import myrtleladder.configuration.Tenant;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.QuotaAsk;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
 
 /** Quotas at balancers, with a scripted primary. */
@@ -35,7 +35,7 @@
                                             + "}]}")
                                     .getBytes(StandardCharsets.UTF_8)));
     private final Tenant tenant = configuration.tenant("k");
-    private final List<QuotaAsk> asked = new ArrayList<>();
+    private final List<QuotaRequest> asked = new ArrayList<>();
     private double granted;
 
     private TenantQuotas quotas(TenantQuotas.Bank bank, long seed) {
@@ -45,11 +45,11 @@
         return quotas;
     }
 
-    private void grantAhead(QuotaAsk ask, long timeout, Consumer<Message> answer) {
+    private void grantAhead(QuotaRequest ask, long timeout, Consumer<Message> answer) {
         asked.add(ask);
         double units = ask.units < 0 ? 0 : ask.units + AHEAD;
         granted += units;
-        answer.accept(QuotaGrant.of(true, units, 0));
+        answer.accept(QuotaResponse.of(true, units, 0));
     }
 
     @Test
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -16,7 +16,7 @@
 import myrtleladder.dataplane.ScriptedLinks.Sent;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.QuotaGrant;
+import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -64,7 +64,7 @@
                             clock,
                             own,
                             new RetryBudget(0.2, 100),
-                            (ask, timeout, answer) -> answer.accept(QuotaGrant.of(true, 1e9, 0)),
+                            (ask, timeout, answer) -> answer.accept(QuotaResponse.of(true, 1e9, 0)),
                             i);
             router.use(
                     Configuration.read(Json.readObject(DOCUMENT.getBytes(StandardCharsets.UTF_8))));
--- a/src/test/java/myrtleladder/heartbeat/RingTest.java
+++ b/src/test/java/myrtleladder/heartbeat/RingTest.java
@@ -10,28 +10,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import myrtleladder.protocol.Alive;
-import myrtleladder.protocol.FleetMember;
+import myrtleladder.protocol.BalancerAddress;
+import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
 /** Who watches whom, and what a monitor hears. */
 class RingTest {
-    private static List<FleetMember> members(int count) {
-        List<FleetMember> members = new ArrayList<>();
+    private static List<BalancerAddress> members(int count) {
+        List<BalancerAddress> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            members.add(FleetMember.of("edge-" + i, "10.0.0." + i + ":7500"));
+            members.add(BalancerAddress.of("edge-" + i, "10.0.0." + i + ":7500"));
         }
         return members;
     }
 
     @Test
     void eachIsWatchedByTwoOthersWhateverTheOrderTold() {
-        List<FleetMember> members = members(20);
-        List<FleetMember> shuffled = new ArrayList<>(members);
+        List<BalancerAddress> members = members(20);
+        List<BalancerAddress> shuffled = new ArrayList<>(members);
         Collections.shuffle(shuffled, new Random(3));
         Map<String, Integer> watched = new HashMap<>();
-        for (FleetMember member : members) {
+        for (BalancerAddress member : members) {
             List<String> monitors =
                     new Ring(members).monitorsOf(member.name, 2).stream().map(m -> m.name).toList();
             assertEquals(
@@ -64,7 +64,7 @@
         clock.run(600);
         assertEquals(4, called.size());
         assertEquals(2, called.stream().distinct().count());
-        agent.heard(Alive.of("edge-1"));
+        agent.heard(BalancerHeartbeat.of("edge-1"));
         assertEquals(List.of("edge-1"), agent.alive());
         clock.run(2_100);
         assertEquals(List.of(), agent.alive());
--- a/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
+++ b/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
@@ -157,7 +157,7 @@
         assertEquals(first + 2, load.tokens);
     }
 
-    private static void assertPrompt(int first, KeptPrompt prompt) {
+    private static void assertPrompt(int first, CachedPrompt prompt) {
         assertEquals(first, prompt.prompt);
         assertEquals(first + 1, prompt.upstream);
     }
@@ -198,17 +198,17 @@
 
     @Test
     void theMessagesOfACandidacyAreReadWhole() throws IOException {
-        Prepare prepare = read("prepare");
+        PrepareRequest prepare = read("prepare");
         assertEquals(101, prepare.epoch);
         assertMember("candidate", prepare.candidate);
         assertTrue(prepare.trial);
-        Promise promise = read("promise");
+        PrepareResponse promise = read("promise");
         assertTrue(promise.granted);
         assertEquals(102, promise.promised);
         assertMember("voter", promise.member);
         assertView(98, promise.accepted);
         assertInstances(promise.instances);
-        Install install = read("install");
+        InstallStateRequest install = read("install");
         assertEquals(103, install.epoch);
         assertSnapshot(install.snapshot);
         assertInstances(install.instances);
@@ -216,15 +216,15 @@
 
     @Test
     void theMessagesOfAPrimaryAreReadWhole() throws IOException {
-        assertView(104, MessageCompatibilityTest.<Accept>read("accept").view);
-        Replicate replicate = read("replicate");
+        assertView(104, MessageCompatibilityTest.<AcceptViewRequest>read("accept").view);
+        ReplicateRequest replicate = read("replicate");
         assertEquals(105, replicate.epoch);
         assertArrayEquals(new byte[] {9, 8, 7}, replicate.document);
         assertEquals(1_005, replicate.generation);
         assertEquals("order-5", replicate.order);
-        assertView(106, MessageCompatibilityTest.<Heartbeat>read("heartbeat").view);
-        assertEquals(107, MessageCompatibilityTest.<Resign>read("resign").epoch);
-        ShareInstances share = read("share-instances");
+        assertView(106, MessageCompatibilityTest.<HeartbeatRequest>read("heartbeat").view);
+        assertEquals(107, MessageCompatibilityTest.<ResignRequest>read("resign").epoch);
+        ShareInstancesRequest share = read("share-instances");
         assertEquals(111, share.epoch);
         assertInstances(share.instances);
         assertTrue(share.durably);
@@ -232,7 +232,7 @@
 
     @Test
     void theAnswersOfAFollowerAreReadWhole() throws IOException {
-        Acknowledge acknowledge = read("acknowledge");
+        AcknowledgeResponse acknowledge = read("acknowledge");
         assertTrue(acknowledge.taken);
         assertEquals(108, acknowledge.promised);
         assertMember("follower", acknowledge.member);
@@ -240,18 +240,18 @@
 
     @Test
     void theMessagesOfAMemberThatComesOrGoesAreReadWhole() throws IOException {
-        assertMember("joiner", MessageCompatibilityTest.<Join>read("join").member);
-        assertView(110, MessageCompatibilityTest.<JoinReply>read("join-reply").view);
-        assertMember("leaver", MessageCompatibilityTest.<Leave>read("leave").member);
-        LeaveReply reply = read("leave-reply");
+        assertMember("joiner", MessageCompatibilityTest.<JoinRequest>read("join").member);
+        assertView(110, MessageCompatibilityTest.<JoinResponse>read("join-reply").view);
+        assertMember("leaver", MessageCompatibilityTest.<LeaveRequest>read("leave").member);
+        LeaveResponse reply = read("leave-reply");
         assertTrue(reply.released);
         assertView(118, reply.view);
-        assertEquals("edge-16", MessageCompatibilityTest.<Alive>read("alive").name);
+        assertEquals("edge-16", MessageCompatibilityTest.<BalancerHeartbeat>read("alive").name);
     }
 
     @Test
     void thePollOfABalancerIsReadWhole() throws IOException {
-        Poll poll = read("poll");
+        PollRequest poll = read("poll");
         assertEquals("edge-2", poll.balancer);
         assertEquals("edge-2:1", poll.address);
         assertEquals(List.of("edge-3", "edge-4"), poll.alive);
@@ -271,7 +271,7 @@
 
     @Test
     void theReplyToAPollIsReadWhole() throws IOException {
-        PollReply reply = read("poll-reply");
+        PollResponse reply = read("poll-reply");
         assertTrue(reply.valid);
         assertEquals("primary:1", reply.primary);
         assertEquals(List.of("core-1:1", "core-2:1"), reply.members);
@@ -292,11 +292,11 @@
 
     @Test
     void theMessagesOfQuotasAreReadWhole() throws IOException {
-        QuotaAsk ask = read("quota-ask");
+        QuotaRequest ask = read("quota-ask");
         assertEquals("tenant-1", ask.tenant);
         assertEquals(91.5, ask.units);
         assertReport(ask.load);
-        QuotaGrant grant = read("quota-grant");
+        QuotaResponse grant = read("quota-grant");
         assertTrue(grant.valid);
         assertEquals(92.25, grant.units);
         assertEquals(93, grant.waitMs);
@@ -306,8 +306,9 @@
     @Test
     void anInstanceWithoutFieldsHasUnknownWeightsAndNoOrdinal() throws IOException {
         // a record as an older process writes it: an id and nothing behind it
-        ShareInstances share =
-                (ShareInstances) MessageCodec.decode(HexFormat.of().parseHex("0b0807130a016914"));
+        ShareInstancesRequest share =
+                (ShareInstancesRequest)
+                        MessageCodec.decode(HexFormat.of().parseHex("0b0807130a016914"));
         InstanceRecord record = share.instances.get(0);
         assertEquals("i", record.id);
         assertEquals(-1, record.weights);
--- a/src/test/java/myrtleladder/protocol/ReportSizeTest.java
+++ b/src/test/java/myrtleladder/protocol/ReportSizeTest.java
@@ -21,7 +21,7 @@
             report.loads.add(UpstreamLoad.of(UpstreamLoad.keyOf("i-7f3a" + i), 3, 17_000));
         }
         for (int i = 0; i < prompts; i++) {
-            report.prompts.add(KeptPrompt.of(-1L - i, UpstreamLoad.keyOf("i-7f3a" + i)));
+            report.prompts.add(CachedPrompt.of(-1L - i, UpstreamLoad.keyOf("i-7f3a" + i)));
         }
         return report;
     }
@@ -38,14 +38,14 @@
     }
 
     private static int reportBytes(int loads, int prompts) {
-        Poll poll = new Poll();
+        PollRequest poll = new PollRequest();
         int without = MessageCodec.encode(poll).length;
         poll.load = report(loads, prompts);
         return MessageCodec.encode(poll).length - without;
     }
 
     private static int answerBytes(int loads, int prompts) {
-        PollReply reply = new PollReply();
+        PollResponse reply = new PollResponse();
         int without = MessageCodec.encode(reply).length;
         reply.loads = answer(loads, prompts);
         return MessageCodec.encode(reply).length - without;
@@ -66,16 +66,18 @@
 
     @Test
     void reportsAndAnswersComeThroughTheWireWhole() {
-        Poll poll = new Poll();
+        PollRequest poll = new PollRequest();
         poll.load = report(2, 1);
-        Poll decoded = (Poll) MessageCodec.decode(MessageCodec.encode(poll));
+        PollRequest decoded = (PollRequest) MessageCodec.decode(MessageCodec.encode(poll));
         assertEquals(poll.load.sequence, decoded.load.sequence);
         assertEquals(17_000, decoded.load.loads.get(1).tokens);
         assertEquals(-1L, decoded.load.prompts.get(0).prompt);
-        QuotaGrant grant = QuotaGrant.of(true, 5, 0);
+        QuotaResponse grant = QuotaResponse.of(true, 5, 0);
         grant.loads = answer(0, 0);
-        QuotaGrant idle = (QuotaGrant) MessageCodec.decode(MessageCodec.encode(grant));
+        QuotaResponse idle = (QuotaResponse) MessageCodec.decode(MessageCodec.encode(grant));
         assertTrue(idle.loads.known && idle.loads.loads.isEmpty());
-        assertEquals(null, ((Poll) MessageCodec.decode(MessageCodec.encode(new Poll()))).load);
+        assertEquals(
+                null,
+                ((PollRequest) MessageCodec.decode(MessageCodec.encode(new PollRequest()))).load);
     }
 }
--- a/src/test/java/myrtleladder/protocol/SampleMessages.java
+++ b/src/test/java/myrtleladder/protocol/SampleMessages.java
@@ -13,24 +13,24 @@
     static Map<String, Message> filled() {
         Map<String, Message> all = new LinkedHashMap<>();
         all.put("stored-state", storedState());
-        all.put("prepare", Prepare.of(101, member("candidate"), true));
+        all.put("prepare", PrepareRequest.of(101, member("candidate"), true));
         all.put("promise", promise());
-        all.put("install", Install.of(103, snapshot(), instances()));
-        all.put("accept", Accept.of(view(104)));
-        all.put("replicate", Replicate.of(105, new byte[] {9, 8, 7}, 1_005, "order-5"));
-        all.put("heartbeat", Heartbeat.of(view(106)));
-        all.put("resign", Resign.of(107));
-        all.put("acknowledge", Acknowledge.of(true, 108, member("follower")));
-        all.put("join", Join.of(member("joiner")));
-        all.put("join-reply", JoinReply.of(view(110)));
-        all.put("share-instances", ShareInstances.of(111, instances(), true));
+        all.put("install", InstallStateRequest.of(103, snapshot(), instances()));
+        all.put("accept", AcceptViewRequest.of(view(104)));
+        all.put("replicate", ReplicateRequest.of(105, new byte[] {9, 8, 7}, 1_005, "order-5"));
+        all.put("heartbeat", HeartbeatRequest.of(view(106)));
+        all.put("resign", ResignRequest.of(107));
+        all.put("acknowledge", AcknowledgeResponse.of(true, 108, member("follower")));
+        all.put("join", JoinRequest.of(member("joiner")));
+        all.put("join-reply", JoinResponse.of(view(110)));
+        all.put("share-instances", ShareInstancesRequest.of(111, instances(), true));
         all.put("poll", poll());
         all.put("poll-reply", pollReply());
         all.put("quota-ask", quotaAsk());
         all.put("quota-grant", quotaGrant());
-        all.put("alive", Alive.of("edge-16"));
-        all.put("leave", Leave.of(member("leaver")));
-        all.put("leave-reply", LeaveReply.of(true, view(118)));
+        all.put("alive", BalancerHeartbeat.of("edge-16"));
+        all.put("leave", LeaveRequest.of(member("leaver")));
+        all.put("leave-reply", LeaveResponse.of(true, view(118)));
         return all;
     }
 
@@ -38,24 +38,24 @@
     static Map<String, Message> defaults() {
         Map<String, Message> all = new LinkedHashMap<>();
         all.put("stored-state", new StoredState());
-        all.put("prepare", new Prepare());
-        all.put("promise", new Promise());
-        all.put("install", new Install());
-        all.put("accept", new Accept());
-        all.put("replicate", new Replicate());
-        all.put("heartbeat", new Heartbeat());
-        all.put("resign", new Resign());
-        all.put("acknowledge", new Acknowledge());
-        all.put("join", new Join());
-        all.put("join-reply", new JoinReply());
-        all.put("share-instances", new ShareInstances());
-        all.put("poll", new Poll());
-        all.put("poll-reply", new PollReply());
-        all.put("quota-ask", new QuotaAsk());
-        all.put("quota-grant", new QuotaGrant());
-        all.put("alive", new Alive());
-        all.put("leave", new Leave());
-        all.put("leave-reply", new LeaveReply());
+        all.put("prepare", new PrepareRequest());
+        all.put("promise", new PrepareResponse());
+        all.put("install", new InstallStateRequest());
+        all.put("accept", new AcceptViewRequest());
+        all.put("replicate", new ReplicateRequest());
+        all.put("heartbeat", new HeartbeatRequest());
+        all.put("resign", new ResignRequest());
+        all.put("acknowledge", new AcknowledgeResponse());
+        all.put("join", new JoinRequest());
+        all.put("join-reply", new JoinResponse());
+        all.put("share-instances", new ShareInstancesRequest());
+        all.put("poll", new PollRequest());
+        all.put("poll-reply", new PollResponse());
+        all.put("quota-ask", new QuotaRequest());
+        all.put("quota-grant", new QuotaResponse());
+        all.put("alive", new BalancerHeartbeat());
+        all.put("leave", new LeaveRequest());
+        all.put("leave-reply", new LeaveResponse());
         return all;
     }
 
@@ -103,8 +103,8 @@
         return StoredState.of("store-own", 100, view(99), snapshot()).withInstances(instances());
     }
 
-    private static Promise promise() {
-        Promise promise = new Promise();
+    private static PrepareResponse promise() {
+        PrepareResponse promise = new PrepareResponse();
         promise.granted = true;
         promise.promised = 102;
         promise.member = member("voter");
@@ -120,7 +120,7 @@
         report.sequence = 42;
         report.loads.add(UpstreamLoad.of(43, 44, 45));
         report.loads.add(UpstreamLoad.of(46, 47, 48));
-        report.prompts.add(KeptPrompt.of(49, 50));
+        report.prompts.add(CachedPrompt.of(49, 50));
         report.epoch = 51;
         report.promptRevision = 52;
         return report;
@@ -131,14 +131,14 @@
         loads.epoch = 61;
         loads.known = true;
         loads.loads.add(UpstreamLoad.of(62, 63, 64));
-        loads.prompts.add(KeptPrompt.of(65, 66));
-        loads.prompts.add(KeptPrompt.of(67, 68));
+        loads.prompts.add(CachedPrompt.of(65, 66));
+        loads.prompts.add(CachedPrompt.of(67, 68));
         loads.promptRevision = 69;
         return loads;
     }
 
-    private static Poll poll() {
-        Poll poll = new Poll();
+    private static PollRequest poll() {
+        PollRequest poll = new PollRequest();
         poll.balancer = "edge-2";
         poll.address = "edge-2:1";
         poll.alive.add("edge-3");
@@ -150,14 +150,14 @@
         poll.revision = 74;
         poll.complete = true;
         poll.balancers = 75;
-        poll.underWay.add(UnderWay.of("i-draining", 76));
+        poll.underWay.add(InFlightRequests.of("i-draining", 76));
         poll.immediate = true;
         poll.load = report();
         return poll;
     }
 
-    private static PollReply pollReply() {
-        PollReply reply = new PollReply();
+    private static PollResponse pollReply() {
+        PollResponse reply = new PollResponse();
         reply.valid = true;
         reply.primary = "primary:1";
         reply.members.add("core-1:1");
@@ -170,20 +170,20 @@
         reply.complete = true;
         reply.instances.addAll(instances());
         reply.memberRevision = 84;
-        reply.balancerList.add(FleetMember.of("edge-5", "edge-5:1"));
+        reply.balancerList.add(BalancerAddress.of("edge-5", "edge-5:1"));
         reply.balancers = 85;
         reply.loads = loads();
         return reply;
     }
 
-    private static QuotaAsk quotaAsk() {
-        QuotaAsk ask = QuotaAsk.of("tenant-1", 91.5);
+    private static QuotaRequest quotaAsk() {
+        QuotaRequest ask = QuotaRequest.of("tenant-1", 91.5);
         ask.load = report();
         return ask;
     }
 
-    private static QuotaGrant quotaGrant() {
-        QuotaGrant grant = QuotaGrant.of(true, 92.25, 93);
+    private static QuotaResponse quotaGrant() {
+        QuotaResponse grant = QuotaResponse.of(true, 92.25, 93);
         grant.loads = loads();
         return grant;
     }
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -7,14 +7,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import myrtleladder.protocol.Accept;
-import myrtleladder.protocol.Acknowledge;
-import myrtleladder.protocol.Heartbeat;
-import myrtleladder.protocol.Install;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
+import myrtleladder.protocol.InstallStateRequest;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.Prepare;
-import myrtleladder.protocol.Replicate;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.ReplicateRequest;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.View;
 import myrtleladder.replication.VirtualCluster.Node;
@@ -170,7 +170,7 @@
         acknowledge(cluster);
         Node witness = cluster.node(2);
         witness.replica.receive(
-                myrtleladder.protocol.Prepare.of(40, cluster.node(1).replica.self(), false),
+                myrtleladder.protocol.PrepareRequest.of(40, cluster.node(1).replica.self(), false),
                 a -> {});
         cluster.clock.run(100);
         cluster.node(0).kill();
@@ -197,20 +197,22 @@
         Member other = primary.view().replicas.get(1);
         Replica backup = cluster.nodes.get(other.address).replica;
         View view = primary.view();
-        backup.receive(Prepare.of(view.epoch + 7, Member.of("z:1", "z:2", "z"), false), a -> {});
+        backup.receive(
+                PrepareRequest.of(view.epoch + 7, Member.of("z:1", "z:2", "z"), false), a -> {});
         Snapshot before = backup.snapshot();
         View accepted = backup.view();
         List<Message> late =
                 List.of(
-                        Replicate.of(view.epoch, new byte[] {9}, 99, "late"),
-                        Install.of(
+                        ReplicateRequest.of(view.epoch, new byte[] {9}, 99, "late"),
+                        InstallStateRequest.of(
                                 view.epoch, Snapshot.of(new byte[] {9}, 99, List.of()), List.of()),
-                        Accept.of(View.of(view.epoch, other, view.group, view.group, view.group)),
-                        Heartbeat.of(view));
+                        AcceptViewRequest.of(
+                                View.of(view.epoch, other, view.group, view.group, view.group)),
+                        HeartbeatRequest.of(view));
         for (Message message : late) {
             Message[] answer = new Message[1];
             backup.receive(message, a -> answer[0] = a);
-            Acknowledge refusal = (Acknowledge) answer[0];
+            AcknowledgeResponse refusal = (AcknowledgeResponse) answer[0];
             assertEquals(false, refusal.taken, message.toString());
             assertEquals(view.epoch + 7, refusal.promised);
         }
