--- a/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
@@ -1,9 +1,5 @@
 package myrtleladder.loadbalancer.policy;
 
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
-import myrtleladder.loadbalancer.policy.Balancer.Tenant;
-
 /** Checks settings before a module is built on them; it decides nothing. */
 public final class SettingsCheck {
     private SettingsCheck() {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/Balance.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -1,4 +1,4 @@
-package myrtleladder.loadbalancer.policy; // the interface of this module is in Balancer.java
+package myrtleladder.loadbalancer.policy; // the interface of this module is in LoadBalancer.java
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -17,7 +17,7 @@
  * (in-flight + 1))^bias. What goes beyond that is a factor on the weight or a filter before the
  * pick, and says what it guards against.
  */
-public final class Balance implements Balancer {
+public final class UtilisationLoadBalancer implements LoadBalancer {
 
     // ---- Settings and tunables
     // -----------------------------------------------------------------------
@@ -134,7 +134,7 @@
     private double askTook = FIRST_ASK, hedgeTokens = HEDGE_SAVED;
 
     /** Creates an instance; bad settings are refused with the field's name. */
-    public Balance(Settings settings, long seed, Actions out) {
+    public UtilisationLoadBalancer(Settings settings, long seed, Actions out) {
         SettingsCheck.check(settings);
         this.settings = settings;
         this.out = out;
@@ -279,7 +279,7 @@
             byId.keySet().retainAll(entries.stream().map(Upstream::id).toList());
         }
         entries.forEach(e -> apply(now, e));
-        byId.values().removeIf(u -> u.entry.state() != State.READY);
+        byId.values().removeIf(u -> u.entry.state() != Upstream.State.READY);
         ups.clear();
         ups.addAll(byId.values());
         ups.sort(Comparator.comparingLong(u -> u.rank));
--- a/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Load-balancing decisions for proxies: {@link myrtleladder.loadbalancer.policy.Balancer} is the
- * interface.
+ * Load-balancing decisions for proxies: {@link myrtleladder.loadbalancer.policy.LoadBalancer} is
+ * the interface.
  */
 package myrtleladder.loadbalancer.policy;
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientServer.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -26,7 +26,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Request;
 
 /**
  * One client connection: its requests are handled one after another, and answered in their order.
--- a/src/main/java/myrtleladder/loadbalancer/server/Counts.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Counts.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
  * What a balancer has done since its start: plain numbers, written and read on its event loop
--- a/src/main/java/myrtleladder/loadbalancer/server/Discovery.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Discovery.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.error.OperatorError.BadList;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.ListKind;
 
 /**
  * Follows the list of upstreams: one watch, kept open from the version known, and single lists if
--- a/src/main/java/myrtleladder/loadbalancer/server/Driver.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Driver.java
@@ -24,22 +24,25 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balance;
-import myrtleladder.loadbalancer.policy.Balancer;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.Limits;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Limits;
+import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
+import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.Outcome;
+import myrtleladder.loadbalancer.policy.Reports;
+import myrtleladder.loadbalancer.policy.Request;
+import myrtleladder.loadbalancer.policy.RequestClass;
+import myrtleladder.loadbalancer.policy.Upstream;
+import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
  * Owns the decision module and does for it on sockets what the simulator did: clock, timers,
  * attempts and their ends. Everything happens on the one event loop.
  */
-final class Driver implements Balancer.Actions, Sending {
+final class Driver implements LoadBalancer.Actions, Sending {
     static final String TIME_LEFT = "X-Time-Left-Ms";
     private static final System.Logger LOG = System.getLogger(Driver.class.getName());
     private static final String LOAD = "/load";
@@ -67,7 +70,7 @@
     private final Limits limits;
     private final String host;
     private final Upstreams upstreams;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final Map<String, Open> open = new HashMap<>();
     private final Deque<Runnable> events = new ArrayDeque<>();
     private final Counts counts = new Counts();
@@ -101,7 +104,7 @@
         this.limits = facts.settings().limits();
         this.host = config.listen().getHostString();
         this.upstreams = upstreams;
-        this.balancer = new Balance(facts.settings(), config.seed(), this);
+        this.balancer = new UtilisationLoadBalancer(facts.settings(), config.seed(), this);
     }
 
     /** Where the one final answer of a request goes. */
@@ -235,7 +238,7 @@
             listed.clear();
         }
         for (ServerList.Entry e : told.entries()) {
-            if (e.state() == Balancer.State.GONE) {
+            if (e.state() == Upstream.State.GONE) {
                 listed.remove(e.id());
                 returned.remove(e.id());
             } else {
@@ -258,14 +261,14 @@
      * counts.
      */
     private ServerList.Entry seen(ServerList.Entry e) {
-        boolean away = e.state() == Balancer.State.READY && aside.contains(e.id());
+        boolean away = e.state() == Upstream.State.READY && aside.contains(e.id());
         return new ServerList.Entry(
                 e.id(),
                 e.addr(),
                 e.zone(),
                 e.kind(),
                 e.cell(),
-                away ? Balancer.State.DRAINING : e.state(),
+                away ? Upstream.State.DRAINING : e.state(),
                 e.weight(),
                 Math.max(e.startedMs(), returned.getOrDefault(e.id(), 0L)));
     }
@@ -324,7 +327,7 @@
                                         e.zone(),
                                         e.kind(),
                                         e.cell(),
-                                        e.state() == Balancer.State.READY))
+                                        e.state() == Upstream.State.READY))
                 .toList();
     }
 
@@ -503,7 +506,7 @@
     /** Until when this attempt may begin, as a repeat of an earlier one that may have run. */
     private long repeatableUntil(Open o, int number) {
         RequestClass requestClass = facts.settings().classes().get(o.request.classIndex());
-        if (requestClass.effect() != Balancer.Effect.KEYED) {
+        if (requestClass.effect() != Effect.KEYED) {
             return Long.MAX_VALUE;
         }
         return o.attempts.subList(0, number).stream()
@@ -636,7 +639,7 @@
      * moved, unseen.
      */
     private LoadReport load(String text) {
-        if (text == null || text.isBlank() || facts.settings().reports() == Balancer.Reports.NONE) {
+        if (text == null || text.isBlank() || facts.settings().reports() == Reports.NONE) {
             return null;
         }
         double[] r = new double[SettingsReader.REPORTED.size()];
--- a/src/main/java/myrtleladder/loadbalancer/server/Rehearsal.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Rehearsal.java
@@ -25,8 +25,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
  * Serves requests of its own, in memory, before the first client may come. Code that has never run
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestReader.java
@@ -6,9 +6,9 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Request;
+import myrtleladder.loadbalancer.policy.RequestClass;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads a client's request from its HTTP message, as the settings name classes and tenants. */
--- a/src/main/java/myrtleladder/loadbalancer/server/ServerList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ServerList.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** A list of upstreams, or changes of it, in discovery's form. */
--- a/src/main/java/myrtleladder/loadbalancer/server/Upstreams.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Upstreams.java
@@ -25,8 +25,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Outcome;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
  * The connections to upstreams, and the attempts on them. A connection carries one request at a
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.Limits;
-import myrtleladder.loadbalancer.policy.Balancer.Prices;
-import myrtleladder.loadbalancer.policy.Balancer.Ratings;
-import myrtleladder.loadbalancer.policy.Balancer.Reports;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.loadbalancer.policy.Balancer.RuleFigures;
-import myrtleladder.loadbalancer.policy.Balancer.Scope;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
-import myrtleladder.loadbalancer.policy.Balancer.Tenant;
+import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Limits;
+import myrtleladder.loadbalancer.policy.Prices;
+import myrtleladder.loadbalancer.policy.Ratings;
+import myrtleladder.loadbalancer.policy.Reports;
+import myrtleladder.loadbalancer.policy.RequestClass;
+import myrtleladder.loadbalancer.policy.RuleFigures;
+import myrtleladder.loadbalancer.policy.Scope;
+import myrtleladder.loadbalancer.policy.Settings;
+import myrtleladder.loadbalancer.policy.Tenant;
 
 /** Reads the settings that an instance is created with. Keys it does not know are skipped. */
 public final class SettingsReader {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Batches.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Batches.java
@@ -14,14 +14,14 @@
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.AttemptEnd;
+import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.Outcome;
+import myrtleladder.loadbalancer.policy.Request;
+import myrtleladder.loadbalancer.policy.Settings;
+import myrtleladder.loadbalancer.policy.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads one batch at a time and hands its events to the instances. */
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
@@ -4,23 +4,25 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balance;
-import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
+import myrtleladder.loadbalancer.policy.Settings;
+import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
 final class Desk {
-    private final Map<Integer, Balancer> instances = new HashMap<>();
+    private final Map<Integer, LoadBalancer> instances = new HashMap<>();
     private final Replies replies;
 
     Desk(Replies replies) {
         this.replies = replies;
     }
 
-    void create(int who, long now, long seed, Balancer.Settings settings) {
+    void create(int who, long now, long seed, Settings settings) {
         guarded(
                 who,
                 () -> {
-                    Balancer balancer = new Balance(settings, seed, replies.forInstance(who));
+                    LoadBalancer balancer =
+                            new UtilisationLoadBalancer(settings, seed, replies.forInstance(who));
                     instances.put(who, balancer);
                     balancer.start(now);
                 });
@@ -30,8 +32,8 @@
         instances.remove(who);
     }
 
-    void tell(int who, Consumer<Balancer> event) throws BadInput {
-        Balancer balancer = instances.get(who);
+    void tell(int who, Consumer<LoadBalancer> event) throws BadInput {
+        LoadBalancer balancer = instances.get(who);
         if (balancer == null) {
             throw new BadInput("an event for instance " + who + ", which does not exist");
         }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Replies.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Replies.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.util.HexFormat;
-import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
 
 /** Writes the actions of all instances into one reply. */
 final class Replies {
@@ -30,7 +30,7 @@
         return bytes;
     }
 
-    Balancer.Actions forInstance(int who) {
+    LoadBalancer.Actions forInstance(int who) {
         return new Writer(who);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** The sink of one instance. */
-    private final class Writer implements Balancer.Actions {
+    private final class Writer implements LoadBalancer.Actions {
         private final int who;
 
         Writer(int who) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
@@ -10,23 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.Limits;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Prices;
-import myrtleladder.loadbalancer.policy.Balancer.Ratings;
-import myrtleladder.loadbalancer.policy.Balancer.Reports;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.loadbalancer.policy.Balancer.RuleFigures;
-import myrtleladder.loadbalancer.policy.Balancer.Scope;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Tenant;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
  * A group of balancers before simulated upstreams, wholly determined by a variant of the settings
@@ -92,14 +76,14 @@
     }
 
     /** One balancer of the group with what it has been asked to do. */
-    private final class Instance implements Balancer.Actions {
+    private final class Instance implements LoadBalancer.Actions {
         final int position;
         final Map<String, Integer> attempts = new HashMap<>();
         final Set<String> outstanding = new HashSet<>();
         final Map<String, String> where = new HashMap<>();
         final Map<String, Long> sentAt = new HashMap<>();
         final Map<String, Request> open = new HashMap<>();
-        Balancer balancer;
+        LoadBalancer balancer;
 
         Instance(int position) {
             this.position = position;
@@ -320,7 +304,7 @@
             Instance instance = new Instance(i);
             group.add(instance);
             instance.balancer =
-                    new Balance(
+                    new UtilisationLoadBalancer(
                             settings(i, STATED.getOrDefault(variant, balancers)),
                             seed * 31 + i,
                             instance);
--- a/src/test/java/myrtleladder/loadbalancer/policy/Host.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/Host.java
@@ -5,26 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.Limits;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Prices;
-import myrtleladder.loadbalancer.policy.Balancer.Ratings;
-import myrtleladder.loadbalancer.policy.Balancer.Reports;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.loadbalancer.policy.Balancer.RuleFigures;
-import myrtleladder.loadbalancer.policy.Balancer.Scope;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Tenant;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /** A host for one module in tests: keeps its clock and timers, and all that it did. */
-class Host implements Balancer.Actions {
+class Host implements LoadBalancer.Actions {
     static final long SECOND = 1_000_000;
     static final long MILLI = 1_000;
 
@@ -43,7 +27,7 @@
                     (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
     private long timerCount;
     private int requestCount;
-    Balancer balancer;
+    LoadBalancer balancer;
     RuleChecker checker;
 
     private record Timer(long at, long n, String token) {}
@@ -123,7 +107,7 @@
 
     static Host of(Config config, long seed) {
         Host host = new Host();
-        host.balancer = new Balance(config.settings(), seed, host);
+        host.balancer = new UtilisationLoadBalancer(config.settings(), seed, host);
         host.balancer.start(host.now);
         return host;
     }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -6,15 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.loadbalancer.policy.Balancer.Scope;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
  * The four rules, judged from outside on what was told and what was done; it shares no code with
--- a/src/test/java/myrtleladder/loadbalancer/policy/BalanceCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
@@ -6,12 +6,7 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
@@ -20,7 +15,7 @@
  * 6,300.
  */
 @Tag("long")
-class BalanceCapacityTest {
+class UtilisationLoadBalancerCapacityTest {
     private static final int[] UPSTREAMS = {100, 400, 1_600, 6_300};
     private static final int BALANCERS = 440;
     private static final int WARM_UP = 20_000;
@@ -35,7 +30,7 @@
         int requests;
 
         Sent(Config config) {
-            balancer = new Balance(config.settings(), 1, this);
+            balancer = new UtilisationLoadBalancer(config.settings(), 1, this);
             balancer.start(now);
         }
 
--- a/src/test/java/myrtleladder/loadbalancer/policy/BalanceTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerTest.java
@@ -15,21 +15,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Ratings;
-import myrtleladder.loadbalancer.policy.Balancer.Reports;
-import myrtleladder.loadbalancer.policy.Balancer.Scope;
-import myrtleladder.loadbalancer.policy.Balancer.State;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Each rule and each departure of the module, acting and not acting. */
-class BalanceTest {
+class UtilisationLoadBalancerTest {
     /** The module looks at what is due so often when it holds nothing. */
     private static final long SWEEP = 75 * Host.MILLI;
 
@@ -562,7 +555,7 @@
             }
             h.refused.clear();
             h.balancer.request(
-                    h.now, new Balancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
+                    h.now, new Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
             h.advance(100 * MILLI);
             assertEquals(retry, h.refused.contains("again"));
         }
@@ -571,7 +564,7 @@
     @Test
     void whatLiesBeyondATenantsShareLosesItsPlace() {
         for (double allowance : new double[] {0, 1}) {
-            config.tenants = List.of(new Balancer.Tenant(allowance, 1));
+            config.tenants = List.of(new Tenant(allowance, 1));
             Host h = Host.of(config);
             String first = h.request(0, 2 * SECOND);
             String second = h.request(0, 2 * SECOND);
@@ -1126,7 +1119,7 @@
         h.balancer.peerMessage(h.now, 1, new byte[0]);
         h.balancer.outcome(
                 h.now,
-                new Balancer.AttemptEnd(
+                new AttemptEnd(
                         "never", 0, "u0", Outcome.OK, 1, true, new LoadReport(1, 1, 1, 1, 1, 1)));
         assertTrue(h.done.isEmpty(), h.done.toString());
     }
--- a/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
@@ -117,7 +117,7 @@
     void everyActionIsWritten() throws Exception {
         Replies replies = new Replies();
         replies.begin();
-        myrtleladder.loadbalancer.policy.Balancer.Actions a = replies.forInstance(4);
+        myrtleladder.loadbalancer.policy.LoadBalancer.Actions a = replies.forInstance(4);
         a.send("r", "u", 80_000);
         a.refuse("r", 1_500_000);
         a.fail("r");
