--- a/src/main/java/myrtleladder/dataplane/Placement.java
+++ b/src/main/java/myrtleladder/dataplane/Placement.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.configuration.Service;
-import myrtleladder.loadbalancer.policy.Reweighting;
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
+import myrtleladder.loadbalancer.policy.UtilisationWeights;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
@@ -32,7 +32,7 @@
     private final UpstreamDirectory directory;
     private final UpstreamLinks connections;
     private final FleetKnowledge fleet;
-    private final Map<String, WeightedSchedule> schedules = new HashMap<>();
+    private final Map<String, EarliestDeadlineFirstScheduler> schedules = new HashMap<>();
     private final ReadingSpeed speed = new ReadingSpeed();
     private int balancers = 1;
 
@@ -66,7 +66,7 @@
     void reweight(long now) {
         for (List<Upstream> upstreams : directory.byService().values()) {
             upstreams.forEach(u -> u.derive(now, speed.msPerToken()));
-            Reweighting.period(upstreams);
+            UtilisationWeights.update(upstreams);
         }
     }
 
@@ -128,10 +128,12 @@
         return Math.max(2, (int) (0.9 * service.maxConnections() / balancers));
     }
 
-    private WeightedSchedule schedule(Service service) {
+    private EarliestDeadlineFirstScheduler schedule(Service service) {
         return schedules.computeIfAbsent(
                 service.name(),
-                s -> new WeightedSchedule(service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
+                s ->
+                        new EarliestDeadlineFirstScheduler(
+                                service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
     }
 
     private Pick pickPlain(Service service, List<Upstream> open, long now) {
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -3,14 +3,14 @@
 import java.util.HashSet;
 import java.util.Set;
 import myrtleladder.configuration.Service;
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * An incarnation of an upstream as this balancer sees it: what is under way there and how it does.
  */
-final class Upstream extends WeightedSchedule.Candidate {
+final class Upstream extends EarliestDeadlineFirstScheduler.Candidate {
     private static final long REPORT_FRESH = 3_000;
     private static final long FIRST_EJECTION = 700;
     private static final long LONGEST_EJECTION = 6_000;
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -164,7 +164,7 @@
         this.classAnswers = new long[settings.classes().size()];
     }
 
-    private static final class Up extends Reweighting.Weighed {
+    private static final class Up extends UtilisationWeights.Weighted {
         final String id;
         final int hash;
         final long rank;
@@ -309,7 +309,7 @@
         up.entry = e;
     }
 
-    // ---- Reweighting
+    // ---- UtilisationWeights
     // ---------------------------------------------------------------------------------
 
     private void reweight(long now) {
@@ -322,7 +322,7 @@
                             : Math.max(0, Math.min(1, up.report.utilisation()));
         }
         unitTook = units / Math.max(1, ups.size());
-        Reweighting.period(ups);
+        UtilisationWeights.update(ups);
     }
 
     private double rating(Up up) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/WeightedScheduleTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstSchedulerTest.java
@@ -12,8 +12,8 @@
  * Weights follow utilisation by its distance from the mean; picks follow weight / (in-flight +
  * 1)^bias.
  */
-class WeightedScheduleTest {
-    private static final class Up extends WeightedSchedule.Candidate {
+class EarliestDeadlineFirstSchedulerTest {
+    private static final class Up extends EarliestDeadlineFirstScheduler.Candidate {
         double inFlight;
         int picks;
 
@@ -31,7 +31,7 @@
         return ups;
     }
 
-    private static void pick(WeightedSchedule schedule, List<Up> ups, int times) {
+    private static void pick(EarliestDeadlineFirstScheduler schedule, List<Up> ups, int times) {
         for (int i = 0; i < times; i++) {
             schedule.pick(ups).picks++;
         }
@@ -43,7 +43,7 @@
         ups.get(0).utilisation = 0.2;
         ups.get(1).utilisation = 0.5;
         ups.get(2).utilisation = 0.8;
-        Reweighting.period(ups);
+        UtilisationWeights.update(ups);
         assertEquals(Math.exp(0.3), ups.get(0).weight, 1e-9);
         assertEquals(1, ups.get(1).weight, 1e-9);
         assertEquals(Math.exp(-0.3), ups.get(2).weight, 1e-9);
@@ -55,7 +55,7 @@
         ups.get(0).utilisation = 0.1;
         ups.get(1).utilisation = 0.3;
         ups.get(2).logWeight = 5;
-        Reweighting.period(ups);
+        UtilisationWeights.update(ups);
         assertEquals(1, ups.get(2).weight, 1e-9);
     }
 
@@ -63,7 +63,7 @@
     void withoutAnyFreshFigureWeightsForgetSlowly() {
         List<Up> ups = ups(2);
         ups.get(0).logWeight = 1;
-        Reweighting.period(ups);
+        UtilisationWeights.update(ups);
         assertEquals(0.98, ups.get(0).logWeight, 1e-9);
     }
 
@@ -73,7 +73,7 @@
         ups.get(0).utilisation = 0;
         ups.get(1).utilisation = 1;
         for (int i = 0; i < 1_000; i++) {
-            Reweighting.period(ups);
+            UtilisationWeights.update(ups);
         }
         assertEquals(6, ups.get(0).logWeight, 1e-9);
         assertEquals(-6, ups.get(1).logWeight, 1e-9);
@@ -85,7 +85,7 @@
         ups.get(0).weight = 3;
         ups.get(1).weight = 2;
         ups.get(2).weight = 1;
-        pick(new WeightedSchedule(1), ups, 600);
+        pick(new EarliestDeadlineFirstScheduler(1), ups, 600);
         assertEquals(300, ups.get(0).picks, 3);
         assertEquals(200, ups.get(1).picks, 3);
         assertEquals(100, ups.get(2).picks, 3);
@@ -96,7 +96,7 @@
         for (int bias = 1; bias <= 2; bias++) {
             List<Up> ups = ups(2);
             ups.get(1).inFlight = 1;
-            pick(new WeightedSchedule(bias), ups, 1_000);
+            pick(new EarliestDeadlineFirstScheduler(bias), ups, 1_000);
             double ratio = (double) ups.get(0).picks / ups.get(1).picks;
             assertEquals(Math.pow(2, bias), ratio, 0.1);
         }
@@ -104,7 +104,7 @@
 
     @Test
     void oneThatComesLaterIsNotOwedThePast() {
-        WeightedSchedule schedule = new WeightedSchedule(1);
+        EarliestDeadlineFirstScheduler schedule = new EarliestDeadlineFirstScheduler(1);
         List<Up> ups = ups(2);
         pick(schedule, ups, 1_000);
         ups.add(new Up());
@@ -114,6 +114,6 @@
 
     @Test
     void thereIsNoPickAmongNone() {
-        assertNull(new WeightedSchedule(1).pick(List.<Up>of()));
+        assertNull(new EarliestDeadlineFirstScheduler(1).pick(List.<Up>of()));
     }
 }
