--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Attempt.java
@@ -0,0 +1,26 @@
+package myrtleladder.loadbalancer.policy;
+
+/** One attempt of a request at one upstream. */
+final class Attempt {
+    final UpstreamState upstream;
+    final long sentAtUs;
+
+    /** Whether the upstream was at the in-flight limit: only then does an answer raise the limit. */
+    boolean isAtLimit;
+
+    boolean isOutstanding = true;
+
+    /** False once its outcome proves that it never ran. */
+    boolean mayHaveRun = true;
+
+    /** Whether another attempt was begun because this one went unanswered. */
+    boolean isHedged;
+
+    /** Load of the upstream right after the send, in mean requests, this attempt included. */
+    double loadAtSend;
+
+    Attempt(UpstreamState upstream, long sentAtUs) {
+        this.upstream = upstream;
+        this.sentAtUs = sentAtUs;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
@@ -0,0 +1,90 @@
+package myrtleladder.loadbalancer.policy;
+
+import java.util.List;
+
+/**
+ * Ejects upstreams that hang, fail to connect, reject while idle or mostly return errors. Each
+ * further ejection lasts twice as long, until an answer comes. Below a panic threshold of healthy
+ * upstreams ejections are ignored.
+ */
+final class OutlierEjection {
+    /** Typical answer times without an answer that mean that an upstream hangs; chosen. */
+    static final double HANG_ANSWER_TIMES = 6;
+
+    /** Duration of the first ejection, microseconds; chosen. Doubled each time. */
+    static final long FIRST_EJECTION_US = 1_000_000;
+
+    /** Duration up to which ejections grow, microseconds; chosen. */
+    private static final long LONGEST_EJECTION_US = 8_000_000;
+
+    /** Panic threshold: with a smaller share of upstreams left, ejections are ignored; chosen. */
+    private static final double PANIC_THRESHOLD = 0.4;
+
+    /** Smoothed error rate above which an upstream is ejected; chosen. */
+    private static final double GREATEST_ERROR_RATE = 0.5;
+
+    private final RequestStatistics statistics;
+    private final QueueingDelayTarget delayTarget;
+
+    OutlierEjection(RequestStatistics statistics, QueueingDelayTarget delayTarget) {
+        this.statistics = statistics;
+        this.delayTarget = delayTarget;
+    }
+
+    void eject(UpstreamState upstream, long nowUs) {
+        if (upstream.ejectedUntilUs <= nowUs) {
+            upstream.ejectedUntilUs = nowUs + upstream.nextEjectionUs;
+            upstream.nextEjectionUs = Math.min(LONGEST_EJECTION_US, upstream.nextEjectionUs * 2);
+        }
+    }
+
+    /** An answer came: the upstream is healthy. */
+    void recordSuccess(UpstreamState upstream) {
+        upstream.isHanging = false;
+        upstream.ejectedUntilUs = 0;
+        upstream.nextEjectionUs = FIRST_EJECTION_US;
+        upstream.errorRate *= 1 - RequestStatistics.UPSTREAM_SMOOTHING;
+    }
+
+    /** An attempt ended with an error or a reset. */
+    void recordError(UpstreamState upstream, long nowUs) {
+        upstream.errorRate += RequestStatistics.UPSTREAM_SMOOTHING * (1 - upstream.errorRate);
+        if (upstream.errorRate > GREATEST_ERROR_RATE) {
+            eject(upstream, nowUs);
+        }
+    }
+
+    /** Ejects each upstream that has answered nothing for too long with requests in flight. */
+    void ejectHanging(List<UpstreamState> upstreams, long nowUs) {
+        for (UpstreamState upstream : upstreams) {
+            long quietUs = nowUs - upstream.lastProgressAtUs;
+            double expectedUs =
+                    HANG_ANSWER_TIMES
+                                    * Math.max(
+                                            Math.max(
+                                                    upstream.answerTimeUs,
+                                                    statistics.answerTimeUs()),
+                                            delayTarget.tightestUs())
+                            + upstream.workInFlight * Math.max(1, upstream.minServiceTime);
+            if (!upstream.isHanging && upstream.inFlight > 0 && quietUs > expectedUs) {
+                upstream.isHanging = true;
+                eject(upstream, nowUs);
+            }
+        }
+    }
+
+    /** After its time is over, an ejected upstream gets one request at a time until an answer. */
+    boolean isEjected(UpstreamState upstream, long nowUs) {
+        return upstream.ejectedUntilUs > nowUs
+                || upstream.isUnprovenSinceEjection() && upstream.inFlight > 0;
+    }
+
+    /** Whether so few upstreams are left that ejections must be ignored. */
+    boolean isPanic(List<UpstreamState> upstreams, long nowUs) {
+        int left = 0;
+        for (UpstreamState upstream : upstreams) {
+            left += isEjected(upstream, nowUs) ? 0 : 1;
+        }
+        return left < PANIC_THRESHOLD * upstreams.size();
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
@@ -0,0 +1,73 @@
+package myrtleladder.loadbalancer.policy;
+
+import java.util.List;
+
+/**
+ * Balancers that share an upstream report to each other what they have in flight there. A message
+ * has three bytes that name the upstream and one with the in-flight in eighths of a request.
+ */
+final class PeerLoadExchange {
+    /** Length of a message: three bytes name the upstream, one is in-flight. */
+    static final int MESSAGE_BYTES = 4;
+
+    /** Parts of a request in which messages count; chosen. */
+    static final double UNITS_PER_REQUEST = 8;
+
+    private static final int BYTE_MASK = 255;
+    private static final int GREATEST_UNITS = 255;
+
+    private final boolean isEnabled;
+    private final int groupSize;
+    private final UpstreamTable upstreams;
+    private final RendezvousSubsetting subsetting;
+    private final LoadEstimator loads;
+    private final LoadBalancer.Actions actions;
+
+    PeerLoadExchange(
+            boolean isEnabled,
+            int groupSize,
+            UpstreamTable upstreams,
+            RendezvousSubsetting subsetting,
+            LoadEstimator loads,
+            LoadBalancer.Actions actions) {
+        this.isEnabled = isEnabled;
+        this.groupSize = groupSize;
+        this.upstreams = upstreams;
+        this.subsetting = subsetting;
+        this.loads = loads;
+        this.actions = actions;
+    }
+
+    /** Reports what we have in flight at an upstream to the others that use it. */
+    void report(UpstreamState upstream) {
+        if (!isEnabled || !upstreams.contains(upstream)) {
+            return;
+        }
+        if (upstream.sharingPeers == null) {
+            upstream.sharingPeers = subsetting.peersSharing(upstream);
+        }
+        byte[] body = encode(upstream.hash, loads.ownLoad(upstream));
+        List<Integer> peers = upstream.sharingPeers;
+        for (int i = 0; i < peers.size(); i++) {
+            actions.tell(peers.get(i), body);
+        }
+    }
+
+    private static byte[] encode(int hash, double load) {
+        byte units = (byte) Math.min(GREATEST_UNITS, Math.round(load * UNITS_PER_REQUEST));
+        return new byte[] {(byte) (hash >> 16), (byte) (hash >> 8), (byte) hash, units};
+    }
+
+    /** Takes in a message. A malformed one, or one of an unknown upstream, changes nothing. */
+    void receive(int from, byte[] body, long nowUs) {
+        if (!isEnabled || body.length != MESSAGE_BYTES || from < 0 || from >= groupSize) {
+            return;
+        }
+        int hash =
+                (body[0] & BYTE_MASK) << 16 | (body[1] & BYTE_MASK) << 8 | body[2] & BYTE_MASK;
+        UpstreamState upstream = upstreams.byHash(hash);
+        if (upstream != null) {
+            upstream.peerLoads.put(from, new PeerLoad(nowUs, body[3] & BYTE_MASK));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeriodicProber.java
@@ -0,0 +1,69 @@
+package myrtleladder.loadbalancer.policy;
+
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.SplittableRandom;
+
+/**
+ * A slow steady probing of upstreams in turn where reports come no other way; its rate follows from
+ * price and traffic.
+ */
+final class PeriodicProber {
+    /** Points of the result that probing may cost for each request; chosen. */
+    private static final double BUDGET_POINTS = 0.003;
+
+    /** Least time between two probes of one upstream, microseconds; chosen. */
+    private static final long LEAST_GAP_US = 300_000;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final boolean isEnabled;
+    private final double price;
+    private final UpstreamTable upstreams;
+    private final RequestStatistics statistics;
+    private final SplittableRandom random;
+    private final LoadBalancer.Actions actions;
+    private long nextProbeAtUs;
+
+    PeriodicProber(
+            Settings settings,
+            LoadVisibility visibility,
+            UpstreamTable upstreams,
+            RequestStatistics statistics,
+            SplittableRandom random,
+            LoadBalancer.Actions actions) {
+        this.isEnabled =
+                !visibility.byProbes()
+                        && settings.reports() == Reports.BY_PROBE
+                        && settings.limits().probes();
+        this.price = settings.prices().probe();
+        this.upstreams = upstreams;
+        this.statistics = statistics;
+        this.random = random;
+        this.actions = actions;
+    }
+
+    /** Plans the first probe; draws a random number. */
+    void start(long nowUs) {
+        nextProbeAtUs = nowUs + Jitter.around(random, LEAST_GAP_US);
+    }
+
+    /** Probes the upstream that was probed the longest ago, if a probe is due. */
+    void probeIfDue(long nowUs) {
+        if (!isEnabled || nowUs < nextProbeAtUs || upstreams.isEmpty()) {
+            return;
+        }
+        double probesPerRequest = price > 0 ? BUDGET_POINTS / price : 1;
+        double perSecond =
+                Math.min(
+                        probesPerRequest * Math.max(statistics.requestsPerSecond(), 1),
+                        upstreams.size() * MICROS_PER_SECOND / LEAST_GAP_US);
+        nextProbeAtUs = nowUs + Jitter.around(random, (long) (MICROS_PER_SECOND / perSecond));
+        UpstreamState oldest =
+                Collections.min(
+                        upstreams.ranked(),
+                        Comparator.comparingLong(upstream -> upstream.periodicallyProbedAtUs));
+        oldest.periodicallyProbedAtUs = nowUs;
+        actions.probe(oldest.id);
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
@@ -0,0 +1,191 @@
+package myrtleladder.loadbalancer.policy;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** Moves requests from the queue to upstreams: first sends, retries and hedges. */
+final class RequestDispatcher {
+    /** Queued requests without an upstream after which the others are not looked at; chosen. */
+    private static final int MOST_MISSES = 3;
+
+    private final OpenRequests requests;
+    private final RequestQueue queue;
+    private final DeadlineTimer deadlines;
+    private final KeyAffinity affinity;
+    private final WeightedLeastLoadPicker picker;
+    private final RetryPolicy retryPolicy;
+    private final HedgingPolicy hedging;
+    private final AdmissionControl admission;
+    private final LoadEstimator loads;
+    private final SlowStart slowStart;
+    private final PeerLoadExchange peers;
+    private final LoadBalancer.Actions actions;
+
+    RequestDispatcher(
+            OpenRequests requests,
+            RequestQueue queue,
+            DeadlineTimer deadlines,
+            KeyAffinity affinity,
+            WeightedLeastLoadPicker picker,
+            RetryPolicy retryPolicy,
+            HedgingPolicy hedging,
+            AdmissionControl admission,
+            LoadEstimator loads,
+            SlowStart slowStart,
+            PeerLoadExchange peers,
+            LoadBalancer.Actions actions) {
+        this.requests = requests;
+        this.queue = queue;
+        this.deadlines = deadlines;
+        this.affinity = affinity;
+        this.picker = picker;
+        this.retryPolicy = retryPolicy;
+        this.hedging = hedging;
+        this.admission = admission;
+        this.loads = loads;
+        this.slowStart = slowStart;
+        this.peers = peers;
+        this.actions = actions;
+    }
+
+    /** Sends queued requests as long as upstreams have room: first keys to their upstreams. */
+    void dispatchQueued(long nowUs) {
+        if (affinity.isEnabled() && queue.size() > 1) {
+            dispatchToAffinityUpstreams(nowUs);
+        }
+        dispatchByPriority(nowUs);
+    }
+
+    /**
+     * With scarce room the first in the queue would take it, keys be served everywhere without a
+     * warm cache, and the overload last.
+     */
+    private void dispatchToAffinityUpstreams(long nowUs) {
+        boolean isPanic = picker.isPanic(nowUs);
+        for (RequestState request : queue.snapshot()) {
+            UpstreamState upstream = request.affinityUpstream;
+            if (upstream != null
+                    && !request.isLate
+                    && admission.hasRoom(upstream, request, nowUs)
+                    && picker.isEligible(upstream, request, nowUs, isPanic)) {
+                send(request, upstream, nowUs);
+            }
+        }
+    }
+
+    private void dispatchByPriority(long nowUs) {
+        int misses = 0;
+        RequestState request = queue.first();
+        while (request != null && misses < MOST_MISSES) {
+            RequestState following = queue.following(request);
+            UpstreamState upstream = picker.pickWithRoom(request, nowUs);
+            if (upstream != null) {
+                send(request, upstream, nowUs);
+            } else {
+                misses++;
+            }
+            request = following;
+        }
+    }
+
+    private void send(RequestState request, UpstreamState upstream, long nowUs) {
+        queue.remove(request);
+        if (upstream.inFlight == 0) {
+            upstream.lastProgressAtUs = nowUs;
+        }
+        Attempt attempt = new Attempt(upstream, nowUs);
+        request.attempts.add(attempt);
+        upstream.inFlight++;
+        attempt.isAtLimit =
+                ConcurrencyLimiter.isAtLimit(upstream, loads.loadOfOthers(upstream, nowUs));
+        upstream.workInFlight += request.cost;
+        slowStart.charge(upstream, request);
+        actions.send(request.request.id(), upstream.id, 0);
+        attempt.loadAtSend = loads.ownLoad(upstream) + loads.loadOfOthers(upstream, nowUs);
+        peers.report(upstream);
+    }
+
+    /** An attempt is not outstanding any more; its outcome has yet to be recorded. */
+    void recordEnd(RequestState request, Attempt attempt, Outcome outcome) {
+        attempt.isOutstanding = false;
+        attempt.mayHaveRun = !outcome.neverRan;
+        attempt.upstream.inFlight--;
+        attempt.upstream.workInFlight -= request.cost;
+    }
+
+    /**
+     * The last outstanding attempt has ended, and the request needs an answer. One that never ran
+     * is queued again; one that may have run is retried at once where that is permitted.
+     */
+    void retryOrFinish(RequestState request, long nowUs) {
+        if (deadlines.isDue(request, nowUs)) {
+            requests.finish(request, nowUs);
+        } else if (request.firstThatMayHaveRun() == null) {
+            queueAgainOrFinish(request, nowUs);
+        } else {
+            retryAtOnceOrFinish(request, nowUs);
+        }
+    }
+
+    private void queueAgainOrFinish(RequestState request, long nowUs) {
+        if (retryPolicy.hasAttemptsLeft(request)) {
+            queue.add(request, nowUs);
+        } else {
+            requests.finish(request, nowUs);
+        }
+    }
+
+    private void retryAtOnceOrFinish(RequestState request, long nowUs) {
+        UpstreamState upstream = picker.pickForRetry(request, nowUs);
+        if (upstream != null) {
+            send(request, upstream, nowUs);
+        } else {
+            requests.finish(request, nowUs);
+        }
+    }
+
+    /** Hedges the requests for which that is due, oldest first, as far as the budget goes. */
+    void hedge(long nowUs) {
+        List<RequestState> due = new ArrayList<>();
+        for (RequestState request : requests.all()) {
+            if (hedging.isDue(request, nowUs)) {
+                due.add(request);
+            }
+        }
+        due.sort(Comparator.comparingLong(request -> request.sequence));
+        for (RequestState request : due) {
+            hedge(request, nowUs);
+        }
+    }
+
+    /** The mark on the last attempt keeps the pick from its upstream. */
+    private void hedge(RequestState request, long nowUs) {
+        Attempt last = request.lastAttempt();
+        last.isHedged = true;
+        UpstreamState upstream = hedging.hasToken() ? picker.pickWithRoom(request, nowUs) : null;
+        last.isHedged = upstream != null;
+        if (upstream != null) {
+            hedging.takeToken();
+            send(request, upstream, nowUs);
+        }
+    }
+
+    /** Finishes queued requests that are too late where late is worth nothing; demotes others. */
+    void shedLate(long nowUs) {
+        for (RequestState request : queue.snapshot()) {
+            if (admission.isTooLate(request, nowUs)) {
+                shedOrDemote(request, nowUs);
+            }
+        }
+    }
+
+    private void shedOrDemote(RequestState request, long nowUs) {
+        double lateWorth = request.requestClass.lateWorth();
+        if (lateWorth <= 0) {
+            requests.finish(request, nowUs);
+        } else if (!request.isLate) {
+            queue.demoteLate(request, lateWorth, nowUs);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
@@ -0,0 +1,60 @@
+package myrtleladder.loadbalancer.policy;
+
+/** Which further attempts and which final answers a request's idempotency permits. */
+final class RetryPolicy {
+    private final Limits limits;
+
+    /** Subtracted from time spans that an upstream remembers keys for, microseconds. */
+    private final long marginUs;
+
+    RetryPolicy(Limits limits, long marginUs) {
+        this.limits = limits;
+        this.marginUs = marginUs;
+    }
+
+    /** Whether an attempt at that upstream is permitted. */
+    boolean maySend(RequestState request, UpstreamState upstream, long nowUs) {
+        if (request.isEnded
+                || request.isStreaming
+                || !hasAttemptsLeft(request)
+                || nowUs >= request.deadlineUs) {
+            return false;
+        }
+        if (request.attempts.isEmpty()) {
+            return true;
+        }
+        if (request.outstandingAttempts() > 0 && !limits.secondCopies()) {
+            return false;
+        }
+        Attempt first = request.firstThatMayHaveRun();
+        return first == null || mayRepeat(request.requestClass, first, upstream, nowUs);
+    }
+
+    boolean hasAttemptsLeft(RequestState request) {
+        return request.attempts.size() < limits.maxAttempts();
+    }
+
+    private boolean mayRepeat(
+            RequestClass requestClass, Attempt first, UpstreamState upstream, long nowUs) {
+        return requestClass.effect() == Effect.SAFE
+                || requestClass.effect() == Effect.KEYED
+                        && sharesMemory(
+                                requestClass.scope(), first.upstream.endpoint, upstream.endpoint)
+                        && nowUs - first.sentAtUs < requestClass.memorySpan() - marginUs;
+    }
+
+    /** Whether one of two upstreams recognises the keys that the other has seen. */
+    private static boolean sharesMemory(Scope scope, Upstream a, Upstream b) {
+        return scope == Scope.ALL
+                || scope == Scope.ZONE && a.zone() == b.zone()
+                || scope == Scope.CELL && a.cell() == b.cell();
+    }
+
+    /** Whether a request may be rejected, which promises that a retry is harmless. */
+    static boolean mayReject(RequestState request) {
+        RequestClass requestClass = request.requestClass;
+        return requestClass.effect() == Effect.SAFE
+                || request.firstThatMayHaveRun() == null
+                || requestClass.effect() == Effect.KEYED && requestClass.scope() == Scope.ALL;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
@@ -0,0 +1,110 @@
+package myrtleladder.loadbalancer.policy;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The upstreams that the endpoint list has as ready, with their state. */
+final class UpstreamTable {
+    private final int balancerPosition;
+    private final boolean usesRatings;
+    private final RequestStatistics statistics;
+    private final ConcurrencyLimiter limiter;
+    private final SlowStart slowStart;
+
+    /** In the order in which they were first listed. */
+    private final Map<String, UpstreamState> byId = new LinkedHashMap<>();
+
+    private final Map<Integer, UpstreamState> byHash = new HashMap<>();
+    private final List<UpstreamState> ranked = new ArrayList<>();
+
+    UpstreamTable(
+            Settings settings,
+            RequestStatistics statistics,
+            ConcurrencyLimiter limiter,
+            SlowStart slowStart) {
+        this.balancerPosition = settings.position();
+        this.usesRatings = settings.ratings() != Ratings.NONE;
+        this.statistics = statistics;
+        this.limiter = limiter;
+        this.slowStart = slowStart;
+    }
+
+    /** Takes in changes, or a complete list where {@code isComplete}. */
+    void update(List<Upstream> entries, boolean isComplete, long nowUs) {
+        if (isComplete) {
+            byId.keySet().retainAll(entries.stream().map(Upstream::id).toList());
+        }
+        for (Upstream entry : entries) {
+            apply(entry, nowUs);
+        }
+        byId.values().removeIf(upstream -> upstream.endpoint.state() != Upstream.State.READY);
+        rebuildIndexes();
+    }
+
+    private void apply(Upstream entry, long nowUs) {
+        UpstreamState upstream = byId.get(entry.id());
+        if (upstream == null || entry.launchedAt() > upstream.endpoint.launchedAt()) {
+            upstream = create(entry, upstream, nowUs);
+            byId.put(entry.id(), upstream);
+        }
+        upstream.endpoint = entry;
+        upstream.rating = usesRatings && entry.rating() > 0 ? entry.rating() : 1;
+    }
+
+    /**
+     * A new process starts afresh but for the learnt weight: what the old one had in flight and
+     * what was known of it say nothing now. {@code previous} is null for a new upstream.
+     */
+    private UpstreamState create(Upstream entry, UpstreamState previous, long nowUs) {
+        UpstreamState created = new UpstreamState(entry.id(), balancerPosition);
+        created.logWeight = previous == null ? 0 : previous.logWeight;
+        created.weight = Math.exp(created.logWeight);
+        created.paceUs = statistics.paceUs();
+        created.concurrencyLimit = limiter.firstLimit();
+        slowStart.fillFirst(created, nowUs);
+        return created;
+    }
+
+    private void rebuildIndexes() {
+        ranked.clear();
+        ranked.addAll(byId.values());
+        ranked.sort(Comparator.comparingLong(upstream -> upstream.subsetRank));
+        byHash.clear();
+        for (UpstreamState upstream : ranked) {
+            byHash.put(upstream.hash, upstream);
+            upstream.sharingPeers = null;
+        }
+    }
+
+    /** All upstreams in the order of this balancer's preference; not to be changed. */
+    List<UpstreamState> ranked() {
+        return ranked;
+    }
+
+    int size() {
+        return ranked.size();
+    }
+
+    boolean isEmpty() {
+        return ranked.isEmpty();
+    }
+
+    /** The upstream with that name; null if it is not listed. */
+    UpstreamState byId(String id) {
+        return byId.get(id);
+    }
+
+    /** The upstream with that hash; null if none is listed. */
+    UpstreamState byHash(int hash) {
+        return byHash.get(hash);
+    }
+
+    /** Whether this is still the state of a listed process. */
+    boolean contains(UpstreamState upstream) {
+        return byId.get(upstream.id) == upstream;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
@@ -0,0 +1,159 @@
+package myrtleladder.loadbalancer.policy;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * Picks an upstream at random in proportion to weight / (load + 1)^bias among a sample of the
+ * subset. Preferences are stated in terms of load: one of 2 makes up for a queue twice as long.
+ */
+final class WeightedLeastLoadPicker {
+    /** Exponent of load and preferences; chosen: a clearly shorter queue nearly always wins. */
+    private static final double BIAS = 4;
+
+    /** Preference for the upstream of a request's key, where affinity saves work; chosen. */
+    private static final double AFFINITY_PREFERENCE = 2.5;
+
+    /** Upstreams that a pick draws among; chosen. That of the key is always one of them. */
+    private static final int SAMPLE_SIZE = 12;
+
+    /** Preference for an upstream just back from ejection; chosen. */
+    private static final double UNPROVEN_PREFERENCE = 0.74;
+
+    /** The same for a request that cannot be retried; chosen. */
+    private static final double UNPROVEN_PREFERENCE_UNSAFE = 0.38;
+
+    /** Exponent of the share of attempts without an error; chosen. */
+    private static final double SUCCESS_EXPONENT = 2;
+
+    private final UpstreamTable upstreams;
+    private final RendezvousSubsetting subsetting;
+    private final OutlierEjection ejection;
+    private final RetryPolicy retryPolicy;
+    private final OnDemandProber prober;
+    private final SlowStart slowStart;
+    private final AdmissionControl admission;
+    private final LoadEstimator loads;
+    private final ZonePreference zones;
+    private final SplittableRandom random;
+
+    WeightedLeastLoadPicker(
+            UpstreamTable upstreams,
+            RendezvousSubsetting subsetting,
+            OutlierEjection ejection,
+            RetryPolicy retryPolicy,
+            OnDemandProber prober,
+            SlowStart slowStart,
+            AdmissionControl admission,
+            LoadEstimator loads,
+            ZonePreference zones,
+            SplittableRandom random) {
+        this.upstreams = upstreams;
+        this.subsetting = subsetting;
+        this.ejection = ejection;
+        this.retryPolicy = retryPolicy;
+        this.prober = prober;
+        this.slowStart = slowStart;
+        this.admission = admission;
+        this.loads = loads;
+        this.zones = zones;
+        this.random = random;
+    }
+
+    /** Picks an upstream that has room for the request now; null if there is none. */
+    UpstreamState pickWithRoom(RequestState request, long nowUs) {
+        return pick(request, nowUs, true);
+    }
+
+    /** Picks an upstream for a retry, which is not made to wait for room; null if there is none. */
+    UpstreamState pickForRetry(RequestState request, long nowUs) {
+        return pick(request, nowUs, false);
+    }
+
+    private UpstreamState pick(RequestState request, long nowUs, boolean needsRoom) {
+        boolean isPanic = isPanic(nowUs);
+        List<UpstreamState> candidates = new ArrayList<>();
+        for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
+            if (isEligible(upstream, request, nowUs, isPanic)
+                    && (!needsRoom || admission.hasRoom(upstream, request, nowUs))) {
+                candidates.add(upstream);
+            }
+        }
+        sample(candidates, request.affinityUpstream);
+        double[] scores = new double[candidates.size()];
+        double sum = 0;
+        for (int i = 0; i < scores.length; i++) {
+            scores[i] = score(candidates.get(i), request, nowUs);
+            sum += scores[i];
+        }
+        return sum > 0 ? draw(candidates, scores, sum) : null;
+    }
+
+    /** Whether so few upstreams are healthy that ejections are ignored. */
+    boolean isPanic(long nowUs) {
+        return ejection.isPanic(upstreams.ranked(), nowUs);
+    }
+
+    /**
+     * Whether an upstream may get the request, room apart. Asking fills the slow-start bucket of a
+     * cold upstream, so that the conditions keep their order.
+     */
+    boolean isEligible(
+            UpstreamState upstream, RequestState request, long nowUs, boolean isPanic) {
+        return retryPolicy.maySend(request, upstream, nowUs)
+                && !request.isHedgedAwayFrom(upstream)
+                && (isPanic || !ejection.isEjected(upstream, nowUs))
+                && !prober.isUnresponsive(upstream, nowUs)
+                && slowStart.hasRoom(upstream, nowUs);
+    }
+
+    private double score(UpstreamState upstream, RequestState request, long nowUs) {
+        double preference =
+                upstream.rating
+                        * slowStart.factor(upstream, nowUs)
+                        * Math.pow(1 - upstream.errorRate, SUCCESS_EXPONENT)
+                        * zones.factor(upstream)
+                        * (upstream == request.affinityUpstream ? AFFINITY_PREFERENCE : 1)
+                        * unprovenPreference(upstream, request);
+        double weight = upstream.weight * Math.pow(preference, BIAS);
+        double load = loads.ownLoad(upstream) + loads.loadOfOthers(upstream, nowUs);
+        return weight / Math.pow(load + 1, BIAS);
+    }
+
+    private static double unprovenPreference(UpstreamState upstream, RequestState request) {
+        if (!upstream.isUnprovenSinceEjection()) {
+            return 1;
+        }
+        return request.requestClass.effect() == Effect.UNSAFE
+                ? UNPROVEN_PREFERENCE_UNSAFE
+                : UNPROVEN_PREFERENCE;
+    }
+
+    /**
+     * Leaves a random few, and the upstream of the key if it is among them. Drawn among all of a
+     * large fleet, the preference for it was one against dozens: its keys were served everywhere,
+     * and everywhere without a warm cache.
+     */
+    private void sample(List<UpstreamState> candidates, UpstreamState affinityUpstream) {
+        if (candidates.size() <= SAMPLE_SIZE) {
+            return;
+        }
+        Collections.swap(candidates, 0, Math.max(0, candidates.indexOf(affinityUpstream)));
+        for (int i = 1; i < SAMPLE_SIZE; i++) {
+            Collections.swap(candidates, i, i + random.nextInt(candidates.size() - i));
+        }
+        candidates.subList(SAMPLE_SIZE, candidates.size()).clear();
+    }
+
+    private UpstreamState draw(List<UpstreamState> candidates, double[] scores, double sum) {
+        double x = random.nextDouble() * sum;
+        UpstreamState last = null;
+        for (int i = 0; i < scores.length && x >= 0; i++) {
+            x -= scores[i];
+            last = scores[i] > 0 ? candidates.get(i) : last;
+        }
+        return last;
+    }
+}
