--- a/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
@@ -47,7 +47,7 @@
 import myrtleladder.error.OperatorError.OldPermit;
 import myrtleladder.error.OperatorError.PeerBusy;
 import myrtleladder.error.OperatorError.UnknownMachine;
-import myrtleladder.loadbalancer.server.Status;
+import myrtleladder.loadbalancer.server.BalancerStatus;
 
 /**
  * For operators, over the loopback: the figures of one balancer ({@code /metrics}), what it holds
@@ -60,14 +60,15 @@
     private static final ObjectMapper JSON = JsonMapper.builder().build();
     private static final int MAX_BODY = 256 * 1_024;
     private static final long PATIENCE_MS = 1_000;
-    private static final Status NOTHING = new Status(false, 0, 0, 0, 0, 0, Map.of(), Map.of());
+    private static final BalancerStatus NOTHING =
+            new BalancerStatus(false, 0, 0, 0, 0, 0, Map.of(), Map.of());
 
     private final PrometheusMeterRegistry registry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("admin", true), NioIoHandler.newFactory());
-    private final Supplier<Future<Status>> balancer;
+    private final Supplier<Future<BalancerStatus>> balancer;
 
     /** Null where no peers are configured. */
     private final MemberCarrier members;
@@ -79,14 +80,14 @@
     private final WorkDesk work;
 
     private final Channel listening;
-    private volatile Status status = NOTHING;
+    private volatile BalancerStatus status = NOTHING;
     private volatile AgreeCarrier.Look agreed;
 
     /** Answers at an address from now on; what is not configured is null. */
     Admin(
             InetSocketAddress listen,
             String process,
-            Supplier<Future<Status>> balancer,
+            Supplier<Future<BalancerStatus>> balancer,
             MemberCarrier members,
             AgreeCarrier agreement,
             WorkDesk work) {
@@ -137,15 +138,15 @@
 
     private void registerServiceMetrics() {
         gauge("yewyoke.ready", "1 if there is a list to serve from", s -> s.ready() ? 1 : 0);
-        gauge("yewyoke.upstreams", "Upstreams on the list", Status::upstreams);
-        gauge("yewyoke.requests.open", "Requests taken and not ended", Status::open);
-        gauge("yewyoke.connections", "Connections to upstreams", Status::connections);
+        gauge("yewyoke.upstreams", "Upstreams on the list", BalancerStatus::upstreams);
+        gauge("yewyoke.requests.open", "Requests taken and not ended", BalancerStatus::open);
+        gauge("yewyoke.connections", "Connections to upstreams", BalancerStatus::connections);
         counter(
                 "yewyoke.connects",
                 "Connections opened to upstreams",
                 Tags.empty(),
-                Status::connects);
-        counter("yewyoke.requests", "Requests taken", Tags.empty(), Status::requests);
+                BalancerStatus::connects);
+        counter("yewyoke.requests", "Requests taken", Tags.empty(), BalancerStatus::requests);
         for (String answer : new String[] {"served", "refused", "failed", "left"}) {
             counter(
                     "yewyoke.answers",
@@ -177,7 +178,7 @@
         return (InetSocketAddress) listening.localAddress();
     }
 
-    private void gauge(String name, String what, ToDoubleFunction<Status> value) {
+    private void gauge(String name, String what, ToDoubleFunction<BalancerStatus> value) {
         Gauge.builder(name, () -> value.applyAsDouble(status)).description(what).register(registry);
     }
 
@@ -188,7 +189,8 @@
                 .register(registry);
     }
 
-    private void counter(String name, String what, Tags tags, Function<Status, Long> value) {
+    private void counter(
+            String name, String what, Tags tags, Function<BalancerStatus, Long> value) {
         FunctionCounter.builder(name, this, m -> value.apply(m.status))
                 .description(what)
                 .tags(tags)
@@ -197,7 +199,7 @@
 
     /** Asks the balancer; whether it has answered in time. */
     private boolean refresh() {
-        Status now = got(balancer.get());
+        BalancerStatus now = got(balancer.get());
         status = now == null ? status : now;
         agreed = agreement == null ? null : got(agreement.look());
         return now != null;
--- a/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 import myrtleladder.cluster.Balancing;
 import myrtleladder.cluster.WorkCarrier;
-import myrtleladder.loadbalancer.server.Running;
-import myrtleladder.loadbalancer.server.Sending;
+import myrtleladder.loadbalancer.server.RunningBalancer;
+import myrtleladder.loadbalancer.server.TrafficControl;
 
 /** The balancer as the work on machines knows it: neither knows of the other. */
-record Beside(Sending sending) implements Balancing {
+record Beside(TrafficControl sending) implements Balancing {
     /** From now on the work on machines has a say on each attempt. */
-    static void restrain(Running balancer, WorkCarrier work) {
+    static void restrain(RunningBalancer balancer, WorkCarrier work) {
         balancer.loop()
                 .execute(
                         () ->
                                 balancer.sending()
                                         .restrain(
-                                                new Sending.Restraint() {
+                                                new TrafficControl.AttemptAdmission() {
                                                     @Override
                                                     public boolean maySend(String upstream) {
                                                         return work.maySend(upstream);
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -20,7 +20,7 @@
 import myrtleladder.error.OperatorError.Unexpected;
 import myrtleladder.gossip.Meta;
 import myrtleladder.gossip.Settings;
-import myrtleladder.loadbalancer.server.Running;
+import myrtleladder.loadbalancer.server.RunningBalancer;
 import myrtleladder.maintenance.Agenda;
 import myrtleladder.maintenance.WorkSettings;
 import picocli.CommandLine;
@@ -144,7 +144,7 @@
 
         /** Starts what is configured beside a running balancer; what is not configured is null. */
         private static void attach(
-                Running balancer,
+                RunningBalancer balancer,
                 Own own,
                 String name,
                 InetSocketAddress at,
--- a/src/main/java/myrtleladder/loadbalancer/server/Config.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
@@ -21,19 +21,19 @@
  * What this balancer is told at its start: addresses, limits, the list as last held, and the
  * settings.
  */
-record Config(
+record BalancerConfig(
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
         int sockets,
         int memoryMb,
-        ServerList known,
-        SettingsReader.Found facts) {
+        EndpointList known,
+        SettingsReader.ParsedSettings facts) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 192;
 
-    static Config read(Path file) throws OperatorError {
+    static BalancerConfig read(Path file) throws OperatorError {
         byte[] text;
         try {
             text = Files.readAllBytes(file);
@@ -56,13 +56,13 @@
         }
     }
 
-    private static Config read(JsonParser json) throws BadInput, IOException {
+    private static BalancerConfig read(JsonParser json) throws BadInput, IOException {
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         long seed = 0;
         int[] limits = {DEFAULT_SOCKETS, DEFAULT_MEMORY_MB};
-        ServerList known = ServerList.EMPTY;
-        SettingsReader.Found facts = null;
+        EndpointList known = EndpointList.EMPTY;
+        SettingsReader.ParsedSettings facts = null;
         if (json.nextToken() != JsonToken.START_OBJECT) {
             throw new BadInput("not a JSON object");
         }
@@ -75,17 +75,17 @@
                 case "seed" -> seed = seed(json.getText());
                 case "limits" -> limits(json, limits);
                 case "known" ->
-                        known = value == JsonToken.START_OBJECT ? ServerList.read(json) : known;
+                        known = value == JsonToken.START_OBJECT ? EndpointList.read(json) : known;
                 case "settings" ->
                         facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
                 default -> json.skipChildren();
             }
         }
-        ServerList.require(listen != null, "listen");
-        ServerList.require(discovery != null, "discovery");
-        ServerList.require(facts != null, "settings");
+        EndpointList.require(listen != null, "listen");
+        EndpointList.require(discovery != null, "discovery");
+        EndpointList.require(facts != null, "settings");
         SettingsCheck.check(facts.settings());
-        return new Config(listen, discovery, seed, limits[0], limits[1], known, facts);
+        return new BalancerConfig(listen, discovery, seed, limits[0], limits[1], known, facts);
     }
 
     /** Reads descriptors and megabytes, as far as they are told. */
--- a/src/main/java/myrtleladder/loadbalancer/server/Driver.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -39,9 +39,9 @@
  * Owns the decision module and does for it on sockets what the simulator did: clock, timers,
  * attempts and their ends. Everything happens on the one event loop.
  */
-final class Driver implements Balancer.Actions, Sending {
+final class BalancerRuntime implements Balancer.Actions, TrafficControl {
     static final String TIME_LEFT = "X-Time-Left-Ms";
-    private static final System.Logger LOG = System.getLogger(Driver.class.getName());
+    private static final System.Logger LOG = System.getLogger(BalancerRuntime.class.getName());
     private static final String LOAD = "/load";
     private static final List<AsciiString> HOP_BY_HOP =
             List.of(HttpHeaderNames.CONNECTION, HttpHeaderNames.TE, HttpHeaderNames.UPGRADE);
@@ -63,14 +63,14 @@
     private static final long LATE_FOR = 100_000;
 
     private final EventLoop loop;
-    private final SettingsReader.Found facts;
+    private final SettingsReader.ParsedSettings facts;
     private final Limits limits;
     private final String host;
-    private final Upstreams upstreams;
+    private final UpstreamConnectionPool upstreams;
     private final Balancer balancer;
     private final Map<String, Open> open = new HashMap<>();
     private final Deque<Runnable> events = new ArrayDeque<>();
-    private final Counts counts = new Counts();
+    private final RequestCounters counts = new RequestCounters();
 
     /** When the module's timers are due. */
     private final PriorityQueue<Long> timersDue = new PriorityQueue<>();
@@ -79,7 +79,7 @@
     private final long origin = System.nanoTime();
 
     /** What discovery told last, by id. */
-    private final Map<String, ServerList.Entry> listed = new LinkedHashMap<>();
+    private final Map<String, EndpointList.Endpoint> listed = new LinkedHashMap<>();
 
     /** Upstreams that were out and have come back, with when, in Unix milliseconds. */
     private final Map<String, Long> returned = new HashMap<>();
@@ -87,15 +87,15 @@
     private Set<String> aside = Set.of();
 
     /** Null unless a part beside the balancer has a say. */
-    private Restraint restraint;
+    private AttemptAdmission restraint;
 
-    private Discovery discovery;
+    private DiscoveryClient discovery;
     private long lateAt = Long.MIN_VALUE / 2;
     private boolean inEvent;
     private boolean ready;
     private boolean badReportLogged;
 
-    Driver(EventLoop loop, Config config, Upstreams upstreams) {
+    BalancerRuntime(EventLoop loop, BalancerConfig config, UpstreamConnectionPool upstreams) {
         this.loop = loop;
         this.facts = config.facts();
         this.limits = facts.settings().limits();
@@ -144,7 +144,7 @@
         boolean mayHaveRun = true;
         final String upstream;
         final long sentAt;
-        Upstreams.Exchange exchange;
+        UpstreamConnectionPool.Exchange exchange;
         ScheduledFuture<?> timeout;
         boolean ended;
 
@@ -155,7 +155,7 @@
     }
 
     /** Brings up the module with the list as last held, and begins to follow discovery. */
-    void start(Discovery source, ServerList known) {
+    void start(DiscoveryClient source, EndpointList known) {
         discovery = source;
         event(() -> balancer.start(now()));
         list(ListKind.RESTORED, known);
@@ -173,13 +173,13 @@
     }
 
     /** Takes over what may change while it runs: where discovery is. */
-    void reload(Config config) {
+    void reload(BalancerConfig config) {
         discovery.move(config.discovery());
     }
 
     /** What it has done and what it holds; on its event loop only. */
-    Status status() {
-        return new Status(
+    BalancerStatus status() {
+        return new BalancerStatus(
                 ready,
                 upstreams.size(),
                 open.size(),
@@ -230,11 +230,11 @@
     // ---- From discovery
     // ------------------------------------------------------------------------------
 
-    void list(ListKind kind, ServerList told) {
+    void list(ListKind kind, EndpointList told) {
         if (told.full()) {
             listed.clear();
         }
-        for (ServerList.Entry e : told.entries()) {
+        for (EndpointList.Endpoint e : told.entries()) {
             if (e.state() == Balancer.State.GONE) {
                 listed.remove(e.id());
                 returned.remove(e.id());
@@ -247,7 +247,7 @@
                 kind,
                 aside.isEmpty() && returned.isEmpty()
                         ? told
-                        : new ServerList(
+                        : new EndpointList(
                                 told.version(),
                                 told.full(),
                                 told.entries().stream().map(this::seen).toList()));
@@ -257,9 +257,9 @@
      * Discovery's word goes first: what drains there drains, and a later start is the one that
      * counts.
      */
-    private ServerList.Entry seen(ServerList.Entry e) {
+    private EndpointList.Endpoint seen(EndpointList.Endpoint e) {
         boolean away = e.state() == Balancer.State.READY && aside.contains(e.id());
-        return new ServerList.Entry(
+        return new EndpointList.Endpoint(
                 e.id(),
                 e.addr(),
                 e.zone(),
@@ -270,7 +270,7 @@
                 Math.max(e.startedMs(), returned.getOrDefault(e.id(), 0L)));
     }
 
-    private void apply(ListKind kind, ServerList list) {
+    private void apply(ListKind kind, EndpointList list) {
         upstreams.apply(list);
         event(
                 () ->
@@ -284,7 +284,7 @@
     // -----------------------------------------------------------------
 
     @Override
-    public void restrain(Restraint by) {
+    public void restrain(AttemptAdmission by) {
         restraint = by;
     }
 
@@ -298,7 +298,7 @@
         if (!changed.isEmpty()) {
             apply(
                     ListKind.CHANGES,
-                    new ServerList(
+                    new EndpointList(
                             0,
                             false,
                             changed.stream().sorted().map(id -> seen(listed.get(id))).toList()));
@@ -315,11 +315,11 @@
     }
 
     @Override
-    public List<Listed> listed() {
+    public List<ListedEndpoint> listed() {
         return listed.values().stream()
                 .map(
                         e ->
-                                new Listed(
+                                new ListedEndpoint(
                                         e.id(),
                                         e.zone(),
                                         e.kind(),
@@ -605,7 +605,7 @@
                         HttpVersion.HTTP_1_1, HttpMethod.GET, LOAD, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, host);
         ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
-        Upstreams.Exchange exchange =
+        UpstreamConnectionPool.Exchange exchange =
                 upstreams.start(
                         upstream,
                         request,
--- a/src/main/java/myrtleladder/loadbalancer/server/Status.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerStatus.java
@@ -15,7 +15,7 @@
  *     answer due
  * @param attempts ended so far, by how they ended
  */
-public record Status(
+public record BalancerStatus(
         boolean ready,
         int upstreams,
         int open,
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -32,7 +32,7 @@
  * One client connection: its requests are handled one after another, and answered in their order.
  */
 final class ClientSession extends SimpleChannelInboundHandler<FullHttpRequest>
-        implements Driver.Client {
+        implements BalancerRuntime.Client {
     private static final System.Logger LOG = System.getLogger(ClientSession.class.getName());
     private static final String HEALTH = "/healthz";
 
@@ -47,10 +47,11 @@
     /** How long a client may leave answers unread, before it counts as gone. */
     private static final long UNREAD_MS = 10_000;
 
-    private final ClientServer server;
-    private final Driver driver;
+    private final LoadBalancerServer server;
+    private final BalancerRuntime driver;
     private final Channel channel;
-    private final RequestDeadline deadline = new RequestDeadline(REQUEST_MS, this::requestOverdue);
+    private final RequestReceiveTimeoutHandler deadline =
+            new RequestReceiveTimeoutHandler(REQUEST_MS, this::requestOverdue);
     private final Deque<Received> waiting = new ArrayDeque<>();
     private long waitingBytes;
     private String current;
@@ -80,7 +81,7 @@
         }
     }
 
-    ClientSession(ClientServer server, Driver driver, Channel channel) {
+    ClientSession(LoadBalancerServer server, BalancerRuntime driver, Channel channel) {
         super(false);
         this.server = server;
         this.driver = driver;
@@ -93,7 +94,7 @@
                 .addLast(
                         deadline,
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(Upstreams.MAX_BODY),
+                        new HttpObjectAggregator(UpstreamConnectionPool.MAX_BODY),
                         this);
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/server/Discovery.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -37,8 +37,8 @@
  * Follows the list of upstreams: one watch, kept open from the version known, and single lists if
  * asked.
  */
-final class Discovery {
-    private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
+final class DiscoveryClient {
+    private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
     private static final String LIST = "/v1/servers";
     private static final int MAX_LINE = 4 << 20;
 
@@ -53,7 +53,7 @@
     private final EventLoop loop;
     private final Transport transport;
     private final boolean asked;
-    private final Driver driver;
+    private final BalancerRuntime driver;
     private InetSocketAddress address;
     private long version;
     private boolean wanted;
@@ -68,13 +68,13 @@
     private boolean badLineLogged;
 
     /** With {@code asked} the module says when to call; otherwise the watch opens itself again. */
-    Discovery(
+    DiscoveryClient(
             EventLoop loop,
             Transport transport,
             InetSocketAddress address,
             boolean asked,
             long version,
-            Driver driver) {
+            BalancerRuntime driver) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
@@ -218,8 +218,8 @@
 
     /** One call: each line that is not empty is a list, or a part of one that comes indented. */
     private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
-        private final ListLines lines =
-                new ListLines(MAX_LINE, () -> broken("a list that was not closed"));
+        private final JsonObjectAssembler lines =
+                new JsonObjectAssembler(MAX_LINE, () -> broken("a list that was not closed"));
         private Channel channel;
         private boolean told;
         private boolean superseded;
@@ -234,12 +234,12 @@
         }
 
         private void line(byte[] bytes) {
-            ServerList list;
-            try (JsonParser json = Config.JSON.createParser(bytes)) {
+            EndpointList list;
+            try (JsonParser json = BalancerConfig.JSON.createParser(bytes)) {
                 if (json.nextToken() != JsonToken.START_OBJECT) {
                     throw new BadInput("not a JSON object");
                 }
-                list = ServerList.read(json);
+                list = EndpointList.read(json);
             } catch (BadInput e) {
                 broken(e.what());
                 return;
--- a/src/main/java/myrtleladder/loadbalancer/server/ServerList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
@@ -13,13 +13,13 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** A list of upstreams, or changes of it, in discovery's form. */
-record ServerList(long version, boolean full, List<Entry> entries) {
-    static final ServerList EMPTY = new ServerList(0, true, List.of());
+record EndpointList(long version, boolean full, List<Endpoint> entries) {
+    static final EndpointList EMPTY = new EndpointList(0, true, List.of());
     private static final Map<String, State> STATES =
             Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
     /** One upstream as listed; {@code startedMs} is Unix time, 0 for long ago. */
-    record Entry(
+    record Endpoint(
             String id,
             InetSocketAddress addr,
             String zone,
@@ -33,7 +33,7 @@
          * The same for the module, whose clock is Unix time in microseconds that never steps. An
          * entry told again thus has exactly the same start, and only a real restart looks like one.
          */
-        Upstream toModule(SettingsReader.Found facts) {
+        Upstream toModule(SettingsReader.ParsedSettings facts) {
             return new Upstream(
                     id,
                     place(facts.zones(), zone),
@@ -55,10 +55,10 @@
     }
 
     /** Reads one list; the parser stands at the start of its object. */
-    static ServerList read(JsonParser json) throws BadInput, IOException {
+    static EndpointList read(JsonParser json) throws BadInput, IOException {
         long version = -1;
         boolean full = false;
-        List<Entry> entries = null;
+        List<Endpoint> entries = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
             JsonToken value = json.nextToken();
@@ -78,10 +78,10 @@
         require(json.currentToken() == JsonToken.END_OBJECT, "servers");
         require(version >= 0, "version");
         require(entries != null, "servers");
-        return new ServerList(version, full, entries);
+        return new EndpointList(version, full, entries);
     }
 
-    private static Entry entry(JsonParser json) throws BadInput, IOException {
+    private static Endpoint entry(JsonParser json) throws BadInput, IOException {
         String id = null;
         InetSocketAddress addr = null;
         String zone = "";
@@ -97,7 +97,7 @@
             }
             switch (name) {
                 case "id" -> id = json.getText();
-                case "addr" -> addr = Config.address(json.getText());
+                case "addr" -> addr = BalancerConfig.address(json.getText());
                 case "zone" -> zone = json.getText();
                 case "kind" -> kind = json.getText();
                 case "cell" -> cell = json.getIntValue();
@@ -110,7 +110,7 @@
         require(id != null, "id");
         require(state != null, "state");
         require(addr != null || state == State.GONE, "addr");
-        return new Entry(id, addr, zone, kind, cell, state, weight, started);
+        return new Endpoint(id, addr, zone, kind, cell, state, weight, started);
     }
 
     /** Complains of a field by its name. */
--- a/src/main/java/myrtleladder/loadbalancer/server/ListLines.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
@@ -8,7 +8,7 @@
  * the start of a line ends whatever was not closed before it: a broken one costs itself and not all
  * that come after it.
  */
-final class ListLines {
+final class JsonObjectAssembler {
     private final int longest;
     private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
     private final Runnable broken;
@@ -18,7 +18,7 @@
      * Objects of at most so many bytes; {@code broken} is told of each that was begun and never
      * closed.
      */
-    ListLines(int longest, Runnable broken) {
+    JsonObjectAssembler(int longest, Runnable broken) {
         this.longest = longest;
         this.broken = broken;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
@@ -24,7 +24,7 @@
  * The side towards clients: listens, keeps their connections within the descriptors, and drains
  * them.
  */
-final class ClientServer {
+final class LoadBalancerServer {
     /**
      * Part of the connections that are kept between requests. With more, an answer says that its
      * connection closes: to close one that looks idle can cross with the next request on it, which
@@ -61,8 +61,8 @@
     private static final long WAITING_BYTES_IN_ALL = 4 * 1024 * 1024;
 
     private final EventLoop loop;
-    private final Driver driver;
-    private final RequestReader reader;
+    private final BalancerRuntime driver;
+    private final RequestParser reader;
     private final int maxConnections;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
 
@@ -81,10 +81,14 @@
      */
     private boolean ended;
 
-    ClientServer(EventLoop loop, Driver driver, SettingsReader.Found facts, int maxConnections) {
+    LoadBalancerServer(
+            EventLoop loop,
+            BalancerRuntime driver,
+            SettingsReader.ParsedSettings facts,
+            int maxConnections) {
         this.loop = loop;
         this.driver = driver;
-        this.reader = new RequestReader(facts);
+        this.reader = new RequestParser(facts);
         this.maxConnections = maxConnections;
         this.drained = loop.newPromise();
     }
@@ -99,7 +103,7 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        new ClientSession(ClientServer.this, driver, channel)
+                                        new ClientSession(LoadBalancerServer.this, driver, channel)
                                                 .install();
                                     }
                                 })
@@ -121,17 +125,17 @@
     }
 
     /** Takes over a new configuration without a pause in service. */
-    void reload(Config config) {
+    void reload(BalancerConfig config) {
         loop.execute(() -> driver.reload(config));
     }
 
     /** What the balancer has done and what it holds, as of soon. */
-    Future<Status> status() {
+    Future<BalancerStatus> status() {
         return loop.submit(driver::status);
     }
 
     /** Its sending to upstreams, for use on its event loop. */
-    Sending sending() {
+    TrafficControl sending() {
         return driver;
     }
 
@@ -260,7 +264,7 @@
     }
 
     Request read(FullHttpRequest message, QueryStringDecoder uri, long waited) throws BadInput {
-        RequestReader.require(!driver.isOpen(RequestReader.id(message)), "X-Correlation-Id");
+        RequestParser.require(!driver.isOpen(RequestParser.id(message)), "X-Correlation-Id");
         return reader.read(message, uri, waited);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -100,7 +100,7 @@
      * The same; {@code serving} gets the balancer when all is there, and may put off its opening.
      */
     public static int run(
-            String[] args, String config, PrintStream err, Consumer<Running> serving) {
+            String[] args, String config, PrintStream err, Consumer<RunningBalancer> serving) {
         if (args.length == 1 && args[0].equals("adapter")) {
             return Adapter.run(args, System.in, System.out, err);
         }
@@ -115,9 +115,9 @@
                 throw new NotTold("NODE_CONFIG");
             }
             Path file = Path.of(config);
-            Config found = Config.read(file);
+            BalancerConfig found = BalancerConfig.read(file);
             warn(file, found);
-            ClientServer server = follow(found, group.next(), Transport.TCP);
+            LoadBalancerServer server = follow(found, group.next(), Transport.TCP);
             if (!rehearse) {
                 Signals.on("HUP", () -> reload(file, server));
                 // On SIGTERM the JVM waits for this hook while the event loop goes on.
@@ -129,11 +129,11 @@
             if (few) {
                 listen(server, found);
             }
-            int served = Rehearsal.run(found);
+            int served = Warmup.run(found);
             if (!few) {
                 listen(server, found);
             }
-            serving.accept(new Running(group.next(), server::status, server.sending()));
+            serving.accept(new RunningBalancer(group.next(), server::status, server.sending()));
             server.open();
             if (rehearse) {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -147,7 +147,7 @@
         }
     }
 
-    private static void listen(ClientServer server, Config config)
+    private static void listen(LoadBalancerServer server, BalancerConfig config)
             throws AddressTaken, InterruptedException {
         ChannelFuture bound = server.bind(Transport.TCP, config.listen()).await();
         if (!bound.isSuccess()) {
@@ -159,7 +159,7 @@
      * It may still do, so it tries; whoever looks for the cause of what follows finds it in the
      * log.
      */
-    private static void warn(Path file, Config config) {
+    private static void warn(Path file, BalancerConfig config) {
         if (config.memoryMb() < LEAST_MEMORY_MB) {
             warn(new LimitsTooSmall(file, "limits.memory_mb", config.memoryMb(), LEAST_MEMORY_MB));
         }
@@ -193,7 +193,7 @@
         }
     }
 
-    private static Future<Void> stop(Config config, ClientServer server) {
+    private static Future<Void> stop(BalancerConfig config, LoadBalancerServer server) {
         long deadline =
                 config.facts().settings().classes().stream()
                         .mapToLong(c -> c.giveUp() / 1_000)
@@ -204,9 +204,9 @@
     }
 
     /** A file that can't be used changes nothing: the balancer goes on with what it has. */
-    private static void reload(Path file, ClientServer server) {
+    private static void reload(Path file, LoadBalancerServer server) {
         try {
-            server.reload(Config.read(file));
+            server.reload(BalancerConfig.read(file));
             LOG.log(System.Logger.Level.INFO, "read the configuration again");
         } catch (OperatorError e) {
             LOG.log(System.Logger.Level.ERROR, "went on with the old configuration", e);
@@ -214,30 +214,31 @@
     }
 
     /** Starts a balancer that is ready once opened; all of it lives on the one event loop. */
-    static ClientServer serve(Config config, EventLoop loop, Transport transport) throws Exception {
-        ClientServer server = follow(config, loop, transport);
+    static LoadBalancerServer serve(BalancerConfig config, EventLoop loop, Transport transport)
+            throws Exception {
+        LoadBalancerServer server = follow(config, loop, transport);
         server.bind(transport, config.listen()).sync();
         return server;
     }
 
     /** Brings up a balancer that follows discovery already, but to which no client can come yet. */
-    static ClientServer follow(Config config, EventLoop loop, Transport transport)
+    static LoadBalancerServer follow(BalancerConfig config, EventLoop loop, Transport transport)
             throws Exception {
-        Callable<ClientServer> start =
+        Callable<LoadBalancerServer> start =
                 () -> {
                     int descriptors = Math.max(0, config.sockets() - OWN_DESCRIPTORS);
                     int forClients = Math.max(1, (int) (CLIENT_PART * descriptors));
                     var settings = config.facts().settings();
-                    Upstreams upstreams =
-                            new Upstreams(
+                    UpstreamConnectionPool upstreams =
+                            new UpstreamConnectionPool(
                                     loop,
                                     transport,
                                     settings.limits().connectTimeout(),
                                     settings.limits().connectIdle(),
                                     Math.max(1, descriptors - forClients));
-                    Driver driver = new Driver(loop, config, upstreams);
+                    BalancerRuntime driver = new BalancerRuntime(loop, config, upstreams);
                     driver.start(
-                            new Discovery(
+                            new DiscoveryClient(
                                     loop,
                                     transport,
                                     config.discovery(),
@@ -245,7 +246,7 @@
                                     config.known().version(),
                                     driver),
                             config.known());
-                    return new ClientServer(loop, driver, config.facts(), forClients);
+                    return new LoadBalancerServer(loop, driver, config.facts(), forClients);
                 };
         return loop.inEventLoop() ? start.call() : loop.submit(start).get();
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Counts.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
@@ -9,7 +9,7 @@
  * What a balancer has done since its start: plain numbers, written and read on its event loop
  * alone.
  */
-final class Counts {
+final class RequestCounters {
     private static final Outcome[] OUTCOMES = Outcome.values();
     long requests;
     long served;
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -12,7 +12,7 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads a client's request from its HTTP message, as the settings name classes and tenants. */
-final class RequestReader {
+final class RequestParser {
     private static final String REQUEST_ID = "X-Correlation-Id";
     private static final String SERVICE_CLASS = "X-Service-Class";
     private static final String TENANT = "X-Account";
@@ -21,9 +21,9 @@
     private static final String CLIENT_RETRY = "X-Repeat";
     private static final String KEY = "key";
 
-    private final SettingsReader.Found facts;
+    private final SettingsReader.ParsedSettings facts;
 
-    RequestReader(SettingsReader.Found facts) {
+    RequestParser(SettingsReader.ParsedSettings facts) {
         this.facts = facts;
     }
 
@@ -50,7 +50,8 @@
         require(effect != Effect.KEYED || headers.contains(IDEMPOTENCY_KEY), IDEMPOTENCY_KEY);
         int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(TENANT));
         require(tenant >= 0, TENANT);
-        long timeLeft = number(headers, Driver.TIME_LEFT, requestClass.giveUp() / 1_000) * 1_000;
+        long timeLeft =
+                number(headers, BalancerRuntime.TIME_LEFT, requestClass.giveUp() / 1_000) * 1_000;
         long hint = number(headers, WORK_HINT, 0);
         List<String> keys = uri.parameters().get(KEY);
         return new Request(
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestDeadline.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestReceiveTimeoutHandler.java
@@ -10,7 +10,7 @@
  * its first byte for the others. A peer that sends nothing, or never the end, would else hold its
  * descriptor for good, and with enough of them every other client is refused.
  */
-final class RequestDeadline extends ChannelInboundHandlerAdapter {
+final class RequestReceiveTimeoutHandler extends ChannelInboundHandlerAdapter {
     private final long millis;
     private final Runnable overdue;
     private ScheduledFuture<?> due;
@@ -18,7 +18,7 @@
     /**
      * {@code overdue} runs on the channel's event loop, again and again until the request is whole.
      */
-    RequestDeadline(long millis, Runnable overdue) {
+    RequestReceiveTimeoutHandler(long millis, Runnable overdue) {
         this.millis = millis;
         this.overdue = overdue;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Running.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
@@ -11,4 +11,5 @@
  * @param status what it has done and what it holds, as of soon
  * @param sending to upstreams, on the loop
  */
-public record Running(EventLoop loop, Supplier<Future<Status>> status, Sending sending) {}
+public record RunningBalancer(
+        EventLoop loop, Supplier<Future<BalancerStatus>> status, TrafficControl sending) {}
--- a/src/main/java/myrtleladder/loadbalancer/server/AnswerDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/StrictHttpResponseDecoder.java
@@ -15,7 +15,7 @@
  * no answer and must not be passed on. And what comes when no answer is due, were it kept, would
  * answer the next request.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class StrictHttpResponseDecoder extends HttpResponseDecoder {
     private boolean due;
     private boolean interim;
 
--- a/src/main/java/myrtleladder/loadbalancer/server/Sending.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/TrafficControl.java
@@ -6,9 +6,9 @@
 /**
  * What a part beside the balancer may know of its sending, and say of it; on its event loop alone.
  */
-public interface Sending {
+public interface TrafficControl {
     /** Who has a say on each attempt. */
-    interface Restraint {
+    interface AttemptAdmission {
         /** Whether an attempt may begin now. */
         boolean maySend(String upstream);
 
@@ -17,10 +17,10 @@
     }
 
     /** An upstream as discovery told it last. */
-    record Listed(String id, String zone, String kind, int cell, boolean ready) {}
+    record ListedEndpoint(String id, String zone, String kind, int cell, boolean ready) {}
 
     /** From now on each attempt is asked for. */
-    void restrain(Restraint restraint);
+    void restrain(AttemptAdmission restraint);
 
     /**
      * Upstreams that count as draining, in place of those before; {@code cold} ones have come back.
@@ -31,5 +31,5 @@
     int inFlight(String upstream);
 
     /** All upstreams. */
-    List<Listed> listed();
+    List<ListedEndpoint> listed();
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/Upstreams.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
@@ -32,8 +32,9 @@
  * The connections to upstreams, and the attempts on them. A connection carries one request at a
  * time and is kept for the next one; nothing is ever sent again from here.
  */
-final class Upstreams {
-    private static final System.Logger LOG = System.getLogger(Upstreams.class.getName());
+final class UpstreamConnectionPool {
+    private static final System.Logger LOG =
+            System.getLogger(UpstreamConnectionPool.class.getName());
 
     /** The largest body of the protocol. */
     static final int MAX_BODY = 64 * 1024;
@@ -57,7 +58,7 @@
     private int connections;
     private long connects;
 
-    Upstreams(
+    UpstreamConnectionPool(
             EventLoop loop,
             Transport transport,
             long connectTimeoutMicros,
@@ -80,7 +81,7 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpRequestEncoder(),
-                                                        new AnswerDecoder(),
+                                                        new StrictHttpResponseDecoder(),
                                                         new HttpObjectAggregator(MAX_BODY));
                                     }
                                 });
@@ -103,14 +104,14 @@
     }
 
     /** Takes over a list or changes of it. */
-    void apply(ServerList list) {
+    void apply(EndpointList list) {
         if (list.full()) {
-            List<String> ids = list.entries().stream().map(ServerList.Entry::id).toList();
+            List<String> ids = list.entries().stream().map(EndpointList.Endpoint::id).toList();
             List<String> missing = new ArrayList<>(servers.keySet());
             missing.removeAll(ids);
             missing.forEach(this::forget);
         }
-        for (ServerList.Entry e : list.entries()) {
+        for (EndpointList.Endpoint e : list.entries()) {
             if (e.state() == State.GONE) {
                 forget(e.id());
                 continue;
@@ -280,7 +281,7 @@
             }
             channel = connection.channel;
             connection.current = this;
-            channel.pipeline().get(AnswerDecoder.class).expect();
+            channel.pipeline().get(StrictHttpResponseDecoder.class).expect();
             FullHttpRequest message = request;
             request = null;
             channel.writeAndFlush(message)
--- a/src/main/java/myrtleladder/loadbalancer/server/Rehearsal.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
@@ -34,8 +34,8 @@
  * that opened cold was seconds behind its clients, and the requests that timed out meanwhile came
  * back as more.
  */
-final class Rehearsal {
-    private static final System.Logger LOG = System.getLogger(Rehearsal.class.getName());
+final class Warmup {
+    private static final System.Logger LOG = System.getLogger(Warmup.class.getName());
     private static final int CLIENTS = 16;
 
     /**
@@ -57,7 +57,7 @@
 
     private static final int UPSTREAMS = 4;
     private static final int BODY = 1_000;
-    private final Config config;
+    private final BalancerConfig config;
     private final ManualIoEventLoop loop;
     private final List<Channel> channels = new ArrayList<>();
     private int left;
@@ -65,7 +65,7 @@
     private int answered;
     private int served;
 
-    private Rehearsal(Config config, ManualIoEventLoop loop) {
+    private Warmup(BalancerConfig config, ManualIoEventLoop loop) {
         this.config = config;
         this.loop = loop;
         int group = Math.max(1, config.facts().settings().groupSize());
@@ -76,11 +76,11 @@
      * Runs until warm, or for the longest time allowed; a balancer that can't rehearse starts cold.
      * Returns how many requests were served.
      */
-    static int run(Config config) throws InterruptedException {
+    static int run(BalancerConfig config) throws InterruptedException {
         ManualIoEventLoop loop =
                 new ManualIoEventLoop(Thread.currentThread(), LocalIoHandler.newFactory());
         try {
-            Rehearsal rehearsal = new Rehearsal(config, loop);
+            Warmup rehearsal = new Warmup(config, loop);
             try {
                 rehearsal.play();
             } finally {
@@ -127,9 +127,9 @@
     }
 
     private void play() throws Exception {
-        List<ServerList.Entry> upstreams =
+        List<EndpointList.Endpoint> upstreams =
                 IntStream.range(0, UPSTREAMS).mapToObj(this::upstream).toList();
-        for (ServerList.Entry u : upstreams) {
+        for (EndpointList.Endpoint u : upstreams) {
             await(
                     Transport.MEMORY
                             .server(loop)
@@ -141,20 +141,21 @@
                                                     .addLast(
                                                             new HttpServerCodec(),
                                                             new HttpObjectAggregator(
-                                                                    Upstreams.MAX_BODY),
+                                                                    UpstreamConnectionPool
+                                                                            .MAX_BODY),
                                                             new Upstream());
                                         }
                                     })
                             .bind(Transport.MEMORY.address(u.addr())));
         }
-        Config rehearsed =
-                new Config(
+        BalancerConfig rehearsed =
+                new BalancerConfig(
                         config.listen(),
                         config.discovery(),
                         config.seed(),
                         config.sockets(),
                         config.memoryMb(),
-                        new ServerList(0, true, upstreams),
+                        new EndpointList(0, true, upstreams),
                         config.facts());
         await(
                 Main.follow(rehearsed, loop, Transport.MEMORY)
@@ -171,7 +172,8 @@
                                                     .addLast(
                                                             new HttpClientCodec(),
                                                             new HttpObjectAggregator(
-                                                                    Upstreams.MAX_BODY),
+                                                                    UpstreamConnectionPool
+                                                                            .MAX_BODY),
                                                             new Client());
                                         }
                                     })
@@ -183,8 +185,8 @@
         }
     }
 
-    private ServerList.Entry upstream(int number) {
-        return new ServerList.Entry(
+    private EndpointList.Endpoint upstream(int number) {
+        return new EndpointList.Endpoint(
                 "rehearsal-" + number,
                 new InetSocketAddress(config.listen().getAddress(), number + 1),
                 "",
@@ -243,7 +245,7 @@
                     .set("Host", "rehearsal")
                     .set("X-Correlation-Id", "rehearsal-" + number)
                     .set("X-Service-Class", name)
-                    .set(Driver.TIME_LEFT, 1_000)
+                    .set(BalancerRuntime.TIME_LEFT, 1_000)
                     .set("Idempotency-Key", "rehearsal-" + number)
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             if (!config.facts().tenants().isEmpty()) {
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -54,7 +54,7 @@
      * What was found: the settings for the module, and names. The wire gives classes, tenants,
      * zones and kinds by their place in these lists, the sockets by name.
      */
-    public record Found(
+    public record ParsedSettings(
             Settings settings,
             List<String> reportNames,
             List<String> classes,
@@ -104,7 +104,7 @@
     }
 
     /** Reads one object of settings; the parser stands at its start. */
-    public static Found read(JsonParser json) throws BadInput, IOException {
+    public static ParsedSettings read(JsonParser json) throws BadInput, IOException {
         Node facts = node(json);
         List<RequestClass> classes = new ArrayList<>();
         for (Node c : facts.list("classes")) {
@@ -143,7 +143,7 @@
                         "on_request".equals(facts.texts.get("discovery")),
                         facts.object("extra").flag("warm-keys"),
                         facts.time("tick-s"));
-        return new Found(
+        return new ParsedSettings(
                 settings,
                 names(report.list("names"), ""),
                 names(facts.list("classes"), "name"),
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
@@ -18,8 +18,8 @@
             err.println("usage: java -jar myrtleladder-loadbalancer.jar adapter");
             return 2;
         }
-        Replies replies = new Replies();
-        Batches batches = new Batches(new Desk(replies), replies, err);
+        DecisionWriter replies = new DecisionWriter();
+        BatchReader batches = new BatchReader(new InstanceRegistry(replies), replies, err);
         long line = 0;
         try (OutputStream out = new BufferedOutputStream(stdout, 1 << 16)) {
             Lines lines = new Lines(in);
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Batches.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
@@ -25,7 +25,7 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads one batch at a time and hands its events to the instances. */
-final class Batches {
+final class BatchReader {
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION).build();
     private static final Set<String> EVENTS =
@@ -54,12 +54,12 @@
                     "unavailable",
                     ListKind.UNAVAILABLE);
 
-    private final Desk desk;
-    private final Replies replies;
+    private final InstanceRegistry desk;
+    private final DecisionWriter replies;
     private final PrintStream err;
     private final Map<Integer, List<String>> reportNames = new java.util.HashMap<>();
 
-    Batches(Desk desk, Replies replies, PrintStream err) {
+    BatchReader(InstanceRegistry desk, DecisionWriter replies, PrintStream err) {
         this.desk = desk;
         this.replies = replies;
         this.err = err;
@@ -71,7 +71,7 @@
         double who = Double.NaN;
         double seed = Double.NaN;
         long seedExact;
-        SettingsReader.Found facts;
+        SettingsReader.ParsedSettings facts;
         String corr;
         String upstream;
         double attempt = Double.NaN;
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Replies.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -10,7 +10,7 @@
 import myrtleladder.loadbalancer.policy.Balancer;
 
 /** Writes the actions of all instances into one reply. */
-final class Replies {
+final class DecisionWriter {
     private static final JsonFactory JSON = new JsonFactory();
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(1 << 14);
     private JsonGenerator json;
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -8,11 +8,11 @@
 import myrtleladder.loadbalancer.policy.Balancer;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
-final class Desk {
+final class InstanceRegistry {
     private final Map<Integer, Balancer> instances = new HashMap<>();
-    private final Replies replies;
+    private final DecisionWriter replies;
 
-    Desk(Replies replies) {
+    InstanceRegistry(DecisionWriter replies) {
         this.replies = replies;
     }
 
--- a/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
@@ -18,7 +18,7 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 import myrtleladder.loadbalancer.policy.Golden;
-import myrtleladder.loadbalancer.server.Status;
+import myrtleladder.loadbalancer.server.BalancerStatus;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -28,7 +28,7 @@
  */
 @Timeout(60)
 class AdminCompatibilityTest {
-    private static Status status() {
+    private static BalancerStatus status() {
         Map<String, Long> attempts = new LinkedHashMap<>();
         for (String end :
                 new String[] {
@@ -36,7 +36,7 @@
                 }) {
             attempts.put(end, 20L + attempts.size());
         }
-        return new Status(
+        return new BalancerStatus(
                 true,
                 2,
                 3,
@@ -47,12 +47,13 @@
                 attempts);
     }
 
-    private static Admin admin(Supplier<Future<Status>> balancer) {
+    private static Admin admin(Supplier<Future<BalancerStatus>> balancer) {
         return new Admin(new InetSocketAddress("127.0.0.1", 0), "b0", balancer, null, null, null);
     }
 
-    private static Future<Status> known() {
-        return new DefaultPromise<Status>(GlobalEventExecutor.INSTANCE).setSuccess(status());
+    private static Future<BalancerStatus> known() {
+        return new DefaultPromise<BalancerStatus>(GlobalEventExecutor.INSTANCE)
+                .setSuccess(status());
     }
 
     private static HttpResponse<String> ask(Admin admin, String method, String path)
--- a/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
@@ -4,16 +4,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.concurrent.CountDownLatch;
-import myrtleladder.loadbalancer.server.Sockets.Client;
-import myrtleladder.loadbalancer.server.Sockets.Message;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
 /**
  * What changes between the decision for an attempt and its first byte: time, its client, its
  * upstream.
  */
-class AttemptTimingTest extends NodeFixture {
+class AttemptTimingTest extends LoadBalancerFixture {
     private static final long STAND_MS = 700;
     private static final long PAST_MEMORY_MS = 2_100;
 
@@ -38,7 +38,8 @@
         Client client = client();
         standStillWhileConnecting(upstream, client, request("POST", "submit", "9000", ""));
         assertEquals(200, client.read().status());
-        long left = Long.parseLong(Sockets.next(upstream.requests).headers().get("x-time-left-ms"));
+        long left =
+                Long.parseLong(RawSockets.next(upstream.requests).headers().get("x-time-left-ms"));
         assertTrue(left <= 9_000 - STAND_MS, () -> "told that " + left + " ms are left");
     }
 
@@ -52,14 +53,14 @@
                 server(
                         (m, s) -> {
                             decided.await();
-                            Sockets.answer(s, "500 Oops", "", "");
+                            RawSockets.answer(s, "500 Oops", "", "");
                         });
         Server second = server(SERVE);
         memorySpan = "2";
         connectTimeout = "5";
         start(first);
         Client client = client().write(request("POST", "revise", "9000", "Idempotency-Key: k\r\n"));
-        Sockets.next(first.requests);
+        RawSockets.next(first.requests);
         // From here on the second alone takes requests.
         String firstId = "s-" + first.addr();
         String secondId = "s-" + second.addr();
@@ -89,7 +90,7 @@
         leaver.close();
         still.goOn();
         assertEquals(200, client().write(request("GET", "look", "9000", "")).read().status());
-        assertEquals("id-1", Sockets.next(upstream.requests).headers().get("x-correlation-id"));
+        assertEquals("id-1", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
         assertEquals(0, upstream.requests.size());
     }
 
@@ -105,7 +106,7 @@
                         });
         start(upstream);
         Client client = client().write(submit());
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         String id = "s-" + upstream.addr();
         tellChanges(
                 entry(id, upstream.addr(), "Ready")
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.server.Sockets.Client;
-import myrtleladder.loadbalancer.server.Sockets.Message;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** A client's close, its pipelined requests and our own close, each in the worst order. */
-class ClientSessionTest extends NodeFixture {
+class ClientSessionTest extends LoadBalancerFixture {
     private static final String FOR_EVER = "600000";
     private static final int MANY = 600;
 
@@ -50,8 +50,8 @@
                 });
         assertEquals(200, other.read().status());
         assertEquals(2, attempts());
-        assertEquals("id-0", Sockets.next(upstream.requests).headers().get("x-correlation-id"));
-        assertEquals("id-2", Sockets.next(upstream.requests).headers().get("x-correlation-id"));
+        assertEquals("id-0", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
+        assertEquals("id-2", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
     }
 
     /** Attempts that have ended; one that was never begun is none. */
@@ -72,14 +72,14 @@
         Server discovery =
                 server(
                         (m, s) -> {
-                            Sockets.beginChunks(s);
+                            RawSockets.beginChunks(s);
                             told.await();
-                            Sockets.chunk(s, ready(upstream));
+                            RawSockets.chunk(s, ready(upstream));
                             written.countDown();
                         });
         start(list(0, true), discovery);
         Client leaver = client().write(look(FOR_EVER));
-        Sockets.next(discovery.requests);
+        RawSockets.next(discovery.requests);
         while (node.status().get().open() == 0) {
             Thread.onSpinWait();
         }
@@ -93,7 +93,7 @@
                 });
         assertEquals(200, other.read().status());
         assertEquals(1, attempts());
-        assertEquals("id-1", Sockets.next(upstream.requests).headers().get("x-correlation-id"));
+        assertEquals("id-1", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
     }
 
     /** With eight requests waiting the connection was read no further, and its end went unseen. */
@@ -107,9 +107,9 @@
             many.append(look(FOR_EVER));
         }
         client.write(many.toString());
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         client.close();
-        assertEquals(0, Sockets.next(upstream.ended), "the attempt is given up");
+        assertEquals(0, RawSockets.next(upstream.ended), "the attempt is given up");
         assertEquals(0, upstream.requests.size());
     }
 
@@ -121,7 +121,7 @@
         Client client = client().write(request("POST", "submit", "500", "") + look("400"));
         assertTrue(client.read().status() >= 500);
         assertTrue(client.read().status() >= 500);
-        assertEquals("id-0", Sockets.next(upstream.requests).headers().get("x-correlation-id"));
+        assertEquals("id-0", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
         assertEquals(0, upstream.requests.size());
     }
 
@@ -137,7 +137,7 @@
                         });
         start(upstream);
         Client client = client().write(look(FOR_EVER) + look(FOR_EVER) + look(FOR_EVER));
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         Client idle = client();
         Future<Void> drained = node.drain(1, 600_000);
         assertNull(idle.read(), "closed between requests");
@@ -148,7 +148,7 @@
             assertEquals(i == 2 ? "close" : null, answer.headers().get("connection"));
         }
         assertNull(client.read());
-        assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(drained.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     /**
@@ -163,7 +163,7 @@
                 server(
                         (m, s) -> {
                             go.await();
-                            Sockets.answer(s, "200 OK", "", large);
+                            RawSockets.answer(s, "200 OK", "", large);
                         });
         start(upstream);
         try (Socket slow = new Socket()) {
@@ -175,11 +175,11 @@
                 many.append(look(FOR_EVER));
             }
             slow.getOutputStream().write(many.toString().getBytes(StandardCharsets.UTF_8));
-            Sockets.next(upstream.requests);
+            RawSockets.next(upstream.requests);
             go.countDown();
             awaitIdle();
-            slow.setSoTimeout(Sockets.PATIENCE_S * 1_000);
-            Message answer = Sockets.read(slow.getInputStream());
+            slow.setSoTimeout(RawSockets.PATIENCE_S * 1_000);
+            Message answer = RawSockets.read(slow.getInputStream());
             assertEquals(large.length(), answer.body().length());
             assertEquals(-1, slow.getInputStream().read(), "an orderly end");
         }
@@ -195,7 +195,7 @@
         start(upstream);
         Client client = client();
         assertEquals(200, client.write(look(FOR_EVER)).read().status());
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         awaitIdle();
         StandStill still = standStillBeforeDrain();
         client.write(look(FOR_EVER));
@@ -219,7 +219,7 @@
     @Test
     void aClientThatReadsNoAnswersIsGivenNoMoreOfThemUntilItDoes() throws Exception {
         String large = "x".repeat(60_000);
-        Server upstream = server((m, s) -> Sockets.answer(s, "200 OK", "", large));
+        Server upstream = server((m, s) -> RawSockets.answer(s, "200 OK", "", large));
         start(upstream);
         Client lazy = client();
         StringBuilder many = new StringBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
@@ -27,7 +27,7 @@
     private String read(String text) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), text);
         try {
-            return Golden.values(Config.read(file));
+            return Golden.values(BalancerConfig.read(file));
         } catch (OperatorError e) {
             return "refused: " + e.getMessage().replace(file.toString(), "FILE");
         }
@@ -147,9 +147,9 @@
     void theListIsHandedOnAsItWas() throws Exception {
         Path file =
                 Files.writeString(folder.resolve("config.json"), Golden.read("node/config.json"));
-        Config config = Config.read(file);
+        BalancerConfig config = BalancerConfig.read(file);
         StringBuilder lines = new StringBuilder();
-        for (ServerList.Entry entry : config.known().entries()) {
+        for (EndpointList.Endpoint entry : config.known().entries()) {
             lines.append(Golden.values(entry.toModule(config.facts()))).append('\n');
         }
         Golden.assertMatches("node/list-values.txt", lines.toString());
@@ -158,7 +158,8 @@
     @Test
     void linesOfAListAreJoinedAsTheyWere() throws Exception {
         StringBuilder lines = new StringBuilder();
-        ListLines joined = new ListLines(64, () -> lines.append("one was never closed\n"));
+        JsonObjectAssembler joined =
+                new JsonObjectAssembler(64, () -> lines.append("one was never closed\n"));
         for (String line : Golden.read("node/list-lines.txt").split("\n", -1)) {
             byte[] whole = joined.add(line.getBytes(StandardCharsets.UTF_8));
             lines.append(line)
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import myrtleladder.loadbalancer.server.Sockets.Client;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
 /** What a broken line of discovery held, and calls that cross with others. */
-class DiscoveryRepairTest extends NodeFixture {
+class DiscoveryRepairTest extends LoadBalancerFixture {
     private static final long ASK_AGAIN_MS = 2_000;
 
-    private static boolean follows(Sockets.Message m) {
+    private static boolean follows(RawSockets.Message m) {
         return m.start().contains("follow=1");
     }
 
@@ -30,23 +30,24 @@
                 server(
                         (m, s) -> {
                             if (follows(m)) {
-                                Sockets.beginChunks(s);
-                                Sockets.chunk(
+                                RawSockets.beginChunks(s);
+                                RawSockets.chunk(
                                         s,
                                         "{\"version\":42,\"full\":false,\"servers\":[{\"id\":\"spo");
-                                Sockets.chunk(s, "");
+                                RawSockets.chunk(s, "");
                             } else if (whole.getAndIncrement() == 0) {
-                                Sockets.reset(s); // the first call fails, and so there is another
+                                RawSockets.reset(
+                                        s); // the first call fails, and so there is another
                             } else {
                                 String list =
                                         list(42, true, entry("missed", missed.addr(), "Ready"));
-                                Sockets.answer(s, "200 OK", "", list);
+                                RawSockets.answer(s, "200 OK", "", list);
                             }
                         });
         start(list(41, true), discovery);
         awaitServedBy(missed);
         assertEquals(2, whole.get());
-        Sockets.chunk(
+        RawSockets.chunk(
                 discovery.accepted.get(0), list(43, true, entry("later", later.addr(), "Ready")));
         awaitServedBy(later);
     }
@@ -62,19 +63,19 @@
                 server(
                         (m, s) -> {
                             if (follows(m)) {
-                                Sockets.beginChunks(s);
-                                Sockets.chunk(s, "{broken");
-                                Sockets.chunk(
+                                RawSockets.beginChunks(s);
+                                RawSockets.chunk(s, "{broken");
+                                RawSockets.chunk(
                                         s,
                                         list(50, false, entry("current", current.addr(), "Ready")));
                             } else if (whole.getAndIncrement() == 0) {
-                                Sockets.answer(
+                                RawSockets.answer(
                                         s,
                                         "200 OK",
                                         "",
                                         list(49, true, entry("old", old.addr(), "Ready")));
                             } else {
-                                Sockets.answer(
+                                RawSockets.answer(
                                         s,
                                         "200 OK",
                                         "",
@@ -83,7 +84,7 @@
                             }
                         });
         start(list(41, true), discovery);
-        taken.await(Sockets.PATIENCE_S, TimeUnit.SECONDS);
+        taken.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS);
         awaitServedBy(current);
         assertEquals(0, old.requests.size());
     }
@@ -96,16 +97,16 @@
     void theCallThatANewAddressEndsIsNotReportedAsFailed() throws Exception {
         discoveryMode = "on_request";
         Server upstream = server(SERVE);
-        Server before = server((m, s) -> Sockets.beginChunks(s));
+        Server before = server((m, s) -> RawSockets.beginChunks(s));
         Server after =
                 server(
                         (m, s) -> {
-                            Sockets.beginChunks(s);
-                            Sockets.chunk(
+                            RawSockets.beginChunks(s);
+                            RawSockets.chunk(
                                     s, list(42, true, entry("now", upstream.addr(), "Ready")));
                         });
         start(list(41, true), before);
-        Sockets.next(before.requests);
+        RawSockets.next(before.requests);
         node.reload(config(list(41, true), after));
         awaitServedBy(upstream);
         // The first pause after a failed call is shorter than that; nothing else shows that there
--- a/src/test/java/myrtleladder/loadbalancer/server/NodeCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import myrtleladder.loadbalancer.policy.CapacityFigures;
-import myrtleladder.loadbalancer.server.Sockets.Client;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
 /** What the data path and lists cost one balancer, at four sizes each. */
 @Tag("long")
-class NodeCapacityTest extends NodeFixture {
+class LoadBalancerCapacityTest extends LoadBalancerFixture {
     private static final int[] ENTRIES = {100, 400, 1_600, 6_300};
     private static final int[] CONNECTIONS = {100, 200, 400, 700};
     private static final int[] REQUESTS = {1_000, 2_000, 4_000, 8_000};
@@ -62,10 +62,10 @@
         assertTrue(heap.slope() < 2, "KB of heap for each entry: " + heap.slope());
     }
 
-    private static ServerList read(byte[] line) {
-        try (JsonParser json = Config.JSON.createParser(line)) {
+    private static EndpointList read(byte[] line) {
+        try (JsonParser json = BalancerConfig.JSON.createParser(line)) {
             json.nextToken();
-            return ServerList.read(json);
+            return EndpointList.read(json);
         } catch (Exception e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/myrtleladder/loadbalancer/server/NodeFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.server.Sockets.Client;
-import myrtleladder.loadbalancer.server.Sockets.Script;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Script;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,8 +24,8 @@
  * A balancer in this process, between servers and clients on real sockets that follow a test's
  * script.
  */
-abstract class NodeFixture {
-    static final Script SERVE = (m, s) -> Sockets.answer(s, "200 OK", "", "done");
+abstract class LoadBalancerFixture {
+    static final Script SERVE = (m, s) -> RawSockets.answer(s, "200 OK", "", "done");
     static final Script HANG = (m, s) -> {};
 
     private static final long LAST_ANSWERS_MS = 600_000;
@@ -40,7 +40,7 @@
     String memorySpan = "10";
     String connectTimeout = "0.25";
     String discoveryMode = "pushed";
-    ClientServer node;
+    LoadBalancerServer node;
 
     /**
      * That of a balancer started with upstreams alone: it has been asked, and says nothing by
@@ -123,7 +123,7 @@
         node.open();
     }
 
-    Config config(String known, Server discovery) throws Exception {
+    BalancerConfig config(String known, Server discovery) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -157,13 +157,13 @@
                         + "\"},\"prices\":{},\"tick-s\":0.005,\"discovery\":\""
                         + discoveryMode
                         + "\"}}");
-        return Config.read(file);
+        return BalancerConfig.read(file);
     }
 
     void start(Server... upstreams) throws Exception {
         discovery = server(HANG);
         start(ready(upstreams), discovery);
-        Sockets.next(discovery.requests);
+        RawSockets.next(discovery.requests);
     }
 
     String request(String method, String cls, String left, String more) {
@@ -200,7 +200,7 @@
         private void stand() {
             stands.countDown();
             try {
-                goesOn.await(Sockets.PATIENCE_S, TimeUnit.SECONDS);
+                goesOn.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -208,7 +208,7 @@
 
         /** Waits until it stands still. */
         void await() throws InterruptedException {
-            if (!stands.await(Sockets.PATIENCE_S, TimeUnit.SECONDS)) {
+            if (!stands.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS)) {
                 throw new AssertionError("the loop never stood still");
             }
         }
@@ -256,7 +256,7 @@
                         () ->
                                 node.sending()
                                         .restrain(
-                                                new Sending.Restraint() {
+                                                new TrafficControl.AttemptAdmission() {
                                                     @Override
                                                     public boolean maySend(String id) {
                                                         if (id.equals("s-" + upstream.addr())
@@ -295,9 +295,9 @@
         String marker = "told-" + sent++;
         List<String> all = new ArrayList<>(List.of(entries));
         all.add(entry(marker, "127.0.0.1:1", "Terminating"));
-        Sockets.beginChunks(discovery.accepted.get(0));
-        Sockets.chunk(discovery.accepted.get(0), list(42, false, all.toArray(String[]::new)));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
+        RawSockets.beginChunks(discovery.accepted.get(0));
+        RawSockets.chunk(discovery.accepted.get(0), list(42, false, all.toArray(String[]::new)));
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
         while (group.next().submit(() -> node.sending().listed()).get().stream()
                 .noneMatch(l -> l.id().equals(marker))) {
             if (System.nanoTime() > end) {
@@ -309,7 +309,7 @@
     /** Requests until an upstream has had one: it is on the list then. */
     void awaitServedBy(Server upstream) throws Exception {
         Client client = client();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
         while (upstream.requests.isEmpty()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("the list has not arrived");
--- a/src/test/java/myrtleladder/loadbalancer/server/NodeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerServerTest.java
@@ -21,10 +21,10 @@
 import java.util.stream.Collectors;
 import myrtleladder.error.OperatorError.BadList;
 import myrtleladder.loadbalancer.policy.LogLines;
-import myrtleladder.loadbalancer.server.Sockets.Client;
-import myrtleladder.loadbalancer.server.Sockets.Message;
-import myrtleladder.loadbalancer.server.Sockets.Script;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
+import myrtleladder.loadbalancer.server.RawSockets.Script;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -34,7 +34,7 @@
  * The balancer between real sockets: each test is one way for it to lose, repeat or misplace a
  * request.
  */
-class NodeTest extends NodeFixture {
+class LoadBalancerServerTest extends LoadBalancerFixture {
     private static final long STAND_MS = 600;
 
     // ---- Serving
@@ -56,7 +56,7 @@
                         .read();
         assertEquals(200, answer.status());
         assertEquals("done", answer.body());
-        Message seen = Sockets.next(upstream.requests);
+        Message seen = RawSockets.next(upstream.requests);
         assertEquals("POST /revise?key=k1 HTTP/1.1", seen.start());
         assertEquals("bid", seen.body());
         assertEquals("id-0", seen.headers().get("x-correlation-id"));
@@ -84,7 +84,7 @@
             assertEquals(200, client.read().status());
             assertNull(client.read());
         }
-        assertNull(Sockets.next(upstream.requests).headers().get("connection"));
+        assertNull(RawSockets.next(upstream.requests).headers().get("connection"));
         assertEquals(1, upstream.accepted.size());
     }
 
@@ -93,7 +93,7 @@
         Server upstream =
                 server(
                         (m, s) ->
-                                Sockets.answer(
+                                RawSockets.answer(
                                         s, "200 OK", "", m.headers().get("x-correlation-id")));
         start(upstream);
         Client client = client().write(submit() + submit() + submit());
@@ -111,7 +111,7 @@
         Server upstream = server(SERVE);
         start(upstream);
         assertEquals(200, client().write(submit()).read().status());
-        assertEquals(0, Sockets.next(upstream.ended));
+        assertEquals(0, RawSockets.next(upstream.ended));
     }
 
     /**
@@ -125,7 +125,7 @@
         Server busy = server(reporting("active=1,cpu=1.0"));
         start(idler, busy);
         Client client = client();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
         for (int inARow = 0; inARow < 40; ) {
             assertTrue(System.nanoTime() < end, "the busy one is picked as before");
             String by = client.write(submit()).read().body();
@@ -134,7 +134,7 @@
     }
 
     private static Script reporting(String load) {
-        return (m, s) -> Sockets.answer(s, "200 OK", "", load);
+        return (m, s) -> RawSockets.answer(s, "200 OK", "", load);
     }
 
     @Test
@@ -143,7 +143,7 @@
         Server upstream = server(reporting("cpu=much"));
         start(upstream);
         for (int i = 0; i < 3; i++) {
-            assertEquals("GET /load HTTP/1.1", Sockets.next(upstream.requests).start());
+            assertEquals("GET /load HTTP/1.1", RawSockets.next(upstream.requests).start());
         }
         assertEquals(200, client().write(submit()).read().status());
     }
@@ -157,7 +157,7 @@
      */
     @Test
     void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
-        Script reset = (m, s) -> Sockets.reset(s);
+        Script reset = (m, s) -> RawSockets.reset(s);
         Server one = server(reset);
         Server two = server(reset);
         start(one, two);
@@ -176,7 +176,7 @@
     void unsafeRequestIsNotSentAgainAfterAnAnswerThatProvesNothing(String status, String header)
             throws Exception {
         Script error =
-                (m, s) -> Sockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
+                (m, s) -> RawSockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
         Server one = server(error);
         Server two = server(error);
         start(one, two);
@@ -190,7 +190,7 @@
         Script once =
                 (m, s) -> {
                     if (count.getAndIncrement() == 0) {
-                        Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+                        RawSockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
                     } else {
                         SERVE.on(m, s);
                     }
@@ -223,7 +223,7 @@
                         (m, s) -> {
                             s.getOutputStream()
                                     .write("HTTP/1.1 102 Processing\r\n\r\n".getBytes("UTF-8"));
-                            Sockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id"));
+                            RawSockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id"));
                         });
         start(upstream);
         Client client = client();
@@ -252,13 +252,13 @@
                             written.countDown();
                             read.await();
                             if (reset) {
-                                Sockets.reset(s);
+                                RawSockets.reset(s);
                             }
                             s.close();
                         });
         start(upstream);
         Client client = client().write(submit());
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         written.await();
         // Another one's answer has come since, so what there is of this one has been read.
         assertEquals(400, client().write("GET /look HTTP/1.1\r\n\r\n").read().status());
@@ -300,7 +300,7 @@
                         (m, s) -> {
                             boolean first = count.getAndIncrement() == 0;
                             String stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
-                            Sockets.answer(
+                            RawSockets.answer(
                                     s,
                                     "200 OK",
                                     "",
@@ -357,7 +357,7 @@
         Server upstream = server(HANG);
         start(upstream);
         assertFailed(client().write(request("POST", "submit", "300", "")).read());
-        assertEquals(0, Sockets.next(upstream.ended), "the attempt is given up");
+        assertEquals(0, RawSockets.next(upstream.ended), "the attempt is given up");
     }
 
     /**
@@ -369,7 +369,7 @@
         start(upstream);
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
         var loop = group.next();
@@ -385,7 +385,8 @@
         client.write(request("POST", "submit", "9000", ""));
         goesOn.countDown();
         assertEquals(200, client.read().status());
-        long left = Long.parseLong(Sockets.next(upstream.requests).headers().get("x-time-left-ms"));
+        long left =
+                Long.parseLong(RawSockets.next(upstream.requests).headers().get("x-time-left-ms"));
         assertTrue(left < 9_000 - STAND_MS / 2, () -> "told that " + left + " ms are left");
     }
 
@@ -400,9 +401,9 @@
         Server upstream = server(HANG);
         start(upstream);
         Client client = client().write(submit());
-        Sockets.next(upstream.requests);
+        RawSockets.next(upstream.requests);
         client.close();
-        assertEquals(0, Sockets.next(upstream.ended));
+        assertEquals(0, RawSockets.next(upstream.ended));
     }
 
     @ParameterizedTest
@@ -489,7 +490,7 @@
         waiting.socket.setSoTimeout(
                 100); // one that was accepted would mostly have its refusal by then
         assertThrows(SocketTimeoutException.class, waiting::read);
-        waiting.socket.setSoTimeout(Sockets.PATIENCE_S * 1_000);
+        waiting.socket.setSoTimeout(RawSockets.PATIENCE_S * 1_000);
         for (Client c : silent) {
             c.close();
         }
@@ -555,10 +556,10 @@
         Server discovery =
                 server(
                         (m, s) -> {
-                            Sockets.beginChunks(s);
-                            Sockets.chunk(s, "");
-                            Sockets.chunk(s, "{broken");
-                            Sockets.chunk(
+                            RawSockets.beginChunks(s);
+                            RawSockets.chunk(s, "");
+                            RawSockets.chunk(s, "{broken");
+                            RawSockets.chunk(
                                     s,
                                     list(
                                             42,
@@ -566,9 +567,9 @@
                                             entry("s-" + old.addr(), old.addr(), "Terminating"),
                                             entry("new", other.addr(), "Ready")));
                         });
-        try (LogLines lines = new LogLines(Discovery.class)) {
+        try (LogLines lines = new LogLines(DiscoveryClient.class)) {
             start(ready(old), discovery);
-            assertTrue(Sockets.next(discovery.requests).start().contains("since=41"));
+            assertTrue(RawSockets.next(discovery.requests).start().contains("since=41"));
             awaitServedBy(other);
             String said = lines.next();
             assertTrue(
@@ -584,7 +585,7 @@
         assertEquals(before, old.requests.size());
         // a full list without it: gone; and the id that stays has moved
         Server moved = server(SERVE);
-        Sockets.chunk(
+        RawSockets.chunk(
                 discovery.accepted.get(0), list(43, true, entry("new", moved.addr(), "Ready")));
         awaitServedBy(moved);
         before = other.requests.size();
@@ -601,8 +602,8 @@
         Server discovery =
                 server(
                         (m, s) -> {
-                            Sockets.beginChunks(s);
-                            Sockets.chunk(
+                            RawSockets.beginChunks(s);
+                            RawSockets.chunk(
                                     s,
                                     "{\n"
                                             + "  \"version\": 42, \"full\": true,\n"
@@ -616,11 +617,11 @@
         start(ready(server(SERVE)), discovery);
         awaitServedBy(one);
         Socket watch = discovery.accepted.get(0);
-        Sockets.chunk(watch, "{\"version\":43,\"full\":true,\"servers\":[");
-        Sockets.chunk(watch, "");
-        Sockets.chunk(watch, list(44, true, entry("two", two.addr(), "Ready")));
+        RawSockets.chunk(watch, "{\"version\":43,\"full\":true,\"servers\":[");
+        RawSockets.chunk(watch, "");
+        RawSockets.chunk(watch, list(44, true, entry("two", two.addr(), "Ready")));
         awaitServedBy(two);
-        Sockets.chunk(
+        RawSockets.chunk(
                 watch,
                 "{\"version\":45,\"full\":true,\"servers\":[\n      "
                         + entry("three", three.addr(), "Ready")
@@ -640,22 +641,22 @@
                 server(
                         (m, s) -> {
                             assertTrue(watch(m));
-                            Sockets.beginChunks(s);
+                            RawSockets.beginChunks(s);
                             int n = count.getAndIncrement();
                             if (n == 0) {
-                                Sockets.chunk(s, list(50, false));
+                                RawSockets.chunk(s, list(50, false));
                                 s.close();
                             } else if (n == 1) {
-                                Sockets.chunk(s, list(51, false));
+                                RawSockets.chunk(s, list(51, false));
                                 s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
                             } else if (n == 2) {
-                                Sockets.chunk(s, list(52, false)); // and not a word more
+                                RawSockets.chunk(s, list(52, false)); // and not a word more
                             }
                         });
         start(ready(upstream), discovery);
         List<String> calls = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            calls.add(Sockets.next(discovery.requests).start());
+            calls.add(RawSockets.next(discovery.requests).start());
         }
         assertEquals(
                 List.of("41", "50", "51", "52"),
@@ -673,8 +674,8 @@
                 server(
                         (m, s) -> {
                             restart.await();
-                            Sockets.beginChunks(s);
-                            Sockets.chunk(
+                            RawSockets.beginChunks(s);
+                            RawSockets.chunk(
                                     s,
                                     list(
                                             42,
@@ -688,7 +689,7 @@
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
         restart.countDown();
-        assertEquals(0, Sockets.next(upstream.ended));
+        assertEquals(0, RawSockets.next(upstream.ended));
         assertEquals(200, client.write(submit()).read().status());
         assertEquals(2, upstream.accepted.size());
     }
@@ -701,15 +702,15 @@
                 server(
                         (m, s) -> {
                             tell.await();
-                            Sockets.beginChunks(s);
-                            Sockets.chunk(s, ready(upstream));
+                            RawSockets.beginChunks(s);
+                            RawSockets.chunk(s, ready(upstream));
                         });
         start(list(0, true), discovery);
         String health = "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n";
         Client client = client();
         assertEquals(503, client.write(health).read().status());
         tell.countDown();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
         while (client.write(health).read().status() != 200) {
             assertTrue(System.nanoTime() < end, "never ready");
         }
@@ -741,7 +742,7 @@
             assertEquals("close", answer.headers().get("connection"));
             assertNull(c.read());
         }
-        assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(drained.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     /** Each answer closed its connection, and with one balancer there was nowhere else to go. */
@@ -769,10 +770,10 @@
         Server two = server(hang);
         start(one, two);
         Client client = client().write(request("GET", "look", "600000", ""));
-        assertTrue(taken.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(taken.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
         Future<Void> drained = node.drain(1, 100);
         assertTrue(client.read().status() >= 500);
-        assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(drained.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, one.requests.size() + two.requests.size());
     }
 
@@ -786,7 +787,7 @@
         start(upstream);
         Client idle = client();
         Client inWork = client().write(submit());
-        assertTrue(taken.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(taken.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
         node.drain(60_000, 1);
         assertTrue(inWork.read().status() >= 500);
         Message answer = idle.write(submit()).read();
@@ -837,7 +838,7 @@
         balancers = group;
         Server upstream = server(SERVE);
         Server discovery = server(HANG);
-        int served = Rehearsal.run(config(ready(upstream), discovery));
+        int served = Warmup.run(config(ready(upstream), discovery));
         assertTrue(served >= least && served <= most, "served " + served);
         assertTrue(upstream.accepted.isEmpty());
         assertTrue(discovery.accepted.isEmpty());
@@ -850,7 +851,7 @@
      */
     @Test
     void rehearsalStartsNoThread() throws Exception {
-        Config config = config(ready(server(SERVE)), server(HANG));
+        BalancerConfig config = config(ready(server(SERVE)), server(HANG));
         List<String> makers = new CopyOnWriteArrayList<>();
         InheritableThreadLocal<Boolean> handedOn =
                 new InheritableThreadLocal<>() {
@@ -862,7 +863,7 @@
                 };
         handedOn.set(true);
         try {
-            Rehearsal.run(config);
+            Warmup.run(config);
         } finally {
             handedOn.remove();
         }
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.server.Sockets.Server;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -58,7 +58,7 @@
      */
     private static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
-        CompletableFuture.delayedExecutor(3L * Sockets.PATIENCE_S, TimeUnit.SECONDS)
+        CompletableFuture.delayedExecutor(3L * RawSockets.PATIENCE_S, TimeUnit.SECONDS)
                 .execute(process::destroyForcibly);
         return process;
     }
@@ -87,7 +87,7 @@
             listen = (InetSocketAddress) free.getLocalSocketAddress();
         }
         File log = folder.resolve("log").toFile();
-        try (Server discovery = new Server((m, s) -> Sockets.beginChunks(s))) {
+        try (Server discovery = new Server((m, s) -> RawSockets.beginChunks(s))) {
             Process process =
                     start(
                             serve(config("127.0.0.1:" + listen.getPort(), discovery.addr()))
@@ -120,20 +120,20 @@
     /** The signal ended the process, and with it all that it had taken. */
     @Test
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
-        try (Server before = new Server((m, s) -> Sockets.beginChunks(s));
-                Server after = new Server((m, s) -> Sockets.beginChunks(s))) {
+        try (Server before = new Server((m, s) -> RawSockets.beginChunks(s));
+                Server after = new Server((m, s) -> RawSockets.beginChunks(s))) {
             Process process = start(serve(config(before.addr())));
             try (BufferedReader log = process.errorReader()) {
                 await(log, "rehearsed with");
-                assertTrue(Sockets.next(before.requests).start().contains("follow=1&since=7"));
+                assertTrue(RawSockets.next(before.requests).start().contains("follow=1&since=7"));
                 Files.writeString(folder.resolve("config.json"), "{\"listen\":");
                 hangUp(process);
                 await(log, "went on with the old configuration");
                 config(after.addr());
                 hangUp(process);
-                assertTrue(Sockets.next(after.requests).start().contains("follow=1&since=7"));
+                assertTrue(RawSockets.next(after.requests).start().contains("follow=1&since=7"));
                 process.destroy();
-                assertTrue(process.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
                 assertEquals(SIGTERM_EXIT, process.exitValue());
             } finally {
                 process.destroyForcibly();
--- a/src/test/java/myrtleladder/loadbalancer/server/Sockets.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
@@ -24,11 +24,11 @@
  * Plain sockets for the tests: what goes over them is written and read byte by byte, as no library
  * would.
  */
-final class Sockets {
+final class RawSockets {
     /** Long past anything that a test waits for; only a failing test gets there. */
     static final int PATIENCE_S = 20;
 
-    private Sockets() {}
+    private RawSockets() {}
 
     /** A message as read: the first line, the headers with lower-case names, and the body. */
     record Message(String start, Map<String, String> headers, String body) {
@@ -91,7 +91,7 @@
 
         /** The next answer; null if the connection has ended. */
         Message read() throws IOException {
-            return Sockets.read(in);
+            return RawSockets.read(in);
         }
 
         @Override
@@ -152,7 +152,7 @@
         private void serve(Socket socket, int number) {
             try (socket) {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
-                for (Message m = Sockets.read(in); m != null; m = Sockets.read(in)) {
+                for (Message m = RawSockets.read(in); m != null; m = RawSockets.read(in)) {
                     requests.add(m);
                     script.on(m, socket);
                 }
--- a/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
@@ -115,7 +115,7 @@
 
     @Test
     void everyActionIsWritten() throws Exception {
-        Replies replies = new Replies();
+        DecisionWriter replies = new DecisionWriter();
         replies.begin();
         myrtleladder.loadbalancer.policy.Balancer.Actions a = replies.forInstance(4);
         a.send("r", "u", 80_000);
