--- a/src/main/java/myrtleladder/loadbalancer/simulator/Desk.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -9,11 +9,11 @@
 import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
-final class Desk {
+final class InstanceRegistry {
     private final Map<Integer, LoadBalancer> instances = new HashMap<>();
-    private final Replies replies;
+    private final DecisionWriter replies;
 
-    Desk(Replies replies) {
+    InstanceRegistry(DecisionWriter replies) {
         this.replies = replies;
     }
 
