--- a/src/main/java/myrtleladder/loadbalancer/policy/Attempt.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Attempt.java
@@ -5,7 +5,9 @@
     final UpstreamState upstream;
     final long sentAtUs;
 
-    /** Whether the upstream was at the in-flight limit: only then does an answer raise the limit. */
+    /**
+     * Whether the upstream was at the in-flight limit: only then does an answer raise the limit.
+     */
     boolean isAtLimit;
 
     boolean isOutstanding = true;
--- a/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
@@ -68,8 +68,7 @@
         upstream.concurrencyLimit =
                 Math.max(
                         LEAST_LIMIT,
-                        Math.min(upstream.concurrencyLimit, upstream.inFlight + 1)
-                                * REJECTION_CUT);
+                        Math.min(upstream.concurrencyLimit, upstream.inFlight + 1) * REJECTION_CUT);
     }
 
     private void adjust(
@@ -87,8 +86,7 @@
             }
         } else if (attempt.isAtLimit) {
             upstream.concurrencyLimit +=
-                    INCREASE
-                            * Math.min(upstream.concurrencyLimit, 1 / upstream.concurrencyLimit);
+                    INCREASE * Math.min(upstream.concurrencyLimit, 1 / upstream.concurrencyLimit);
         }
     }
 
@@ -105,10 +103,8 @@
                 hinted ? tookUs / request.cost : reported > 0 ? reported : upstream.answerTimeUs;
         double grown =
                 upstream.minServiceTime
-                        * Math.exp(
-                                (nowUs - upstream.minServiceTimeAtUs) * MIN_SERVICE_TIME_GROWTH);
-        upstream.minServiceTime =
-                upstream.minServiceTime == 0 ? sample : Math.min(sample, grown);
+                        * Math.exp((nowUs - upstream.minServiceTimeAtUs) * MIN_SERVICE_TIME_GROWTH);
+        upstream.minServiceTime = upstream.minServiceTime == 0 ? sample : Math.min(sample, grown);
         upstream.minServiceTimeAtUs = nowUs;
         return tookUs
                 - (hinted
--- a/src/main/java/myrtleladder/loadbalancer/policy/EndpointSubscription.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/EndpointSubscription.java
@@ -16,8 +16,7 @@
     private long backoffUs;
     private long retryAtUs = Long.MAX_VALUE;
 
-    EndpointSubscription(
-            boolean isEnabled, SplittableRandom random, LoadBalancer.Actions actions) {
+    EndpointSubscription(boolean isEnabled, SplittableRandom random, LoadBalancer.Actions actions) {
         this.isEnabled = isEnabled;
         this.random = random;
         this.actions = actions;
--- a/src/main/java/myrtleladder/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/KeyAffinity.java
@@ -50,8 +50,7 @@
     /** The logarithm method of weighted rendezvous hashing, weighted by rating and zone. */
     private double score(String key, UpstreamState upstream) {
         long hash =
-                RendezvousHash.combine(
-                        key.hashCode(), RendezvousHash.mix(upstream.id.hashCode()));
+                RendezvousHash.combine(key.hashCode(), RendezvousHash.mix(upstream.id.hashCode()));
         double unit = RendezvousHash.toUnitInterval(hash);
         return -upstream.rating
                 / Math.log(unit)
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadEstimator.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadEstimator.java
@@ -22,8 +22,7 @@
      * heavy request holds up many.
      */
     double ownLoad(UpstreamState upstream) {
-        double size =
-                Math.max(0, upstream.workInFlight) / Math.max(statistics.meanCost(), 1);
+        double size = Math.max(0, upstream.workInFlight) / Math.max(statistics.meanCost(), 1);
         return (upstream.inFlight + size) / 2;
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
@@ -61,8 +61,7 @@
 
     private void recordNoAnswer(RequestState request, Attempt attempt, long tookUs, long nowUs) {
         UpstreamState upstream = attempt.upstream;
-        upstream.paceUs =
-                Math.max(upstream.paceUs, smoothPace(upstream, paceUs(attempt, tookUs)));
+        upstream.paceUs = Math.max(upstream.paceUs, smoothPace(upstream, paceUs(attempt, tookUs)));
         limiter.recordNoAnswer(upstream, request, attempt, tookUs, nowUs);
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/QueueingDelayTarget.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/QueueingDelayTarget.java
@@ -17,8 +17,7 @@
     private static final double SMALL_GROUP = 4;
 
     static QueueingDelayTarget of(Settings settings) {
-        double share =
-                SHARE + SMALL_GROUP_SHARE * Math.min(1, SMALL_GROUP / settings.groupSize());
+        double share = SHARE + SMALL_GROUP_SHARE * Math.min(1, SMALL_GROUP / settings.groupSize());
         return new QueueingDelayTarget(share, (long) (share * tightestLatencyTargetUs(settings)));
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
@@ -25,7 +25,9 @@
     /** In order of sending; an attempt's number is its index. */
     final List<Attempt> attempts = new ArrayList<>(1);
 
-    /** Expected work: the hint, else the typical answer time of the class in microseconds, else 1. */
+    /**
+     * Expected work: the hint, else the typical answer time of the class in microseconds, else 1.
+     */
     double cost;
 
     /** Place in the queue: the greatest is dispatched first. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/TenantShares.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/TenantShares.java
@@ -24,9 +24,7 @@
 
     /** Takes a token; whether there was one, or the tenant is unknown or has no allowance. */
     boolean tryTake(int tenant, long nowUs) {
-        if (tenant < 0
-                || tenant >= tokensAtUs.length
-                || tenants.get(tenant).allowance() <= 0) {
+        if (tenant < 0 || tenant >= tokensAtUs.length || tenants.get(tenant).allowance() <= 0) {
             return true;
         }
         double perSecond = tenants.get(tenant).allowance() / groupSize;
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamState.java
@@ -18,7 +18,9 @@
     /** Bits of the upstream's hash that peers send to each other. */
     private static final int HASH_MASK = 0xFFFFFF;
 
-    /** Least utilisation that is taken for a report; chosen: slight rounding below 0 is accepted. */
+    /**
+     * Least utilisation that is taken for a report; chosen: slight rounding below 0 is accepted.
+     */
     private static final double LEAST_UTILISATION = -0.5;
 
     /** Greatest utilisation that is taken for a report; chosen: slight excess is clamped to 1. */
@@ -37,7 +39,9 @@
     /** The upstream as the endpoint list has it. */
     Upstream endpoint;
 
-    /** Relative capacity from the list; 1 where ratings are not used or the rating is not above 0. */
+    /**
+     * Relative capacity from the list; 1 where ratings are not used or the rating is not above 0.
+     */
     double rating = 1;
 
     // Written by acceptReport.
@@ -131,7 +135,9 @@
     /** Since when the bucket has held enough for a mean request. */
     long slowStartTokensUnusedSinceUs;
 
-    /** Creates the state of a newly listed process, seen from a balancer's position in its group. */
+    /**
+     * Creates the state of a newly listed process, seen from a balancer's position in its group.
+     */
     UpstreamState(String id, int balancerPosition) {
         this.id = id;
         this.hash = (int) RendezvousHash.mix(id.hashCode()) & HASH_MASK;
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -108,8 +108,7 @@
         this.outcomes =
                 new OutcomeRecorder(visibility, statistics, ejection, limiter, onDemandProber);
         ZonePreference zones = new ZonePreference(settings);
-        KeyAffinity affinity =
-                new KeyAffinity(settings.warmKeys(), upstreams, ejection, zones);
+        KeyAffinity affinity = new KeyAffinity(settings.warmKeys(), upstreams, ejection, zones);
         RetryPolicy retryPolicy = new RetryPolicy(settings.limits(), marginUs);
         WeightedLeastLoadPicker picker =
                 new WeightedLeastLoadPicker(
@@ -124,8 +123,7 @@
                         zones,
                         random);
         this.queue = new RequestQueue(affinity);
-        this.requests =
-                new OpenRequests(settings.limits(), queue, deadlines, statistics, actions);
+        this.requests = new OpenRequests(settings.limits(), queue, deadlines, statistics, actions);
         this.dispatcher =
                 new RequestDispatcher(
                         requests,
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationWeights.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationWeights.java
@@ -53,8 +53,7 @@
         }
         for (Weighted upstream : upstreams) {
             if (!upstream.hasFreshUtilisation()) {
-                upstream.logWeight =
-                        fresh == 0 ? upstream.logWeight * (1 - LEAK) : logSum / fresh;
+                upstream.logWeight = fresh == 0 ? upstream.logWeight * (1 - LEAK) : logSum / fresh;
             }
             upstream.weight = Math.exp(upstream.logWeight);
         }
@@ -62,7 +61,6 @@
 
     private static void moveByDistance(Weighted upstream, double mean) {
         double moved = upstream.logWeight * (1 - LEAK) + GAIN * (mean - upstream.utilisation);
-        upstream.logWeight =
-                Math.max(-GREATEST_LOG_WEIGHT, Math.min(GREATEST_LOG_WEIGHT, moved));
+        upstream.logWeight = Math.max(-GREATEST_LOG_WEIGHT, Math.min(GREATEST_LOG_WEIGHT, moved));
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
@@ -100,8 +100,7 @@
      * Whether an upstream may get the request, room apart. Asking fills the slow-start bucket of a
      * cold upstream, so that the conditions keep their order.
      */
-    boolean isEligible(
-            UpstreamState upstream, RequestState request, long nowUs, boolean isPanic) {
+    boolean isEligible(UpstreamState upstream, RequestState request, long nowUs, boolean isPanic) {
         return retryPolicy.maySend(request, upstream, nowUs)
                 && !request.isHedgedAwayFrom(upstream)
                 && (isPanic || !ejection.isEjected(upstream, nowUs))
--- a/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
@@ -24,8 +24,7 @@
  *       {@code OpenRequests}.
  *   <li>A periodic sweep finishes what is close to its deadline, ejects hanging upstreams, sheds
  *       late requests, hedges ({@code HedgingPolicy}), updates the weights ({@code WeightUpdater}),
- *       renews the subscription ({@code EndpointSubscription}) and probes ({@code
- *       PeriodicProber}).
+ *       renews the subscription ({@code EndpointSubscription}) and probes ({@code PeriodicProber}).
  * </ol>
  *
  * <h2>Where the mechanism is from</h2>
@@ -34,8 +33,8 @@
  * myrtleladder.loadbalancer.policy.UtilisationWeights}), and picks follow weight / (in-flight +
  * 1)^bias, as in weighted least-request balancing. The load balancer draws in that proportion; the
  * data plane takes the earliest deadline first ({@link
- * myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler}). docs/system.md describes
- * how the data plane uses both.
+ * myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler}). docs/system.md describes how
+ * the data plane uses both.
  *
  * <p>Times and durations are microseconds. No class is safe for use by several threads at once: all
  * are confined to the thread that calls the load balancer.
