--- a/src/main/java/myrtleladder/controlplane/BalancerDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerDirectory.java
@@ -25,7 +25,7 @@
 
     /** Takes a poll, with what the balancer hears of those that it monitors. */
     void heard(PollRequest poll, long now) {
-        for (String name : poll.alive) {
+        for (String name : poll.liveBalancers) {
             Entry monitored = entries.get(name);
             if (monitored != null) {
                 monitored.heardAt = now;
@@ -43,15 +43,15 @@
             revision++;
         }
         entry.heardAt = now;
-        entry.told = poll.balancers;
-        entry.underWay = poll.underWay;
+        entry.told = poll.balancerCount;
+        entry.underWay = poll.inFlightAtDraining;
     }
 
     /** What all balancers have under way at upstreams that leave, by incarnation. */
     Map<String, Integer> underWay() {
         Map<String, Integer> sums = new HashMap<>();
         for (Entry entry : entries.values()) {
-            entry.underWay.forEach(u -> sums.merge(u.instance, u.requests, Integer::sum));
+            entry.underWay.forEach(u -> sums.merge(u.instanceId, u.requests, Integer::sum));
         }
         return sums;
     }
--- a/src/main/java/myrtleladder/controlplane/ConfigurationOrders.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationOrders.java
@@ -144,7 +144,7 @@
             worked();
             return;
         }
-        if (committed.orders.contains(order.digest())) {
+        if (committed.changeDigests.contains(order.digest())) {
             CallerAnswers.document(exchange, 200, acknowledged());
             worked();
             return;
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -90,15 +90,15 @@
                 System.out.println(
                         generation.file()
                                 + ": store "
-                                + state.store
+                                + state.storeId
                                 + ", promised "
-                                + state.promised
+                                + state.promisedEpoch
                                 + ", "
-                                + state.accepted
+                                + state.acceptedView
                                 + ", generation "
                                 + state.snapshot.generation
                                 + ", "
-                                + state.snapshot.orders.size()
+                                + state.snapshot.changeDigests.size()
                                 + " orders");
             } catch (SystemException e) {
                 System.out.println(generation.file() + ": " + e.getMessage());
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -230,7 +230,7 @@
         if (exchange.head().method().equals("DELETE")) {
             InstanceRecord known = registry.get(id);
             // others may know what this node does not: the departure has to reach them too
-            record = known == null ? InstanceRecord.departed(id) : known.at(Stage.GONE);
+            record = known == null ? InstanceRecord.departed(id) : known.withStage(Stage.GONE);
         } else {
             try {
                 record = InstanceReader.read(id, Json.readObject(exchange.body()));
@@ -244,7 +244,7 @@
             polls.answerNews();
             saveSoon();
         }
-        boolean leaves = registry.get(id).leaving();
+        boolean leaves = registry.get(id).isLeaving();
         if (leaves) {
             sharing.shareDurably(
                     registry.get(id),
@@ -301,8 +301,8 @@
         }
         long now = scheduler.now();
         QuotaResponse grant = bank.grant(ask, now);
-        fleet.take(ask.load, now);
-        grant.loads = fleet.tell(ask.load, replica.view().epoch, now);
+        fleet.take(ask.loadReport, now);
+        grant.fleetLoads = fleet.tell(ask.loadReport, replica.view().epoch, now);
         return grant;
     }
 
@@ -312,7 +312,7 @@
             return;
         }
         inherit(shared.instances);
-        if (shared.durably) {
+        if (shared.syncRequired) {
             replica.saveInstancesNow(
                     ok ->
                             answer.accept(
--- a/src/main/java/myrtleladder/controlplane/FleetView.java
+++ b/src/main/java/myrtleladder/controlplane/FleetView.java
@@ -18,7 +18,7 @@
     void take(LoadReport report, long now) {
         if (report != null) {
             loads.take(report, now);
-            prompts.take(report.prompts);
+            prompts.take(report.cachedPrompts);
         }
     }
 
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -38,7 +38,7 @@
         Map<String, InstanceRecord> kept =
                 hints.computeIfAbsent(member, m -> new LinkedHashMap<>());
         if (kept.size() < MOST || kept.containsKey(record.id)) {
-            kept.merge(record.id, record, InstanceRecord::later);
+            kept.merge(record.id, record, InstanceRecord::latest);
         }
         plan();
     }
@@ -74,7 +74,7 @@
                     ShareInstancesRequest.of(epoch, records, false),
                     ANSWER,
                     answer -> {
-                        if (answer instanceof AcknowledgeResponse reply && reply.taken) {
+                        if (answer instanceof AcknowledgeResponse reply && reply.accepted) {
                             taken(member, records);
                         }
                     });
--- a/src/main/java/myrtleladder/controlplane/InstanceReader.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReader.java
@@ -22,7 +22,7 @@
                         String.valueOf(tree.getOrDefault("generation", "")),
                         state.equals("draining") ? Stage.DRAINING : Stage.READY,
                         number(tree, "sequence", 0))
-                .withWeights(weights(tree));
+                .withWeightsVersion(weights(tree));
     }
 
     /** The version of the weights of the first model: an upstream serves one here. */
@@ -32,10 +32,10 @@
                         && !models.isEmpty()
                         && models.get(0) instanceof Map<?, ?>;
         if (!named) {
-            return InstanceRecord.UNKNOWN_WEIGHTS;
+            return InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
         }
         Object told = ((Map<?, ?>) ((List<?>) tree.get("models")).get(0)).get("generation");
-        return told instanceof Number number ? number.longValue() : InstanceRecord.UNKNOWN_WEIGHTS;
+        return told instanceof Number number ? number.longValue() : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
     private static String text(Map<String, Object> tree, String name) {
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -34,7 +34,7 @@
         Entry entry = entries.computeIfAbsent(record.id, id -> new Entry());
         InstanceRecord before = entry.record;
         entry.knownSince = before == null ? now : entry.knownSince;
-        InstanceRecord after = before == null ? record : InstanceRecord.later(before, record);
+        InstanceRecord after = before == null ? record : InstanceRecord.latest(before, record);
         entry.heardAt = now;
         entry.record = after;
         if (after.differsFrom(before)) {
@@ -49,11 +49,11 @@
      * been cut off.
      */
     void inherit(Collection<InstanceRecord> records, long now) {
-        records.forEach(r -> take(r.stage == Stage.LOST ? r.at(Stage.READY) : r, now));
+        records.forEach(r -> take(r.stage == Stage.LOST ? r.withStage(Stage.READY) : r, now));
         for (Entry entry : entries.values()) {
             entry.heardAt = now;
             if (entry.record.stage == Stage.LOST) {
-                entry.record = entry.record.at(Stage.READY);
+                entry.record = entry.record.withStage(Stage.READY);
                 entry.revision = ++revision;
             }
         }
@@ -109,7 +109,7 @@
                     entry.record.stage == Stage.READY || entry.record.stage == Stage.DRAINING;
             if (silent && lives) {
                 boolean leaves = entry.record.stage == Stage.DRAINING;
-                entry.record = entry.record.at(leaves ? Stage.GONE : Stage.LOST);
+                entry.record = entry.record.withStage(leaves ? Stage.GONE : Stage.LOST);
                 entry.revision = ++revision;
                 changed = true;
             }
--- a/src/main/java/myrtleladder/controlplane/InstanceSharing.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSharing.java
@@ -98,7 +98,7 @@
     /** Another node may answer at an address by now: its word is not the member's. */
     private static boolean takenBy(Member member, Message answer) {
         return answer instanceof AcknowledgeResponse reply
-                && reply.taken
+                && reply.accepted
                 && member.equals(reply.member);
     }
 
--- a/src/main/java/myrtleladder/controlplane/LoadBoard.java
+++ b/src/main/java/myrtleladder/controlplane/LoadBoard.java
@@ -55,7 +55,7 @@
     }
 
     private static boolean replaces(LoadReport report, LoadReport before) {
-        return report.process != before.process || report.sequence > before.sequence;
+        return report.processId != before.processId || report.sequence > before.sequence;
     }
 
     /** Takes a balancer's report out of the sums. */
@@ -67,11 +67,11 @@
     }
 
     private void add(UpstreamLoad load, int sign) {
-        Sum sum = sums.computeIfAbsent(load.upstream, u -> new Sum());
-        sum.requests += sign * load.requests;
-        sum.tokens += sign * load.tokens;
+        Sum sum = sums.computeIfAbsent(load.upstreamKey, u -> new Sum());
+        sum.requests += sign * load.inFlightRequests;
+        sum.tokens += sign * load.pendingPromptTokens;
         if (sum.idle()) {
-            sums.remove(load.upstream);
+            sums.remove(load.upstreamKey);
         }
     }
 
@@ -81,22 +81,22 @@
             return;
         }
         expire(now);
-        told.known = true;
+        told.loadsKnown = true;
         Map<Integer, UpstreamLoad> own = new HashMap<>();
         Entry asking = entries.get(balancer);
         if (asking != null) {
-            asking.report().loads.forEach(load -> own.put(load.upstream, load));
+            asking.report().loads.forEach(load -> own.put(load.upstreamKey, load));
         }
         sums.forEach((upstream, sum) -> addOthers(told, upstream, sum, own.get(upstream)));
         if (told.loads.size() > MOST_TOLD) {
-            told.loads.sort((a, b) -> Integer.compare(b.tokens, a.tokens));
+            told.loads.sort((a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
             told.loads.subList(MOST_TOLD, told.loads.size()).clear();
         }
     }
 
     private static void addOthers(FleetLoads told, int upstream, Sum sum, UpstreamLoad own) {
-        int requests = sum.requests - (own == null ? 0 : own.requests);
-        int tokens = sum.tokens - (own == null ? 0 : own.tokens);
+        int requests = sum.requests - (own == null ? 0 : own.inFlightRequests);
+        int tokens = sum.tokens - (own == null ? 0 : own.pendingPromptTokens);
         if (requests > 0 || tokens > 0) {
             told.loads.add(UpstreamLoad.of(upstream, requests, tokens));
         }
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssignment.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssignment.java
@@ -58,14 +58,14 @@
 
     private static boolean waits(Holder holder) {
         InstanceRecord record = holder.record();
-        return !record.leaving() && record.ordinal == InstanceRecord.UNASSIGNED;
+        return !record.isLeaving() && record.ordinal == InstanceRecord.UNASSIGNED_ORDINAL;
     }
 
     private static Map<String, Set<Integer>> heldByService(List<Holder> holders) {
         Map<String, Set<Integer>> held = new HashMap<>();
         for (Holder holder : holders) {
             InstanceRecord record = holder.record();
-            if (!record.leaving() && record.ordinal != InstanceRecord.UNASSIGNED) {
+            if (!record.isLeaving() && record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL) {
                 held.computeIfAbsent(record.service, s -> new HashSet<>()).add(record.ordinal);
             }
         }
@@ -79,7 +79,7 @@
         for (Holder holder : holders) {
             InstanceRecord record = holder.record();
             boolean taken = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
-            if (record.leaving() && record.ordinal != InstanceRecord.UNASSIGNED && !taken) {
+            if (record.isLeaving() && record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL && !taken) {
                 vacant.computeIfAbsent(Group.of(record), g -> new TreeSet<>()).add(record.ordinal);
             }
         }
@@ -96,7 +96,7 @@
                         awaited.addAll(ordinals);
                     }
                 });
-        int ordinal = InstanceRecord.UNASSIGNED + 1;
+        int ordinal = InstanceRecord.UNASSIGNED_ORDINAL + 1;
         while (held.contains(ordinal) || awaited.contains(ordinal)) {
             ordinal++;
         }
--- a/src/main/java/myrtleladder/controlplane/PollDistribution.java
+++ b/src/main/java/myrtleladder/controlplane/PollDistribution.java
@@ -108,7 +108,7 @@
         if (poll.leaving) {
             fleet.forget(poll.balancer);
         } else {
-            fleet.take(poll.load, scheduler.now());
+            fleet.take(poll.loadReport, scheduler.now());
         }
         if (poll.immediate || poll.leaving || hasNews(poll)) {
             answer.accept(reply(poll));
@@ -120,8 +120,8 @@
     private boolean hasNews(PollRequest poll) {
         return poll.epoch != replica.view().epoch
                 || poll.generation < committed().generation
-                || poll.revision < registry.revision()
-                || !poll.complete && settled();
+                || poll.instanceRevision < registry.revision()
+                || !poll.hasAuthoritativeList && settled();
     }
 
     /** Answers the polls for which there is news. */
@@ -137,9 +137,9 @@
     private PollResponse notPrimary() {
         PollResponse reply = new PollResponse();
         Member primary = replica.primary();
-        reply.primary = primary == null || primary.equals(replica.self()) ? "" : primary.address;
+        reply.primaryAddress = primary == null || primary.equals(replica.self()) ? "" : primary.address;
         reply.epoch = replica.view() == null ? 0 : replica.view().epoch;
-        reply.members = addresses();
+        reply.controlNodeAddresses = addresses();
         return reply;
     }
 
@@ -157,20 +157,20 @@
         }
         boolean young = !settled();
         PollResponse reply = new PollResponse();
-        reply.valid = true;
-        reply.primary = replica.self().address;
-        reply.members = addresses();
+        reply.fromPrimary = true;
+        reply.primaryAddress = replica.self().address;
+        reply.controlNodeAddresses = addresses();
         reply.epoch = replica.view().epoch;
         reply.generation = committed().generation;
         reply.document = poll.generation < committed().generation ? committed().document : NO_BYTES;
-        reply.revision = registry.revision();
-        reply.complete = !young;
-        reply.whole = poll.epoch != reply.epoch || !poll.complete;
-        reply.instances = registry.since(reply.whole ? 0 : poll.revision);
-        reply.balancers = balancers.count(young);
-        reply.loads = fleet.tell(poll.load, reply.epoch, scheduler.now());
-        reply.memberRevision = balancers.revision();
-        if (reply.whole || poll.memberRevision != reply.memberRevision) {
+        reply.instanceRevision = registry.revision();
+        reply.authoritative = !young;
+        reply.fullInstanceList = poll.epoch != reply.epoch || !poll.hasAuthoritativeList;
+        reply.instances = registry.since(reply.fullInstanceList ? 0 : poll.instanceRevision);
+        reply.balancerCount = balancers.count(young);
+        reply.fleetLoads = fleet.tell(poll.loadReport, reply.epoch, scheduler.now());
+        reply.balancerListRevision = balancers.revision();
+        if (reply.fullInstanceList || poll.balancerListRevision != reply.balancerListRevision) {
             reply.balancerList = balancers.members();
         }
         return reply;
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -23,7 +23,7 @@
 
     private record Place(long prompt, int upstream) {
         static Place of(CachedPrompt kept) {
-            return new Place(kept.prompt, kept.upstream);
+            return new Place(kept.prefixHash, kept.upstreamKey);
         }
     }
 
@@ -51,12 +51,12 @@
     /** Adds to an answer what came after a revision, the oldest first, and how far that goes. */
     void tell(FleetLoads answer, long known) {
         answer.promptRevision = Math.min(known, revision);
-        answer.prompts = new ArrayList<>();
+        answer.cachedPrompts = new ArrayList<>();
         for (Map.Entry<Long, CachedPrompt> entry : byRevision.tailMap(known, false).entrySet()) {
-            if (answer.prompts.size() == MOST_TOLD) {
+            if (answer.cachedPrompts.size() == MOST_TOLD) {
                 return;
             }
-            answer.prompts.add(entry.getValue());
+            answer.cachedPrompts.add(entry.getValue());
             answer.promptRevision = entry.getKey();
         }
     }
--- a/src/main/java/myrtleladder/controlplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/controlplane/Rehearsal.java
@@ -111,10 +111,10 @@
                     call("DELETE", "/instances/i", "", "");
                     PeerClient peers = new PeerClient(loop);
                     PollRequest poll = new PollRequest();
-                    poll.load = report();
+                    poll.loadReport = report();
                     peers.call(HOST + ":" + internal, poll, STEP, answer -> {});
                     QuotaRequest ask = QuotaRequest.of("t", 1);
-                    ask.load = report();
+                    ask.loadReport = report();
                     peers.call(HOST + ":" + internal, ask, STEP, answer -> {});
                     loop.schedule(
                             2 * STEP,
@@ -130,7 +130,7 @@
         report.balancer = "e";
         report.sequence = 1;
         report.loads.add(UpstreamLoad.of(1, 1, 1));
-        report.prompts.add(CachedPrompt.of(1, 1));
+        report.cachedPrompts.add(CachedPrompt.of(1, 1));
         return report;
     }
 
--- a/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
@@ -44,9 +44,9 @@
             }
             lost += record.stage == Stage.LOST ? 1 : 0;
             draining += record.stage == Stage.DRAINING ? 1 : 0;
-            boolean unplaced = record.ordinal == InstanceRecord.UNASSIGNED;
+            boolean unplaced = record.ordinal == InstanceRecord.UNASSIGNED_ORDINAL;
             withoutOrdinal += record.stage == Stage.READY && unplaced ? 1 : 0;
-            underWay += record.leaving() ? requests : 0;
+            underWay += record.isLeaving() ? requests : 0;
         }
 
         private Map<String, Object> tree() {
--- a/src/main/java/myrtleladder/dataplane/Connections.java
+++ b/src/main/java/myrtleladder/dataplane/Connections.java
@@ -80,7 +80,7 @@
             while (each.hasNext()) {
                 Connection link = each.next();
                 if (now - link.restingSince >= link.longestRest
-                        || link.upstream.record().leaving()) {
+                        || link.upstream.record().isLeaving()) {
                     each.remove();
                     link.close();
                 }
@@ -172,7 +172,7 @@
         public void end(boolean reusable) {
             User ended = user;
             user = null;
-            if (reusable && !upstream.record().leaving() && idleTo(upstream) < MOST_IDLE) {
+            if (reusable && !upstream.record().isLeaving() && idleTo(upstream) < MOST_IDLE) {
                 restingSince = loop.now();
                 idle.computeIfAbsent(upstream, u -> new ArrayDeque<>()).addLast(this);
             } else {
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -102,14 +102,14 @@
         if (epoch == 0 || target.isEmpty()) {
             answer.accept(null);
         } else {
-            ask.load = router.fleet().report();
-            peers.call(target, ask, timeoutMs, reply -> granted(ask.load, reply, answer));
+            ask.loadReport = router.fleet().report();
+            peers.call(target, ask, timeoutMs, reply -> granted(ask.loadReport, reply, answer));
         }
     }
 
     private void granted(LoadReport report, Message message, Consumer<Message> answer) {
-        if (message instanceof QuotaResponse grant && grant.valid) {
-            router.fleet().take(report, grant.loads, scheduler.now());
+        if (message instanceof QuotaResponse grant && grant.fromPrimary) {
+            router.fleet().take(report, grant.fleetLoads, scheduler.now());
         }
         answer.accept(message);
     }
@@ -132,16 +132,16 @@
         poll.leaving = leaving;
         poll.epoch = epoch;
         poll.generation = generation;
-        poll.revision = revision;
-        poll.complete = complete;
-        poll.balancers = balancers;
+        poll.instanceRevision = revision;
+        poll.hasAuthoritativeList = complete;
+        poll.balancerCount = balancers;
         poll.address = address;
-        poll.alive = agent.alive();
-        poll.memberRevision = memberRevision;
-        poll.load = router.fleet().report();
-        poll.underWay.addAll(router.directory().underWayAtLeaving());
+        poll.liveBalancers = agent.alive();
+        poll.balancerListRevision = memberRevision;
+        poll.loadReport = router.fleet().report();
+        poll.inFlightAtDraining.addAll(router.directory().underWayAtLeaving());
         askedAt = scheduler.now();
-        peers.call(target, poll, TIMEOUT, message -> answered(poll.load, message));
+        peers.call(target, poll, TIMEOUT, message -> answered(poll.loadReport, message));
     }
 
     private String nextTarget() {
@@ -192,30 +192,30 @@
             scheduler.schedule(PAUSE, this::poll);
             return;
         }
-        if (!reply.members.isEmpty()) {
-            members = reply.members;
+        if (!reply.controlNodeAddresses.isEmpty()) {
+            members = reply.controlNodeAddresses;
         }
-        if (!reply.valid || reply.epoch < epoch) {
-            named(reply.primary, reply.epoch);
-            boolean useless = reply.primary.equals(target) || avoided(reply.primary);
-            target = useless ? "" : reply.primary;
+        if (!reply.fromPrimary || reply.epoch < epoch) {
+            named(reply.primaryAddress, reply.epoch);
+            boolean useless = reply.primaryAddress.equals(target) || avoided(reply.primaryAddress);
+            target = useless ? "" : reply.primaryAddress;
             scheduler.schedule(PAUSE, this::poll);
             return;
         }
         failures = 0;
         take(reply);
-        router.fleet().take(report, reply.loads, scheduler.now());
+        router.fleet().take(report, reply.fleetLoads, scheduler.now());
         poll();
     }
 
     private void take(PollResponse reply) {
         if (reply.epoch > epoch) {
-            LOG.info("epoch {} of {} follows {}", reply.epoch, reply.primary, epoch);
+            LOG.info("epoch {} of {} follows {}", reply.epoch, reply.primaryAddress, epoch);
         }
-        complete = reply.complete || complete && reply.epoch == epoch;
+        complete = reply.authoritative || complete && reply.epoch == epoch;
         epoch = reply.epoch;
-        revision = reply.revision;
-        router.directory().take(reply.instances, reply.whole && reply.complete);
+        revision = reply.instanceRevision;
+        router.directory().take(reply.instances, reply.fullInstanceList && reply.authoritative);
         if (reply.generation > generation && reply.document.length > 0) {
             Configuration next =
                     Configuration.read(Json.readObject(Compression.inflate(reply.document)));
@@ -223,11 +223,11 @@
             generation = reply.generation;
             LOG.info("generation {} is in force", generation);
         }
-        balancers = reply.balancers;
-        memberRevision = reply.memberRevision;
+        balancers = reply.balancerCount;
+        memberRevision = reply.balancerListRevision;
         if (!reply.balancerList.isEmpty()) {
             agent.members(reply.balancerList);
         }
-        router.balancers(reply.balancers);
+        router.balancers(reply.balancerCount);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Exchange.java
+++ b/src/main/java/myrtleladder/dataplane/Exchange.java
@@ -56,7 +56,7 @@
     private int unsent;
     private long lastEvent;
     private boolean anyEvent;
-    private long weights = InstanceRecord.UNKNOWN_WEIGHTS;
+    private long weights = InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
 
     Exchange(
             Router router,
@@ -163,12 +163,12 @@
     /** Whether an answer goes on at an upstream that has told the weights that began it. */
     private boolean sameWeights(Upstream upstream) {
         long begun = begunWith();
-        return begun != InstanceRecord.UNKNOWN_WEIGHTS && upstream.record().weights == begun;
+        return begun != InstanceRecord.UNKNOWN_WEIGHTS_VERSION && upstream.record().weightsVersion == begun;
     }
 
     /** The weights that made the events which the client has, if it has any. */
     private long begunWith() {
-        return state == State.STREAMING ? weights : InstanceRecord.UNKNOWN_WEIGHTS;
+        return state == State.STREAMING ? weights : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
     // ---- What becomes of an attempt
@@ -212,7 +212,7 @@
         }
         if (state != State.STREAMING) {
             answer = head;
-            weights = head.headers().number(Names.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS);
+            weights = head.headers().number(Names.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS_VERSION);
         } else if (head.status() >= 300) {
             attempt.cancel();
             failed(attempt);
--- a/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
+++ b/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
@@ -79,7 +79,7 @@
     LoadReport report() {
         LoadReport report = new LoadReport();
         report.balancer = balancer;
-        report.process = process;
+        report.processId = process;
         report.sequence = ++sequence;
         report.epoch = epoch;
         report.promptRevision = promptRevision;
@@ -94,7 +94,7 @@
         }
         waiting.stream()
                 .limit(MOST_ANNOUNCED)
-                .forEach(a -> report.prompts.add(CachedPrompt.of(a.prompt(), a.upstream())));
+                .forEach(a -> report.cachedPrompts.add(CachedPrompt.of(a.prompt(), a.upstream())));
         return report;
     }
 
@@ -109,15 +109,15 @@
             return;
         }
         List<Announcement> arrived = new ArrayList<>();
-        report.prompts.forEach(k -> arrived.add(new Announcement(k.prompt, k.upstream)));
+        report.cachedPrompts.forEach(k -> arrived.add(new Announcement(k.prefixHash, k.upstreamKey)));
         arrived.forEach(waiting::remove);
         promptRevision =
                 answer.epoch == epoch
                         ? Math.max(promptRevision, answer.promptRevision)
                         : answer.promptRevision;
         epoch = answer.epoch;
-        directory.takePrompts(answer.prompts, now);
-        if (answer.known) {
+        directory.takePrompts(answer.cachedPrompts, now);
+        if (answer.loadsKnown) {
             heardAt = now;
             directory.takeLoads(answer.loads, now);
         }
--- a/src/main/java/myrtleladder/dataplane/Placement.java
+++ b/src/main/java/myrtleladder/dataplane/Placement.java
@@ -72,7 +72,7 @@
 
     /** Picks an upstream of a service, null if none can take the request now. */
     Pick pick(Service service, PromptParts prompt, Set<Upstream> tried, long now) {
-        return pick(service, prompt, tried, InstanceRecord.UNKNOWN_WEIGHTS, now);
+        return pick(service, prompt, tried, InstanceRecord.UNKNOWN_WEIGHTS_VERSION, now);
     }
 
     /** The same for an answer that goes on: one with the weights that began it, if there is one. */
@@ -116,10 +116,10 @@
     }
 
     private static List<Upstream> withWeights(List<Upstream> open, long weights) {
-        if (weights == InstanceRecord.UNKNOWN_WEIGHTS) {
+        if (weights == InstanceRecord.UNKNOWN_WEIGHTS_VERSION) {
             return open;
         }
-        List<Upstream> same = open.stream().filter(u -> u.record().weights == weights).toList();
+        List<Upstream> same = open.stream().filter(u -> u.record().weightsVersion == weights).toList();
         return same.isEmpty() ? open : same;
     }
 
--- a/src/main/java/myrtleladder/dataplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/dataplane/Rehearsal.java
@@ -114,25 +114,25 @@
     private void control(Message message, java.util.function.Consumer<Message> answer) {
         if (message instanceof QuotaRequest ask) {
             QuotaResponse grant = QuotaResponse.of(true, ask.units, 0);
-            grant.loads = loads();
+            grant.fleetLoads = loads();
             answer.accept(grant);
         } else if (message instanceof PollRequest poll && poll.generation == 0) {
             PollResponse reply = new PollResponse();
-            reply.valid = true;
+            reply.fromPrimary = true;
             reply.epoch = 1;
             reply.generation = 3;
             reply.document = Compression.deflate(DOCUMENT.getBytes(StandardCharsets.UTF_8));
-            reply.whole = true;
-            reply.complete = true;
-            reply.balancers = 1;
-            reply.primary = HOST + ":" + control;
-            reply.members = List.of(reply.primary);
+            reply.fullInstanceList = true;
+            reply.authoritative = true;
+            reply.balancerCount = 1;
+            reply.primaryAddress = HOST + ":" + control;
+            reply.controlNodeAddresses = List.of(reply.primaryAddress);
             reply.balancerList =
                     List.of(
                             BalancerAddress.of("n", HOST + ":" + control),
                             BalancerAddress.of("m", HOST + ":" + control));
             reply.instances = List.of(instance("i", "s"), instance("j", "p"));
-            reply.loads = loads();
+            reply.fleetLoads = loads();
             answer.accept(reply);
         }
     }
@@ -140,10 +140,10 @@
     private static FleetLoads loads() {
         FleetLoads loads = new FleetLoads();
         loads.epoch = 1;
-        loads.known = true;
+        loads.loadsKnown = true;
         loads.promptRevision = 1;
         loads.loads.add(UpstreamLoad.of(UpstreamLoad.keyOf("i"), 1, 1));
-        loads.prompts.add(CachedPrompt.of(1, UpstreamLoad.keyOf("i")));
+        loads.cachedPrompts.add(CachedPrompt.of(1, UpstreamLoad.keyOf("i")));
         return loads;
     }
 
--- a/src/main/java/myrtleladder/dataplane/TenantQuotas.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotas.java
@@ -96,14 +96,14 @@
     }
 
     private void answered(Bucket bucket, double cost, Message answer, LongConsumer decided) {
-        if (!(answer instanceof QuotaResponse grant) || !grant.valid) {
+        if (!(answer instanceof QuotaResponse grant) || !grant.fromPrimary) {
             silentSince = Math.min(silentSince, clock);
             askAgainAt = clock + ASK_AGAIN;
             decided.accept(fallBack(bucket, cost, clock));
             return;
         }
         silentSince = Long.MAX_VALUE;
-        bucket.units += grant.units;
+        bucket.units += grant.grantedUnits;
         if (bucket.units >= cost) {
             bucket.units -= cost;
             decided.accept(0);
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -48,13 +48,13 @@
 
     /** The same for all incarnations that took over an ordinal one after the other. */
     private static long hashOf(InstanceRecord record) {
-        boolean unassigned = record.ordinal == InstanceRecord.UNASSIGNED;
+        boolean unassigned = record.ordinal == InstanceRecord.UNASSIGNED_ORDINAL;
         return Hashes.of(unassigned ? record.id : record.service + "#" + record.ordinal);
     }
 
     /** Whether subjects can have their home here. */
     boolean isHome() {
-        return record.ordinal != InstanceRecord.UNASSIGNED;
+        return record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
     }
 
     InstanceRecord record() {
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -77,7 +77,7 @@
             return;
         }
         Upstream known = byId.get(record.id);
-        if (record.leaving()) {
+        if (record.isLeaving()) {
             remember(record.id);
             if (known != null) {
                 end(known, record.stage);
@@ -88,7 +88,7 @@
             Upstream created = new Upstream(record);
             created.engine(engineOf(record));
             byId.put(record.id, created);
-        } else if (known.record().sequence <= record.sequence
+        } else if (known.record().heartbeatSequence <= record.heartbeatSequence
                 || known.record().stage != record.stage) {
             known.update(record);
         }
@@ -103,7 +103,7 @@
 
     private void end(Upstream upstream, Stage stage) {
         byId.remove(upstream.record().id);
-        upstream.update(upstream.record().at(stage));
+        upstream.update(upstream.record().withStage(stage));
         finishing.add(upstream);
         onEnd.accept(upstream);
     }
@@ -159,11 +159,11 @@
     /** Takes what the other balancers have under way. */
     void takeLoads(List<UpstreamLoad> loads, long now) {
         Map<Integer, UpstreamLoad> byKey = new HashMap<>();
-        loads.forEach(load -> byKey.put(load.upstream, load));
+        loads.forEach(load -> byKey.put(load.upstreamKey, load));
         for (Upstream upstream : byId.values()) {
             UpstreamLoad load = byKey.get(upstream.key());
             upstream.sharedLoad(
-                    load == null ? 0 : load.requests, load == null ? 0 : load.tokens, now);
+                    load == null ? 0 : load.inFlightRequests, load == null ? 0 : load.pendingPromptTokens, now);
         }
     }
 
@@ -175,9 +175,9 @@
         Map<Integer, Upstream> byKey = new HashMap<>();
         byId.values().forEach(upstream -> byKey.put(upstream.key(), upstream));
         for (CachedPrompt kept : prompts) {
-            Upstream upstream = byKey.get(kept.upstream);
+            Upstream upstream = byKey.get(kept.upstreamKey);
             if (upstream != null) {
-                upstream.memory().told(kept.prompt, now);
+                upstream.memory().told(kept.prefixHash, now);
             }
         }
     }
--- a/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
@@ -49,7 +49,7 @@
 
     /** Takes a heartbeat. */
     public void heard(BalancerHeartbeat alive) {
-        heardAt.put(alive.name, scheduler.now());
+        heardAt.put(alive.balancer, scheduler.now());
     }
 
     /** The processes monitored here that were heard lately. */
--- a/src/main/java/myrtleladder/protocol/FleetLoads.java
+++ b/src/main/java/myrtleladder/protocol/FleetLoads.java
@@ -9,13 +9,13 @@
     public long epoch;
 
     /** Whether {@code loads} are known; right after a new primary began they are not. */
-    public boolean known;
+    public boolean loadsKnown;
 
     /** The upstreams at which others have something under way; what is not named is idle. */
     public List<UpstreamLoad> loads = new ArrayList<>();
 
     /** Beginnings of prompts that upstreams keep, as far as they are new to the balancer. */
-    public List<CachedPrompt> prompts = new ArrayList<>();
+    public List<CachedPrompt> cachedPrompts = new ArrayList<>();
 
     /** How far the balancer knows them with this answer, within the epoch. */
     public long promptRevision;
--- a/src/main/java/myrtleladder/protocol/InstanceRecord.java
+++ b/src/main/java/myrtleladder/protocol/InstanceRecord.java
@@ -35,22 +35,22 @@
     public Stage stage = Stage.READY;
 
     /** The number of the heartbeat that told this. */
-    public long sequence;
+    public long heartbeatSequence;
 
     /** The version of the weights is not told. */
-    public static final long UNKNOWN_WEIGHTS = -1;
+    public static final long UNKNOWN_WEIGHTS_VERSION = -1;
 
     /** The version of the weights of its model. */
-    public long weights = UNKNOWN_WEIGHTS;
+    public long weightsVersion = UNKNOWN_WEIGHTS_VERSION;
 
     /** No ordinal was assigned. */
-    public static final int UNASSIGNED = 0;
+    public static final int UNASSIGNED_ORDINAL = 0;
 
     /**
      * The instance's place among those of its service, from 1; a replacement takes over that of the
      * instance it replaces. Assigned by the primary, so heartbeats do not tell it.
      */
-    public int ordinal = UNASSIGNED;
+    public int ordinal = UNASSIGNED_ORDINAL;
 
     /** Creates a record from its parts. */
     public static InstanceRecord of(
@@ -61,7 +61,7 @@
             int capacity,
             String version,
             Stage stage,
-            long sequence) {
+            long heartbeatSequence) {
         InstanceRecord made = new InstanceRecord();
         made.id = id;
         made.service = service;
@@ -70,7 +70,7 @@
         made.capacity = capacity;
         made.version = version;
         made.stage = stage;
-        made.sequence = sequence;
+        made.heartbeatSequence = heartbeatSequence;
         return made;
     }
 
@@ -80,17 +80,17 @@
     }
 
     /** The same at another stage. */
-    public InstanceRecord at(Stage other) {
-        InstanceRecord made = of(id, service, address, zone, capacity, version, other, sequence);
+    public InstanceRecord withStage(Stage other) {
+        InstanceRecord made = of(id, service, address, zone, capacity, version, other, heartbeatSequence);
         made.ordinal = ordinal;
-        made.weights = weights;
+        made.weightsVersion = weightsVersion;
         return made;
     }
 
     /** The same with a version of the weights. */
-    public InstanceRecord withWeights(long told) {
-        InstanceRecord made = at(stage);
-        made.weights = told;
+    public InstanceRecord withWeightsVersion(long told) {
+        InstanceRecord made = withStage(stage);
+        made.weightsVersion = told;
         return made;
     }
 
@@ -99,7 +99,7 @@
         if (assigned == ordinal) {
             return this;
         }
-        InstanceRecord made = at(stage);
+        InstanceRecord made = withStage(stage);
         made.ordinal = assigned;
         return made;
     }
@@ -110,25 +110,25 @@
                 || stage != other.stage
                 || capacity != other.capacity
                 || ordinal != other.ordinal
-                || weights != other.weights
+                || weightsVersion != other.weightsVersion
                 || !address.equals(other.address)
                 || !service.equals(other.service);
     }
 
     /** Whether the instance leaves or has left. */
-    public boolean leaving() {
+    public boolean isLeaving() {
         return stage == Stage.DRAINING || stage == Stage.GONE;
     }
 
     /** Which of two records of one incarnation holds: a departure, else the later heartbeat. */
-    public static InstanceRecord later(InstanceRecord a, InstanceRecord b) {
+    public static InstanceRecord latest(InstanceRecord a, InstanceRecord b) {
         return laterHeard(a, b).withOrdinal(Math.max(a.ordinal, b.ordinal));
     }
 
     private static InstanceRecord laterHeard(InstanceRecord a, InstanceRecord b) {
-        if (a.leaving() != b.leaving() || a.leaving() && a.stage != b.stage) {
+        if (a.isLeaving() != b.isLeaving() || a.isLeaving() && a.stage != b.stage) {
             return a.stage.ordinal() > b.stage.ordinal() ? a : b;
         }
-        return a.sequence >= b.sequence ? a : b;
+        return a.heartbeatSequence >= b.heartbeatSequence ? a : b;
     }
 }
--- a/src/main/java/myrtleladder/protocol/LoadReport.java
+++ b/src/main/java/myrtleladder/protocol/LoadReport.java
@@ -12,7 +12,7 @@
     public String balancer = "";
 
     /** Differs between two processes that have one name. */
-    public long process;
+    public long processId;
 
     /** Rises with each report of a process. */
     public long sequence;
@@ -21,7 +21,7 @@
     public List<UpstreamLoad> loads = new ArrayList<>();
 
     /** Beginnings of prompts that it sent to upstreams and has not told yet. */
-    public List<CachedPrompt> prompts = new ArrayList<>();
+    public List<CachedPrompt> cachedPrompts = new ArrayList<>();
 
     /** The epoch of the last answer. */
     public long epoch;
--- a/src/main/java/myrtleladder/protocol/Member.java
+++ b/src/main/java/myrtleladder/protocol/Member.java
@@ -9,32 +9,32 @@
     public String address = "";
 
     /** Host and port of the control interface. */
-    public String control = "";
+    public String controlAddress = "";
 
     /** Identity of the store. */
-    public String store = "";
+    public String storeId = "";
 
     /** Creates a member from its parts. */
-    public static Member of(String address, String control, String store) {
+    public static Member of(String address, String controlAddress, String storeId) {
         Member member = new Member();
         member.address = address;
-        member.control = control;
-        member.store = store;
+        member.controlAddress = controlAddress;
+        member.storeId = storeId;
         return member;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Member member && member.store.equals(store);
+        return other instanceof Member member && member.storeId.equals(storeId);
     }
 
     @Override
     public int hashCode() {
-        return store.hashCode();
+        return storeId.hashCode();
     }
 
     @Override
     public String toString() {
-        return address + "/" + store;
+        return address + "/" + storeId;
     }
 }
--- a/src/main/java/myrtleladder/protocol/PollRequest.java
+++ b/src/main/java/myrtleladder/protocol/PollRequest.java
@@ -12,10 +12,10 @@
     public String address = "";
 
     /** Balancers that it monitors and hears. */
-    public List<String> alive = new ArrayList<>();
+    public List<String> liveBalancers = new ArrayList<>();
 
     /** The revision of the list of balancers that it has, within the epoch. */
-    public long memberRevision;
+    public long balancerListRevision;
 
     /** Whether it is about to end. */
     public boolean leaving;
@@ -27,20 +27,20 @@
     public long generation;
 
     /** The revision of the upstreams, within the epoch. */
-    public long revision;
+    public long instanceRevision;
 
     /** Whether the balancer has had a complete list within the epoch. */
-    public boolean complete;
+    public boolean hasAuthoritativeList;
 
     /** How many balancers there are as far as it knows. */
-    public int balancers;
+    public int balancerCount;
 
     /** What it has under way at upstreams that leave. */
-    public List<InFlightRequests> underWay = new ArrayList<>();
+    public List<InFlightRequests> inFlightAtDraining = new ArrayList<>();
 
     /** Whether news are wanted at once, even if there are none. */
     public boolean immediate;
 
     /** What the balancer has under way, null if it does not say. */
-    public LoadReport load;
+    public LoadReport loadReport;
 }
--- a/src/main/java/myrtleladder/protocol/PrepareRequest.java
+++ b/src/main/java/myrtleladder/protocol/PrepareRequest.java
@@ -9,14 +9,14 @@
     public Member candidate;
 
     /** Asks only whether a primary is heard of; nothing is promised. */
-    public boolean trial;
+    public boolean preVote;
 
     /** Creates a message from its parts. */
-    public static PrepareRequest of(long epoch, Member candidate, boolean trial) {
+    public static PrepareRequest of(long epoch, Member candidate, boolean preVote) {
         PrepareRequest message = new PrepareRequest();
         message.epoch = epoch;
         message.candidate = candidate;
-        message.trial = trial;
+        message.preVote = preVote;
         return message;
     }
 }
--- a/src/main/java/myrtleladder/protocol/PrepareResponse.java
+++ b/src/main/java/myrtleladder/protocol/PrepareResponse.java
@@ -9,13 +9,13 @@
     public boolean granted;
 
     /** The highest epoch promised so far. */
-    public long promised;
+    public long promisedEpoch;
 
     /** Who answers. */
     public Member member;
 
     /** The last view accepted, null if none. */
-    public View accepted;
+    public View acceptedView;
 
     /** The upstreams that the member has heard of. */
     public List<InstanceRecord> instances = new ArrayList<>();
--- a/src/main/java/myrtleladder/protocol/QuotaRequest.java
+++ b/src/main/java/myrtleladder/protocol/QuotaRequest.java
@@ -9,7 +9,7 @@
     public double units;
 
     /** What the balancer has under way, null if it does not say. */
-    public LoadReport load;
+    public LoadReport loadReport;
 
     /** Creates a message from its parts. */
     public static QuotaRequest of(String tenant, double units) {
--- a/src/main/java/myrtleladder/protocol/ReplicateRequest.java
+++ b/src/main/java/myrtleladder/protocol/ReplicateRequest.java
@@ -12,15 +12,15 @@
     public long generation;
 
     /** The digest of the order. */
-    public String order = "";
+    public String changeDigest = "";
 
     /** Creates a message from its parts. */
-    public static ReplicateRequest of(long epoch, byte[] document, long generation, String order) {
+    public static ReplicateRequest of(long epoch, byte[] document, long generation, String changeDigest) {
         ReplicateRequest message = new ReplicateRequest();
         message.epoch = epoch;
         message.document = document;
         message.generation = generation;
-        message.order = order;
+        message.changeDigest = changeDigest;
         return message;
     }
 }
--- a/src/main/java/myrtleladder/protocol/ShareInstancesRequest.java
+++ b/src/main/java/myrtleladder/protocol/ShareInstancesRequest.java
@@ -12,13 +12,13 @@
     public List<InstanceRecord> instances = new ArrayList<>();
 
     /** Whether the answer has to wait until the records are on the disk. */
-    public boolean durably;
+    public boolean syncRequired;
 
     /** Creates a message from its parts. */
     public static ShareInstancesRequest of(
-            long epoch, List<InstanceRecord> instances, boolean durably) {
+            long epoch, List<InstanceRecord> instances, boolean syncRequired) {
         ShareInstancesRequest message = new ShareInstancesRequest();
-        message.durably = durably;
+        message.syncRequired = syncRequired;
         message.epoch = epoch;
         message.instances = new ArrayList<>(instances);
         return message;
--- a/src/main/java/myrtleladder/protocol/Snapshot.java
+++ b/src/main/java/myrtleladder/protocol/Snapshot.java
@@ -6,7 +6,7 @@
 /** The replicated state: the operator's document and the orders that were taken. */
 public final class Snapshot {
     /** How many orders are remembered, so that one that arrives again is known. */
-    public static final int MOST_ORDERS = 2_000;
+    public static final int MAX_CHANGE_DIGESTS = 2_000;
 
     /** The document as compressed JSON, empty before the first. */
     public byte[] document = {};
@@ -15,22 +15,22 @@
     public long generation;
 
     /** Digests of the orders taken, the oldest first. */
-    public List<String> orders = new ArrayList<>();
+    public List<String> changeDigests = new ArrayList<>();
 
     /** Creates a snapshot from its parts. */
-    public static Snapshot of(byte[] document, long generation, List<String> orders) {
+    public static Snapshot of(byte[] document, long generation, List<String> changeDigests) {
         Snapshot snapshot = new Snapshot();
         snapshot.document = document;
         snapshot.generation = generation;
-        snapshot.orders = orders;
+        snapshot.changeDigests = changeDigests;
         return snapshot;
     }
 
     /** The state after another order. */
-    public Snapshot with(byte[] nextDocument, long nextGeneration, String order) {
-        List<String> next = new ArrayList<>(orders);
-        next.add(order);
-        int forgotten = Math.max(0, next.size() - MOST_ORDERS);
+    public Snapshot withChange(byte[] nextDocument, long nextGeneration, String changeDigest) {
+        List<String> next = new ArrayList<>(changeDigests);
+        next.add(changeDigest);
+        int forgotten = Math.max(0, next.size() - MAX_CHANGE_DIGESTS);
         return of(nextDocument, nextGeneration, next.subList(forgotten, next.size()));
     }
 }
--- a/src/main/java/myrtleladder/protocol/StoredState.java
+++ b/src/main/java/myrtleladder/protocol/StoredState.java
@@ -6,13 +6,13 @@
 /** All that a control node keeps on its disk; instances are not changed once made. */
 public final class StoredState implements Message {
     /** Identity of this store. */
-    public String store = "";
+    public String storeId = "";
 
     /** The highest epoch promised to a candidate. */
-    public long promised;
+    public long promisedEpoch;
 
     /** The last view accepted, null if none. */
-    public View accepted;
+    public View acceptedView;
 
     /** The replicated state, as far as this node holds it. */
     public Snapshot snapshot = new Snapshot();
@@ -25,33 +25,33 @@
 
     /** The same with the upstreams known now. */
     public StoredState withInstances(List<InstanceRecord> known) {
-        StoredState state = of(store, promised, accepted, snapshot);
+        StoredState state = of(storeId, promisedEpoch, acceptedView, snapshot);
         state.instances = new ArrayList<>(known);
         return state;
     }
 
     /** Creates a state from its parts. */
-    public static StoredState of(String store, long promised, View accepted, Snapshot snapshot) {
+    public static StoredState of(String storeId, long promisedEpoch, View acceptedView, Snapshot snapshot) {
         StoredState state = new StoredState();
-        state.store = store;
-        state.promised = promised;
-        state.accepted = accepted;
+        state.storeId = storeId;
+        state.promisedEpoch = promisedEpoch;
+        state.acceptedView = acceptedView;
         state.snapshot = snapshot;
         return state;
     }
 
     /** The same with another promise. */
-    public StoredState withPromised(long epoch) {
-        return of(store, epoch, accepted, snapshot);
+    public StoredState withPromisedEpoch(long epoch) {
+        return of(storeId, epoch, acceptedView, snapshot);
     }
 
     /** The same with an accepted view, and its epoch promised. */
-    public StoredState withAccepted(View view) {
-        return of(store, Math.max(promised, view.epoch), view, snapshot);
+    public StoredState withAcceptedView(View view) {
+        return of(storeId, Math.max(promisedEpoch, view.epoch), view, snapshot);
     }
 
     /** The same with other replicated state. */
     public StoredState withSnapshot(Snapshot next) {
-        return of(store, promised, accepted, next);
+        return of(storeId, promisedEpoch, acceptedView, next);
     }
 }
--- a/src/main/java/myrtleladder/protocol/UpstreamLoad.java
+++ b/src/main/java/myrtleladder/protocol/UpstreamLoad.java
@@ -5,20 +5,20 @@
     private static final int POSITIVE = 0x7fffffff;
 
     /** The upstream's incarnation, see {@link #keyOf}. */
-    public int upstream;
+    public int upstreamKey;
 
     /** Requests that were sent there and have not ended. */
-    public int requests;
+    public int inFlightRequests;
 
     /** Prompt tokens of those whose answers have not begun. */
-    public int tokens;
+    public int pendingPromptTokens;
 
     /** Creates a load from its parts. */
-    public static UpstreamLoad of(int upstream, int requests, int tokens) {
+    public static UpstreamLoad of(int upstreamKey, int inFlightRequests, int pendingPromptTokens) {
         UpstreamLoad made = new UpstreamLoad();
-        made.upstream = upstream;
-        made.requests = requests;
-        made.tokens = tokens;
+        made.upstreamKey = upstreamKey;
+        made.inFlightRequests = inFlightRequests;
+        made.pendingPromptTokens = pendingPromptTokens;
         return made;
     }
 
--- a/src/main/java/myrtleladder/protocol/View.java
+++ b/src/main/java/myrtleladder/protocol/View.java
@@ -22,7 +22,7 @@
      * The group before this view; its majority counts too until a view follows in which nothing
      * changed.
      */
-    public List<Member> previous = new ArrayList<>();
+    public List<Member> previousGroup = new ArrayList<>();
 
     /** Creates a view from its parts. */
     public static View of(
@@ -30,9 +30,9 @@
             Member primary,
             List<Member> replicas,
             List<Member> group,
-            List<Member> previous) {
+            List<Member> previousGroup) {
         View view = new View();
-        view.previous = new ArrayList<>(previous);
+        view.previousGroup = new ArrayList<>(previousGroup);
         view.epoch = epoch;
         view.primary = primary;
         view.replicas = new ArrayList<>(replicas);
@@ -42,12 +42,12 @@
 
     /** Whether more than half of the group, and of the one before, is among the given members. */
     public boolean hasMajority(Collection<Member> members) {
-        return majority(group, members) && majority(previous, members);
+        return majority(group, members) && majority(previousGroup, members);
     }
 
     /** Whether the group is the one before, so that a single majority counts. */
-    public boolean settled() {
-        return group.size() == previous.size() && group.containsAll(previous);
+    public boolean isGroupStable() {
+        return group.size() == previousGroup.size() && group.containsAll(previousGroup);
     }
 
     private static boolean majority(List<Member> voters, Collection<Member> members) {
--- a/src/main/java/myrtleladder/replication/Candidacy.java
+++ b/src/main/java/myrtleladder/replication/Candidacy.java
@@ -58,7 +58,7 @@
         this.plan = plan;
         this.withTrial = withTrial;
         this.begunAt = replica.scheduler().now();
-        View accepted = replica.stored().accepted;
+        View accepted = replica.stored().acceptedView;
         this.base = accepted == null ? replica.view() : accepted;
         this.epoch = replica.highestEpoch() + 1;
     }
@@ -99,7 +99,7 @@
             askedAt = replica.scheduler().now();
         }
         ask(base.group);
-        ask(base.previous);
+        ask(base.previousGroup);
         if (step == Step.PREPARING) {
             ask(plan.next());
         }
@@ -133,18 +133,18 @@
         if (step != (trial ? Step.TRIAL : Step.PREPARING)) {
             return;
         }
-        replica.saw(promise.promised);
-        if (promise.accepted != null) {
-            replica.know(promise.accepted);
+        replica.saw(promise.promisedEpoch);
+        if (promise.acceptedView != null) {
+            replica.know(promise.acceptedView);
         }
         if (promise.granted) {
             promises.put(promise.member, promise);
             if (!trial) {
                 replica.answered(promise.member, sentAt);
             }
-        } else if (promise.promised >= epoch) {
+        } else if (promise.promisedEpoch >= epoch) {
             // Another epoch is ahead: the next attempt begins above it.
-            replica.lost("epoch " + promise.promised + " is ahead", true);
+            replica.lost("epoch " + promise.promisedEpoch + " is ahead", true);
             return;
         }
         if (trial) {
@@ -172,7 +172,7 @@
         asked.clear();
         epoch = Math.max(epoch, replica.highestEpoch() + 1);
         replica.saveState(
-                replica.stored().withPromised(epoch),
+                replica.stored().withPromisedEpoch(epoch),
                 ok -> {
                     if (!ok || step != Step.SAVING) {
                         return;
@@ -185,10 +185,10 @@
 
     /** The last view that may have committed changes, as far as those who promised know. */
     private View lastAccepted() {
-        View last = replica.stored().accepted;
+        View last = replica.stored().acceptedView;
         for (PrepareResponse promise : promises.values()) {
-            if (promise.accepted != null && (last == null || promise.accepted.epoch > last.epoch)) {
-                last = promise.accepted;
+            if (promise.acceptedView != null && (last == null || promise.acceptedView.epoch > last.epoch)) {
+                last = promise.acceptedView;
             }
         }
         return last;
@@ -223,7 +223,7 @@
 
     private void choose() {
         List<Member> group = mayChangeGroup() ? plan.next(promises::containsKey) : base.group;
-        List<Member> previous = mayChangeGroup() ? base.group : base.previous;
+        List<Member> previous = mayChangeGroup() ? base.group : base.previousGroup;
         List<Member> candidates = new ArrayList<>();
         for (Member member : base.replicas) {
             addIfFit(candidates, member, group, false);
@@ -285,7 +285,7 @@
                                     return;
                                 }
                                 if (answer instanceof AcknowledgeResponse reply
-                                        && reply.taken
+                                        && reply.accepted
                                         && member.equals(reply.member)) {
                                     installed.add(member);
                                     acceptIfInstalled();
@@ -304,7 +304,7 @@
         }
         become(Step.ACCEPTING);
         replica.saveState(
-                replica.stored().withAccepted(view),
+                replica.stored().withAcceptedView(view),
                 ok -> {
                     if (ok && step == Step.ACCEPTING) {
                         accepted.add(replica.self());
@@ -312,7 +312,7 @@
                     }
                 });
         Set<Member> all = new LinkedHashSet<>(view.group);
-        all.addAll(view.previous);
+        all.addAll(view.previousGroup);
         long sentAt = replica.scheduler().now();
         for (Member member : all) {
             if (!member.equals(replica.self())) {
@@ -323,7 +323,7 @@
                                 ReplicaTimes.CALL,
                                 answer -> {
                                     if (answer instanceof AcknowledgeResponse reply
-                                            && reply.taken
+                                            && reply.accepted
                                             && reply.member != null) {
                                         accepted.add(reply.member);
                                         replica.answered(reply.member, sentAt);
@@ -345,9 +345,9 @@
     private List<InstanceRecord> inherited() {
         Map<String, InstanceRecord> latest = new LinkedHashMap<>();
         for (PrepareResponse promise : promises.values()) {
-            promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
+            promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
         }
-        replica.instances().forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
+        replica.instances().forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
         return new ArrayList<>(latest.values());
     }
 }
--- a/src/main/java/myrtleladder/replication/Leadership.java
+++ b/src/main/java/myrtleladder/replication/Leadership.java
@@ -107,7 +107,7 @@
     boolean leave(Member member) {
         View view = replica.view();
         requests.leave(member, scheduler.now());
-        return view.settled() && !view.group.contains(member) && !view.replicas.contains(member);
+        return view.isGroupStable() && !view.group.contains(member) && !view.replicas.contains(member);
     }
 
     /** Whether a member is about to end. */
@@ -118,7 +118,7 @@
     /** The next group as far as it may be chosen now. */
     GroupPlan plan() {
         View view = replica.view();
-        if (!view.settled()) {
+        if (!view.isGroupStable()) {
             return GroupPlan.unchanged(view.group);
         }
         Set<Member> joining = requests.joining();
@@ -186,7 +186,7 @@
             return;
         }
         View view = replica.view();
-        if (!view.settled()) {
+        if (!view.isGroupStable()) {
             replica.stand(false, "the group settles");
         } else if (plan().changes()) {
             replica.stand(false, "the group changes");
@@ -271,9 +271,9 @@
         if (!current || !(answer instanceof AcknowledgeResponse reply) || reply.member == null) {
             return;
         }
-        if (reply.promised > view.epoch) {
-            replica.deposed(reply.promised);
-        } else if (reply.taken) {
+        if (reply.promisedEpoch > view.epoch) {
+            replica.deposed(reply.promisedEpoch);
+        } else if (reply.accepted) {
             contacts.answered(reply.member, sentAt);
             heard.add(reply.member);
         }
@@ -291,7 +291,7 @@
     /** Takes a change and hands it to the replicas. */
     void submit(byte[] document, long generation, String order, Consumer<Boolean> done) {
         View view = replica.view();
-        Snapshot next = replica.snapshot().with(document, generation, order);
+        Snapshot next = replica.snapshot().withChange(document, generation, order);
         Pending change = new Pending(view.replicas.size(), done);
         pending = change;
         replica.saveState(
@@ -314,14 +314,14 @@
                         answer -> {
                             boolean taken =
                                     answer instanceof AcknowledgeResponse reply
-                                            && reply.taken
+                                            && reply.accepted
                                             && member.equals(reply.member);
                             if (taken) {
                                 contacts.answered(member, sentAt);
                             }
                             if (answer instanceof AcknowledgeResponse reply
-                                    && reply.promised > replica.epoch()) {
-                                replica.deposed(reply.promised);
+                                    && reply.promisedEpoch > replica.epoch()) {
+                                replica.deposed(reply.promisedEpoch);
                             }
                             replicated(change, taken, member);
                         });
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -104,10 +104,10 @@
         StoredState first = onDisk == null ? firstState(newStore) : onDisk;
         this.instancesAtStart = first.instances;
         this.keeper = new StateKeeper(first, storage, scheduler, instances, this::diskFailed);
-        this.self = Member.of(options.self().address, options.self().control, first.store);
+        this.self = Member.of(options.self().address, options.self().controlAddress, first.storeId);
         this.voter = new Voter(this);
         this.leadership = new Leadership(this, scheduler);
-        this.known = first.accepted;
+        this.known = first.acceptedView;
         this.identityStored = onDisk != null;
     }
 
@@ -122,7 +122,7 @@
         }
         List<Member> group =
                 options.seeds().stream()
-                        .map(s -> Member.of(s.address, s.control, firstStore(s)))
+                        .map(s -> Member.of(s.address, s.controlAddress, firstStore(s)))
                         .toList();
         return StoredState.of(
                 firstStore(options.self()),
@@ -142,9 +142,9 @@
         StoredState stored = stored();
         LOG.info(
                 "replica starts: store {} promised {} view {} generation {}",
-                stored.store,
-                stored.promised,
-                stored.accepted,
+                stored.storeId,
+                stored.promisedEpoch,
+                stored.acceptedView,
                 stored.snapshot.generation);
         storeIdentity();
     }
@@ -186,7 +186,7 @@
 
     /** The epoch promised last. */
     public long epoch() {
-        return stored().promised;
+        return stored().promisedEpoch;
     }
 
     /** The replicated state; committed if this node is primary and no change is under way. */
@@ -345,7 +345,7 @@
         }
         State before = state;
         state = next;
-        LOG.info("{} -> {} epoch {}: {}", before, next, stored().promised, why);
+        LOG.info("{} -> {} epoch {}: {}", before, next, stored().promisedEpoch, why);
         if (next != State.CANDIDATE && candidacy != null) {
             candidacy.end();
             candidacy = null;
@@ -424,7 +424,7 @@
      * A replica of the last view known or stored; whoever promises knows whether a later one is.
      */
     private boolean mayStand() {
-        View accepted = stored().accepted;
+        View accepted = stored().acceptedView;
         return holdsCopy() || accepted != null && accepted.replicas.contains(self);
     }
 
@@ -517,7 +517,7 @@
     /** The highest epoch heard of; an attempt below it would be refused for ever. */
     long highestEpoch() {
         long ofView = known == null ? 0 : known.epoch;
-        return Math.max(Math.max(highestSeen, ofView), stored().promised);
+        return Math.max(Math.max(highestSeen, ofView), stored().promisedEpoch);
     }
 
     void saw(long epoch) {
@@ -576,7 +576,7 @@
                 && state == State.FOLLOWER
                 && known.primary != null
                 && !known.primary.equals(candidate)
-                && stored().promised <= known.epoch;
+                && stored().promisedEpoch <= known.epoch;
     }
 
     /** An epoch is about to be promised to a candidate. */
@@ -623,7 +623,7 @@
     }
 
     private void resigned(ResignRequest message, Consumer<Message> answer) {
-        answer.accept(AcknowledgeResponse.of(true, stored().promised, self));
+        answer.accept(AcknowledgeResponse.of(true, stored().promisedEpoch, self));
         boolean next = known != null && known.epoch == message.epoch && holdsCopy();
         if (next
                 && departure == null
--- a/src/main/java/myrtleladder/replication/Voter.java
+++ b/src/main/java/myrtleladder/replication/Voter.java
@@ -50,7 +50,7 @@
     }
 
     private AcknowledgeResponse reply(boolean taken) {
-        return AcknowledgeResponse.of(taken, stored().promised, replica.self());
+        return AcknowledgeResponse.of(taken, stored().promisedEpoch, replica.self());
     }
 
     private void saveThenAcknowledge(StoredState next, Consumer<Message> answer) {
@@ -58,14 +58,14 @@
     }
 
     private void prepare(PrepareRequest message, Consumer<Message> answer) {
-        if (message.trial) {
-            boolean free = message.epoch > stored().promised && !replica.hears(message.candidate);
+        if (message.preVote) {
+            boolean free = message.epoch > stored().promisedEpoch && !replica.hears(message.candidate);
             answer.accept(promise(free));
-        } else if (message.epoch > stored().promised) {
+        } else if (message.epoch > stored().promisedEpoch) {
             promisedTo = message.candidate;
             replica.yieldTo(message.epoch, message.candidate);
-            savePromise(stored().withPromised(message.epoch), answer);
-        } else if (message.epoch == stored().promised && message.candidate.equals(promisedTo)) {
+            savePromise(stored().withPromisedEpoch(message.epoch), answer);
+        } else if (message.epoch == stored().promisedEpoch && message.candidate.equals(promisedTo)) {
             savePromise(stored(), answer); // asked again: the answer was lost
         } else {
             answer.accept(promise(false));
@@ -73,11 +73,11 @@
     }
 
     private void savePromise(StoredState next, Consumer<Message> answer) {
-        long epoch = next.promised;
+        long epoch = next.promisedEpoch;
         replica.saveState(
                 next,
                 ok -> {
-                    boolean holds = stored().promised == epoch;
+                    boolean holds = stored().promisedEpoch == epoch;
                     answer.accept(ok ? promise(holds) : null);
                 });
     }
@@ -85,15 +85,15 @@
     private PrepareResponse promise(boolean granted) {
         PrepareResponse promise = new PrepareResponse();
         promise.granted = granted;
-        promise.promised = stored().promised;
+        promise.promisedEpoch = stored().promisedEpoch;
         promise.member = replica.self();
-        promise.accepted = stored().accepted;
+        promise.acceptedView = stored().acceptedView;
         promise.instances = granted ? new ArrayList<>(replica.instances()) : new ArrayList<>();
         return promise;
     }
 
     private void install(InstallStateRequest message, Consumer<Message> answer) {
-        if (message.epoch != stored().promised) {
+        if (message.epoch != stored().promisedEpoch) {
             answer.accept(reply(false));
             return;
         }
@@ -105,38 +105,38 @@
     }
 
     private void accept(View view, Consumer<Message> answer) {
-        if (view.epoch < stored().promised) {
+        if (view.epoch < stored().promisedEpoch) {
             answer.accept(reply(false));
             return;
         }
         replica.adopt(view);
-        saveThenAcknowledge(stored().withAccepted(view), answer);
+        saveThenAcknowledge(stored().withAcceptedView(view), answer);
     }
 
     private void replicate(ReplicateRequest message, Consumer<Message> answer) {
-        View accepted = stored().accepted;
+        View accepted = stored().acceptedView;
         boolean current =
                 accepted != null
                         && accepted.epoch == message.epoch
-                        && stored().promised == message.epoch
+                        && stored().promisedEpoch == message.epoch
                         && accepted.replicas.contains(replica.self());
         if (!current) {
             answer.accept(reply(false));
             return;
         }
         replica.heardFromCandidate();
-        Snapshot next = stored().snapshot.with(message.document, message.generation, message.order);
+        Snapshot next = stored().snapshot.withChange(message.document, message.generation, message.changeDigest);
         saveThenAcknowledge(stored().withSnapshot(next), answer);
     }
 
     private void heartbeat(View view, Consumer<Message> answer) {
-        if (view.epoch < stored().promised) {
+        if (view.epoch < stored().promisedEpoch) {
             answer.accept(reply(false));
             return;
         }
         replica.adopt(view);
-        if (stored().accepted == null || view.epoch > stored().accepted.epoch) {
-            saveThenAcknowledge(stored().withAccepted(view), answer);
+        if (stored().acceptedView == null || view.epoch > stored().acceptedView.epoch) {
+            saveThenAcknowledge(stored().withAcceptedView(view), answer);
             return;
         }
         answer.accept(reply(true));
--- a/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
@@ -113,7 +113,7 @@
         if (message instanceof PrepareRequest prepare) {
             PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
-            promise.promised = prepare.epoch;
+            promise.promisedEpoch = prepare.epoch;
             promise.member = peer;
             return promise;
         }
@@ -194,7 +194,7 @@
         PollRequest poll = new PollRequest();
         poll.balancer = "e";
         poll.address = "e:1";
-        poll.underWay.add(InFlightRequests.of("i2", 5));
+        poll.inFlightAtDraining.add(InFlightRequests.of("i2", 5));
         poll.immediate = true;
         plane.receive(poll, reply -> {});
         Call call = get("/upgrade");
@@ -213,9 +213,9 @@
         assertEquals("z", record.zone);
         assertEquals(8, record.capacity);
         assertEquals("v7", record.version);
-        assertEquals(31, record.weights);
+        assertEquals(31, record.weightsVersion);
         assertEquals(Stage.READY, record.stage);
-        assertEquals(41, record.sequence);
+        assertEquals(41, record.heartbeatSequence);
     }
 
     @Test
@@ -309,7 +309,7 @@
                 List.of("d1aa155ffbd6e3710acd9d1e7d8fc973"),
                 sent.stream()
                         .filter(m -> m instanceof ReplicateRequest)
-                        .map(m -> ((ReplicateRequest) m).order)
+                        .map(m -> ((ReplicateRequest) m).changeDigest)
                         .distinct()
                         .toList());
     }
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -118,7 +118,7 @@
         if (message instanceof PrepareRequest prepare) {
             PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
-            promise.promised = prepare.epoch;
+            promise.promisedEpoch = prepare.epoch;
             promise.member = peer;
             return promise;
         }
@@ -161,8 +161,8 @@
         poll.address = "e:1";
         poll.generation = generation;
         poll.epoch = epoch;
-        poll.revision = revision;
-        poll.complete = complete;
+        poll.instanceRevision = revision;
+        poll.hasAuthoritativeList = complete;
         PollResponse[] reply = new PollResponse[1];
         plane.receive(poll, answer -> reply[0] = (PollResponse) answer);
         return reply[0];
@@ -230,7 +230,7 @@
         assertEquals(503, put.status);
         assertEquals(503, get.status);
         assertEquals(503, stale.status);
-        assertFalse(poll(0, 0, 0, false).valid);
+        assertFalse(poll(0, 0, 0, false).fromPrimary);
     }
 
     @Test
@@ -272,7 +272,7 @@
         assertEquals(Stage.GONE, saved.instances.get(0).stage);
         long durably =
                 sent.stream()
-                        .filter(m -> m instanceof ShareInstancesRequest s && s.durably)
+                        .filter(m -> m instanceof ShareInstancesRequest s && s.syncRequired)
                         .count();
         assertEquals(replica.view().replicas.size() - 1, durably);
     }
@@ -288,7 +288,7 @@
                         .anyMatch(
                                 m ->
                                         m instanceof ShareInstancesRequest s
-                                                && s.durably
+                                                && s.syncRequired
                                                 && s.instances.get(0).id.equals("never-heard")
                                                 && s.instances.get(0).stage == Stage.GONE));
         heartbeat("never-heard", "ready", 9);
@@ -325,7 +325,7 @@
         PollRequest poll = new PollRequest();
         poll.balancer = "e";
         poll.address = "e:1";
-        poll.underWay.addAll(List.of(underWay));
+        poll.inFlightAtDraining.addAll(List.of(underWay));
         poll.immediate = true;
         plane.receive(poll, answer -> {});
     }
@@ -381,14 +381,14 @@
         order("PUT", "0", "{'generation':3}");
         clock.run(4_000);
         PollResponse first = poll(0, 0, 0, false);
-        assertTrue(first.valid && first.complete && first.whole && first.document.length > 0);
+        assertTrue(first.fromPrimary && first.authoritative && first.fullInstanceList && first.document.length > 0);
         PollRequest waiting = new PollRequest();
         waiting.balancer = "e";
         waiting.address = "e:1";
         waiting.generation = 3;
         waiting.epoch = first.epoch;
-        waiting.revision = first.revision;
-        waiting.complete = true;
+        waiting.instanceRevision = first.instanceRevision;
+        waiting.hasAuthoritativeList = true;
         PollResponse[] reply = new PollResponse[1];
         plane.receive(waiting, answer -> reply[0] = (PollResponse) answer);
         assertNull(reply[0]);
@@ -397,7 +397,7 @@
         assertEquals("i", reply[0].instances.get(0).id);
         assertEquals(0, reply[0].document.length);
         reply[0] = null;
-        waiting.revision++;
+        waiting.instanceRevision++;
         plane.receive(waiting, answer -> reply[0] = (PollResponse) answer);
         clock.run(600);
         assertNotNull(reply[0]);
@@ -413,15 +413,15 @@
         assertEquals(Replica.State.CANDIDATE, replica.state());
         QuotaResponse[] grant = new QuotaResponse[1];
         plane.receive(QuotaRequest.of("t", 5), answer -> grant[0] = (QuotaResponse) answer);
-        assertTrue(grant[0].valid);
-        assertTrue(poll(0, 0, 0, false).valid);
+        assertTrue(grant[0].fromPrimary);
+        assertTrue(poll(0, 0, 0, false).fromPrimary);
         Call beat = heartbeat("i", "ready", 1);
         assertEquals(200, beat.status);
         clock.run(100);
         peersAnswer = false;
         clock.run(2_000);
         plane.receive(QuotaRequest.of("t", 5), answer -> grant[0] = (QuotaResponse) answer);
-        assertFalse(grant[0].valid);
+        assertFalse(grant[0].fromPrimary);
     }
 
     @Test
--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -168,11 +168,11 @@
                 poll.balancer = report.balancer;
                 poll.address = report.balancer + ":1";
                 poll.immediate = true;
-                poll.load = report;
+                poll.loadReport = report;
                 if (message(name, poll) instanceof PollResponse reply
-                        && reply.valid
-                        && reply.loads.known) {
-                    return reply.loads;
+                        && reply.fromPrimary
+                        && reply.fleetLoads.loadsKnown) {
+                    return reply.fleetLoads;
                 }
             }
         }
--- a/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -77,10 +77,10 @@
     private static LoadReport report(String balancer, long sequence, int requests) {
         LoadReport report = new LoadReport();
         report.balancer = balancer;
-        report.process = 1;
+        report.processId = 1;
         report.sequence = sequence;
         report.loads.add(UpstreamLoad.of(UPSTREAM, requests, 100 * requests));
-        report.prompts.add(CachedPrompt.of(77, UPSTREAM));
+        report.cachedPrompts.add(CachedPrompt.of(77, UPSTREAM));
         return report;
     }
 
@@ -91,15 +91,15 @@
             processes.loads(report("a", 1, 5)); // sent again
             FleetLoads told = processes.loads(report("b", 1, 2));
             assertEquals(1, told.loads.size());
-            assertEquals(5, told.loads.get(0).requests);
-            assertEquals(1, told.prompts.size());
+            assertEquals(5, told.loads.get(0).inFlightRequests);
+            assertEquals(1, told.cachedPrompts.size());
 
             processes.kill(processes.leader());
             processes.loads(report("a", 2, 4));
             FleetLoads after = processes.loads(report("b", 2, 2));
             assertTrue(after.epoch > told.epoch);
             assertEquals(1, after.loads.size());
-            assertEquals(4, after.loads.get(0).requests);
+            assertEquals(4, after.loads.get(0).inFlightRequests);
         }
     }
 
--- a/src/test/java/myrtleladder/controlplane/GenerationStoreCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/GenerationStoreCompatibilityTest.java
@@ -51,22 +51,22 @@
     }
 
     private static void assertContents(int node, long epoch, StoredState state) {
-        assertEquals("store-core-" + node, state.store);
-        assertEquals(epoch + 1, state.promised);
-        assertEquals(epoch, state.accepted.epoch);
-        assertEquals("10.0.0.1:8367", state.accepted.primary.address);
-        assertEquals("10.0.0.1:8368", state.accepted.primary.control);
-        assertEquals("store-core-1", state.accepted.primary.store);
-        assertEquals(1, state.accepted.replicas.size());
-        assertEquals("store-core-2", state.accepted.replicas.get(0).store);
+        assertEquals("store-core-" + node, state.storeId);
+        assertEquals(epoch + 1, state.promisedEpoch);
+        assertEquals(epoch, state.acceptedView.epoch);
+        assertEquals("10.0.0.1:8367", state.acceptedView.primary.address);
+        assertEquals("10.0.0.1:8368", state.acceptedView.primary.controlAddress);
+        assertEquals("store-core-1", state.acceptedView.primary.storeId);
+        assertEquals(1, state.acceptedView.replicas.size());
+        assertEquals("store-core-2", state.acceptedView.replicas.get(0).storeId);
         assertEquals(
                 List.of("store-core-1", "store-core-2", "store-core-3"),
-                state.accepted.group.stream().map(m -> m.store).toList());
+                state.acceptedView.group.stream().map(m -> m.storeId).toList());
         assertEquals(
                 List.of("store-core-1", "store-core-2"),
-                state.accepted.previous.stream().map(m -> m.store).toList());
+                state.acceptedView.previousGroup.stream().map(m -> m.storeId).toList());
         assertEquals(17, state.snapshot.generation);
-        assertEquals(List.of("order-1", "order-" + node), state.snapshot.orders);
+        assertEquals(List.of("order-1", "order-" + node), state.snapshot.changeDigests);
     }
 
     @ParameterizedTest
@@ -106,8 +106,8 @@
         assertEquals("zone-2", draining.zone);
         assertEquals(10, draining.capacity);
         assertEquals("version-2", draining.version);
-        assertEquals(102, draining.sequence);
-        assertEquals(202, draining.weights);
+        assertEquals(102, draining.heartbeatSequence);
+        assertEquals(202, draining.weightsVersion);
         assertEquals(3, draining.ordinal);
     }
 
@@ -115,13 +115,13 @@
     @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
     void aNodeSavesOnAndLoadsAgain(int node, long epoch, long generation) throws IOException {
         GenerationStore store = copyOf("core-" + node);
-        store.save(store.load().withPromised(99));
+        store.save(store.load().withPromisedEpoch(99));
         assertEquals(
                 List.of(name(generation), name(generation + 1)),
                 files(folder).stream().map(f -> f.getFileName().toString()).toList());
         StoredState again = new GenerationStore(folder).load();
-        assertEquals(99, again.promised);
-        assertEquals(epoch, again.accepted.epoch);
+        assertEquals(99, again.promisedEpoch);
+        assertEquals(epoch, again.acceptedView.epoch);
     }
 
     @ParameterizedTest
--- a/src/test/java/myrtleladder/controlplane/GenerationStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/GenerationStoreTest.java
@@ -35,10 +35,10 @@
 
     private void assertLoads(long promised, int size) {
         StoredState loaded = new GenerationStore(folder).load();
-        assertEquals(promised, loaded.promised);
+        assertEquals(promised, loaded.promisedEpoch);
         assertArrayEquals(state(promised, size).snapshot.document, loaded.snapshot.document);
-        assertEquals(List.of("o1", "o2"), loaded.snapshot.orders);
-        assertEquals("s", loaded.accepted.primary.store);
+        assertEquals(List.of("o1", "o2"), loaded.snapshot.changeDigests);
+        assertEquals("s", loaded.acceptedView.primary.storeId);
     }
 
     private Path newest() {
@@ -109,7 +109,7 @@
                 continue;
             }
             Files.write(file, torn);
-            long promised = new GenerationStore(folder).load().promised;
+            long promised = new GenerationStore(folder).load().promisedEpoch;
             Path aside = file.resolveSibling(file.getFileName() + ".damaged");
             assertEquals(Files.exists(aside) ? 1 : 2, promised, "page at " + page);
             Files.deleteIfExists(aside);
--- a/src/test/java/myrtleladder/controlplane/LoadBoardTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadBoardTest.java
@@ -26,7 +26,7 @@
     private static LoadReport report(String balancer, long process, long sequence, int requests) {
         LoadReport report = new LoadReport();
         report.balancer = balancer;
-        report.process = process;
+        report.processId = process;
         report.sequence = sequence;
         if (requests > 0) {
             report.loads.add(UpstreamLoad.of(UPSTREAM, requests, 100 * requests));
@@ -42,15 +42,15 @@
 
     private void assertTold(int requests, String balancer, long now) {
         FleetLoads told = told(balancer, now);
-        assertTrue(told.known);
+        assertTrue(told.loadsKnown);
         if (requests == 0) {
             assertEquals(List.of(), told.loads);
             return;
         }
         assertEquals(1, told.loads.size());
-        assertEquals(UPSTREAM, told.loads.get(0).upstream);
-        assertEquals(requests, told.loads.get(0).requests);
-        assertEquals(100 * requests, told.loads.get(0).tokens);
+        assertEquals(UPSTREAM, told.loads.get(0).upstreamKey);
+        assertEquals(requests, told.loads.get(0).inFlightRequests);
+        assertEquals(100 * requests, told.loads.get(0).pendingPromptTokens);
     }
 
     @Test
@@ -102,7 +102,7 @@
         board.take(report("a", 1, 1, 2), START);
         board.lead(START);
         board.take(report("b", 1, 1, 3), START + 10);
-        assertFalse(told("c", START + LoadBoard.FIRST_SUMS - 1).known);
+        assertFalse(told("c", START + LoadBoard.FIRST_SUMS - 1).loadsKnown);
         assertTold(3, "c", START + LoadBoard.FIRST_SUMS);
     }
 
@@ -115,6 +115,6 @@
         board.take(report, START);
         FleetLoads told = told("b", START);
         assertEquals(200, told.loads.size());
-        assertTrue(told.loads.stream().allMatch(load -> load.tokens > 4_800));
+        assertTrue(told.loads.stream().allMatch(load -> load.pendingPromptTokens > 4_800));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -21,7 +21,7 @@
     }
 
     private static List<Long> prompts(FleetLoads answer) {
-        return answer.prompts.stream().map(kept -> kept.prompt).toList();
+        return answer.cachedPrompts.stream().map(kept -> kept.prefixHash).toList();
     }
 
     @Test
@@ -54,11 +54,11 @@
         long known = 0;
         for (int round = 0; round < 3; round++) {
             FleetLoads part = told(known);
-            assertTrue(part.prompts.size() <= 128);
+            assertTrue(part.cachedPrompts.size() <= 128);
             all.addAll(prompts(part));
             known = part.promptRevision;
         }
-        assertEquals(announced.stream().map(kept -> kept.prompt).toList(), all);
+        assertEquals(announced.stream().map(kept -> kept.prefixHash).toList(), all);
     }
 
     @Test
@@ -66,7 +66,7 @@
         for (int i = 0; i < 20_000; i++) {
             directory.take(List.of(CachedPrompt.of(i, 1)));
         }
-        assertEquals(20_000 - 8_192, told(0).prompts.get(0).prompt);
+        assertEquals(20_000 - 8_192, told(0).cachedPrompts.get(0).prefixHash);
     }
 
     @Test
@@ -75,7 +75,7 @@
         view.lead(0);
         LoadReport report = new LoadReport();
         report.balancer = "a";
-        report.prompts.add(CachedPrompt.of(11, 1));
+        report.cachedPrompts.add(CachedPrompt.of(11, 1));
         view.take(report, 10);
         LoadReport other = new LoadReport();
         other.balancer = "b";
--- a/src/test/java/myrtleladder/controlplane/QuotaBankTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaBankTest.java
@@ -31,7 +31,7 @@
         double granted = 0;
         for (long now = 0; now < 8_000; now += 10) {
             QuotaResponse grant = bank.grant(QuotaRequest.of("t", 17_000), now);
-            granted += grant.units;
+            granted += grant.grantedUnits;
         }
         double allowed = (70_000 * 8 + 112_000) * 1.1 + 190_000;
         assertTrue(granted <= allowed, granted + " of " + allowed);
@@ -42,11 +42,11 @@
     void aLargeRequestIsNotPassedOverForSmallOnes() {
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
-        assertEquals(5_000, bank.grant(QuotaRequest.of("t", 5_000), 0).units, 1_000);
+        assertEquals(5_000, bank.grant(QuotaRequest.of("t", 5_000), 0).grantedUnits, 1_000);
         QuotaResponse empty = bank.grant(QuotaRequest.of("t", 1), 100);
-        assertEquals(0, empty.units);
+        assertEquals(0, empty.grantedUnits);
         assertTrue(empty.waitMs > 3_000, "waits " + empty.waitMs);
-        assertEquals(1, bank.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).units);
+        assertEquals(1, bank.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).grantedUnits);
     }
 
     @Test
@@ -55,11 +55,11 @@
         bank.use(configuration(1_000, 1_000), true, 0);
         bank.grant(QuotaRequest.of("t", 3_000), 0);
         bank.use(configuration(1_000, 9_000), false, 0);
-        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).units);
+        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).grantedUnits);
         bank.clear();
         bank.use(configuration(1_000, 1_000), false, 0);
         bank.grant(QuotaRequest.of("t", 400), 0);
-        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).units);
+        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).grantedUnits);
     }
 
     @Test
@@ -69,7 +69,7 @@
         bank.use(configuration(446_000, 446_000), true, 0);
         double ahead = 0;
         for (int balancer = 0; balancer < 56; balancer++) {
-            ahead += bank.grant(QuotaRequest.of("t", 1_000), 0).units - 1_000;
+            ahead += bank.grant(QuotaRequest.of("t", 1_000), 0).grantedUnits - 1_000;
         }
         assertTrue(ahead <= 0.25 * 190_000 + 1, "ahead " + ahead);
         assertTrue(ahead > 0, "nothing ahead");
@@ -80,15 +80,15 @@
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
         bank.grant(QuotaRequest.of("t", 1_000), 0);
-        assertEquals(0, bank.grant(QuotaRequest.of("t", 400), 0).units);
+        assertEquals(0, bank.grant(QuotaRequest.of("t", 400), 0).grantedUnits);
         bank.grant(QuotaRequest.of("t", -700), 0);
-        assertEquals(400, bank.grant(QuotaRequest.of("t", 400), 0).units);
+        assertEquals(400, bank.grant(QuotaRequest.of("t", 400), 0).grantedUnits);
     }
 
     @Test
     void aTenantWithoutLimitIsAlwaysGranted() {
         QuotaBank bank = new QuotaBank(0, 0);
         bank.use(configuration(1, 1), true, 0);
-        assertEquals(1e9, bank.grant(QuotaRequest.of("free", 1e9), 0).units);
+        assertEquals(1e9, bank.grant(QuotaRequest.of("free", 1e9), 0).grantedUnits);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/Forger.java
+++ b/src/test/java/myrtleladder/controlplane/model/Forger.java
@@ -55,7 +55,7 @@
         if (message instanceof PrepareRequest prepare) {
             PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
-            promise.promised = prepare.epoch;
+            promise.promisedEpoch = prepare.epoch;
             promise.member = called;
             return promise;
         }
@@ -71,7 +71,7 @@
         View view = caller.replica().view();
         return view != null
                 && !caller.address.equals(called.address)
-                && (!view.group.contains(called) || !view.settled());
+                && (!view.group.contains(called) || !view.isGroupStable());
     }
 
     private Member memberAt(ModelNode caller, String to, Message message) {
@@ -80,7 +80,7 @@
         if (view == null) {
             return null;
         }
-        for (List<Member> members : List.of(view.group, view.previous)) {
+        for (List<Member> members : List.of(view.group, view.previousGroup)) {
             for (Member member : members) {
                 if (member.address.equals(to)) {
                     return member;
@@ -98,7 +98,7 @@
             forgetOrders(message);
         } else if (missing == Guard.DURABLE_DEPARTURE
                 && message instanceof ShareInstancesRequest share) {
-            share.durably = false;
+            share.syncRequired = false;
         }
         return message;
     }
@@ -121,7 +121,7 @@
 
     private static void forgetOrders(Message message) {
         if (message instanceof ReplicateRequest replicate) {
-            replicate.order = "forgotten";
+            replicate.changeDigest = "forgotten";
         } else if (message instanceof InstallStateRequest install) {
             Snapshot snapshot = install.snapshot;
             install.snapshot = Snapshot.of(snapshot.document, snapshot.generation, List.of());
--- a/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
@@ -52,9 +52,9 @@
         poll.address = name + ":1";
         poll.epoch = epoch;
         poll.generation = generation;
-        poll.revision = revision;
-        poll.complete = complete;
-        poll.load = report();
+        poll.instanceRevision = revision;
+        poll.hasAuthoritativeList = complete;
+        poll.loadReport = report();
         long sentAt = model.clock.now();
         newestAtAsk = model.history.newest();
         ModelNode.OneAnswer once = new ModelNode.OneAnswer(reply -> answered(sentAt, reply));
@@ -67,8 +67,8 @@
     private void answered(long sentAt, Message message) {
         if (!(message instanceof PollResponse reply)) {
             target = "";
-        } else if (!reply.valid || reply.epoch < epoch) {
-            target = reply.primary.equals(target) ? "" : reply.primary;
+        } else if (!reply.fromPrimary || reply.epoch < epoch) {
+            target = reply.primaryAddress.equals(target) ? "" : reply.primaryAddress;
         } else {
             take(reply, sentAt);
             poll();
@@ -81,12 +81,12 @@
     private LoadReport report() {
         LoadReport report = new LoadReport();
         report.balancer = name;
-        report.process = 1;
+        report.processId = 1;
         report.sequence = ++reports;
         report.epoch = fleetEpoch;
         report.promptRevision = promptRevision;
         report.loads.add(UpstreamLoad.of(UPSTREAM, REQUESTS, 0));
-        report.prompts.add(CachedPrompt.of(name.hashCode(), UPSTREAM));
+        report.cachedPrompts.add(CachedPrompt.of(name.hashCode(), UPSTREAM));
         return report;
     }
 
@@ -95,22 +95,22 @@
         promptRevision = told.promptRevision;
         int most = REQUESTS * (model.balancers.size() - 1);
         for (UpstreamLoad load : told.loads) {
-            if (load.upstream != UPSTREAM || load.requests > most) {
-                model.history.fault(name + " is told " + load.requests + " requests of " + most);
+            if (load.upstreamKey != UPSTREAM || load.inFlightRequests > most) {
+                model.history.fault(name + " is told " + load.inFlightRequests + " requests of " + most);
             }
         }
-        if (told.prompts.size() > model.balancers.size()) {
-            model.history.fault(name + " is told of " + told.prompts.size() + " prompts");
+        if (told.cachedPrompts.size() > model.balancers.size()) {
+            model.history.fault(name + " is told of " + told.cachedPrompts.size() + " prompts");
         }
     }
 
     private void take(PollResponse reply, long sentAt) {
-        if (reply.loads != null) {
-            takeLoads(reply.loads);
+        if (reply.fleetLoads != null) {
+            takeLoads(reply.fleetLoads);
         }
-        complete = reply.complete || complete && reply.epoch == epoch;
+        complete = reply.authoritative || complete && reply.epoch == epoch;
         epoch = reply.epoch;
-        revision = reply.revision;
+        revision = reply.instanceRevision;
         if (reply.generation > generation && reply.document.length > 0) {
             byte[] document = Compression.inflate(reply.document);
             model.history.shown(ModelOrder.nameIn(document), reply.generation, name);
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -54,7 +54,7 @@
 
     private static PollResponse reply(long epoch, long generation) {
         PollResponse reply = new PollResponse();
-        reply.valid = true;
+        reply.fromPrimary = true;
         reply.epoch = epoch;
         reply.generation = generation;
         reply.document =
@@ -63,8 +63,8 @@
                         : Compression.deflate(
                                 ("{\"generation\":" + generation + "}")
                                         .getBytes(StandardCharsets.UTF_8));
-        reply.primary = "a:1";
-        reply.members = List.of("a:1", "b:1", "c:1");
+        reply.primaryAddress = "a:1";
+        reply.controlNodeAddresses = List.of("a:1", "b:1", "c:1");
         return reply;
     }
 
@@ -117,7 +117,7 @@
 
     private static PollResponse names(String primary, long epoch) {
         PollResponse reply = new PollResponse();
-        reply.primary = primary;
+        reply.primaryAddress = primary;
         reply.epoch = epoch;
         return reply;
     }
@@ -163,7 +163,7 @@
     @Test
     void aBackupsWordLeadsToThePrimary() {
         PollResponse other = new PollResponse();
-        other.primary = "c:1";
+        other.primaryAddress = "c:1";
         answer.accept(other);
         clock.run(60);
         assertEquals("c:1", last());
--- a/src/test/java/myrtleladder/dataplane/ExchangeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ExchangeTest.java
@@ -171,7 +171,7 @@
             String id = "m" + i;
             long weights = id.equals(former) ? 1 : 2;
             router.directory()
-                    .take(List.of(record(id, "m", Stage.READY).withWeights(weights)), false);
+                    .take(List.of(record(id, "m", Stage.READY).withWeightsVersion(weights)), false);
         }
     }
 
--- a/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
@@ -36,7 +36,7 @@
         FleetLoads answer = new FleetLoads();
         answer.epoch = epoch;
         answer.promptRevision = revision;
-        answer.known = true;
+        answer.loadsKnown = true;
         return answer;
     }
 
@@ -44,13 +44,13 @@
     void anAnnouncementIsSentAgainUntilAnAnswerShowsThatItArrived() {
         fleet.sent(PROMPT, upstream, NOW);
         LoadReport lost = fleet.report();
-        assertEquals(PROMPT.subject(), lost.prompts.get(0).prompt);
-        assertEquals(upstream.key(), lost.prompts.get(0).upstream);
+        assertEquals(PROMPT.subject(), lost.cachedPrompts.get(0).prefixHash);
+        assertEquals(upstream.key(), lost.cachedPrompts.get(0).upstreamKey);
         LoadReport second = fleet.report();
-        assertEquals(1, second.prompts.size());
+        assertEquals(1, second.cachedPrompts.size());
         assertTrue(second.sequence > lost.sequence);
         fleet.take(second, answer(3, 1), NOW);
-        assertEquals(List.of(), fleet.report().prompts);
+        assertEquals(List.of(), fleet.report().cachedPrompts);
     }
 
     @Test
@@ -58,9 +58,9 @@
         fleet.sent(PROMPT, upstream, NOW);
         fleet.take(fleet.report(), answer(3, 1), NOW);
         fleet.sent(PROMPT, upstream, NOW + 1_000);
-        assertEquals(List.of(), fleet.report().prompts);
+        assertEquals(List.of(), fleet.report().cachedPrompts);
         fleet.sent(PROMPT, upstream, NOW + 30_000);
-        assertEquals(1, fleet.report().prompts.size());
+        assertEquals(1, fleet.report().cachedPrompts.size());
     }
 
     @Test
@@ -91,7 +91,7 @@
         busy.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
         fleet.take(fleet.report(), busy, NOW);
         FleetLoads unknown = answer(4, 0);
-        unknown.known = false;
+        unknown.loadsKnown = false;
         fleet.take(fleet.report(), unknown, NOW + 100);
         assertTrue(upstream.othersTokens(NOW + 100) > 0);
         fleet.take(fleet.report(), null, NOW + 200);
@@ -103,7 +103,7 @@
         fleet.take(fleet.report(), answer(4, 9), NOW);
         FleetLoads old = answer(3, 50);
         old.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        old.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
+        old.cachedPrompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
         fleet.take(fleet.report(), old, NOW);
         assertEquals(0, upstream.others(NOW));
         assertEquals(0, upstream.memory().kept(PROMPT, NOW));
@@ -113,19 +113,19 @@
     @Test
     void beginningsThatOthersSentAreKnownToBeKept() {
         FleetLoads answer = answer(3, 7);
-        answer.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
-        answer.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
+        answer.cachedPrompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
+        answer.cachedPrompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
         fleet.take(fleet.report(), answer, NOW);
         assertEquals(5_000, upstream.memory().kept(PROMPT, NOW));
         assertEquals(7, fleet.report().promptRevision);
         fleet.sent(PROMPT, upstream, NOW);
-        assertEquals(List.of(), fleet.report().prompts);
+        assertEquals(List.of(), fleet.report().cachedPrompts);
     }
 
     @Test
     void whereARequestWillLikelyGoIsToldWhileItWaits() {
         fleet.intends(() -> UpstreamLoad.of(upstream.key(), 1, 5_300));
-        assertEquals(5_300, fleet.report().loads.get(0).tokens);
+        assertEquals(5_300, fleet.report().loads.get(0).pendingPromptTokens);
         fleet.intends(FleetKnowledge.NOTHING);
         assertEquals(List.of(), fleet.report().loads);
     }
--- a/src/test/java/myrtleladder/dataplane/PlacementTest.java
+++ b/src/test/java/myrtleladder/dataplane/PlacementTest.java
@@ -51,7 +51,7 @@
         }
 
         void tell(FleetLoads answer, long now) {
-            answer.known = true;
+            answer.loadsKnown = true;
             answer.epoch = 1;
             fleet.take(fleet.report(), answer, now);
         }
@@ -64,7 +64,7 @@
 
     private static FleetLoads keeps(String prompt, Upstream upstream) {
         FleetLoads answer = new FleetLoads();
-        answer.prompts.add(CachedPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
+        answer.cachedPrompts.add(CachedPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
         return answer;
     }
 
@@ -176,7 +176,7 @@
         view.tell(new FleetLoads(), NOW);
         Upstream home = view.pick("a:9000,x:100", NOW);
         FleetLoads answer = new FleetLoads();
-        answer.prompts.add(CachedPrompt.of(PromptParts.parse("a:9000,x:100").subject(), 1));
+        answer.cachedPrompts.add(CachedPrompt.of(PromptParts.parse("a:9000,x:100").subject(), 1));
         answer.loads.add(UpstreamLoad.of(1, 50, 500_000));
         view.tell(answer, NOW);
         assertEquals(home, view.pick("a:9000,x:100", NOW));
@@ -188,7 +188,7 @@
         view.tell(new FleetLoads(), NOW);
         PromptParts prompt = PromptParts.parse("a:9000,x:100");
         UpstreamLoad likely = view.placement.likely(CONFIGURATION.service("m"), prompt, NOW);
-        assertEquals(9_100, likely.tokens);
-        assertEquals(likely.upstream, view.pick("a:9000,x:100", NOW).key());
+        assertEquals(9_100, likely.pendingPromptTokens);
+        assertEquals(likely.upstreamKey, view.pick("a:9000,x:100", NOW).key());
     }
 }
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -155,7 +155,7 @@
 
     private void upgradeOne(int number) {
         int zone = number / IN_ZONE;
-        tell("new" + number, "m", zone, Stage.READY, InstanceRecord.UNASSIGNED);
+        tell("new" + number, "m", zone, Stage.READY, InstanceRecord.UNASSIGNED_ORDINAL);
         tell("old" + number, "m", zone, Stage.DRAINING, number + 1);
         tell("new" + number, "m", zone, Stage.READY, number + 1);
         tell("old" + number, "m", zone, Stage.GONE, number + 1);
@@ -226,7 +226,7 @@
             finishAll();
         }
         for (int i = 0; i < ZONES; i++) {
-            tell("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED);
+            tell("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED_ORDINAL);
         }
         for (int session = 0; session < SESSIONS; session++) {
             assertEquals(before.get(session), placesOf(session));
--- a/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
+++ b/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
@@ -105,8 +105,8 @@
 
     private static void assertMember(String name, Member member) {
         assertEquals(name + ":1", member.address);
-        assertEquals(name + ":2", member.control);
-        assertEquals("store-" + name, member.store);
+        assertEquals(name + ":2", member.controlAddress);
+        assertEquals("store-" + name, member.storeId);
     }
 
     private static void assertMembers(List<String> names, List<Member> members) {
@@ -121,13 +121,13 @@
         assertMember("primary", view.primary);
         assertMembers(List.of("replica-1", "replica-2"), view.replicas);
         assertMembers(List.of("group-1", "group-2", "group-3"), view.group);
-        assertMembers(List.of("previous-1"), view.previous);
+        assertMembers(List.of("previous-1"), view.previousGroup);
     }
 
     private static void assertSnapshot(Snapshot snapshot) {
         assertArrayEquals(new byte[] {1, -2, 3}, snapshot.document);
         assertEquals(1_003, snapshot.generation);
-        assertEquals(List.of("order-1", "order-2"), snapshot.orders);
+        assertEquals(List.of("order-1", "order-2"), snapshot.changeDigests);
     }
 
     private static void assertInstances(List<InstanceRecord> records) {
@@ -145,53 +145,53 @@
             assertEquals("zone-" + number, record.zone);
             assertEquals(number + 100, record.capacity);
             assertEquals("version-" + number, record.version);
-            assertEquals(number + 200, record.sequence);
-            assertEquals(number + 300, record.weights);
+            assertEquals(number + 200, record.heartbeatSequence);
+            assertEquals(number + 300, record.weightsVersion);
             assertEquals(number, record.ordinal);
         }
     }
 
     private static void assertLoad(int first, UpstreamLoad load) {
-        assertEquals(first, load.upstream);
-        assertEquals(first + 1, load.requests);
-        assertEquals(first + 2, load.tokens);
+        assertEquals(first, load.upstreamKey);
+        assertEquals(first + 1, load.inFlightRequests);
+        assertEquals(first + 2, load.pendingPromptTokens);
     }
 
     private static void assertPrompt(int first, CachedPrompt prompt) {
-        assertEquals(first, prompt.prompt);
-        assertEquals(first + 1, prompt.upstream);
+        assertEquals(first, prompt.prefixHash);
+        assertEquals(first + 1, prompt.upstreamKey);
     }
 
     private static void assertReport(LoadReport report) {
         assertEquals("edge-1", report.balancer);
-        assertEquals(41, report.process);
+        assertEquals(41, report.processId);
         assertEquals(42, report.sequence);
         assertEquals(2, report.loads.size());
         assertLoad(43, report.loads.get(0));
         assertLoad(46, report.loads.get(1));
-        assertEquals(1, report.prompts.size());
-        assertPrompt(49, report.prompts.get(0));
+        assertEquals(1, report.cachedPrompts.size());
+        assertPrompt(49, report.cachedPrompts.get(0));
         assertEquals(51, report.epoch);
         assertEquals(52, report.promptRevision);
     }
 
     private static void assertLoads(FleetLoads loads) {
         assertEquals(61, loads.epoch);
-        assertTrue(loads.known);
+        assertTrue(loads.loadsKnown);
         assertEquals(1, loads.loads.size());
         assertLoad(62, loads.loads.get(0));
-        assertEquals(2, loads.prompts.size());
-        assertPrompt(65, loads.prompts.get(0));
-        assertPrompt(67, loads.prompts.get(1));
+        assertEquals(2, loads.cachedPrompts.size());
+        assertPrompt(65, loads.cachedPrompts.get(0));
+        assertPrompt(67, loads.cachedPrompts.get(1));
         assertEquals(69, loads.promptRevision);
     }
 
     @Test
     void theStoredStateIsReadWhole() throws IOException {
         StoredState state = read("stored-state");
-        assertEquals("store-own", state.store);
-        assertEquals(100, state.promised);
-        assertView(99, state.accepted);
+        assertEquals("store-own", state.storeId);
+        assertEquals(100, state.promisedEpoch);
+        assertView(99, state.acceptedView);
         assertSnapshot(state.snapshot);
         assertInstances(state.instances);
     }
@@ -201,12 +201,12 @@
         PrepareRequest prepare = read("prepare");
         assertEquals(101, prepare.epoch);
         assertMember("candidate", prepare.candidate);
-        assertTrue(prepare.trial);
+        assertTrue(prepare.preVote);
         PrepareResponse promise = read("promise");
         assertTrue(promise.granted);
-        assertEquals(102, promise.promised);
+        assertEquals(102, promise.promisedEpoch);
         assertMember("voter", promise.member);
-        assertView(98, promise.accepted);
+        assertView(98, promise.acceptedView);
         assertInstances(promise.instances);
         InstallStateRequest install = read("install");
         assertEquals(103, install.epoch);
@@ -221,20 +221,20 @@
         assertEquals(105, replicate.epoch);
         assertArrayEquals(new byte[] {9, 8, 7}, replicate.document);
         assertEquals(1_005, replicate.generation);
-        assertEquals("order-5", replicate.order);
+        assertEquals("order-5", replicate.changeDigest);
         assertView(106, MessageCompatibilityTest.<HeartbeatRequest>read("heartbeat").view);
         assertEquals(107, MessageCompatibilityTest.<ResignRequest>read("resign").epoch);
         ShareInstancesRequest share = read("share-instances");
         assertEquals(111, share.epoch);
         assertInstances(share.instances);
-        assertTrue(share.durably);
+        assertTrue(share.syncRequired);
     }
 
     @Test
     void theAnswersOfAFollowerAreReadWhole() throws IOException {
         AcknowledgeResponse acknowledge = read("acknowledge");
-        assertTrue(acknowledge.taken);
-        assertEquals(108, acknowledge.promised);
+        assertTrue(acknowledge.accepted);
+        assertEquals(108, acknowledge.promisedEpoch);
         assertMember("follower", acknowledge.member);
     }
 
@@ -246,7 +246,7 @@
         LeaveResponse reply = read("leave-reply");
         assertTrue(reply.released);
         assertView(118, reply.view);
-        assertEquals("edge-16", MessageCompatibilityTest.<BalancerHeartbeat>read("alive").name);
+        assertEquals("edge-16", MessageCompatibilityTest.<BalancerHeartbeat>read("alive").balancer);
     }
 
     @Test
@@ -254,40 +254,40 @@
         PollRequest poll = read("poll");
         assertEquals("edge-2", poll.balancer);
         assertEquals("edge-2:1", poll.address);
-        assertEquals(List.of("edge-3", "edge-4"), poll.alive);
-        assertEquals(71, poll.memberRevision);
+        assertEquals(List.of("edge-3", "edge-4"), poll.liveBalancers);
+        assertEquals(71, poll.balancerListRevision);
         assertTrue(poll.leaving);
         assertEquals(72, poll.epoch);
         assertEquals(73, poll.generation);
-        assertEquals(74, poll.revision);
-        assertTrue(poll.complete);
-        assertEquals(75, poll.balancers);
-        assertEquals(1, poll.underWay.size());
-        assertEquals("i-draining", poll.underWay.get(0).instance);
-        assertEquals(76, poll.underWay.get(0).requests);
+        assertEquals(74, poll.instanceRevision);
+        assertTrue(poll.hasAuthoritativeList);
+        assertEquals(75, poll.balancerCount);
+        assertEquals(1, poll.inFlightAtDraining.size());
+        assertEquals("i-draining", poll.inFlightAtDraining.get(0).instanceId);
+        assertEquals(76, poll.inFlightAtDraining.get(0).requests);
         assertTrue(poll.immediate);
-        assertReport(poll.load);
+        assertReport(poll.loadReport);
     }
 
     @Test
     void theReplyToAPollIsReadWhole() throws IOException {
         PollResponse reply = read("poll-reply");
-        assertTrue(reply.valid);
-        assertEquals("primary:1", reply.primary);
-        assertEquals(List.of("core-1:1", "core-2:1"), reply.members);
+        assertTrue(reply.fromPrimary);
+        assertEquals("primary:1", reply.primaryAddress);
+        assertEquals(List.of("core-1:1", "core-2:1"), reply.controlNodeAddresses);
         assertEquals(81, reply.epoch);
         assertEquals(82, reply.generation);
         assertArrayEquals(new byte[] {4, 5, -6}, reply.document);
-        assertEquals(83, reply.revision);
-        assertTrue(reply.whole);
-        assertTrue(reply.complete);
+        assertEquals(83, reply.instanceRevision);
+        assertTrue(reply.fullInstanceList);
+        assertTrue(reply.authoritative);
         assertInstances(reply.instances);
-        assertEquals(84, reply.memberRevision);
+        assertEquals(84, reply.balancerListRevision);
         assertEquals(1, reply.balancerList.size());
         assertEquals("edge-5", reply.balancerList.get(0).name);
         assertEquals("edge-5:1", reply.balancerList.get(0).address);
-        assertEquals(85, reply.balancers);
-        assertLoads(reply.loads);
+        assertEquals(85, reply.balancerCount);
+        assertLoads(reply.fleetLoads);
     }
 
     @Test
@@ -295,12 +295,12 @@
         QuotaRequest ask = read("quota-ask");
         assertEquals("tenant-1", ask.tenant);
         assertEquals(91.5, ask.units);
-        assertReport(ask.load);
+        assertReport(ask.loadReport);
         QuotaResponse grant = read("quota-grant");
-        assertTrue(grant.valid);
-        assertEquals(92.25, grant.units);
+        assertTrue(grant.fromPrimary);
+        assertEquals(92.25, grant.grantedUnits);
         assertEquals(93, grant.waitMs);
-        assertLoads(grant.loads);
+        assertLoads(grant.fleetLoads);
     }
 
     @Test
@@ -311,9 +311,9 @@
                         MessageCodec.decode(HexFormat.of().parseHex("0b0807130a016914"));
         InstanceRecord record = share.instances.get(0);
         assertEquals("i", record.id);
-        assertEquals(-1, record.weights);
+        assertEquals(-1, record.weightsVersion);
         assertEquals(0, record.ordinal);
         assertEquals(Stage.READY, record.stage);
-        assertNull(MessageCompatibilityTest.<StoredState>read("stored-state-default").accepted);
+        assertNull(MessageCompatibilityTest.<StoredState>read("stored-state-default").acceptedView);
     }
 }
--- a/src/test/java/myrtleladder/protocol/ReportSizeTest.java
+++ b/src/test/java/myrtleladder/protocol/ReportSizeTest.java
@@ -13,7 +13,7 @@
     private static LoadReport report(int loads, int prompts) {
         LoadReport report = new LoadReport();
         report.balancer = "edge-bkk-a-17";
-        report.process = Long.MAX_VALUE;
+        report.processId = Long.MAX_VALUE;
         report.sequence = 100_000;
         report.epoch = 12;
         report.promptRevision = 5_000;
@@ -21,7 +21,7 @@
             report.loads.add(UpstreamLoad.of(UpstreamLoad.keyOf("i-7f3a" + i), 3, 17_000));
         }
         for (int i = 0; i < prompts; i++) {
-            report.prompts.add(CachedPrompt.of(-1L - i, UpstreamLoad.keyOf("i-7f3a" + i)));
+            report.cachedPrompts.add(CachedPrompt.of(-1L - i, UpstreamLoad.keyOf("i-7f3a" + i)));
         }
         return report;
     }
@@ -29,25 +29,25 @@
     private static FleetLoads answer(int loads, int prompts) {
         LoadReport report = report(loads, prompts);
         FleetLoads answer = new FleetLoads();
-        answer.known = true;
+        answer.loadsKnown = true;
         answer.epoch = report.epoch;
         answer.promptRevision = report.promptRevision;
         answer.loads = report.loads;
-        answer.prompts = report.prompts;
+        answer.cachedPrompts = report.cachedPrompts;
         return answer;
     }
 
     private static int reportBytes(int loads, int prompts) {
         PollRequest poll = new PollRequest();
         int without = MessageCodec.encode(poll).length;
-        poll.load = report(loads, prompts);
+        poll.loadReport = report(loads, prompts);
         return MessageCodec.encode(poll).length - without;
     }
 
     private static int answerBytes(int loads, int prompts) {
         PollResponse reply = new PollResponse();
         int without = MessageCodec.encode(reply).length;
-        reply.loads = answer(loads, prompts);
+        reply.fleetLoads = answer(loads, prompts);
         return MessageCodec.encode(reply).length - without;
     }
 
@@ -67,17 +67,17 @@
     @Test
     void reportsAndAnswersComeThroughTheWireWhole() {
         PollRequest poll = new PollRequest();
-        poll.load = report(2, 1);
+        poll.loadReport = report(2, 1);
         PollRequest decoded = (PollRequest) MessageCodec.decode(MessageCodec.encode(poll));
-        assertEquals(poll.load.sequence, decoded.load.sequence);
-        assertEquals(17_000, decoded.load.loads.get(1).tokens);
-        assertEquals(-1L, decoded.load.prompts.get(0).prompt);
+        assertEquals(poll.loadReport.sequence, decoded.loadReport.sequence);
+        assertEquals(17_000, decoded.loadReport.loads.get(1).pendingPromptTokens);
+        assertEquals(-1L, decoded.loadReport.cachedPrompts.get(0).prefixHash);
         QuotaResponse grant = QuotaResponse.of(true, 5, 0);
-        grant.loads = answer(0, 0);
+        grant.fleetLoads = answer(0, 0);
         QuotaResponse idle = (QuotaResponse) MessageCodec.decode(MessageCodec.encode(grant));
-        assertTrue(idle.loads.known && idle.loads.loads.isEmpty());
+        assertTrue(idle.fleetLoads.loadsKnown && idle.fleetLoads.loads.isEmpty());
         assertEquals(
                 null,
-                ((PollRequest) MessageCodec.decode(MessageCodec.encode(new PollRequest()))).load);
+                ((PollRequest) MessageCodec.decode(MessageCodec.encode(new PollRequest()))).loadReport);
     }
 }
--- a/src/test/java/myrtleladder/protocol/SampleMessages.java
+++ b/src/test/java/myrtleladder/protocol/SampleMessages.java
@@ -96,7 +96,7 @@
                         stage,
                         ordinal + 200)
                 .withOrdinal(ordinal)
-                .withWeights(ordinal + 300);
+                .withWeightsVersion(ordinal + 300);
     }
 
     private static StoredState storedState() {
@@ -106,9 +106,9 @@
     private static PrepareResponse promise() {
         PrepareResponse promise = new PrepareResponse();
         promise.granted = true;
-        promise.promised = 102;
+        promise.promisedEpoch = 102;
         promise.member = member("voter");
-        promise.accepted = view(98);
+        promise.acceptedView = view(98);
         promise.instances.addAll(instances());
         return promise;
     }
@@ -116,11 +116,11 @@
     private static LoadReport report() {
         LoadReport report = new LoadReport();
         report.balancer = "edge-1";
-        report.process = 41;
+        report.processId = 41;
         report.sequence = 42;
         report.loads.add(UpstreamLoad.of(43, 44, 45));
         report.loads.add(UpstreamLoad.of(46, 47, 48));
-        report.prompts.add(CachedPrompt.of(49, 50));
+        report.cachedPrompts.add(CachedPrompt.of(49, 50));
         report.epoch = 51;
         report.promptRevision = 52;
         return report;
@@ -129,10 +129,10 @@
     private static FleetLoads loads() {
         FleetLoads loads = new FleetLoads();
         loads.epoch = 61;
-        loads.known = true;
+        loads.loadsKnown = true;
         loads.loads.add(UpstreamLoad.of(62, 63, 64));
-        loads.prompts.add(CachedPrompt.of(65, 66));
-        loads.prompts.add(CachedPrompt.of(67, 68));
+        loads.cachedPrompts.add(CachedPrompt.of(65, 66));
+        loads.cachedPrompts.add(CachedPrompt.of(67, 68));
         loads.promptRevision = 69;
         return loads;
     }
@@ -141,50 +141,50 @@
         PollRequest poll = new PollRequest();
         poll.balancer = "edge-2";
         poll.address = "edge-2:1";
-        poll.alive.add("edge-3");
-        poll.alive.add("edge-4");
-        poll.memberRevision = 71;
+        poll.liveBalancers.add("edge-3");
+        poll.liveBalancers.add("edge-4");
+        poll.balancerListRevision = 71;
         poll.leaving = true;
         poll.epoch = 72;
         poll.generation = 73;
-        poll.revision = 74;
-        poll.complete = true;
-        poll.balancers = 75;
-        poll.underWay.add(InFlightRequests.of("i-draining", 76));
+        poll.instanceRevision = 74;
+        poll.hasAuthoritativeList = true;
+        poll.balancerCount = 75;
+        poll.inFlightAtDraining.add(InFlightRequests.of("i-draining", 76));
         poll.immediate = true;
-        poll.load = report();
+        poll.loadReport = report();
         return poll;
     }
 
     private static PollResponse pollReply() {
         PollResponse reply = new PollResponse();
-        reply.valid = true;
-        reply.primary = "primary:1";
-        reply.members.add("core-1:1");
-        reply.members.add("core-2:1");
+        reply.fromPrimary = true;
+        reply.primaryAddress = "primary:1";
+        reply.controlNodeAddresses.add("core-1:1");
+        reply.controlNodeAddresses.add("core-2:1");
         reply.epoch = 81;
         reply.generation = 82;
         reply.document = new byte[] {4, 5, -6};
-        reply.revision = 83;
-        reply.whole = true;
-        reply.complete = true;
+        reply.instanceRevision = 83;
+        reply.fullInstanceList = true;
+        reply.authoritative = true;
         reply.instances.addAll(instances());
-        reply.memberRevision = 84;
+        reply.balancerListRevision = 84;
         reply.balancerList.add(BalancerAddress.of("edge-5", "edge-5:1"));
-        reply.balancers = 85;
-        reply.loads = loads();
+        reply.balancerCount = 85;
+        reply.fleetLoads = loads();
         return reply;
     }
 
     private static QuotaRequest quotaAsk() {
         QuotaRequest ask = QuotaRequest.of("tenant-1", 91.5);
-        ask.load = report();
+        ask.loadReport = report();
         return ask;
     }
 
     private static QuotaResponse quotaGrant() {
         QuotaResponse grant = QuotaResponse.of(true, 92.25, 93);
-        grant.loads = loads();
+        grant.fleetLoads = loads();
         return grant;
     }
 }
--- a/src/test/java/myrtleladder/replication/GroupPlanTest.java
+++ b/src/test/java/myrtleladder/replication/GroupPlanTest.java
@@ -34,7 +34,7 @@
         GroupPlan plan =
                 new GroupPlan(members(group), set(joining), members(silent), set(leaving), least);
         StringBuilder names = new StringBuilder();
-        plan.next().forEach(m -> names.append(m.store));
+        plan.next().forEach(m -> names.append(m.storeId));
         assertEquals(!names.toString().equals(group), plan.changes());
         return names.toString();
     }
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -45,7 +45,7 @@
         acknowledge(cluster);
         long copies =
                 cluster.nodes.values().stream()
-                        .filter(n -> n.replica.snapshot().orders.containsAll(cluster.acknowledged))
+                        .filter(n -> n.replica.snapshot().changeDigests.containsAll(cluster.acknowledged))
                         .count();
         assertEquals(2, copies);
     }
@@ -84,14 +84,14 @@
         VirtualCluster cluster = started(3, 1);
         acknowledge(cluster);
         Node old = cluster.primary();
-        String store = old.replica.self().store;
+        String store = old.replica.self().storeId;
         old.wipe();
         cluster.clock.run(500);
         old.start(false);
         cluster.clock.run(4_000);
-        assertNotEquals(store, old.replica.self().store);
+        assertNotEquals(store, old.replica.self().storeId);
         assertTrue(cluster.primary().replica.view().group.contains(old.replica.self()));
-        assertTrue(cluster.primary().replica.view().settled());
+        assertTrue(cluster.primary().replica.view().isGroupStable());
         assertEquals(List.of(), cluster.settle());
     }
 
@@ -213,8 +213,8 @@
             Message[] answer = new Message[1];
             backup.receive(message, a -> answer[0] = a);
             AcknowledgeResponse refusal = (AcknowledgeResponse) answer[0];
-            assertEquals(false, refusal.taken, message.toString());
-            assertEquals(view.epoch + 7, refusal.promised);
+            assertEquals(false, refusal.accepted, message.toString());
+            assertEquals(view.epoch + 7, refusal.promisedEpoch);
         }
         assertEquals(before, backup.snapshot());
         assertEquals(accepted, backup.view());
--- a/src/test/java/myrtleladder/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -283,7 +283,7 @@
                         return;
                     }
                     long next = node.replica.snapshot().generation + 1;
-                    List<String> known = node.replica.snapshot().orders;
+                    List<String> known = node.replica.snapshot().changeDigests;
                     if (!known.containsAll(acknowledged.subList(0, seen))) {
                         faults.add(
                                 node.address
@@ -317,9 +317,9 @@
         Node leader = primary();
         if (leader == null) {
             faults.add("no primary after the faults");
-        } else if (!leader.replica.snapshot().orders.containsAll(acknowledged)) {
+        } else if (!leader.replica.snapshot().changeDigests.containsAll(acknowledged)) {
             List<String> lost = new ArrayList<>(acknowledged);
-            lost.removeAll(leader.replica.snapshot().orders);
+            lost.removeAll(leader.replica.snapshot().changeDigests);
             faults.add("lost " + lost);
         }
         return faults;
