--- a/src/main/java/myrtleladder/controlplane/CallerAnswers.java
+++ b/src/main/java/myrtleladder/controlplane/CallerAnswers.java
@@ -24,7 +24,9 @@
         exchange.respond(
                 307,
                 new Headers()
-                        .add("Location", "http://" + primary.controlAddress + exchange.head().target()),
+                        .add(
+                                "Location",
+                                "http://" + primary.controlAddress + exchange.head().target()),
                 NO_BYTES);
     }
 
--- a/src/main/java/myrtleladder/controlplane/InstanceReader.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReader.java
@@ -35,7 +35,9 @@
             return InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
         }
         Object told = ((Map<?, ?>) ((List<?>) tree.get("models")).get(0)).get("generation");
-        return told instanceof Number number ? number.longValue() : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
+        return told instanceof Number number
+                ? number.longValue()
+                : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
     private static String text(Map<String, Object> tree, String name) {
--- a/src/main/java/myrtleladder/controlplane/LoadBoard.java
+++ b/src/main/java/myrtleladder/controlplane/LoadBoard.java
@@ -89,7 +89,8 @@
         }
         sums.forEach((upstream, sum) -> addOthers(told, upstream, sum, own.get(upstream)));
         if (told.loads.size() > MOST_TOLD) {
-            told.loads.sort((a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
+            told.loads.sort(
+                    (a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
             told.loads.subList(MOST_TOLD, told.loads.size()).clear();
         }
     }
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssignment.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssignment.java
@@ -79,7 +79,9 @@
         for (Holder holder : holders) {
             InstanceRecord record = holder.record();
             boolean taken = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
-            if (record.isLeaving() && record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL && !taken) {
+            if (record.isLeaving()
+                    && record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL
+                    && !taken) {
                 vacant.computeIfAbsent(Group.of(record), g -> new TreeSet<>()).add(record.ordinal);
             }
         }
--- a/src/main/java/myrtleladder/controlplane/PollDistribution.java
+++ b/src/main/java/myrtleladder/controlplane/PollDistribution.java
@@ -137,7 +137,8 @@
     private PollResponse notPrimary() {
         PollResponse reply = new PollResponse();
         Member primary = replica.primary();
-        reply.primaryAddress = primary == null || primary.equals(replica.self()) ? "" : primary.address;
+        reply.primaryAddress =
+                primary == null || primary.equals(replica.self()) ? "" : primary.address;
         reply.epoch = replica.view() == null ? 0 : replica.view().epoch;
         reply.controlNodeAddresses = addresses();
         return reply;
--- a/src/main/java/myrtleladder/dataplane/Exchange.java
+++ b/src/main/java/myrtleladder/dataplane/Exchange.java
@@ -163,7 +163,8 @@
     /** Whether an answer goes on at an upstream that has told the weights that began it. */
     private boolean sameWeights(Upstream upstream) {
         long begun = begunWith();
-        return begun != InstanceRecord.UNKNOWN_WEIGHTS_VERSION && upstream.record().weightsVersion == begun;
+        return begun != InstanceRecord.UNKNOWN_WEIGHTS_VERSION
+                && upstream.record().weightsVersion == begun;
     }
 
     /** The weights that made the events which the client has, if it has any. */
--- a/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
+++ b/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
@@ -109,7 +109,8 @@
             return;
         }
         List<Announcement> arrived = new ArrayList<>();
-        report.cachedPrompts.forEach(k -> arrived.add(new Announcement(k.prefixHash, k.upstreamKey)));
+        report.cachedPrompts.forEach(
+                k -> arrived.add(new Announcement(k.prefixHash, k.upstreamKey)));
         arrived.forEach(waiting::remove);
         promptRevision =
                 answer.epoch == epoch
--- a/src/main/java/myrtleladder/dataplane/Placement.java
+++ b/src/main/java/myrtleladder/dataplane/Placement.java
@@ -119,7 +119,8 @@
         if (weights == InstanceRecord.UNKNOWN_WEIGHTS_VERSION) {
             return open;
         }
-        List<Upstream> same = open.stream().filter(u -> u.record().weightsVersion == weights).toList();
+        List<Upstream> same =
+                open.stream().filter(u -> u.record().weightsVersion == weights).toList();
         return same.isEmpty() ? open : same;
     }
 
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -163,7 +163,9 @@
         for (Upstream upstream : byId.values()) {
             UpstreamLoad load = byKey.get(upstream.key());
             upstream.sharedLoad(
-                    load == null ? 0 : load.inFlightRequests, load == null ? 0 : load.pendingPromptTokens, now);
+                    load == null ? 0 : load.inFlightRequests,
+                    load == null ? 0 : load.pendingPromptTokens,
+                    now);
         }
     }
 
--- a/src/main/java/myrtleladder/protocol/InstanceRecord.java
+++ b/src/main/java/myrtleladder/protocol/InstanceRecord.java
@@ -81,7 +81,8 @@
 
     /** The same at another stage. */
     public InstanceRecord withStage(Stage other) {
-        InstanceRecord made = of(id, service, address, zone, capacity, version, other, heartbeatSequence);
+        InstanceRecord made =
+                of(id, service, address, zone, capacity, version, other, heartbeatSequence);
         made.ordinal = ordinal;
         made.weightsVersion = weightsVersion;
         return made;
--- a/src/main/java/myrtleladder/protocol/PollResponse.java
+++ b/src/main/java/myrtleladder/protocol/PollResponse.java
@@ -6,8 +6,8 @@
 /** The answer to a {@link PollRequest}. */
 public final class PollResponse implements Message {
     /**
-     * Whether the answering node is primary; if not, only {@code controlNodeAddresses}, {@code primaryAddress} and
-     * {@code epoch} are told.
+     * Whether the answering node is primary; if not, only {@code controlNodeAddresses}, {@code
+     * primaryAddress} and {@code epoch} are told.
      */
     public boolean fromPrimary;
 
--- a/src/main/java/myrtleladder/protocol/ReplicateRequest.java
+++ b/src/main/java/myrtleladder/protocol/ReplicateRequest.java
@@ -15,7 +15,8 @@
     public String changeDigest = "";
 
     /** Creates a message from its parts. */
-    public static ReplicateRequest of(long epoch, byte[] document, long generation, String changeDigest) {
+    public static ReplicateRequest of(
+            long epoch, byte[] document, long generation, String changeDigest) {
         ReplicateRequest message = new ReplicateRequest();
         message.epoch = epoch;
         message.document = document;
--- a/src/main/java/myrtleladder/protocol/StoredState.java
+++ b/src/main/java/myrtleladder/protocol/StoredState.java
@@ -31,7 +31,8 @@
     }
 
     /** Creates a state from its parts. */
-    public static StoredState of(String storeId, long promisedEpoch, View acceptedView, Snapshot snapshot) {
+    public static StoredState of(
+            String storeId, long promisedEpoch, View acceptedView, Snapshot snapshot) {
         StoredState state = new StoredState();
         state.storeId = storeId;
         state.promisedEpoch = promisedEpoch;
--- a/src/main/java/myrtleladder/replication/Candidacy.java
+++ b/src/main/java/myrtleladder/replication/Candidacy.java
@@ -187,7 +187,8 @@
     private View lastAccepted() {
         View last = replica.stored().acceptedView;
         for (PrepareResponse promise : promises.values()) {
-            if (promise.acceptedView != null && (last == null || promise.acceptedView.epoch > last.epoch)) {
+            if (promise.acceptedView != null
+                    && (last == null || promise.acceptedView.epoch > last.epoch)) {
                 last = promise.acceptedView;
             }
         }
--- a/src/main/java/myrtleladder/replication/Leadership.java
+++ b/src/main/java/myrtleladder/replication/Leadership.java
@@ -107,7 +107,9 @@
     boolean leave(Member member) {
         View view = replica.view();
         requests.leave(member, scheduler.now());
-        return view.isGroupStable() && !view.group.contains(member) && !view.replicas.contains(member);
+        return view.isGroupStable()
+                && !view.group.contains(member)
+                && !view.replicas.contains(member);
     }
 
     /** Whether a member is about to end. */
--- a/src/main/java/myrtleladder/replication/Voter.java
+++ b/src/main/java/myrtleladder/replication/Voter.java
@@ -59,13 +59,15 @@
 
     private void prepare(PrepareRequest message, Consumer<Message> answer) {
         if (message.preVote) {
-            boolean free = message.epoch > stored().promisedEpoch && !replica.hears(message.candidate);
+            boolean free =
+                    message.epoch > stored().promisedEpoch && !replica.hears(message.candidate);
             answer.accept(promise(free));
         } else if (message.epoch > stored().promisedEpoch) {
             promisedTo = message.candidate;
             replica.yieldTo(message.epoch, message.candidate);
             savePromise(stored().withPromisedEpoch(message.epoch), answer);
-        } else if (message.epoch == stored().promisedEpoch && message.candidate.equals(promisedTo)) {
+        } else if (message.epoch == stored().promisedEpoch
+                && message.candidate.equals(promisedTo)) {
             savePromise(stored(), answer); // asked again: the answer was lost
         } else {
             answer.accept(promise(false));
@@ -125,7 +127,9 @@
             return;
         }
         replica.heardFromCandidate();
-        Snapshot next = stored().snapshot.withChange(message.document, message.generation, message.changeDigest);
+        Snapshot next =
+                stored().snapshot
+                        .withChange(message.document, message.generation, message.changeDigest);
         saveThenAcknowledge(stored().withSnapshot(next), answer);
     }
 
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -381,7 +381,11 @@
         order("PUT", "0", "{'generation':3}");
         clock.run(4_000);
         PollResponse first = poll(0, 0, 0, false);
-        assertTrue(first.fromPrimary && first.authoritative && first.fullInstanceList && first.document.length > 0);
+        assertTrue(
+                first.fromPrimary
+                        && first.authoritative
+                        && first.fullInstanceList
+                        && first.document.length > 0);
         PollRequest waiting = new PollRequest();
         waiting.balancer = "e";
         waiting.address = "e:1";
--- a/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
@@ -96,7 +96,8 @@
         int most = REQUESTS * (model.balancers.size() - 1);
         for (UpstreamLoad load : told.loads) {
             if (load.upstreamKey != UPSTREAM || load.inFlightRequests > most) {
-                model.history.fault(name + " is told " + load.inFlightRequests + " requests of " + most);
+                model.history.fault(
+                        name + " is told " + load.inFlightRequests + " requests of " + most);
             }
         }
         if (told.cachedPrompts.size() > model.balancers.size()) {
--- a/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
@@ -114,7 +114,8 @@
     void beginningsThatOthersSentAreKnownToBeKept() {
         FleetLoads answer = answer(3, 7);
         answer.cachedPrompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
-        answer.cachedPrompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
+        answer.cachedPrompts.add(
+                CachedPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
         fleet.take(fleet.report(), answer, NOW);
         assertEquals(5_000, upstream.memory().kept(PROMPT, NOW));
         assertEquals(7, fleet.report().promptRevision);
--- a/src/test/java/myrtleladder/dataplane/PlacementTest.java
+++ b/src/test/java/myrtleladder/dataplane/PlacementTest.java
@@ -64,7 +64,8 @@
 
     private static FleetLoads keeps(String prompt, Upstream upstream) {
         FleetLoads answer = new FleetLoads();
-        answer.cachedPrompts.add(CachedPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
+        answer.cachedPrompts.add(
+                CachedPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
         return answer;
     }
 
--- a/src/test/java/myrtleladder/protocol/ReportSizeTest.java
+++ b/src/test/java/myrtleladder/protocol/ReportSizeTest.java
@@ -78,6 +78,7 @@
         assertTrue(idle.fleetLoads.loadsKnown && idle.fleetLoads.loads.isEmpty());
         assertEquals(
                 null,
-                ((PollRequest) MessageCodec.decode(MessageCodec.encode(new PollRequest()))).loadReport);
+                ((PollRequest) MessageCodec.decode(MessageCodec.encode(new PollRequest())))
+                        .loadReport);
     }
 }
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -45,7 +45,12 @@
         acknowledge(cluster);
         long copies =
                 cluster.nodes.values().stream()
-                        .filter(n -> n.replica.snapshot().changeDigests.containsAll(cluster.acknowledged))
+                        .filter(
+                                n ->
+                                        n.replica
+                                                .snapshot()
+                                                .changeDigests
+                                                .containsAll(cluster.acknowledged))
                         .count();
         assertEquals(2, copies);
     }
