--- a/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
@@ -28,7 +28,6 @@
     private final long tickUs;
     private final QueueingDelayTarget delayTarget;
     private final RendezvousSubsetting subsetting;
-    private final UpstreamTable upstreams;
     private final OutlierEjection ejection;
     private final AdmissionControl admission;
     private final LoadBalancer.Actions actions;
@@ -38,19 +37,17 @@
 
     OnDemandProber(
             Settings settings,
-            boolean isEnabled,
+            LoadVisibility visibility,
             QueueingDelayTarget delayTarget,
             RendezvousSubsetting subsetting,
-            UpstreamTable upstreams,
             OutlierEjection ejection,
             AdmissionControl admission,
             LoadBalancer.Actions actions) {
-        this.isEnabled = isEnabled;
+        this.isEnabled = visibility.byProbes();
         this.probesPerRequest = LoadVisibility.probesPerRequest(settings);
         this.tickUs = settings.tick();
         this.delayTarget = delayTarget;
         this.subsetting = subsetting;
-        this.upstreams = upstreams;
         this.ejection = ejection;
         this.admission = admission;
         this.actions = actions;
@@ -74,7 +71,7 @@
         if (!isEnabled || isWaiting(nowUs) || queue.isEmpty()) {
             return;
         }
-        boolean isPanic = ejection.isPanic(upstreams.ranked(), nowUs);
+        boolean isPanic = subsetting.isPanic(nowUs);
         for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
             if (!isKnown(upstream, nowUs)
                     && (isPanic || !ejection.isEjected(upstream, nowUs))
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
@@ -24,14 +24,14 @@
     private final LoadBalancer.Actions actions;
 
     PeerLoadExchange(
-            boolean isEnabled,
-            int groupSize,
+            Settings settings,
+            LoadVisibility visibility,
             UpstreamTable upstreams,
             RendezvousSubsetting subsetting,
             LoadEstimator loads,
             LoadBalancer.Actions actions) {
-        this.isEnabled = isEnabled;
-        this.groupSize = groupSize;
+        this.isEnabled = visibility.byPeers();
+        this.groupSize = settings.groupSize();
         this.upstreams = upstreams;
         this.subsetting = subsetting;
         this.loads = loads;
--- a/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
@@ -56,6 +56,11 @@
         return ranked.subList(0, size);
     }
 
+    /** Whether so few of all upstreams are healthy that ejections are ignored. */
+    boolean isPanic(long nowUs) {
+        return ejection.isPanic(upstreams.ranked(), nowUs);
+    }
+
     /** The other balancers that have an upstream in their subset, by position. */
     List<Integer> peersSharing(UpstreamState upstream) {
         List<Integer> peers = new ArrayList<>();
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
@@ -13,6 +13,7 @@
     private final RequestQueue queue;
     private final DeadlineTimer deadlines;
     private final KeyAffinity affinity;
+    private final UpstreamEligibility eligibility;
     private final WeightedLeastLoadPicker picker;
     private final RetryPolicy retryPolicy;
     private final HedgingPolicy hedging;
@@ -27,6 +28,7 @@
             RequestQueue queue,
             DeadlineTimer deadlines,
             KeyAffinity affinity,
+            UpstreamEligibility eligibility,
             WeightedLeastLoadPicker picker,
             RetryPolicy retryPolicy,
             HedgingPolicy hedging,
@@ -39,6 +41,7 @@
         this.queue = queue;
         this.deadlines = deadlines;
         this.affinity = affinity;
+        this.eligibility = eligibility;
         this.picker = picker;
         this.retryPolicy = retryPolicy;
         this.hedging = hedging;
@@ -62,13 +65,13 @@
      * warm cache, and the overload last.
      */
     private void dispatchToAffinityUpstreams(long nowUs) {
-        boolean isPanic = picker.isPanic(nowUs);
+        boolean isPanic = eligibility.isPanic(nowUs);
         for (RequestState request : queue.snapshot()) {
             UpstreamState upstream = request.affinityUpstream;
             if (upstream != null
                     && !request.isLate
                     && admission.hasRoom(upstream, request, nowUs)
-                    && picker.isEligible(upstream, request, nowUs, isPanic)) {
+                    && eligibility.isEligible(upstream, request, nowUs, isPanic)) {
                 send(request, upstream, nowUs);
             }
         }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -83,23 +83,16 @@
         this.onDemandProber =
                 new OnDemandProber(
                         settings,
-                        visibility.byProbes(),
+                        visibility,
                         delayTarget,
                         subsetting,
-                        upstreams,
                         ejection,
                         admission,
                         actions);
         this.periodicProber =
                 new PeriodicProber(settings, visibility, upstreams, statistics, random, actions);
         this.peers =
-                new PeerLoadExchange(
-                        visibility.byPeers(),
-                        settings.groupSize(),
-                        upstreams,
-                        subsetting,
-                        loads,
-                        actions);
+                new PeerLoadExchange(settings, visibility, upstreams, subsetting, loads, actions);
         this.subscription = new EndpointSubscription(settings.askForList(), random, actions);
         this.tenantShares = new TenantShares(settings.tenants(), settings.groupSize());
         this.deadlines = new DeadlineTimer(marginUs, actions);
@@ -110,18 +103,12 @@
         ZonePreference zones = new ZonePreference(settings);
         KeyAffinity affinity = new KeyAffinity(settings.warmKeys(), upstreams, ejection, zones);
         RetryPolicy retryPolicy = new RetryPolicy(settings.limits(), marginUs);
+        UpstreamEligibility eligibility =
+                new UpstreamEligibility(
+                        subsetting, ejection, retryPolicy, onDemandProber, slowStart);
         WeightedLeastLoadPicker picker =
                 new WeightedLeastLoadPicker(
-                        upstreams,
-                        subsetting,
-                        ejection,
-                        retryPolicy,
-                        onDemandProber,
-                        slowStart,
-                        admission,
-                        loads,
-                        zones,
-                        random);
+                        subsetting, eligibility, admission, slowStart, loads, zones, random);
         this.queue = new RequestQueue(affinity);
         this.requests = new OpenRequests(settings.limits(), queue, deadlines, statistics, actions);
         this.dispatcher =
@@ -130,6 +117,7 @@
                         queue,
                         deadlines,
                         affinity,
+                        eligibility,
                         picker,
                         retryPolicy,
                         hedging,
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
@@ -28,35 +28,26 @@
     /** Exponent of the share of attempts without an error; chosen. */
     private static final double SUCCESS_EXPONENT = 2;
 
-    private final UpstreamTable upstreams;
     private final RendezvousSubsetting subsetting;
-    private final OutlierEjection ejection;
-    private final RetryPolicy retryPolicy;
-    private final OnDemandProber prober;
-    private final SlowStart slowStart;
+    private final UpstreamEligibility eligibility;
     private final AdmissionControl admission;
+    private final SlowStart slowStart;
     private final LoadEstimator loads;
     private final ZonePreference zones;
     private final SplittableRandom random;
 
     WeightedLeastLoadPicker(
-            UpstreamTable upstreams,
             RendezvousSubsetting subsetting,
-            OutlierEjection ejection,
-            RetryPolicy retryPolicy,
-            OnDemandProber prober,
-            SlowStart slowStart,
+            UpstreamEligibility eligibility,
             AdmissionControl admission,
+            SlowStart slowStart,
             LoadEstimator loads,
             ZonePreference zones,
             SplittableRandom random) {
-        this.upstreams = upstreams;
         this.subsetting = subsetting;
-        this.ejection = ejection;
-        this.retryPolicy = retryPolicy;
-        this.prober = prober;
-        this.slowStart = slowStart;
+        this.eligibility = eligibility;
         this.admission = admission;
+        this.slowStart = slowStart;
         this.loads = loads;
         this.zones = zones;
         this.random = random;
@@ -73,10 +64,10 @@
     }
 
     private UpstreamState pick(RequestState request, long nowUs, boolean needsRoom) {
-        boolean isPanic = isPanic(nowUs);
+        boolean isPanic = eligibility.isPanic(nowUs);
         List<UpstreamState> candidates = new ArrayList<>();
         for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
-            if (isEligible(upstream, request, nowUs, isPanic)
+            if (eligibility.isEligible(upstream, request, nowUs, isPanic)
                     && (!needsRoom || admission.hasRoom(upstream, request, nowUs))) {
                 candidates.add(upstream);
             }
@@ -91,23 +82,6 @@
         return sum > 0 ? draw(candidates, scores, sum) : null;
     }
 
-    /** Whether so few upstreams are healthy that ejections are ignored. */
-    boolean isPanic(long nowUs) {
-        return ejection.isPanic(upstreams.ranked(), nowUs);
-    }
-
-    /**
-     * Whether an upstream may get the request, room apart. Asking fills the slow-start bucket of a
-     * cold upstream, so that the conditions keep their order.
-     */
-    boolean isEligible(UpstreamState upstream, RequestState request, long nowUs, boolean isPanic) {
-        return retryPolicy.maySend(request, upstream, nowUs)
-                && !request.isHedgedAwayFrom(upstream)
-                && (isPanic || !ejection.isEjected(upstream, nowUs))
-                && !prober.isUnresponsive(upstream, nowUs)
-                && slowStart.hasRoom(upstream, nowUs);
-    }
-
     private double score(UpstreamState upstream, RequestState request, long nowUs) {
         double preference =
                 upstream.rating
--- a/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
@@ -14,9 +14,10 @@
  *   <li>Where loads are probed before a pick, {@code OnDemandProber} asks the subset first.
  *   <li>{@code RequestDispatcher} takes the queue in order of priority and has {@code
  *       WeightedLeastLoadPicker} pick an upstream for each. Candidates are the subset of {@code
- *       RendezvousSubsetting}, less what is excluded by {@code RetryPolicy}, {@code
- *       OutlierEjection}, {@code OnDemandProber}, {@code SlowStart} and {@code AdmissionControl}
- *       (which asks {@code ConcurrencyLimiter} where the load of other balancers is not known).
+ *       RendezvousSubsetting}, less what is excluded by {@code UpstreamEligibility} (after {@code
+ *       RetryPolicy}, {@code OutlierEjection}, {@code OnDemandProber} and {@code SlowStart}) and by
+ *       {@code AdmissionControl} (which asks {@code ConcurrencyLimiter} where the load of other
+ *       balancers is not known).
  *   <li>The attempt is sent, and {@code PeerLoadExchange} reports the upstream's load to the peers
  *       that share it.
  *   <li>Its end goes to {@code OutcomeRecorder}, which updates health, limits and {@code
