--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/policy/HedgingPolicyTest.java
@@ -0,0 +1,99 @@
+package myrtleladder.loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Which requests are hedged, and how many. */
+class HedgingPolicyTest {
+    private static final long SECOND = SimulatedHost.SECOND;
+    private static final long MILLI = SimulatedHost.MILLI;
+    private final SettingsBuilder settings = new SettingsBuilder();
+
+    /**
+     * The attempt at a vanished upstream was out until the deadline; no repeat was allowed then.
+     */
+    @ParameterizedTest(name = "class {0} within {1} ms")
+    @CsvSource({"0, 1000", "1, 700"})
+    void attemptAtUnresponsiveUpstreamIsHedgedWhileRepeatIsPermitted(int cls, int within) {
+        settings.hedging(true);
+        settings.scope(Scope.ALL);
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
+        String id = host.requestToFirstUpstream(cls);
+        host.advance(within * MILLI);
+        assertEquals(2, host.sends.get(id).size());
+        assertNotEquals("u0", host.lastUpstream(id));
+        assertTrue(
+                host.actions.stream().noneMatch(line -> line.contains("cancel")),
+                "it may still answer");
+    }
+
+    /**
+     * With answers of 400 ms and 1 s for repeats each slow one was sent twice, with no room to
+     * spare.
+     */
+    @Test
+    void nothingIsHedgedWhereMemorySpanIsShortAgainstAnswerTimes() {
+        settings.hedging(true);
+        settings.scope(Scope.ALL);
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
+        for (int i = 0; i < 50; i++) {
+            host.serve(1, 400 * MILLI, upstream -> 0.5);
+        }
+        String id = host.request(1, 2 * SECOND);
+        host.advance(2 * SECOND);
+        assertEquals(1, host.sends.get(id).size());
+    }
+
+    /** When many are slow at once, second copies of all of them only make it worse. */
+    @Test
+    void hedgesAreBoundedByBudget() {
+        settings.hedging(true);
+        settings.scope(Scope.ALL);
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(12);
+        for (int i = 0; i < 200; i++) {
+            host.serve(1, 20 * MILLI, upstream -> 0.5);
+        }
+        List<String> ids = new ArrayList<>();
+        for (int i = 0; i < 8; i++) {
+            ids.add(host.request(1, 2 * SECOND));
+        }
+        host.advance(700 * MILLI);
+        assertEquals(8 + 3, ids.stream().mapToInt(id -> host.sends.get(id).size()).sum());
+    }
+
+    @ParameterizedTest(name = "class {0}, second copies {1}")
+    @CsvSource({"0, false", "1, false", "2, false", "2, true"})
+    void unsafeRequestsAreNeverHedgedNorAnyWhereHedgingIsOff(int cls, boolean secondCopies) {
+        settings.hedging(secondCopies);
+        settings.scope(Scope.ALL);
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
+        String id = host.requestToFirstUpstream(cls);
+        host.advance(SECOND);
+        assertEquals(1, host.sends.get(id).size());
+    }
+
+    /** One that answers others is slow with this one, not silent. */
+    @Test
+    void attemptAtUpstreamThatAnswersOthersIsNotHedged() {
+        settings.hedging(true);
+        settings.scope(Scope.ALL);
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(2);
+        String id = host.requestToFirstUpstream(1);
+        int others = 0;
+        for (int i = 0; i < 200; i++) {
+            String other = host.request(0, 2 * SECOND);
+            host.advance(5 * MILLI);
+            others += host.lastUpstream(other).equals("u0") ? 1 : 0;
+            host.endAttempt(other, Outcome.OK, 5 * MILLI, SimulatedHost.report(0.5));
+        }
+        assertTrue(others > 0, "u0 has answered " + others);
+        assertEquals(1, host.sends.get(id).size());
+    }
+}
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/policy/OnDemandProberTest.java
@@ -0,0 +1,66 @@
+package myrtleladder.loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Loads are probed before picks where probes are cheap. */
+class OnDemandProberTest {
+    private static final long SECOND = SimulatedHost.SECOND;
+    private static final long MILLI = SimulatedHost.MILLI;
+    private final SettingsBuilder settings = new SettingsBuilder();
+
+    private SimulatedHost probingHost() {
+        settings.groupSize(3);
+        settings.reports(Reports.BY_PROBE);
+        settings.probePrice(0.001);
+        return SimulatedHost.of(settings).listUpstreams(3);
+    }
+
+    @Test
+    void subsetIsProbedAndUnresponsiveUpstreamsAreLeftOut() {
+        SimulatedHost host = probingHost();
+        for (int i = 0; i < 20; i++) {
+            String id = host.request(0, 2 * SECOND);
+            assertNull(host.lastUpstream(id));
+            for (String upstream : List.copyOf(host.probes)) {
+                if (!upstream.equals("u0")) {
+                    host.balancer.probed(
+                            host.nowUs,
+                            upstream,
+                            Outcome.OK,
+                            new LoadReport(
+                                    0.5,
+                                    upstream.equals("u1") ? 5 : 0,
+                                    0,
+                                    Double.NaN,
+                                    Double.NaN,
+                                    Double.NaN));
+                }
+            }
+            host.probes.clear();
+            host.advance(20 * MILLI);
+            assertEquals("u2", host.lastUpstream(id));
+            host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+            host.advance(100 * MILLI);
+        }
+    }
+
+    /**
+     * Incident ief6859: with the budget for probingHost spent, picks on old lines crowded all
+     * servers.
+     */
+    @Test
+    void nothingIsSentWithoutFreshLoadWhenProbeBudgetIsSpent() {
+        SimulatedHost host = probingHost();
+        for (int i = 0; i < 40; i++) {
+            host.request(0, 2 * SECOND);
+            host.advance(20 * MILLI);
+        }
+        assertTrue(host.probes.size() > 10, "asked " + host.probes.size());
+        assertTrue(host.sends.isEmpty(), host.sends.toString());
+    }
+}
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -39,7 +39,7 @@
         this.warmWorkPerMicro = warmWorkPerMicro;
     }
 
-    void told(long now, ListKind kind, List<Upstream> entries) {
+    void endpointsReported(long now, ListKind kind, List<Upstream> entries) {
         if (kind == ListKind.COMPLETE || kind == ListKind.RESTORED) {
             for (String id : listed.keySet()) {
                 if (entries.stream().noneMatch(e -> e.id().equals(id))) {
@@ -153,7 +153,7 @@
         late(now, id, c);
     }
 
-    void left(String id) {
+    void clientGone(String id) {
         cases.get(id).over = true;
     }
 
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SettingsCheckTest.java
@@ -0,0 +1,23 @@
+package myrtleladder.loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Bad settings are rejected. */
+class SettingsCheckTest {
+    private final SettingsBuilder settings = new SettingsBuilder();
+
+    @Test
+    void badSettingsAreRejectedWithTheFieldsName() {
+        settings.zones(0);
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> SimulatedHost.of(settings));
+        assertTrue(e.getMessage().contains("zones"));
+        settings.zones(1);
+        settings.groupSize(0);
+        e = assertThrows(IllegalArgumentException.class, () -> SimulatedHost.of(settings));
+        assertTrue(e.getMessage().contains("groupSize"));
+    }
+}
--- a/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
@@ -24,14 +24,14 @@
     private static final long BETWEEN = 4_000;
 
     /** Takes note of where requests are sent, and nothing else. */
-    private static final class Sent extends Host {
+    private static final class Sent extends SimulatedHost {
         final Deque<AttemptEnd> out = new ArrayDeque<>();
 
         int requests;
 
-        Sent(Config config) {
-            balancer = new UtilisationLoadBalancer(config.settings(), 1, this);
-            balancer.start(now);
+        Sent(SettingsBuilder settings) {
+            balancer = new UtilisationLoadBalancer(settings.build(), 1, this);
+            balancer.start(nowUs);
         }
 
         @Override
@@ -44,19 +44,19 @@
         @Override
         public void timer(String token, long delay) {
             super.timer(token, delay);
-            done.clear();
+            actions.clear();
         }
     }
 
     private static Sent balancer(int upstreams) {
-        Host.Config config = new Host.Config();
-        config.group = BALANCERS;
-        Sent sent = new Sent(config);
+        SettingsBuilder settings = new SettingsBuilder();
+        settings.groupSize(BALANCERS);
+        Sent sent = new Sent(settings);
         List<Upstream> all = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            all.add(Host.up(i, State.READY, 0));
+            all.add(SimulatedHost.endpoint(i, State.READY, 0));
         }
-        sent.balancer.upstreams(sent.now, ListKind.COMPLETE, all);
+        sent.balancer.upstreams(sent.nowUs, ListKind.COMPLETE, all);
         return sent;
     }
 
@@ -64,10 +64,18 @@
         for (int i = 0; i < requests; i++) {
             h.advance(BETWEEN);
             h.balancer.request(
-                    h.now,
-                    new Request("r" + h.requests++, 0, 0, null, 0, 2 * Host.SECOND, false, false));
+                    h.nowUs,
+                    new Request(
+                            "r" + h.requests++,
+                            0,
+                            0,
+                            null,
+                            0,
+                            2 * SimulatedHost.SECOND,
+                            false,
+                            false));
             while (h.out.size() > IN_FLIGHT) {
-                h.balancer.outcome(h.now, h.out.poll());
+                h.balancer.outcome(h.nowUs, h.out.poll());
             }
         }
     }
@@ -88,7 +96,9 @@
             int changes = 200;
             begun = System.nanoTime();
             for (int i = 0; i < changes; i++) {
-                h.change(Host.up(i % upstreams, i % 2 == 0 ? State.DRAINING : State.READY, 0));
+                h.changeEndpoint(
+                        SimulatedHost.endpoint(
+                                i % upstreams, i % 2 == 0 ? State.DRAINING : State.READY, 0));
             }
             list.add(upstreams, (System.nanoTime() - begun) / 1e3 / changes);
         }
