--- a/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
@@ -50,7 +50,7 @@
             long tookUs,
             long nowUs) {
         double waitUs = waitOf(upstream, request, tookUs, nowUs);
-        adjust(upstream, attempt, waitUs, request.requestClass.aim(), nowUs);
+        adjust(upstream, attempt, waitUs, request.requestClass.latencyTargetUs(), nowUs);
     }
 
     /** No answer is the longest waiting there is; the work may still run there. */
@@ -61,7 +61,7 @@
             long tookUs,
             long nowUs) {
         double waitUs = tookUs - ownServiceTimeUs(request, upstream.minServiceTime);
-        adjust(upstream, attempt, waitUs, request.requestClass.aim(), nowUs);
+        adjust(upstream, attempt, waitUs, request.requestClass.latencyTargetUs(), nowUs);
     }
 
     void recordRejection(UpstreamState upstream) {
@@ -98,7 +98,7 @@
     private static double waitOf(
             UpstreamState upstream, RequestState request, long tookUs, long nowUs) {
         boolean hinted = request.hasWorkHint();
-        double reported = upstream.report == null ? Double.NaN : upstream.report.serviceTime();
+        double reported = upstream.report == null ? Double.NaN : upstream.report.serviceTimeUs();
         double sample =
                 hinted ? tookUs / request.cost : reported > 0 ? reported : upstream.answerTimeUs;
         double grown =
--- a/src/main/java/myrtleladder/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/HedgingPolicy.java
@@ -63,7 +63,7 @@
         double typicalUs = typicalAnswerTimeUs(request, last.upstream);
         return nowUs - last.sentAtUs > timeoutUs(request, last, typicalUs, nowUs)
                 && nowUs + typicalUs
-                        <= (request.requestClass.lateWorth() > 0
+                        <= (request.requestClass.lateFactor() > 0
                                 ? request.deadlineUs
                                 : request.targetAtUs);
     }
@@ -88,7 +88,7 @@
                 missed >= MISSED_ANSWERS ? HEDGE_ANSWER_TIMES : OutlierEjection.HANG_ANSWER_TIMES;
         double timeoutUs = answerTimes * typicalUs;
         if (request.requestClass.effect() == Effect.KEYED) {
-            double windowUs = MEMORY_SPAN_SHARE * request.requestClass.memorySpan();
+            double windowUs = MEMORY_SPAN_SHARE * request.requestClass.memorySpanUs();
             timeoutUs = Math.min(timeoutUs, Math.max(windowUs, HEDGE_ANSWER_TIMES * typicalUs));
         }
         return timeoutUs;
--- a/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
@@ -45,7 +45,7 @@
             LoadBalancer.Actions actions) {
         this.isEnabled = visibility.byProbes();
         this.probesPerRequest = LoadVisibility.probesPerRequest(settings);
-        this.tickUs = settings.tick();
+        this.tickUs = settings.tickUs();
         this.delayTarget = delayTarget;
         this.subsetting = subsetting;
         this.ejection = ejection;
--- a/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
@@ -60,7 +60,7 @@
         queue.remove(request);
         if (RetryPolicy.mayReject(request)) {
             actions.refuse(request.request.id(), retryAfterUs(request));
-            if (!request.request.retry()) {
+            if (!request.request.isRetry()) {
                 statistics.recordRejection(
                         request.request.classIndex(), nowUs - request.arrivedAtUs);
             }
@@ -76,7 +76,7 @@
      */
     private long retryAfterUs(RequestState request) {
         return limits.retryAfter()
-                ? Math.min(request.requestClass.aim(), limits.maxRetryAfter())
+                ? Math.min(request.requestClass.latencyTargetUs(), limits.maxRetryAfterUs())
                 : 0;
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
@@ -28,8 +28,8 @@
     void record(RequestState request, Attempt attempt, AttemptEnd end, long nowUs) {
         UpstreamState upstream = attempt.upstream;
         switch (end.outcome()) {
-            case OK -> recordAnswer(request, attempt, end.took(), nowUs);
-            case TIMEOUT, CANCELLED -> recordNoAnswer(request, attempt, end.took(), nowUs);
+            case OK -> recordAnswer(request, attempt, end.tookUs(), nowUs);
+            case TIMEOUT, CANCELLED -> recordNoAnswer(request, attempt, end.tookUs(), nowUs);
             case CONNECT_FAILED -> recordConnectFailure(attempt, nowUs);
             case FULL -> recordRejection(request, attempt, nowUs);
             case ERROR, RESET -> {
@@ -41,7 +41,7 @@
             }
             default -> throw new AssertionError(end.outcome());
         }
-        limiter.pauseAfter(upstream, end.took(), nowUs);
+        limiter.pauseAfter(upstream, end.tookUs(), nowUs);
     }
 
     private void recordAnswer(RequestState request, Attempt attempt, long tookUs, long nowUs) {
@@ -83,7 +83,7 @@
         if (isLoadKnown && attempt.loadAtSend < SHORT_QUEUE) {
             ejection.eject(upstream, nowUs);
         } else {
-            double fullLoad = request.requestClass.aim() / Math.max(upstream.paceUs, 1);
+            double fullLoad = request.requestClass.latencyTargetUs() / Math.max(upstream.paceUs, 1);
             upstream.othersInFlight = Math.max(upstream.othersInFlight, fullLoad);
             upstream.othersSeenAtUs = nowUs;
         }
--- a/src/main/java/myrtleladder/loadbalancer/policy/QueueingDelayTarget.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/QueueingDelayTarget.java
@@ -22,6 +22,9 @@
     }
 
     static long tightestLatencyTargetUs(Settings settings) {
-        return settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
+        return settings.classes().stream()
+                .mapToLong(RequestClass::latencyTargetUs)
+                .min()
+                .orElseThrow();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Request.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Request.java
@@ -1,12 +1,23 @@
 package myrtleladder.loadbalancer.policy;
 
-/** A request; {@code expectedWork} is 0 without a hint, {@code key} null without a key. */
+/**
+ * A request of a client.
+ *
+ * @param id name of the request, unique while it is open
+ * @param classIndex index of its class in the settings
+ * @param tenant index of its tenant in the settings; one that is not there has no allowance
+ * @param key idempotency and affinity key; null without one
+ * @param expectedWork hint of its work in the unit of the settings; 0 without a hint
+ * @param timeLeftUs until the client gives up; not positive if it has
+ * @param isWrite whether it changes data
+ * @param isRetry whether the client marked it as a retry
+ */
 public record Request(
         String id,
         int classIndex,
         int tenant,
         String key,
         long expectedWork,
-        long timeLeft,
-        boolean write,
-        boolean retry) {}
+        long timeLeftUs,
+        boolean isWrite,
+        boolean isRetry) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestClass.java
@@ -1,16 +1,26 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * A class of requests. {@code aimStretch} lengthens the aim by that multiple of the request's own
- * work.
+ * A class of requests.
+ *
+ * @param latencyTargetUs time from arrival within which an answer has its full value
+ * @param latencyTargetStretch lengthens the latency target by that multiple of the request's own
+ *     work
+ * @param timeoutUs time from arrival after which clients give up
+ * @param priorityWeight value of an answer in time
+ * @param lateFactor part of that value that a late answer has; 0 for none
+ * @param effect whether a request may run more than once
+ * @param scope which upstreams discard the repeat of a keyed request
+ * @param memorySpanUs for how long they do
+ * @param isStream whether answers are streamed
  */
 public record RequestClass(
-        long aim,
-        double aimStretch,
-        long giveUp,
-        double worth,
-        double lateWorth,
+        long latencyTargetUs,
+        double latencyTargetStretch,
+        long timeoutUs,
+        double priorityWeight,
+        double lateFactor,
         Effect effect,
         Scope scope,
-        long memorySpan,
-        boolean stream) {}
+        long memorySpanUs,
+        boolean isStream) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
@@ -184,7 +184,7 @@
     }
 
     private void shedOrDemote(RequestState request, long nowUs) {
-        double lateWorth = request.requestClass.lateWorth();
+        double lateWorth = request.requestClass.lateFactor();
         if (lateWorth <= 0) {
             requests.finish(request, nowUs);
         } else if (!request.isLate) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
@@ -52,9 +52,10 @@
         this.requestClass = requestClass;
         this.sequence = sequence;
         this.arrivedAtUs = nowUs;
-        this.deadlineUs = nowUs + request.timeLeft();
+        this.deadlineUs = nowUs + request.timeLeftUs();
         long target =
-                requestClass.aim() + (long) (requestClass.aimStretch() * request.expectedWork());
+                requestClass.latencyTargetUs()
+                        + (long) (requestClass.latencyTargetStretch() * request.expectedWork());
         this.targetAtUs = Math.min(deadlineUs, nowUs + target);
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
@@ -23,7 +23,7 @@
         if (request.attempts.isEmpty()) {
             return true;
         }
-        if (request.outstandingAttempts() > 0 && !limits.secondCopies()) {
+        if (request.outstandingAttempts() > 0 && !limits.hedging()) {
             return false;
         }
         Attempt first = request.firstThatMayHaveRun();
@@ -40,7 +40,7 @@
                 || requestClass.effect() == Effect.KEYED
                         && sharesMemory(
                                 requestClass.scope(), first.upstream.endpoint, upstream.endpoint)
-                        && nowUs - first.sentAtUs < requestClass.memorySpan() - marginUs;
+                        && nowUs - first.sentAtUs < requestClass.memorySpanUs() - marginUs;
     }
 
     /** Whether one of two upstreams recognises the keys that the other has seen. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
@@ -2,7 +2,26 @@
 
 import java.util.List;
 
-/** All that an instance is told at its start. */
+/**
+ * All settings of an instance.
+ *
+ * @param zone index of the own zone
+ * @param zones number of zones
+ * @param position index of this balancer in its group
+ * @param groupSize balancers in the group
+ * @param classes classes of requests, by index
+ * @param tenants tenants, by index
+ * @param overShareFactor factor on the priority of requests beyond a tenant's share
+ * @param worthByWork whether the value of an answer grows with its work
+ * @param limits what the balancer may do
+ * @param rules the figures of the rules
+ * @param prices what actions cost
+ * @param reports how load reports come
+ * @param ratings what the ratings of upstreams mean
+ * @param askForList whether changes of the endpoint list come only to subscribers
+ * @param warmKeys whether an upstream serves a key cheaper that it has served before
+ * @param tickUs granularity of timers; 0 if they are exact
+ */
 public record Settings(
         int zone,
         int zones,
@@ -10,7 +29,7 @@
         int groupSize,
         List<RequestClass> classes,
         List<Tenant> tenants,
-        double overShareWorth,
+        double overShareFactor,
         boolean worthByWork,
         Limits limits,
         RuleFigures rules,
@@ -19,4 +38,4 @@
         Ratings ratings,
         boolean askForList,
         boolean warmKeys,
-        long tick) {}
+        long tickUs) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SlowStart.java
@@ -58,10 +58,10 @@
 
     /** Share of its full capacity that an upstream has, rising with its age to 1. */
     double factor(UpstreamState upstream, long nowUs) {
-        double ageUs = Math.max(0, nowUs - upstream.endpoint.launchedAt());
-        return upstream.endpoint.launchedAt() <= 0 || ageUs >= rules.coldTime()
+        double ageUs = Math.max(0, nowUs - upstream.endpoint.launchedAtUs());
+        return upstream.endpoint.launchedAtUs() <= 0 || ageUs >= rules.slowStartUs()
                 ? 1
-                : rules.startCapacity() + (1 - rules.startCapacity()) * ageUs / rules.coldTime();
+                : rules.startCapacity() + (1 - rules.startCapacity()) * ageUs / rules.slowStartUs();
     }
 
     /** Gives a newly listed upstream its first tokens; draws a random number. */
@@ -85,7 +85,7 @@
         }
         double meanCost = statistics.meanCost();
         double rate = budgetRate(upstream, factor);
-        double most = Math.max(rate * rules.fallTime(), LEAST_BUCKET * meanCost);
+        double most = Math.max(rate * rules.overloadWindowUs(), LEAST_BUCKET * meanCost);
         upstream.slowStartTokens =
                 Math.min(
                         most,
@@ -111,9 +111,9 @@
      * and leaves most of a large one idle.
      */
     private double budgetRate(UpstreamState upstream, double factor) {
-        double budget = rules.fallMultiple() * factor * warmRate * upstream.rating;
+        double budget = rules.overloadMultiple() * factor * warmRate * upstream.rating;
         double requests =
-                budget * groupSize * rules.fallTime() / Math.max(statistics.meanCost(), 1);
+                budget * groupSize * rules.overloadWindowUs() / Math.max(statistics.meanCost(), 1);
         double root =
                 Math.sqrt(requests + KEPT_DEVIATIONS * KEPT_DEVIATIONS / 4) - KEPT_DEVIATIONS / 2;
         return requests > 0 ? budget * root * root / requests : 0;
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
@@ -47,7 +47,7 @@
 
     private void apply(Upstream entry, long nowUs) {
         UpstreamState upstream = byId.get(entry.id());
-        if (upstream == null || entry.launchedAt() > upstream.endpoint.launchedAt()) {
+        if (upstream == null || entry.launchedAtUs() > upstream.endpoint.launchedAtUs()) {
             upstream = create(entry, upstream, nowUs);
             byId.put(entry.id(), upstream);
         }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -69,7 +69,7 @@
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         this.visibility = LoadVisibility.of(settings);
-        long marginUs = MARGIN_TICKS * Math.max(settings.tick(), LEAST_TICK_US);
+        long marginUs = MARGIN_TICKS * Math.max(settings.tickUs(), LEAST_TICK_US);
         QueueingDelayTarget delayTarget = QueueingDelayTarget.of(settings);
         this.statistics = new RequestStatistics(settings.classes().size(), firstPaceUs(settings));
         LoadEstimator loads = new LoadEstimator(statistics, delayTarget);
@@ -159,7 +159,7 @@
         RequestClass requestClass = settings.classes().get(request.classIndex());
         RequestState state =
                 new RequestState(request, requestClass, statistics.nextSequence(), now);
-        if (request.retry()) {
+        if (request.isRetry()) {
             // Its target runs from the first attempt, and mostly a rejection lies behind it.
             state.targetAtUs -= (long) statistics.waitBeforeRejectionUs(request.classIndex());
         }
@@ -168,7 +168,7 @@
         statistics.recordArrival(state.cost);
         hedging.earnTokens();
         requests.add(state, now);
-        onDemandProber.earnTokens(request.retry());
+        onDemandProber.earnTokens(request.isRetry());
         onDemandProber.probe(queue, now);
         dispatch(now);
         requests.finishDue(now);
@@ -183,11 +183,11 @@
     }
 
     private double priority(RequestState state, long nowUs) {
-        return state.requestClass.worth()
+        return state.requestClass.priorityWeight()
                 / (settings.worthByWork() ? 1 : state.cost)
                 * (tenantShares.tryTake(state.request.tenant(), nowUs)
                         ? 1
-                        : settings.overShareWorth());
+                        : settings.overShareFactor());
     }
 
     @Override
@@ -204,7 +204,7 @@
             outcomes.record(request, attempt, end, now);
             peers.report(attempt.upstream);
         }
-        if (end.concluded()) {
+        if (end.isConcluded()) {
             request.isEnded = true;
         }
         if (request.isEnded) {
@@ -284,7 +284,7 @@
         requests.finishDue(nowUs);
         ejection.ejectHanging(upstreams.ranked(), nowUs);
         dispatcher.shedLate(nowUs);
-        if (settings.limits().secondCopies() && hedging.hasToken()) {
+        if (settings.limits().hedging() && hedging.hasToken()) {
             dispatcher.hedge(nowUs);
         }
         if (nowUs >= nextReweightAtUs) {
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -134,7 +134,7 @@
             this.request = request;
             this.message = message;
             this.client = client;
-            this.deadline = now + request.timeLeft();
+            this.deadline = now + request.timeLeftUs();
         }
 
         boolean outstanding() {
@@ -371,7 +371,7 @@
         }
         Open o = new Open(request, message, client, now());
         open.put(request.id(), o);
-        o.atDeadline = loop.schedule(() -> overdue(o), request.timeLeft(), TimeUnit.MICROSECONDS);
+        o.atDeadline = loop.schedule(() -> overdue(o), request.timeLeftUs(), TimeUnit.MICROSECONDS);
         event(() -> balancer.request(now(), request));
     }
 
@@ -439,7 +439,7 @@
                 || o.concluded
                 || o.attempts.size() >= limits.maxAttempts()
                 || o.deadline <= now
-                || o.outstanding() && !limits.secondCopies()
+                || o.outstanding() && !limits.hedging()
                 || restraint != null && !restraint.maySend(upstream)) {
             neverSent(o, id, upstream);
             return;
@@ -511,7 +511,7 @@
         }
         return o.attempts.subList(0, number).stream()
                 .filter(a -> a.mayHaveRun)
-                .mapToLong(a -> a.sentAt + requestClass.memorySpan())
+                .mapToLong(a -> a.sentAt + requestClass.memorySpanUs())
                 .findFirst()
                 .orElse(Long.MAX_VALUE);
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -196,7 +196,7 @@
     private static Future<Void> stop(BalancerConfig config, LoadBalancerServer server) {
         long deadline =
                 config.facts().settings().classes().stream()
-                        .mapToLong(c -> c.giveUp() / 1_000)
+                        .mapToLong(c -> c.timeoutUs() / 1_000)
                         .max()
                         .orElse(0);
         Stop stop = Stop.of(deadline, config.facts().settings().groupSize());
@@ -233,8 +233,8 @@
                             new UpstreamConnectionPool(
                                     loop,
                                     transport,
-                                    settings.limits().connectTimeout(),
-                                    settings.limits().connectIdle(),
+                                    settings.limits().connectTimeoutUs(),
+                                    settings.limits().connectIdleUs(),
                                     Math.max(1, descriptors - forClients));
                     BalancerRuntime driver = new BalancerRuntime(loop, config, upstreams);
                     driver.start(
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -51,7 +51,8 @@
         int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(TENANT));
         require(tenant >= 0, TENANT);
         long timeLeft =
-                number(headers, BalancerRuntime.TIME_LEFT, requestClass.giveUp() / 1_000) * 1_000;
+                number(headers, BalancerRuntime.TIME_LEFT, requestClass.timeoutUs() / 1_000)
+                        * 1_000;
         long hint = number(headers, WORK_HINT, 0);
         List<String> keys = uri.parameters().get(KEY);
         return new Request(
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -61,7 +61,7 @@
         Case c = new Case();
         c.request = r;
         c.cls = settings.classes().get(r.classIndex());
-        c.deadline = now + r.timeLeft();
+        c.deadline = now + r.timeLeftUs();
         cases.put(r.id(), c);
     }
 
@@ -71,7 +71,7 @@
         if (c.over) {
             breaches.add("1: sent after the end " + id);
         }
-        if (!settings.limits().secondCopies() && c.out.contains(true)) {
+        if (!settings.limits().hedging() && c.out.contains(true)) {
             breaches.add("2: two attempts at once " + id);
         }
         int first = c.ran.indexOf(true);
@@ -84,12 +84,12 @@
                     c.cls.scope() == Scope.ALL
                             || c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone()
                             || c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell();
-            if (!near || now - s.at > c.cls.memorySpan()) {
+            if (!near || now - s.at > c.cls.memorySpanUs()) {
                 breaches.add("2: keyed request sent outside its group or time " + id);
             }
         }
         Long closed = closedAt.get(upstream);
-        if (closed != null && now - closed > settings.rules().drainGrace()) {
+        if (closed != null && now - closed > settings.rules().drainGraceUs()) {
             breaches.add("3: sent to a drained upstream " + upstream);
         }
         cold(now, u, c.request.expectedWork());
@@ -99,22 +99,22 @@
     }
 
     private void cold(long now, Upstream u, long work) {
-        long age = now - u.launchedAt();
-        if (u.launchedAt() <= 0 || age >= settings.rules().coldTime()) {
+        long age = now - u.launchedAtUs();
+        if (u.launchedAtUs() <= 0 || age >= settings.rules().slowStartUs()) {
             return;
         }
         Deque<long[]> window = coldSends.computeIfAbsent(u.id(), k -> new ArrayDeque<>());
         window.add(new long[] {now, work});
-        while (window.peek()[0] < now - settings.rules().fallTime()) {
+        while (window.peek()[0] < now - settings.rules().overloadWindowUs()) {
             window.poll();
         }
         double start = settings.rules().startCapacity();
-        double share = start + (1 - start) * age / settings.rules().coldTime();
+        double share = start + (1 - start) * age / settings.rules().slowStartUs();
         double budget =
-                settings.rules().fallMultiple()
+                settings.rules().overloadMultiple()
                         * share
                         * warmWorkPerMicro
-                        * settings.rules().fallTime();
+                        * settings.rules().overloadWindowUs();
         if (window.stream().mapToLong(w -> w[1]).sum() > budget) {
             breaches.add("4: cold upstream pushed over " + u.id());
         }
@@ -124,7 +124,7 @@
         Case c = cases.get(end.request());
         c.out.set(end.attempt(), false);
         c.ran.set(end.attempt(), !end.outcome().neverRan);
-        if (end.concluded()) {
+        if (end.isConcluded()) {
             c.over = true;
         }
     }
@@ -167,7 +167,7 @@
     }
 
     private void late(long now, String id, Case c) {
-        if (now > c.deadline + settings.rules().answerSlack()) {
+        if (now > c.deadline + settings.rules().answerSlackUs()) {
             breaches.add("1: no answer in time " + id);
         }
     }
