--- a/src/main/java/myrtleladder/dataplane/Admission.java
+++ b/src/main/java/myrtleladder/dataplane/AdmissionController.java
@@ -7,7 +7,7 @@
 /**
  * Whether a request is taken: by the time to its first event that is expected where it would go.
  */
-final class Admission {
+final class AdmissionController {
     private static final long LEAST_PATIENCE = 2_000;
     private static final long TARGETS = 4;
     private static final long GAPS = 8;
@@ -18,8 +18,8 @@
     private static final long LONGEST_PAUSE = 1_500;
 
     /** 0 if the request is taken, else milliseconds after which a new try makes sense. */
-    long comeBackAfter(
-            Route route, Service service, Placement.Pick pick, long timeLeft, Tenant tenant) {
+    long retryAfterMs(
+            Route route, Service service, UpstreamPicker.Pick pick, long timeLeft, Tenant tenant) {
         double expected = pick.expectedMs();
         double patience = timeLeft;
         if (service.engine() != null) {
@@ -38,7 +38,7 @@
     }
 
     /** The pause told to a client whose request was taken but could not be sent. */
-    long pauseAfterRefusal() {
+    long defaultRetryAfterMs() {
         return SHORT_PAUSE;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -5,7 +5,7 @@
 import myrtleladder.io.Scheduler;
 
 /** One send of a request to one upstream. */
-final class Attempt implements UpstreamLinks.User {
+final class Attempt implements ConnectionPool.ResponseListener {
     private static final long CONNECT_TIMEOUT = 500;
 
     /** How far an attempt has come. */
@@ -37,17 +37,17 @@
     private final Upstream upstream;
     private final RequestHead head;
     private final byte[] body;
-    private final Placement.Pick pick;
+    private final UpstreamPicker.Pick pick;
     private final Listener listener;
     private final Scheduler scheduler;
     private final Scheduler.Timer connectTimer;
     private State state = State.CONNECTING;
-    private UpstreamLinks.Link link;
+    private ConnectionPool.PooledConnection link;
     private long sentAt;
     private boolean begun;
 
     Attempt(
-            Placement.Pick pick,
+            UpstreamPicker.Pick pick,
             RequestHead head,
             byte[] body,
             Scheduler scheduler,
@@ -62,9 +62,9 @@
     }
 
     /** Asks for a connection, on which the request is sent. */
-    void start(UpstreamLinks connections, boolean onlyFresh) {
+    void start(ConnectionPool connections, boolean recentlyUsedOnly) {
         upstream.begins(this, scheduler.now());
-        UpstreamLinks.Link used = connections.use(upstream, this, onlyFresh);
+        ConnectionPool.PooledConnection used = connections.use(upstream, this, recentlyUsedOnly);
         if (state == State.CONNECTING) {
             link = used;
         }
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public void ready(UpstreamLinks.Link used) {
+    public void ready(ConnectionPool.PooledConnection used) {
         if (!used.ready()) {
             used.close(); // it ended while its standing was told
             refused();
--- a/src/main/java/myrtleladder/dataplane/UpstreamLinks.java
+++ b/src/main/java/myrtleladder/dataplane/ConnectionPool.java
@@ -3,25 +3,25 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
-/** Connections to upstreams, each used by one request at a time. */
-interface UpstreamLinks {
+/** HttpConnectionPool to upstreams, each used by one request at a time. */
+interface ConnectionPool {
     /**
-     * Finds or opens a connection; with {@code onlyFresh} one at rest has to have been used a
-     * moment ago.
+     * Finds or opens a connection; with {@code recentlyUsedOnly} one at rest has to have been used
+     * a moment ago.
      */
-    Link use(Upstream upstream, User user, boolean onlyFresh);
+    PooledConnection use(Upstream upstream, ResponseListener user, boolean recentlyUsedOnly);
 
-    /** Connections that stand or are being opened. */
-    int openTo(Upstream upstream);
+    /** HttpConnectionPool that stand or are being opened. */
+    int openConnections(Upstream upstream);
 
-    /** Connections at rest. */
-    int idleTo(Upstream upstream);
+    /** HttpConnectionPool at rest. */
+    int idleConnections(Upstream upstream);
 
     /** Closes connections at rest that are of no use any more. */
-    void closeIdle();
+    void closeExpired();
 
     /** A connection while one request uses it. */
-    interface Link {
+    interface PooledConnection {
         /** Whether a request can be sent now. */
         boolean ready();
 
@@ -33,9 +33,9 @@
     }
 
     /** Who uses a connection for one request. */
-    interface User {
+    interface ResponseListener {
         /** The connection stands; the request can be sent now. */
-        void ready(Link link);
+        void ready(PooledConnection link);
 
         /** No connection could be had; nothing was sent. */
         void refused();
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -38,7 +38,7 @@
 
     private final Scheduler scheduler;
     private final Peers peers;
-    private final Router router;
+    private final RequestRouter router;
     private final String balancer;
     private final String address;
     private final MembershipAgent agent;
@@ -65,7 +65,7 @@
     ControlPoller(
             Scheduler scheduler,
             Peers peers,
-            Router router,
+            RequestRouter router,
             String balancer,
             String address,
             MembershipAgent agent,
@@ -139,7 +139,7 @@
         poll.alive = agent.alive();
         poll.memberRevision = memberRevision;
         poll.load = router.fleet().report();
-        poll.underWay.addAll(router.directory().underWayAtLeaving());
+        poll.underWay.addAll(router.directory().inFlightAtLeavingUpstreams());
         askedAt = scheduler.now();
         peers.call(target, poll, TIMEOUT, message -> answered(poll.load, message));
     }
--- a/src/main/java/myrtleladder/dataplane/DataCommand.java
+++ b/src/main/java/myrtleladder/dataplane/DataCommand.java
@@ -47,7 +47,7 @@
 
     private static int rehearse() {
         try {
-            return Rehearsal.run() ? 0 : 1;
+            return Warmup.run() ? 0 : 1;
         } catch (InterruptedException e) {
             System.err.println(e);
             return 1;
--- a/src/main/java/myrtleladder/dataplane/FleetKnowledge.java
+++ b/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
@@ -15,7 +15,7 @@
  * under way at each upstream, and which beginnings of prompts each keeps. Announcements are sent
  * again until an answer shows that they arrived.
  */
-final class FleetKnowledge {
+final class FleetLoadSync {
     /** How long a balancer goes by the others' figures after it heard them last. */
     static final long FRESH = 2_000;
 
@@ -40,7 +40,7 @@
 
     private record Announcement(long prompt, int upstream) {}
 
-    FleetKnowledge(UpstreamDirectory directory, long process) {
+    FleetLoadSync(UpstreamDirectory directory, long process) {
         this.directory = directory;
         this.process = process;
     }
@@ -51,14 +51,14 @@
     }
 
     /** Whether the others' figures are known and fresh. */
-    boolean inTouch(long now) {
+    boolean hasFreshLoads(long now) {
         return now - heardAt <= FRESH;
     }
 
     /** A prompt is sent to an upstream, which keeps its shared beginning from then on. */
-    void sent(PromptParts prompt, Upstream upstream, long now) {
+    void sent(PromptSegments prompt, Upstream upstream, long now) {
         long beginning = prompt.subject();
-        if (now - upstream.memory().toldAt(beginning) < ANNOUNCE_AGAIN) {
+        if (now - upstream.memory().lastAnnouncedAtMs(beginning) < ANNOUNCE_AGAIN) {
             return;
         }
         upstream.memory().told(beginning, now);
@@ -116,10 +116,10 @@
                         ? Math.max(promptRevision, answer.promptRevision)
                         : answer.promptRevision;
         epoch = answer.epoch;
-        directory.takePrompts(answer.prompts, now);
+        directory.applyCachedPrompts(answer.prompts, now);
         if (answer.known) {
             heardAt = now;
-            directory.takeLoads(answer.loads, now);
+            directory.applyFleetLoads(answer.loads, now);
         }
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Names.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderNames.java
@@ -4,7 +4,7 @@
 import myrtleladder.io.Headers;
 
 /** The header fields of the deployments' protocol, and what of a message is passed on. */
-final class Names {
+final class HeaderNames {
     static final String ATTEMPT = "Myrtleladder-Attempt-Id";
     static final String DEADLINE = "Myrtleladder-Deadline-Ms";
     static final String INSTANCE = "Myrtleladder-Expect-Instance";
@@ -44,7 +44,7 @@
                     "myrtleladder-deadline-ms",
                     "last-event-id");
 
-    private Names() {}
+    private HeaderNames() {}
 
     /** What of a client's fields an upstream receives; the fleet's own are added by the caller. */
     static Headers forUpstream(Headers client) {
--- a/src/main/java/myrtleladder/dataplane/Connections.java
+++ b/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
@@ -9,8 +9,8 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
-/** Connections to upstreams, kept for later requests as long as the upstream keeps them. */
-final class Connections implements UpstreamLinks {
+/** HttpConnectionPool to upstreams, kept for later requests as long as the upstream keeps them. */
+final class HttpConnectionPool implements ConnectionPool {
     private static final long LONGEST_REST = 4_000;
     private static final long FRESH_REST = 1_200;
     private static final long REST_MARGIN = 900;
@@ -21,17 +21,17 @@
     private final Map<Upstream, Integer> open = new HashMap<>();
     private long opened;
 
-    Connections(EventLoop loop) {
+    HttpConnectionPool(EventLoop loop) {
         this.loop = loop;
     }
 
     @Override
-    public int openTo(Upstream upstream) {
+    public int openConnections(Upstream upstream) {
         return open.getOrDefault(upstream, 0);
     }
 
     @Override
-    public int idleTo(Upstream upstream) {
+    public int idleConnections(Upstream upstream) {
         ArrayDeque<Connection> links = idle.get(upstream);
         return links == null ? 0 : links.size();
     }
@@ -41,13 +41,15 @@
     }
 
     @Override
-    public Link use(Upstream upstream, User user, boolean onlyFresh) {
+    public PooledConnection use(
+            Upstream upstream, ResponseListener user, boolean recentlyUsedOnly) {
         ArrayDeque<Connection> links = idle.computeIfAbsent(upstream, u -> new ArrayDeque<>());
         long now = loop.now();
         Connection link = links.pollLast();
         while (link != null) {
             long rest = now - link.restingSince;
-            if (link.connection.ready() && rest < (onlyFresh ? FRESH_REST : link.longestRest)) {
+            if (link.connection.ready()
+                    && rest < (recentlyUsedOnly ? FRESH_REST : link.longestRest)) {
                 link.user = user;
                 user.ready(link);
                 return link;
@@ -73,7 +75,7 @@
      * requests.
      */
     @Override
-    public void closeIdle() {
+    public void closeExpired() {
         long now = loop.now();
         for (ArrayDeque<Connection> links : idle.values()) {
             Iterator<Connection> each = links.iterator();
@@ -90,15 +92,15 @@
     }
 
     /** One connection to an upstream. */
-    private final class Connection implements Link, HttpConnection.Listener {
+    private final class Connection implements PooledConnection, HttpConnection.Listener {
         private final Upstream upstream;
         private HttpConnection connection;
-        private User user;
+        private ResponseListener user;
         private long restingSince;
         private long longestRest = LONGEST_REST;
         private boolean counted = true;
 
-        private Connection(Upstream upstream, User user) {
+        private Connection(Upstream upstream, ResponseListener user) {
             this.upstream = upstream;
             this.user = user;
         }
@@ -170,9 +172,9 @@
 
         @Override
         public void end(boolean reusable) {
-            User ended = user;
+            ResponseListener ended = user;
             user = null;
-            if (reusable && !upstream.record().leaving() && idleTo(upstream) < MOST_IDLE) {
+            if (reusable && !upstream.record().leaving() && idleConnections(upstream) < MOST_IDLE) {
                 restingSince = loop.now();
                 idle.computeIfAbsent(upstream, u -> new ArrayDeque<>()).addLast(this);
             } else {
@@ -191,7 +193,7 @@
             if (links != null) {
                 links.remove(this);
             }
-            User broken = user;
+            ResponseListener broken = user;
             user = null;
             if (broken != null && everConnected) {
                 broken.broken();
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final int internalPort;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private Router router;
+    private RequestRouter router;
     private ControlPoller poller;
     private HttpServer front;
     private long longestIdle;
@@ -72,9 +72,9 @@
     private void begin() {
         NodeSettings.Bounds bounds = settings.bounds();
         router =
-                new Router(
+                new RequestRouter(
                         loop,
-                        new Connections(loop),
+                        new HttpConnectionPool(loop),
                         new RetryBudget(bounds.budgetRatio(), bounds.budgetSlack()),
                         (ask, timeout, answer) -> poller.ask(ask, timeout, answer),
                         System.nanoTime());
@@ -153,7 +153,7 @@
             return;
         }
         draining = true;
-        LOG.info("draining with {} under way", router.underWay());
+        LOG.info("draining with {} under way", router.inFlightRequests());
         long now = loop.now();
         poller.leave();
         front.closeGracefully();
@@ -164,10 +164,10 @@
         long now = loop.now();
         quietSince = front.unanswered() > 0 ? now : quietSince;
         if (now >= earliest) {
-            router.stopTaking();
+            router.rejectNewRequests();
         }
         if (now >= latest || now >= earliest && now - quietSince >= LAST_BYTES) {
-            LOG.info("ends with {} under way; {}", router.underWay(), router.counters());
+            LOG.info("ends with {} under way; {}", router.inFlightRequests(), router.counters());
             ended.countDown();
             return;
         }
--- a/src/main/java/myrtleladder/dataplane/Urgency.java
+++ b/src/main/java/myrtleladder/dataplane/PrefillPriority.java
@@ -7,13 +7,13 @@
  * what takes little of its objective goes first. A short prompt hardly delays a long one, a long
  * one makes many short ones late.
  */
-final class Urgency {
+final class PrefillPriority {
     /** Parts of the objective that reading may take in the first and in the second rank. */
     private static final double SHORT = 0.15;
 
     private static final double MEDIUM = 0.4;
 
-    private Urgency() {}
+    private PrefillPriority() {}
 
     /** From 0, which goes first, to 2. */
     static int rank(Route route, double readingMs) {
--- a/src/main/java/myrtleladder/dataplane/ReadingSpeed.java
+++ b/src/main/java/myrtleladder/dataplane/PrefillTimeEstimator.java
@@ -5,7 +5,7 @@
  * prompt was being read: a time for each token of the prompt, and one that each answer takes. Steps
  * lead to the medians, since what others had under way spoils single samples.
  */
-final class ReadingSpeed {
+final class PrefillTimeEstimator {
     private static final double FIRST_MS_PER_TOKEN = 0.016;
     private static final double LEAST_MS_PER_TOKEN = 0.002;
     private static final double MOST_MS_PER_TOKEN = 0.2;
--- a/src/main/java/myrtleladder/dataplane/PrefixMemory.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
@@ -7,7 +7,7 @@
  * What parts of prompts an upstream was sent lately, as far as its memory reaches: by this balancer
  * part by part, by others as far as they told it.
  */
-final class PrefixMemory {
+final class PrefixCacheModel {
     private static final long KEPT = 90_000;
     private static final int MOST_TOLD = 4_096;
 
@@ -18,11 +18,11 @@
 
     private record Kept(int tokens, long at) {}
 
-    PrefixMemory(long mostTokens) {
+    PrefixCacheModel(long mostTokens) {
         this.mostTokens = mostTokens;
     }
 
-    void sent(PromptParts prompt, long now) {
+    void sent(PromptSegments prompt, long now) {
         for (int i = 0; i < prompt.chain().length; i++) {
             Kept before = parts.put(prompt.chain()[i], new Kept(prompt.tokens()[i], now));
             tokens += prompt.tokens()[i] - (before == null ? 0 : before.tokens());
@@ -44,26 +44,26 @@
     }
 
     /** When a prompt that begins so was told last, at the latest by this balancer. */
-    long toldAt(long beginning) {
+    long lastAnnouncedAtMs(long beginning) {
         return told.getOrDefault(beginning, Long.MIN_VALUE / 2);
     }
 
     /** Tokens of the prompt that need not be read again. */
-    int kept(PromptParts prompt, long now) {
+    int kept(PromptSegments prompt, long now) {
         return Math.max(keptOfOwn(prompt, now), keptAsTold(prompt, now));
     }
 
-    private int keptAsTold(PromptParts prompt, long now) {
+    private int keptAsTold(PromptSegments prompt, long now) {
         int sum = 0;
         int most = 0;
         for (int i = 0; i < prompt.chain().length; i++) {
             sum += prompt.tokens()[i];
-            most = now - toldAt(prompt.chain()[i]) <= KEPT ? sum : most;
+            most = now - lastAnnouncedAtMs(prompt.chain()[i]) <= KEPT ? sum : most;
         }
         return most;
     }
 
-    private int keptOfOwn(PromptParts prompt, long now) {
+    private int keptOfOwn(PromptSegments prompt, long now) {
         int sum = 0;
         for (int i = 0; i < prompt.chain().length; i++) {
             Kept part = parts.get(prompt.chain()[i]);
--- a/src/main/java/myrtleladder/dataplane/PromptParts.java
+++ b/src/main/java/myrtleladder/dataplane/PromptSegments.java
@@ -8,11 +8,11 @@
  * of it and all parts before it: an upstream can use what it keeps of a part only if it keeps all
  * before it.
  */
-record PromptParts(long[] chain, int[] tokens) {
-    static final PromptParts NONE = new PromptParts(new long[0], new int[0]);
+record PromptSegments(long[] chain, int[] tokens) {
+    static final PromptSegments NONE = new PromptSegments(new long[0], new int[0]);
 
     /** Reads ID:TOKENS separated by commas; what can't be read ends the list. */
-    static PromptParts parse(String text) {
+    static PromptSegments parse(String text) {
         if (text == null || text.isEmpty()) {
             return NONE;
         }
@@ -29,7 +29,7 @@
             } catch (NumberFormatException e) {
                 break;
             }
-            hash = Hashes.mix(hash ^ Hashes.of(part.substring(0, colon).trim()));
+            hash = StableHash.mix(hash ^ StableHash.of(part.substring(0, colon).trim()));
             parts.add(new long[] {hash, Math.max(0, tokens)});
         }
         long[] chain = new long[parts.size()];
@@ -38,7 +38,7 @@
             chain[i] = parts.get(i)[0];
             tokens[i] = (int) parts.get(i)[1];
         }
-        return new PromptParts(chain, tokens);
+        return new PromptSegments(chain, tokens);
     }
 
     /** Tokens of all parts. */
--- a/src/main/java/myrtleladder/dataplane/Exchange.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -16,7 +16,7 @@
  * A client's request from its arrival to its one final answer, over as many upstreams as that
  * takes.
  */
-final class Exchange implements Attempt.Listener {
+final class ProxiedRequest implements Attempt.Listener {
     private static final byte[] NO_BYTES = {};
     private static final long MARGIN = 40;
     private static final int MOST_UNSENT = 4;
@@ -35,13 +35,13 @@
         DONE
     }
 
-    private final Router router;
+    private final RequestRouter router;
     private final ServerExchange client;
     private final Route route;
     private final Service service;
     private final Tenant tenant;
     private final double cost;
-    private final PromptParts prompt;
+    private final PromptSegments prompt;
     private final String attemptId;
     private final long arrivedAt;
     private final long deadlineAt;
@@ -50,7 +50,7 @@
     private State state = State.PLACING;
     private Attempt current;
     private ResponseHead answer;
-    private EventSplitter splitter;
+    private ServerSentEventSplitter splitter;
     private boolean mayHaveRun;
     private int sends;
     private int unsent;
@@ -58,8 +58,8 @@
     private boolean anyEvent;
     private long weights = InstanceRecord.UNKNOWN_WEIGHTS;
 
-    Exchange(
-            Router router,
+    ProxiedRequest(
+            RequestRouter router,
             ServerExchange client,
             Route route,
             Service service,
@@ -72,13 +72,14 @@
         this.tenant = tenant;
         this.cost = cost;
         Headers headers = client.head().headers();
-        this.prompt = PromptParts.parse(headers.get(Names.PREFIX));
-        this.attemptId = headers.get(Names.ATTEMPT);
+        this.prompt = PromptSegments.parse(headers.get(HeaderNames.PREFIX));
+        this.attemptId = headers.get(HeaderNames.ATTEMPT);
         this.arrivedAt = router.now();
         long patience =
-                Math.min(headers.number(Names.DEADLINE, route.timeoutMs()), route.timeoutMs());
+                Math.min(
+                        headers.number(HeaderNames.DEADLINE, route.timeoutMs()), route.timeoutMs());
         this.deadlineAt = arrivedAt + patience;
-        this.lastEvent = headers.number(Names.LAST_EVENT, EventSplitter.NO_ID);
+        this.lastEvent = headers.number(HeaderNames.LAST_EVENT, ServerSentEventSplitter.NO_ID);
         client.onGone(this::clientGone);
     }
 
@@ -99,18 +100,18 @@
             giveUp();
             return;
         }
-        Placement.Pick pick = router.placement().pick(service, prompt, tried, begunWith(), now);
+        UpstreamPicker.Pick pick =
+                router.placement().pick(service, prompt, tried, begunWith(), now);
         if (pick == null) {
-            router.count(Counters.Event.NO_UPSTREAM);
+            router.count(RequestCounters.Event.NO_UPSTREAM);
             giveUp();
             return;
         }
         if (sends == 0 && unsent == 0) {
             long wait =
-                    router.admission()
-                            .comeBackAfter(route, service, pick, deadlineAt - now, tenant);
+                    router.admission().retryAfterMs(route, service, pick, deadlineAt - now, tenant);
             if (wait > 0) {
-                router.count(Counters.Event.REFUSED);
+                router.count(RequestCounters.Event.REFUSED);
                 refuse(wait);
                 return;
             }
@@ -118,12 +119,12 @@
         send(pick, now);
     }
 
-    private void send(Placement.Pick pick, long now) {
+    private void send(UpstreamPicker.Pick pick, long now) {
         become(state == State.STREAMING ? State.STREAMING : State.AWAITING);
         Upstream upstream = pick.upstream();
         tried.add(upstream);
         double readingMs = pick.tokensToRead() * router.placement().speed().msPerToken();
-        splitter = new EventSplitter();
+        splitter = new ServerSentEventSplitter();
         whole.reset();
         RequestHead head =
                 new RequestHead(
@@ -138,24 +139,26 @@
     }
 
     private Headers headers(Upstream upstream, double readingMs, long now) {
-        Headers headers = Names.forUpstream(client.head().headers());
-        headers.add(Names.DEADLINE, Long.toString(Math.max(1, deadlineAt - now)));
-        headers.add(Names.INSTANCE, upstream.record().id);
-        if (lastEvent != EventSplitter.NO_ID) {
-            headers.add(Names.LAST_EVENT, Long.toString(lastEvent));
+        Headers headers = HeaderNames.forUpstream(client.head().headers());
+        headers.add(HeaderNames.DEADLINE, Long.toString(Math.max(1, deadlineAt - now)));
+        headers.add(HeaderNames.INSTANCE, upstream.record().id);
+        if (lastEvent != ServerSentEventSplitter.NO_ID) {
+            headers.add(HeaderNames.LAST_EVENT, Long.toString(lastEvent));
         }
         if (sameWeights(upstream)) {
-            headers.add(Names.EXPECT_VERSION, Long.toString(weights));
+            headers.add(HeaderNames.EXPECT_VERSION, Long.toString(weights));
         }
         int before = tenant == null ? 0 : tenant.priority() * PRIORITY_STEP;
         if (tenant != null) {
-            headers.add(Names.TENANT, tenant.name());
+            headers.add(HeaderNames.TENANT, tenant.name());
         }
         if (service.engine() != null) {
             headers.add(
-                    Names.PRIORITY,
+                    HeaderNames.PRIORITY,
                     Integer.toString(
-                            Math.min(LAST_PRIORITY, before + Urgency.rank(route, readingMs))));
+                            Math.min(
+                                    LAST_PRIORITY,
+                                    before + PrefillPriority.rank(route, readingMs))));
         }
         return headers;
     }
@@ -181,7 +184,7 @@
         }
         current = null;
         attempt.upstream().failed(router.now(), true);
-        router.count(Counters.Event.NOT_SENT);
+        router.count(RequestCounters.Event.NOT_SENT);
         if (++unsent < MOST_UNSENT) {
             place();
         } else {
@@ -196,23 +199,25 @@
         }
         sends++;
         long now = router.now();
-        attempt.upstream().reported(head.headers().get(Names.LOAD), now);
+        attempt.upstream().reported(head.headers().get(HeaderNames.LOAD), now);
         boolean rejected =
-                head.status() == MISDIRECTED || head.headers().get(Names.NOT_EXECUTED) != null;
+                head.status() == MISDIRECTED
+                        || head.headers().get(HeaderNames.NOT_EXECUTED) != null;
         if (rejected) {
             rejected(attempt, head);
             return;
         }
-        boolean ours = attemptId == null || attemptId.equals(head.headers().get(Names.ATTEMPT));
-        if (!ours || head.headers().get(Names.SIGNATURE) == null && head.status() < 300) {
-            router.count(Counters.Event.FOREIGN_ANSWER);
+        boolean ours =
+                attemptId == null || attemptId.equals(head.headers().get(HeaderNames.ATTEMPT));
+        if (!ours || head.headers().get(HeaderNames.SIGNATURE) == null && head.status() < 300) {
+            router.count(RequestCounters.Event.FOREIGN_ANSWER);
             attempt.cancel();
             failed(attempt);
             return;
         }
         if (state != State.STREAMING) {
             answer = head;
-            weights = head.headers().number(Names.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS);
+            weights = head.headers().number(HeaderNames.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS);
         } else if (head.status() >= 300) {
             attempt.cancel();
             failed(attempt);
@@ -220,13 +225,13 @@
     }
 
     private void rejected(Attempt attempt, ResponseHead head) {
-        router.count(Counters.Event.REJECTED);
+        router.count(RequestCounters.Event.REJECTED);
         current = null;
         attempt.cancel();
         if (head.status() == MISDIRECTED && !sameWeights(attempt.upstream())) {
             router.directory().gone(attempt.upstream());
         } else if (head.status() == 400) {
-            answerAndEnd(400, Names.passedOn(head.headers()), NO_BYTES);
+            answerAndEnd(400, HeaderNames.passedOn(head.headers()), NO_BYTES);
             return;
         }
         boolean more = sends < route.retries() && router.budget().take(service.name());
@@ -260,15 +265,15 @@
         if (attempt.pendingTokens() > 0 || !anyEvent) {
             firstEvent(attempt);
         }
-        if (id != EventSplitter.NO_ID && anyEvent && id <= lastEvent) {
+        if (id != ServerSentEventSplitter.NO_ID && anyEvent && id <= lastEvent) {
             return; // sent already, before this upstream went on
         }
         if (state == State.AWAITING) {
-            client.begin(answer.status(), Names.passedOn(answer.headers()));
+            client.begin(answer.status(), HeaderNames.passedOn(answer.headers()));
             become(State.STREAMING);
         }
         anyEvent = true;
-        lastEvent = id == EventSplitter.NO_ID ? lastEvent : id;
+        lastEvent = id == ServerSentEventSplitter.NO_ID ? lastEvent : id;
         client.write(event, 0, event.length);
     }
 
@@ -305,7 +310,7 @@
         noteAnswer(attempt);
         byte[] body =
                 route.streaming() && answer.status() < 300 ? splitter.rest() : whole.toByteArray();
-        answerAndEnd(answer.status(), Names.passedOn(answer.headers()), body);
+        answerAndEnd(answer.status(), HeaderNames.passedOn(answer.headers()), body);
     }
 
     private void noteAnswer(Attempt attempt) {
@@ -330,7 +335,7 @@
         current = null;
         mayHaveRun = true;
         attempt.upstream().failed(router.now(), false);
-        router.count(Counters.Event.BROKEN);
+        router.count(RequestCounters.Event.BROKEN);
         if (route.repeatable() && mayRepeat()) {
             place();
         } else {
@@ -366,7 +371,7 @@
         }
         upstream.eject(now);
         if (route.repeatable() && mayRepeat()) {
-            router.count(Counters.Event.SILENT);
+            router.count(RequestCounters.Event.SILENT);
             Attempt silent = current;
             current = null;
             mayHaveRun = true;
@@ -404,15 +409,18 @@
             boolean late = router.now() >= deadlineAt - MARGIN;
             answerAndEnd(late ? 504 : 502, new Headers(), NO_BYTES);
         } else {
-            refuse(router.admission().pauseAfterRefusal());
+            refuse(router.admission().defaultRetryAfterMs());
         }
     }
 
     private void refuse(long waitMs) {
         if (tenant != null) {
-            router.quotas().giveBack(tenant, cost);
+            router.quotas().refund(tenant, cost);
         }
-        answerAndEnd(503, new Headers().add(Names.RETRY_AFTER, Router.seconds(waitMs)), NO_BYTES);
+        answerAndEnd(
+                503,
+                new Headers().add(HeaderNames.RETRY_AFTER, RequestRouter.seconds(waitMs)),
+                NO_BYTES);
     }
 
     private void answerAndEnd(int status, Headers headers, byte[] body) {
--- a/src/main/java/myrtleladder/dataplane/Counters.java
+++ b/src/main/java/myrtleladder/dataplane/RequestCounters.java
@@ -1,7 +1,7 @@
 package myrtleladder.dataplane;
 
 /** How often each thing of note happened. */
-final class Counters {
+final class RequestCounters {
     /** A thing of note. */
     enum Event {
         REQUEST,
--- a/src/main/java/myrtleladder/dataplane/Router.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -16,7 +16,7 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /** The data plane's routing: from a request to its route, its tenant's quota and its exchange. */
-final class Router {
+final class RequestRouter {
     private static final byte[] NO_BYTES = {};
     private static final long CHECK = 50;
     private static final long PERIOD = 250;
@@ -27,31 +27,31 @@
 
     private final Scheduler scheduler;
     private final UpstreamDirectory directory;
-    private final FleetKnowledge fleet;
-    private final UpstreamLinks connections;
-    private final Placement placement;
-    private final Admission admission = new Admission();
-    private final TenantQuotas quotas;
+    private final FleetLoadSync fleet;
+    private final ConnectionPool connections;
+    private final UpstreamPicker placement;
+    private final AdmissionController admission = new AdmissionController();
+    private final TenantQuotaClient quotas;
     private final RetryBudget budget;
-    private final Counters counters = new Counters();
-    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+    private final RequestCounters counters = new RequestCounters();
+    private final Set<ProxiedRequest> exchanges = new LinkedHashSet<>();
     private final SplittableRandom random;
     private Configuration configuration;
     private long nextPeriod;
     private boolean taking = true;
 
-    Router(
+    RequestRouter(
             Scheduler scheduler,
-            UpstreamLinks connections,
+            ConnectionPool connections,
             RetryBudget budget,
-            TenantQuotas.Bank bank,
+            TenantQuotaClient.QuotaAllocator bank,
             long seed) {
-        this.quotas = new TenantQuotas(bank, seed);
+        this.quotas = new TenantQuotaClient(bank, seed);
         this.scheduler = scheduler;
         this.connections = connections;
-        this.directory = new UpstreamDirectory(u -> connections.closeIdle());
-        this.fleet = new FleetKnowledge(directory, seed);
-        this.placement = new Placement(directory, connections, fleet);
+        this.directory = new UpstreamDirectory(u -> connections.closeExpired());
+        this.fleet = new FleetLoadSync(directory, seed);
+        this.placement = new UpstreamPicker(directory, connections, fleet);
         this.budget = budget;
         this.random = new SplittableRandom(seed);
     }
@@ -64,13 +64,13 @@
         scheduler.schedule(CHECK, this::tick);
         long now = now();
         quotas.time(now);
-        for (Exchange exchange : new ArrayList<>(exchanges)) {
+        for (ProxiedRequest exchange : new ArrayList<>(exchanges)) {
             exchange.check(now);
         }
         if (now >= nextPeriod) {
             nextPeriod = now + PERIOD / 2 + random.nextLong(PERIOD);
             placement.reweight(now);
-            connections.closeIdle();
+            connections.closeExpired();
         }
     }
 
@@ -96,22 +96,23 @@
     // ------------------------------------------------------------------------------------
 
     /** From now on requests are refused at once: this balancer ends before they could. */
-    void stopTaking() {
+    void rejectNewRequests() {
         taking = false;
     }
 
     /** Takes a client's request. */
     void handle(ServerExchange client) {
-        counters.count(Counters.Event.REQUEST);
+        counters.count(RequestCounters.Event.REQUEST);
         if (configuration == null || !taking) {
             long pause = taking ? NOT_READY_PAUSE : LEAVING_PAUSE;
-            client.respond(503, new Headers().add(Names.RETRY_AFTER, seconds(pause)), NO_BYTES);
+            client.respond(
+                    503, new Headers().add(HeaderNames.RETRY_AFTER, seconds(pause)), NO_BYTES);
             return;
         }
         Headers headers = client.head().headers();
         Route route = configuration.route(headers.get("Host"), client.head().path());
         if (route == null) {
-            counters.count(Counters.Event.NO_ROUTE);
+            counters.count(RequestCounters.Event.NO_ROUTE);
             client.respond(404, new Headers(), NO_BYTES);
             return;
         }
@@ -119,7 +120,7 @@
         if (!route.open() && !configuration.tenants().isEmpty()) {
             tenant = configuration.tenant(keyOf(headers));
             if (tenant == null) {
-                counters.count(Counters.Event.NO_KEY);
+                counters.count(RequestCounters.Event.NO_KEY);
                 client.respond(401, new Headers(), NO_BYTES);
                 return;
             }
@@ -128,7 +129,7 @@
     }
 
     private static String keyOf(Headers headers) {
-        String value = headers.get(Names.AUTHORIZATION);
+        String value = headers.get(HeaderNames.AUTHORIZATION);
         return value != null && value.startsWith(KEY_SCHEME)
                 ? value.substring(KEY_SCHEME.length()).trim()
                 : null;
@@ -139,7 +140,9 @@
             exchange(client, route, null, 0);
             return;
         }
-        double cost = TenantQuotas.cost(tenant, usage(client.head().headers().get(Names.USAGE)));
+        double cost =
+                TenantQuotaClient.cost(
+                        tenant, usage(client.head().headers().get(HeaderNames.USAGE)));
         quotas.time(now());
         fleet.intends(() -> likely(client, route));
         quotas.admit(
@@ -151,11 +154,12 @@
                         exchange(client, route, tenant, cost);
                         return;
                     }
-                    counters.count(Counters.Event.OVER_QUOTA);
+                    counters.count(RequestCounters.Event.OVER_QUOTA);
                     String pause = seconds(Math.min(LONGEST_QUOTA_PAUSE, wait));
-                    client.respond(429, new Headers().add(Names.RETRY_AFTER, pause), NO_BYTES);
+                    client.respond(
+                            429, new Headers().add(HeaderNames.RETRY_AFTER, pause), NO_BYTES);
                 });
-        fleet.intends(FleetKnowledge.NOTHING);
+        fleet.intends(FleetLoadSync.NOTHING);
     }
 
     /** Where a request that waits for its quota will likely go. */
@@ -164,7 +168,8 @@
             return null;
         }
         Service service = configuration.service(route.shares().get(0).service());
-        PromptParts prompt = PromptParts.parse(client.head().headers().get(Names.PREFIX));
+        PromptSegments prompt =
+                PromptSegments.parse(client.head().headers().get(HeaderNames.PREFIX));
         return placement.likely(service, prompt, now());
     }
 
@@ -181,7 +186,7 @@
         }
         Service service = configuration.service(serviceOf(route));
         budget.request(service.name());
-        Exchange exchange = new Exchange(this, client, route, service, tenant, cost);
+        ProxiedRequest exchange = new ProxiedRequest(this, client, route, service, tenant, cost);
         exchanges.add(exchange);
         exchange.place();
     }
@@ -242,23 +247,23 @@
         return directory;
     }
 
-    FleetKnowledge fleet() {
+    FleetLoadSync fleet() {
         return fleet;
     }
 
-    UpstreamLinks connections() {
+    ConnectionPool connections() {
         return connections;
     }
 
-    Placement placement() {
+    UpstreamPicker placement() {
         return placement;
     }
 
-    Admission admission() {
+    AdmissionController admission() {
         return admission;
     }
 
-    TenantQuotas quotas() {
+    TenantQuotaClient quotas() {
         return quotas;
     }
 
@@ -266,19 +271,19 @@
         return budget;
     }
 
-    Counters counters() {
+    RequestCounters counters() {
         return counters;
     }
 
-    void count(Counters.Event event) {
+    void count(RequestCounters.Event event) {
         counters.count(event);
     }
 
-    void ended(Exchange exchange) {
+    void ended(ProxiedRequest exchange) {
         exchanges.remove(exchange);
     }
 
-    int underWay() {
+    int inFlightRequests() {
         return exchanges.size();
     }
 }
--- a/src/main/java/myrtleladder/dataplane/EventSplitter.java
+++ b/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 
 /** Cuts a stream of bytes into whole events, so that one cut off midway is never passed on. */
-final class EventSplitter {
+final class ServerSentEventSplitter {
     private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
     static final long NO_ID = -1;
 
--- a/src/main/java/myrtleladder/dataplane/Hashes.java
+++ b/src/main/java/myrtleladder/dataplane/StableHash.java
@@ -1,11 +1,11 @@
 package myrtleladder.dataplane;
 
 /** Hash functions that give the same at every balancer. */
-final class Hashes {
+final class StableHash {
     private static final long PRIME = 0x100000001b3L;
     private static final long BASIS = 0xcbf29ce484222325L;
 
-    private Hashes() {}
+    private StableHash() {}
 
     static long of(String text) {
         long hash = BASIS;
--- a/src/main/java/myrtleladder/dataplane/TenantQuotas.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
@@ -15,7 +15,7 @@
  * of it, a balancer goes on with an equal part of the quota for a short time, and with a small one
  * from then on, since the others may be in touch and get the whole.
  */
-final class TenantQuotas {
+final class TenantQuotaClient {
     private static final long ANSWER = 250;
     private static final long ASK_AGAIN = 400;
     private static final long REMEMBER_EMPTY = 100;
@@ -25,12 +25,12 @@
     private static final double FALLBACK_SECONDS = 0.5;
 
     /** Where grants come from. */
-    interface Bank {
+    interface QuotaAllocator {
         /** Asks the primary; the answer is null if none came in time. */
         void ask(QuotaRequest ask, long timeoutMs, java.util.function.Consumer<Message> answer);
     }
 
-    private final Bank bank;
+    private final QuotaAllocator bank;
     private final SplittableRandom random;
     private final Map<String, Bucket> buckets = new HashMap<>();
     private int balancers = 1;
@@ -46,7 +46,7 @@
         long fallbackAt = Long.MIN_VALUE;
     }
 
-    TenantQuotas(Bank bank, long seed) {
+    TenantQuotaClient(QuotaAllocator bank, long seed) {
         this.bank = bank;
         this.random = new SplittableRandom(seed);
     }
@@ -134,7 +134,7 @@
      * Gives back what a request that did not run was counted: to where it came from, so that no
      * balancer keeps units which the others could use.
      */
-    void giveBack(Tenant tenant, double cost) {
+    void refund(Tenant tenant, double cost) {
         Bucket bucket = buckets.get(tenant.name());
         if (bucket == null || tenant.ratePerSecond() <= 0) {
             return;
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -22,7 +22,7 @@
     private final int key;
     private long hash;
     private final Set<Attempt> attempts = new HashSet<>();
-    private PrefixMemory memory = new PrefixMemory(0);
+    private PrefixCacheModel memory = new PrefixCacheModel(0);
     private boolean hasEngine;
     private int others;
     private int reportedWaiting;
@@ -49,11 +49,11 @@
     /** The same for all incarnations that took over an ordinal one after the other. */
     private static long hashOf(InstanceRecord record) {
         boolean unassigned = record.ordinal == InstanceRecord.UNASSIGNED;
-        return Hashes.of(unassigned ? record.id : record.service + "#" + record.ordinal);
+        return StableHash.of(unassigned ? record.id : record.service + "#" + record.ordinal);
     }
 
     /** Whether subjects can have their home here. */
-    boolean isHome() {
+    boolean hasOrdinal() {
         return record.ordinal != InstanceRecord.UNASSIGNED;
     }
 
@@ -68,7 +68,7 @@
 
     void engine(Service.Engine engine) {
         if (engine != null) {
-            memory = new PrefixMemory(engine.kvTokens());
+            memory = new PrefixCacheModel(engine.kvTokens());
             hasEngine = true;
         }
     }
@@ -77,7 +77,7 @@
         return hasEngine;
     }
 
-    PrefixMemory memory() {
+    PrefixCacheModel memory() {
         return memory;
     }
 
@@ -91,7 +91,7 @@
 
     /** Rendezvous rank of this upstream for a subject. */
     long rank(long subject) {
-        return Hashes.mix(hash ^ subject);
+        return StableHash.mix(hash ^ subject);
     }
 
     // ---- What is under way
@@ -126,17 +126,17 @@
     }
 
     /** Prompt tokens of other balancers whose answers have not begun. */
-    double othersTokens(long now) {
+    double peerPromptTokens(long now) {
         return sharedTokens * sharedPart(now);
     }
 
     /** Sums count less the older they are, and nothing once they are old. */
     private double sharedPart(long now) {
-        return Math.max(0, 1 - (now - sharedAt) / (double) FleetKnowledge.FRESH);
+        return Math.max(0, 1 - (now - sharedAt) / (double) FleetLoadSync.FRESH);
     }
 
     /** The other balancers have this under way here. */
-    void sharedLoad(int requests, int tokens, long now) {
+    void updatePeerLoad(int requests, int tokens, long now) {
         sharedRequests = requests;
         sharedTokens = tokens;
         sharedAt = now;
@@ -250,7 +250,7 @@
      */
     void derive(long now, double msPerToken) {
         refresh(now);
-        boolean told = now - reportedAt <= REPORT_FRESH || now - sharedAt <= FleetKnowledge.FRESH;
+        boolean told = now - reportedAt <= REPORT_FRESH || now - sharedAt <= FleetLoadSync.FRESH;
         boolean fresh = told || own() > 0;
         if (!fresh) {
             utilisation = Double.NaN;
@@ -260,7 +260,7 @@
         double backlog =
                 Math.min(
                         1,
-                        ((backlogTokens() + othersTokens(now)) * msPerToken + extraDelay(now))
+                        ((backlogTokens() + peerPromptTokens(now)) * msPerToken + extraDelay(now))
                                 / BACKLOG_FULL_MS);
         utilisation = Math.min(1, Math.max(places, backlog) + errors);
     }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -109,7 +109,7 @@
     }
 
     /** What is under way at upstreams that take no more requests; it ends where it began. */
-    List<InFlightRequests> underWayAtLeaving() {
+    List<InFlightRequests> inFlightAtLeavingUpstreams() {
         finishing.removeIf(upstream -> upstream.own() == 0);
         return finishing.stream().map(u -> InFlightRequests.of(u.record().id, u.own())).toList();
     }
@@ -157,18 +157,18 @@
     }
 
     /** Takes what the other balancers have under way. */
-    void takeLoads(List<UpstreamLoad> loads, long now) {
+    void applyFleetLoads(List<UpstreamLoad> loads, long now) {
         Map<Integer, UpstreamLoad> byKey = new HashMap<>();
         loads.forEach(load -> byKey.put(load.upstream, load));
         for (Upstream upstream : byId.values()) {
             UpstreamLoad load = byKey.get(upstream.key());
-            upstream.sharedLoad(
+            upstream.updatePeerLoad(
                     load == null ? 0 : load.requests, load == null ? 0 : load.tokens, now);
         }
     }
 
     /** Takes what upstreams keep by what other balancers sent them. */
-    void takePrompts(List<CachedPrompt> prompts, long now) {
+    void applyCachedPrompts(List<CachedPrompt> prompts, long now) {
         if (prompts.isEmpty()) {
             return;
         }
--- a/src/main/java/myrtleladder/dataplane/Placement.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -18,7 +18,7 @@
  * first event narrow the candidates; among those, picks go by weight / (in-flight + 1)^bias,
  * earliest deadline first.
  */
-final class Placement {
+final class UpstreamPicker {
     private static final double MODEL_BIAS = 3; // a clearly shorter line nearly always wins
     private static final double PLAIN_BIAS = 4;
     private static final double PANIC = 0.4;
@@ -30,13 +30,13 @@
     private static final double WAITING_MS = 40;
 
     private final UpstreamDirectory directory;
-    private final UpstreamLinks connections;
-    private final FleetKnowledge fleet;
+    private final ConnectionPool connections;
+    private final FleetLoadSync fleet;
     private final Map<String, WeightedSchedule> schedules = new HashMap<>();
-    private final ReadingSpeed speed = new ReadingSpeed();
+    private final PrefillTimeEstimator speed = new PrefillTimeEstimator();
     private int balancers = 1;
 
-    Placement(UpstreamDirectory directory, UpstreamLinks connections, FleetKnowledge fleet) {
+    UpstreamPicker(UpstreamDirectory directory, ConnectionPool connections, FleetLoadSync fleet) {
         this.directory = directory;
         this.fleet = fleet;
         this.connections = connections;
@@ -58,7 +58,7 @@
         balancers = Math.max(1, count);
     }
 
-    ReadingSpeed speed() {
+    PrefillTimeEstimator speed() {
         return speed;
     }
 
@@ -71,12 +71,12 @@
     }
 
     /** Picks an upstream of a service, null if none can take the request now. */
-    Pick pick(Service service, PromptParts prompt, Set<Upstream> tried, long now) {
+    Pick pick(Service service, PromptSegments prompt, Set<Upstream> tried, long now) {
         return pick(service, prompt, tried, InstanceRecord.UNKNOWN_WEIGHTS, now);
     }
 
     /** The same for an answer that goes on: one with the weights that began it, if there is one. */
-    Pick pick(Service service, PromptParts prompt, Set<Upstream> tried, long weights, long now) {
+    Pick pick(Service service, PromptSegments prompt, Set<Upstream> tried, long weights, long now) {
         List<Upstream> open = withWeights(open(service, tried, now), weights);
         if (open.isEmpty()) {
             return null;
@@ -87,7 +87,7 @@
     }
 
     /** Where a request would likely go, null if that is not known; nothing is picked by it. */
-    UpstreamLoad likely(Service service, PromptParts prompt, long now) {
+    UpstreamLoad likely(Service service, PromptSegments prompt, long now) {
         List<Upstream> open = open(service, Set.of(), now);
         if (service.engine() == null || open.isEmpty()) {
             return null;
@@ -107,7 +107,9 @@
         int most = connectionLimit(service);
         List<Upstream> open = new ArrayList<>();
         for (Upstream upstream : all) {
-            boolean room = connections.idleTo(upstream) > 0 || connections.openTo(upstream) < most;
+            boolean room =
+                    connections.idleConnections(upstream) > 0
+                            || connections.openConnections(upstream) < most;
             if (!tried.contains(upstream) && room && (panic || !upstream.ejected(now))) {
                 open.add(upstream);
             }
@@ -142,7 +144,7 @@
         return new Pick(picked, 0, expected, 0, expected, false);
     }
 
-    private Pick pickModel(Service service, PromptParts prompt, List<Upstream> open, long now) {
+    private Pick pickModel(Service service, PromptSegments prompt, List<Upstream> open, long now) {
         List<Pick> picks = picks(prompt, open, now);
         double least = Double.POSITIVE_INFINITY;
         for (Pick pick : picks) {
@@ -158,16 +160,16 @@
         return picks.stream().filter(p -> p.upstream() == picked).findFirst().orElseThrow();
     }
 
-    private List<Pick> picks(PromptParts prompt, List<Upstream> open, long now) {
+    private List<Pick> picks(PromptSegments prompt, List<Upstream> open, long now) {
         Upstream home = ranked(open, prompt.subject(), null);
         Upstream second = ranked(open, prompt.subject(), home);
-        boolean inTouch = fleet.inTouch(now);
+        boolean hasFreshLoads = fleet.hasFreshLoads(now);
         List<Pick> picks = new ArrayList<>();
         for (Upstream upstream : open) {
             upstream.refresh(now);
             Rank rank =
                     upstream == home ? Rank.HOME : upstream == second ? Rank.SECOND : Rank.OTHER;
-            picks.add(cost(upstream, prompt, rank, inTouch, now));
+            picks.add(cost(upstream, prompt, rank, hasFreshLoads, now));
         }
         return picks;
     }
@@ -206,14 +208,14 @@
 
     /** New instances are nobody's home until they have an ordinal. */
     private static boolean ranksBefore(Upstream upstream, Upstream other, long subject) {
-        if (upstream.isHome() != other.isHome()) {
-            return upstream.isHome();
+        if (upstream.hasOrdinal() != other.hasOrdinal()) {
+            return upstream.hasOrdinal();
         }
         return upstream.rank(subject) > other.rank(subject);
     }
 
     /** Whether the shared part of a prompt is so long that the others should know where it is. */
-    boolean worthKeeping(PromptParts prompt) {
+    boolean worthKeeping(PromptSegments prompt) {
         return prompt.shared() * speed.msPerToken() > SPREAD_MS;
     }
 
@@ -223,12 +225,13 @@
      * clearly longer than elsewhere. Out of touch the waits are not known, nor where others sent
      * the subject lately, so that much more speaks for the home.
      */
-    private Pick cost(Upstream upstream, PromptParts prompt, Rank rank, boolean inTouch, long now) {
+    private Pick cost(
+            Upstream upstream, PromptSegments prompt, Rank rank, boolean hasFreshLoads, long now) {
         int kept = upstream.memory().kept(prompt, now);
         double toReadAnew = Math.max(0, prompt.shared() - kept) * speed.msPerToken();
         Pick pick = expectation(upstream, prompt, kept, now);
         double detour =
-                inTouch
+                hasFreshLoads
                         ? Math.min(rank.detourMs, toReadAnew)
                         : rank.detourPart * HOME_KEPT * toReadAnew;
         return new Pick(
@@ -240,10 +243,10 @@
                 pick.alone());
     }
 
-    private Pick expectation(Upstream upstream, PromptParts prompt, double kept, long now) {
+    private Pick expectation(Upstream upstream, PromptSegments prompt, double kept, long now) {
         double toRead = prompt.total() - kept;
         double places = Math.max(0, upstream.inFlight() + 1 - upstream.capacity()) * WAITING_MS;
-        double before = upstream.backlogTokens() + upstream.othersTokens(now);
+        double before = upstream.backlogTokens() + upstream.peerPromptTokens(now);
         double known = speed.baseMs() + (before + toRead) * speed.msPerToken();
         double expected =
                 (known + upstream.extraDelay(now) + places + upstream.waiting(now) * WAITING_MS)
--- a/src/main/java/myrtleladder/dataplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/dataplane/Warmup.java
@@ -35,7 +35,7 @@
  * and for upstreams. The build runs it to learn which classes a start needs; they are kept in an
  * archive.
  */
-final class Rehearsal {
+final class Warmup {
     private static final long LONGEST = 10_000;
     private static final long STEP = 500;
     private static final int ROUNDS = 40;
@@ -75,7 +75,7 @@
 
     /** Serves and ends; whether all of it was served. */
     static boolean run() throws InterruptedException {
-        Rehearsal rehearsal = new Rehearsal();
+        Warmup rehearsal = new Warmup();
         rehearsal.loop.start();
         rehearsal.loop.execute(rehearsal::begin);
         return rehearsal.done.await(LONGEST, TimeUnit.MILLISECONDS);
@@ -154,11 +154,11 @@
     private void upstream(ServerExchange exchange) {
         Headers headers =
                 new Headers()
-                        .add(Names.SIGNATURE, "x")
-                        .add(Names.LOAD, "1,0,64")
+                        .add(HeaderNames.SIGNATURE, "x")
+                        .add(HeaderNames.LOAD, "1,0,64")
                         .add(
-                                Names.ATTEMPT,
-                                String.valueOf(exchange.head().headers().get(Names.ATTEMPT)));
+                                HeaderNames.ATTEMPT,
+                                String.valueOf(exchange.head().headers().get(HeaderNames.ATTEMPT)));
         if (exchange.head().path().startsWith("/b/")) {
             exchange.respond(200, headers, new byte[] {'o', 'k'});
             return;
@@ -187,11 +187,11 @@
         Headers headers =
                 new Headers()
                         .add("Host", "h")
-                        .add(Names.ATTEMPT, "a1b2")
-                        .add(Names.DEADLINE, "5000")
-                        .add(Names.AUTHORIZATION, "Token k");
+                        .add(HeaderNames.ATTEMPT, "a1b2")
+                        .add(HeaderNames.DEADLINE, "5000")
+                        .add(HeaderNames.AUTHORIZATION, "Token k");
         if (prefix != null) {
-            headers.add(Names.PREFIX, prefix).add(Names.USAGE, "1210,80");
+            headers.add(HeaderNames.PREFIX, prefix).add(HeaderNames.USAGE, "1210,80");
         }
         OneCall.send(
                 loop, HOST, frontend, new RequestHead("POST", path, headers), new byte[] {'x'});
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -23,15 +23,15 @@
     private final List<String> asked = new ArrayList<>();
     private final List<PollRequest> polls = new ArrayList<>();
     private Consumer<Message> answer;
-    private Router router;
+    private RequestRouter router;
     private ControlPoller poller;
 
     @BeforeEach
     void start() {
         router =
-                new Router(
+                new RequestRouter(
                         clock,
-                        new ScriptedLinks(),
+                        new ScriptedConnectionPool(),
                         new RetryBudget(0.2, 10),
                         (ask, timeout, to) -> to.accept(null),
                         1);
--- a/src/test/java/myrtleladder/dataplane/FleetKnowledgeTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a balancer tells the others and takes from them. */
-class FleetKnowledgeTest {
+class FleetLoadSyncTest {
     private static final long NOW = 50_000;
-    private static final PromptParts PROMPT = PromptParts.parse("a:5000,b:300");
+    private static final PromptSegments PROMPT = PromptSegments.parse("a:5000,b:300");
 
     private final UpstreamDirectory directory = new UpstreamDirectory(u -> {});
-    private final FleetKnowledge fleet = new FleetKnowledge(directory, 1);
+    private final FleetLoadSync fleet = new FleetLoadSync(directory, 1);
     private Upstream upstream;
 
     @BeforeEach
@@ -68,12 +68,12 @@
         FleetLoads answer = answer(3, 1);
         answer.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
         fleet.take(fleet.report(), answer, NOW);
-        assertTrue(fleet.inTouch(NOW));
+        assertTrue(fleet.hasFreshLoads(NOW));
         assertEquals(4, upstream.others(NOW));
-        assertEquals(8_000, upstream.othersTokens(NOW));
-        assertTrue(upstream.othersTokens(NOW + 500) < 8_000);
-        assertEquals(0, upstream.othersTokens(NOW + FleetKnowledge.FRESH));
-        assertFalse(fleet.inTouch(NOW + FleetKnowledge.FRESH + 1));
+        assertEquals(8_000, upstream.peerPromptTokens(NOW));
+        assertTrue(upstream.peerPromptTokens(NOW + 500) < 8_000);
+        assertEquals(0, upstream.peerPromptTokens(NOW + FleetLoadSync.FRESH));
+        assertFalse(fleet.hasFreshLoads(NOW + FleetLoadSync.FRESH + 1));
     }
 
     @Test
@@ -93,9 +93,9 @@
         FleetLoads unknown = answer(4, 0);
         unknown.known = false;
         fleet.take(fleet.report(), unknown, NOW + 100);
-        assertTrue(upstream.othersTokens(NOW + 100) > 0);
+        assertTrue(upstream.peerPromptTokens(NOW + 100) > 0);
         fleet.take(fleet.report(), null, NOW + 200);
-        assertTrue(upstream.othersTokens(NOW + 200) > 0);
+        assertTrue(upstream.peerPromptTokens(NOW + 200) > 0);
     }
 
     @Test
@@ -126,7 +126,7 @@
     void whereARequestWillLikelyGoIsToldWhileItWaits() {
         fleet.intends(() -> UpstreamLoad.of(upstream.key(), 1, 5_300));
         assertEquals(5_300, fleet.report().loads.get(0).tokens);
-        fleet.intends(FleetKnowledge.NOTHING);
+        fleet.intends(FleetLoadSync.NOTHING);
         assertEquals(List.of(), fleet.report().loads);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/UrgencyTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The rank of a request at a model upstream. */
-class UrgencyTest {
+class PrefillPriorityTest {
     private static Route route(int targetMs, int priority) {
         String text =
                 "{\"generation\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
@@ -26,20 +26,20 @@
     @Test
     void whatTakesLittleOfItsObjectiveGoesFirst() {
         Route route = route(800, 1);
-        assertEquals(0, Urgency.rank(route, 0));
-        assertEquals(0, Urgency.rank(route, 100));
-        assertEquals(1, Urgency.rank(route, 200));
-        assertEquals(2, Urgency.rank(route, 700));
+        assertEquals(0, PrefillPriority.rank(route, 0));
+        assertEquals(0, PrefillPriority.rank(route, 100));
+        assertEquals(1, PrefillPriority.rank(route, 200));
+        assertEquals(2, PrefillPriority.rank(route, 700));
     }
 
     @Test
     void theSamePromptIsMoreUrgentTheShorterItsObjective() {
-        assertEquals(1, Urgency.rank(route(500, 0), 100));
-        assertEquals(0, Urgency.rank(route(2_000, 0), 100));
+        assertEquals(1, PrefillPriority.rank(route(500, 0), 100));
+        assertEquals(0, PrefillPriority.rank(route(2_000, 0), 100));
     }
 
     @Test
     void aRouteWithoutAnObjectiveIsNotUrgent() {
-        assertEquals(2, Urgency.rank(route(0, 0), 100));
+        assertEquals(2, PrefillPriority.rank(route(0, 0), 100));
     }
 }
--- a/src/test/java/myrtleladder/dataplane/ReadingSpeedTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillTimeEstimatorTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How long upstreams take to the first event, learnt from samples. */
-class ReadingSpeedTest {
+class PrefillTimeEstimatorTest {
     private static final double BASE_MS = 90;
     private static final double MS_PER_TOKEN = 0.025;
 
@@ -17,7 +17,7 @@
 
     @Test
     void theBaseAndTheTimeForATokenAreToldApart() {
-        ReadingSpeed speed = new ReadingSpeed();
+        PrefillTimeEstimator speed = new PrefillTimeEstimator();
         for (int i = 0; i < 100; i++) {
             speed.learn(1_000, took(1_000));
             speed.learn(12_000, took(12_000));
@@ -28,7 +28,7 @@
 
     @Test
     void aFewSamplesThatWaitedBehindUnknownPromptsChangeLittle() {
-        ReadingSpeed speed = new ReadingSpeed();
+        PrefillTimeEstimator speed = new PrefillTimeEstimator();
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 300; i++) {
             double waited = random.nextInt(5) == 0 ? 800 : 0;
@@ -41,7 +41,7 @@
 
     @Test
     void noSampleLeadsBeyondTheBounds() {
-        ReadingSpeed speed = new ReadingSpeed();
+        PrefillTimeEstimator speed = new PrefillTimeEstimator();
         for (int i = 0; i < 1_000; i++) {
             speed.learn(10, 1e9);
             speed.learn(2_000, 1e9);
--- a/src/test/java/myrtleladder/dataplane/ExchangeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.dataplane.ScriptedLinks.Sent;
+import myrtleladder.dataplane.ScriptedConnectionPool.Sent;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.QuotaResponse;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests from arrival to final answer, with scripted upstreams on a manual clock. */
-class ExchangeTest {
+class ProxiedRequestTest {
     private static final String MODEL = "Myrtleladder-Model";
     private static final String DOCUMENT =
             ("{'generation':7,'routes':[{'name':'s','hostname':'h.example','path_prefix':'/s/',"
@@ -46,14 +46,14 @@
                     .replace('\'', '"');
 
     private final ManualScheduler clock = new ManualScheduler();
-    private final ScriptedLinks links = new ScriptedLinks();
+    private final ScriptedConnectionPool links = new ScriptedConnectionPool();
     private QuotaResponse grant = QuotaResponse.of(true, 1_000_000, 0);
-    private Router router;
+    private RequestRouter router;
 
     @BeforeEach
     void start() {
         router =
-                new Router(
+                new RequestRouter(
                         clock,
                         links,
                         new RetryBudget(0.2, 100),
@@ -84,7 +84,7 @@
     void theRequestIsSentOnWithWhatTheUpstreamHasToKnow() {
         request(
                 "/s/1",
-                Names.TENANT,
+                HeaderNames.TENANT,
                 "forged",
                 "Connection",
                 "X-Hop",
@@ -92,36 +92,37 @@
                 "1",
                 "X-Other",
                 "2",
-                Names.LAST_EVENT,
+                HeaderNames.LAST_EVENT,
                 "12");
         Sent sent = links.last();
         assertEquals("/s/1", sent.head.target());
-        assertEquals("t1", sent.header(Names.TENANT));
-        assertEquals(sent.upstream.record().id, sent.header(Names.INSTANCE));
-        assertEquals("8000", sent.header(Names.DEADLINE));
-        assertEquals("3", sent.header(Names.PRIORITY)); // of tenants of rank 1, nothing to read
-        assertEquals("a1", sent.header(Names.ATTEMPT));
+        assertEquals("t1", sent.header(HeaderNames.TENANT));
+        assertEquals(sent.upstream.record().id, sent.header(HeaderNames.INSTANCE));
+        assertEquals("8000", sent.header(HeaderNames.DEADLINE));
+        assertEquals(
+                "3", sent.header(HeaderNames.PRIORITY)); // of tenants of rank 1, nothing to read
+        assertEquals("a1", sent.header(HeaderNames.ATTEMPT));
         assertEquals("2", sent.header("X-Other"));
-        assertEquals("12", sent.header(Names.LAST_EVENT));
+        assertEquals("12", sent.header(HeaderNames.LAST_EVENT));
         assertNull(sent.header("X-Hop"));
-        assertNull(sent.header(Names.AUTHORIZATION));
+        assertNull(sent.header(HeaderNames.AUTHORIZATION));
     }
 
     @Test
     void unknownRoutesAndKeysAreRefusedAndPublicRoutesNeedNone() {
         assertEquals(404, request("/x/").status);
-        assertEquals(401, request("/s/1", Names.AUTHORIZATION, "Token other").status);
+        assertEquals(401, request("/s/1", HeaderNames.AUTHORIZATION, "Token other").status);
         assertEquals(0, links.sent.size());
-        request("/o/1", Names.AUTHORIZATION, "none", Names.TENANT, "forged");
-        assertNull(links.last().header(Names.TENANT));
+        request("/o/1", HeaderNames.AUTHORIZATION, "none", HeaderNames.TENANT, "forged");
+        assertNull(links.last().header(HeaderNames.TENANT));
     }
 
     @Test
     void whatIsOverTheQuotaIsToldWhenToComeBack() {
         grant = QuotaResponse.of(true, 0, 700);
-        ScriptedClient client = request("/s/1", Names.USAGE, "1400,80");
+        ScriptedClient client = request("/s/1", HeaderNames.USAGE, "1400,80");
         assertEquals(429, client.status);
-        assertEquals("0.700", client.headers.get(Names.RETRY_AFTER));
+        assertEquals("0.700", client.headers.get(HeaderNames.RETRY_AFTER));
         assertEquals(0, links.sent.size());
     }
 
@@ -139,7 +140,7 @@
         sent.end();
         assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", client.body.toString());
         assertTrue(client.ended && !client.aborted);
-        assertEquals("sig", client.headers.get(Names.SIGNATURE));
+        assertEquals("sig", client.headers.get(HeaderNames.SIGNATURE));
     }
 
     @Test
@@ -153,15 +154,15 @@
         first.broken();
         Sent second = links.last();
         assertTrue(second.upstream != first.upstream);
-        assertEquals("2", second.header(Names.LAST_EVENT));
-        second.head(200, Names.SIGNATURE, "other");
+        assertEquals("2", second.header(HeaderNames.LAST_EVENT));
+        second.head(200, HeaderNames.SIGNATURE, "other");
         second.event(2);
         second.event(3);
         second.end();
         assertEquals(
                 "id: 1\ndata: x1\n\nid: 2\ndata: x2\n\nid: 3\ndata: x3\n\n",
                 client.body.toString());
-        assertEquals("sig", client.headers.get(Names.SIGNATURE));
+        assertEquals("sig", client.headers.get(HeaderNames.SIGNATURE));
         assertEquals(1, client.answers);
         assertTrue(client.ended);
     }
@@ -182,13 +183,13 @@
             Sent first = links.last();
             String former = first.upstream.record().id.equals("m3") ? "m1" : "m3";
             upgradeAllButOne(former);
-            first.head(200, Names.VERSIONS, "1");
+            first.head(200, HeaderNames.VERSIONS, "1");
             first.event(1);
             first.broken();
             assertEquals(former, links.last().upstream.record().id);
-            assertEquals("1", links.last().header(Names.EXPECT_VERSION));
-            assertEquals("1", links.last().header(Names.LAST_EVENT));
-            links.last().head(200, Names.VERSIONS, "1");
+            assertEquals("1", links.last().header(HeaderNames.EXPECT_VERSION));
+            assertEquals("1", links.last().header(HeaderNames.LAST_EVENT));
+            links.last().head(200, HeaderNames.VERSIONS, "1");
             links.last().event(2);
             links.last().end();
         }
@@ -199,11 +200,11 @@
         ScriptedClient client = request("/s/1");
         Sent first = links.last();
         upgradeAllButOne("none");
-        first.head(200, Names.VERSIONS, "1");
+        first.head(200, HeaderNames.VERSIONS, "1");
         first.event(1);
         first.broken();
-        assertNull(links.last().header(Names.EXPECT_VERSION));
-        links.last().head(200, Names.VERSIONS, "2");
+        assertNull(links.last().header(HeaderNames.EXPECT_VERSION));
+        links.last().head(200, HeaderNames.VERSIONS, "2");
         links.last().event(2);
         links.last().end();
         assertTrue(client.ended);
@@ -214,7 +215,7 @@
         request("/s/1");
         Sent first = links.last();
         upgradeAllButOne(first.upstream.record().id.equals("m3") ? "m1" : "m3");
-        first.head(200, Names.VERSIONS, "1");
+        first.head(200, HeaderNames.VERSIONS, "1");
         first.event(1);
         first.broken();
         links.last().head(421);
@@ -256,7 +257,7 @@
         links.last().reject();
         assertEquals(2, links.sent.size());
         assertEquals(503, client.status);
-        assertNotNull(client.headers.get(Names.RETRY_AFTER));
+        assertNotNull(client.headers.get(HeaderNames.RETRY_AFTER));
     }
 
     @Test
@@ -271,7 +272,7 @@
     void anIncarnationThatIsNotAtItsAddressIsForgotten() {
         ScriptedClient client = request("/u/1");
         Sent first = links.last();
-        first.head(421, Names.SIGNATURE, "", "Myrtleladder-Upstream-Id", "i-other");
+        first.head(421, HeaderNames.SIGNATURE, "", "Myrtleladder-Upstream-Id", "i-other");
         assertFalse(router.directory().ready("p").contains(first.upstream));
         links.last().head(200);
         links.last().end();
@@ -281,7 +282,7 @@
     @Test
     void anAnswerToAnotherRequestIsNotPassedOn() {
         ScriptedClient client = request("/u/1");
-        links.last().head(200, Names.ATTEMPT, "someone-else");
+        links.last().head(200, HeaderNames.ATTEMPT, "someone-else");
         assertTrue(links.last().closed);
         assertEquals(502, client.status);
         assertEquals("", client.body.toString());
@@ -293,7 +294,7 @@
         Sent sent = links.last();
         sent.user.head(
                 new myrtleladder.io.ResponseHead(
-                        200, new myrtleladder.io.Headers().add(Names.ATTEMPT, "a1"), true));
+                        200, new myrtleladder.io.Headers().add(HeaderNames.ATTEMPT, "a1"), true));
         assertEquals(502, client.status);
     }
 
@@ -304,7 +305,7 @@
         links.last().bytes("why");
         links.last().end();
         assertEquals(500, client.status);
-        assertEquals("sig", client.headers.get(Names.SIGNATURE));
+        assertEquals("sig", client.headers.get(HeaderNames.SIGNATURE));
     }
 
     @Test
@@ -335,8 +336,8 @@
     }
 
     private void assertEndsInTime(String told, String handedOn, long within) {
-        ScriptedClient client = request("/u/1", Names.DEADLINE, told);
-        assertEquals(handedOn, links.last().header(Names.DEADLINE));
+        ScriptedClient client = request("/u/1", HeaderNames.DEADLINE, told);
+        assertEquals(handedOn, links.last().header(HeaderNames.DEADLINE));
         clock.run(within);
         assertEquals(504, client.status);
         assertTrue(links.last().closed);
@@ -364,7 +365,7 @@
         client.leave();
         assertTrue(links.last().closed);
         assertEquals(0, client.answers);
-        assertEquals(0, router.underWay());
+        assertEquals(0, router.inFlightRequests());
     }
 
     @Test
@@ -373,10 +374,10 @@
         Sent first = links.last();
         first.head(200);
         first.event(1);
-        router.stopTaking();
+        router.rejectNewRequests();
         ScriptedClient late = request("/s/2");
         assertEquals(503, late.status);
-        assertNotNull(late.headers.get(Names.RETRY_AFTER));
+        assertNotNull(late.headers.get(HeaderNames.RETRY_AFTER));
         assertEquals(1, links.sent.size());
         first.event(2);
         first.end();
@@ -409,7 +410,12 @@
     @Test
     void requestsOfOneSubjectMeetAtOneUpstream() {
         for (int i = 0; i < 10; i++) {
-            request("/s/" + i, Names.PREFIX, "5c1e07a2:8000,b" + i + ":50", Names.USAGE, "8050,10");
+            request(
+                    "/s/" + i,
+                    HeaderNames.PREFIX,
+                    "5c1e07a2:8000,b" + i + ":50",
+                    HeaderNames.USAGE,
+                    "8050,10");
             links.last().head(200);
             links.last().event(1);
             links.last().end();
@@ -422,7 +428,12 @@
         int refused = 0;
         for (int i = 0; i < 40; i++) {
             ScriptedClient client =
-                    request("/s/" + i, Names.PREFIX, "c" + i + ":20000", Names.USAGE, "20000,10");
+                    request(
+                            "/s/" + i,
+                            HeaderNames.PREFIX,
+                            "c" + i + ":20000",
+                            HeaderNames.USAGE,
+                            "20000,10");
             refused += client.status == 503 ? 1 : 0;
         }
         assertTrue(refused > 0 && refused < 40, "refused " + refused);
@@ -431,20 +442,20 @@
     @Test
     void whatNamesTheModelReachesTheUpstreamAsTheClientWroteIt() {
         String prefix = "5C1e07a2:800, 91bd3f06:410,e4402b7d:250";
-        request("/s/1", MODEL, "m;x=1", Names.USAGE, "1460, 80", Names.PREFIX, prefix);
+        request("/s/1", MODEL, "m;x=1", HeaderNames.USAGE, "1460, 80", HeaderNames.PREFIX, prefix);
         assertEquals("m;x=1", links.last().header(MODEL));
-        assertEquals("1460, 80", links.last().header(Names.USAGE));
-        assertEquals(prefix, links.last().header(Names.PREFIX));
+        assertEquals("1460, 80", links.last().header(HeaderNames.USAGE));
+        assertEquals(prefix, links.last().header(HeaderNames.PREFIX));
     }
 
     @Test
     void aRepeatIsHandedWhatIsLeftOfTheTime() {
-        request("/s/1", Names.DEADLINE, "6000");
-        assertEquals("6000", links.last().header(Names.DEADLINE));
+        request("/s/1", HeaderNames.DEADLINE, "6000");
+        assertEquals("6000", links.last().header(HeaderNames.DEADLINE));
         clock.run(700);
         links.last().broken();
         assertEquals(2, links.sent.size());
-        assertEquals("5300", links.last().header(Names.DEADLINE));
+        assertEquals("5300", links.last().header(HeaderNames.DEADLINE));
     }
 
     @Test
@@ -460,13 +471,13 @@
         links.dark = false;
         clock.run(2_000);
         assertEquals(0, links.sent.size());
-        assertEquals(0, router.underWay());
+        assertEquals(0, router.inFlightRequests());
     }
 
     @Test
     void withoutAConfigurationARequestIsToldToComeBack() {
-        Router empty =
-                new Router(
+        RequestRouter empty =
+                new RequestRouter(
                         clock,
                         links,
                         new RetryBudget(0.2, 100),
@@ -475,7 +486,7 @@
         ScriptedClient client = new ScriptedClient("/s/1");
         empty.handle(client);
         assertEquals(503, client.status);
-        assertNotNull(client.headers.get(Names.RETRY_AFTER));
+        assertNotNull(client.headers.get(HeaderNames.RETRY_AFTER));
     }
 
     @Test
--- a/src/test/java/myrtleladder/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -20,9 +20,9 @@
         Headers sent =
                 new Headers()
                         .add("Host", "h.example")
-                        .add(Names.ATTEMPT, "a1")
-                        .add(Names.AUTHORIZATION, "Token k1")
-                        .add(Names.DEADLINE, "8000");
+                        .add(HeaderNames.ATTEMPT, "a1")
+                        .add(HeaderNames.AUTHORIZATION, "Token k1")
+                        .add(HeaderNames.DEADLINE, "8000");
         for (int i = 0; i < fields.length; i += 2) {
             sent.set(fields[i], fields[i + 1]);
         }
--- a/src/test/java/myrtleladder/dataplane/ScriptedLinks.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -6,20 +6,20 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
-/** Connections to upstreams that do what a test says. */
-final class ScriptedLinks implements UpstreamLinks {
+/** HttpConnectionPool to upstreams that do what a test says. */
+final class ScriptedConnectionPool implements ConnectionPool {
     final List<Sent> sent = new ArrayList<>();
     boolean refuses;
     boolean dark;
 
     /** A request that an upstream received. */
-    final class Sent implements Link {
+    final class Sent implements PooledConnection {
         final Upstream upstream;
-        final User user;
+        final ResponseListener user;
         RequestHead head;
         boolean closed;
 
-        Sent(Upstream upstream, User user) {
+        Sent(Upstream upstream, ResponseListener user) {
             this.upstream = upstream;
             this.user = user;
         }
@@ -48,8 +48,8 @@
         void head(int status, String... fields) {
             Headers headers =
                     new Headers()
-                            .add(Names.ATTEMPT, header(Names.ATTEMPT))
-                            .add(Names.SIGNATURE, "sig");
+                            .add(HeaderNames.ATTEMPT, header(HeaderNames.ATTEMPT))
+                            .add(HeaderNames.SIGNATURE, "sig");
             for (int i = 0; i < fields.length; i += 2) {
                 headers.set(fields[i], fields[i + 1]);
             }
@@ -57,7 +57,8 @@
         }
 
         void reject() {
-            user.head(new ResponseHead(503, new Headers().add(Names.NOT_EXECUTED, "1"), true));
+            user.head(
+                    new ResponseHead(503, new Headers().add(HeaderNames.NOT_EXECUTED, "1"), true));
         }
 
         void event(long id) {
@@ -78,7 +79,8 @@
     }
 
     @Override
-    public Link use(Upstream upstream, User user, boolean onlyFresh) {
+    public PooledConnection use(
+            Upstream upstream, ResponseListener user, boolean recentlyUsedOnly) {
         Sent link = new Sent(upstream, user);
         if (refuses) {
             user.refused();
@@ -89,17 +91,17 @@
     }
 
     @Override
-    public int openTo(Upstream upstream) {
+    public int openConnections(Upstream upstream) {
         return 0;
     }
 
     @Override
-    public int idleTo(Upstream upstream) {
+    public int idleConnections(Upstream upstream) {
         return 0;
     }
 
     @Override
-    public void closeIdle() {
+    public void closeExpired() {
         // nothing rests here
     }
 
--- a/src/test/java/myrtleladder/dataplane/TenantQuotasTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Quotas at balancers, with a scripted primary. */
-class TenantQuotasTest {
+class TenantQuotaClientTest {
     private static final int RATE = 446_000;
     private static final double SLACK = 190_000;
     private static final double AHEAD = 800;
@@ -38,8 +38,8 @@
     private final List<QuotaRequest> asked = new ArrayList<>();
     private double granted;
 
-    private TenantQuotas quotas(TenantQuotas.Bank bank, long seed) {
-        TenantQuotas quotas = new TenantQuotas(bank, seed);
+    private TenantQuotaClient quotas(TenantQuotaClient.QuotaAllocator bank, long seed) {
+        TenantQuotaClient quotas = new TenantQuotaClient(bank, seed);
         quotas.use(configuration, 0);
         quotas.balancers(BALANCERS);
         return quotas;
@@ -54,7 +54,7 @@
 
     @Test
     void aBalancerKeepsNoMoreThanWasGrantedAhead() {
-        TenantQuotas quotas = quotas(this::grantAhead, 1);
+        TenantQuotaClient quotas = quotas(this::grantAhead, 1);
         SplittableRandom costs = new SplittableRandom(1);
         double used = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -67,9 +67,9 @@
 
     @Test
     void whatDidNotRunGoesBackToThePrimary() {
-        TenantQuotas quotas = quotas(this::grantAhead, 1);
+        TenantQuotaClient quotas = quotas(this::grantAhead, 1);
         quotas.admit(tenant, COST, 0, wait -> {});
-        quotas.giveBack(tenant, COST);
+        quotas.refund(tenant, COST);
         assertEquals(-COST, asked.get(1).units);
         quotas.admit(tenant, COST, 0, wait -> {});
         assertEquals(COST - AHEAD, asked.get(2).units);
@@ -77,14 +77,14 @@
 
     @Test
     void balancersThatLoseThePrimaryTogetherKeepWithinTheQuota() {
-        List<TenantQuotas> all = new ArrayList<>();
+        List<TenantQuotaClient> all = new ArrayList<>();
         for (int i = 0; i < BALANCERS; i++) {
             all.add(quotas((ask, timeout, answer) -> answer.accept(null), i));
         }
         double[] sent = {0};
         long span = 4_000;
         for (long now = 1; now <= span; now += 50) {
-            for (TenantQuotas quotas : all) {
+            for (TenantQuotaClient quotas : all) {
                 quotas.time(now);
                 quotas.admit(tenant, COST, now, wait -> sent[0] += wait == 0 ? COST : 0);
             }
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.dataplane.ScriptedLinks.Sent;
+import myrtleladder.dataplane.ScriptedConnectionPool.Sent;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.QuotaResponse;
@@ -45,8 +45,8 @@
                     .replace('\'', '"');
 
     private final ManualScheduler clock = new ManualScheduler();
-    private final List<ScriptedLinks> links = new ArrayList<>();
-    private final List<Router> routers = new ArrayList<>();
+    private final List<ScriptedConnectionPool> links = new ArrayList<>();
+    private final List<RequestRouter> routers = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
     private final Map<String, InstanceRecord> records = new HashMap<>();
     private int attempts;
@@ -58,9 +58,9 @@
     @BeforeEach
     void start() {
         for (int i = 0; i < BALANCERS; i++) {
-            ScriptedLinks own = new ScriptedLinks();
-            Router router =
-                    new Router(
+            ScriptedConnectionPool own = new ScriptedConnectionPool();
+            RequestRouter router =
+                    new RequestRouter(
                             clock,
                             own,
                             new RetryBudget(0.2, 100),
@@ -76,7 +76,7 @@
         }
         note("cert0", "p", 0, Stage.READY, 1);
         note("cert1", "p", 1, Stage.READY, 2);
-        for (Router router : routers) {
+        for (RequestRouter router : routers) {
             router.directory().take(records.values(), true);
             router.start();
         }
@@ -98,9 +98,9 @@
 
     private Sent send(int balancer, String path, String... fields) {
         String[] all = new String[fields.length + 4];
-        all[0] = Names.ATTEMPT;
+        all[0] = HeaderNames.ATTEMPT;
         all[1] = "a" + attempts++;
-        all[2] = Names.DEADLINE;
+        all[2] = HeaderNames.DEADLINE;
         all[3] = "60000";
         System.arraycopy(fields, 0, all, 4, fields.length);
         ScriptedClient client = new ScriptedClient(path, all);
@@ -118,9 +118,9 @@
                 send(
                         balancer,
                         "/s/" + session,
-                        Names.PREFIX,
+                        HeaderNames.PREFIX,
                         "5e55" + session + ":9000,b" + attempts + ":50",
-                        Names.USAGE,
+                        HeaderNames.USAGE,
                         "9050,10");
         clock.run(READING);
         sent.head(200);
@@ -175,9 +175,11 @@
             upgradeOne(number);
         }
         int underWay = 0;
-        for (Router router : routers) {
+        for (RequestRouter router : routers) {
             underWay +=
-                    router.directory().underWayAtLeaving().stream().mapToInt(u -> u.requests).sum();
+                    router.directory().inFlightAtLeavingUpstreams().stream()
+                            .mapToInt(u -> u.requests)
+                            .sum();
         }
         assertEquals(SESSIONS, underWay, "all model replies are at upstreams that left");
         for (Reply reply : replies) {
@@ -196,7 +198,7 @@
                 assertTrue(reply.client().body.toString().endsWith("data: x" + lastEvent + "\n\n"));
             }
         }
-        routers.forEach(r -> assertTrue(r.directory().underWayAtLeaving().isEmpty()));
+        routers.forEach(r -> assertTrue(r.directory().inFlightAtLeavingUpstreams().isEmpty()));
     }
 
     @Test
--- a/src/test/java/myrtleladder/dataplane/PlacementTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which upstream a prompt goes to, by what is known of the other balancers. */
-class PlacementTest {
+class UpstreamPickerTest {
     private static final long NOW = 50_000;
     private static final int UPSTREAMS = 10;
     private static final Configuration CONFIGURATION =
@@ -34,8 +34,9 @@
     /** One balancer's view. */
     private static final class View {
         private final UpstreamDirectory directory = new UpstreamDirectory(u -> {});
-        private final FleetKnowledge fleet = new FleetKnowledge(directory, 1);
-        private final Placement placement = new Placement(directory, new ScriptedLinks(), fleet);
+        private final FleetLoadSync fleet = new FleetLoadSync(directory, 1);
+        private final UpstreamPicker placement =
+                new UpstreamPicker(directory, new ScriptedConnectionPool(), fleet);
 
         View() {
             directory.use(CONFIGURATION);
@@ -58,13 +59,13 @@
 
         Upstream pick(String prompt, long now) {
             Service service = CONFIGURATION.service("m");
-            return placement.pick(service, PromptParts.parse(prompt), Set.of(), now).upstream();
+            return placement.pick(service, PromptSegments.parse(prompt), Set.of(), now).upstream();
         }
     }
 
     private static FleetLoads keeps(String prompt, Upstream upstream) {
         FleetLoads answer = new FleetLoads();
-        answer.prompts.add(CachedPrompt.of(PromptParts.parse(prompt).subject(), upstream.key()));
+        answer.prompts.add(CachedPrompt.of(PromptSegments.parse(prompt).subject(), upstream.key()));
         return answer;
     }
 
@@ -144,7 +145,7 @@
         View view = new View();
         Upstream home = view.pick("a:9000,x:100", NOW);
         view.tell(busy(home, 60_000), NOW);
-        long later = NOW + FleetKnowledge.FRESH + 1;
+        long later = NOW + FleetLoadSync.FRESH + 1;
         assertEquals(home, view.pick("a:9000,x:100", later));
     }
 
@@ -154,7 +155,7 @@
         Upstream home = view.pick("a:9000,x:100", NOW);
         Upstream keeper = other(view, home);
         view.tell(keeps("a:9000,x:100", keeper), NOW);
-        long later = NOW + FleetKnowledge.FRESH + 1;
+        long later = NOW + FleetLoadSync.FRESH + 1;
         keeper.delayed(300, later); // one late answer, and more than a home is thought to save
         assertEquals(keeper, view.pick("a:9000,y:100", later));
     }
@@ -162,11 +163,11 @@
     @Test
     void outOfTouchAndInTouchASubjectHasTheSameHome() {
         View alone = new View();
-        View inTouch = new View();
-        inTouch.tell(new FleetLoads(), NOW);
+        View hasFreshLoads = new View();
+        hasFreshLoads.tell(new FleetLoads(), NOW);
         for (int subject = 0; subject < 20; subject++) {
             String prompt = subject + ":9000,x:100";
-            assertEquals(alone.pick(prompt, NOW).key(), inTouch.pick(prompt, NOW).key());
+            assertEquals(alone.pick(prompt, NOW).key(), hasFreshLoads.pick(prompt, NOW).key());
         }
     }
 
@@ -176,7 +177,7 @@
         view.tell(new FleetLoads(), NOW);
         Upstream home = view.pick("a:9000,x:100", NOW);
         FleetLoads answer = new FleetLoads();
-        answer.prompts.add(CachedPrompt.of(PromptParts.parse("a:9000,x:100").subject(), 1));
+        answer.prompts.add(CachedPrompt.of(PromptSegments.parse("a:9000,x:100").subject(), 1));
         answer.loads.add(UpstreamLoad.of(1, 50, 500_000));
         view.tell(answer, NOW);
         assertEquals(home, view.pick("a:9000,x:100", NOW));
@@ -186,7 +187,7 @@
     void theLikelyPlaceIsThePickAndPicksNothing() {
         View view = new View();
         view.tell(new FleetLoads(), NOW);
-        PromptParts prompt = PromptParts.parse("a:9000,x:100");
+        PromptSegments prompt = PromptSegments.parse("a:9000,x:100");
         UpstreamLoad likely = view.placement.likely(CONFIGURATION.service("m"), prompt, NOW);
         assertEquals(9_100, likely.tokens);
         assertEquals(likely.upstream, view.pick("a:9000,x:100", NOW).key());
