--- a/src/main/java/myrtleladder/dataplane/AdmissionController.java
+++ b/src/main/java/myrtleladder/dataplane/AdmissionController.java
@@ -2,43 +2,64 @@
 
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
-import myrtleladder.configuration.Tenant;
 
 /**
- * Whether a request is taken: by the time to its first event that is expected where it would go.
+ * Admits requests by the time to the first event that is expected at the upstream picked for them.
+ * Stateless.
  */
 final class AdmissionController {
-    private static final long LEAST_PATIENCE = 2_000;
-    private static final long TARGETS = 4;
-    private static final long GAPS = 8;
-    private static final double USED = 0.75;
-    private static final double USED_LESS_BY_RANK = 0.12;
-    private static final int LAST_RANK = 3;
-    private static final long SHORT_PAUSE = 200;
-    private static final long LONGEST_PAUSE = 1_500;
-
-    /** 0 if the request is taken, else milliseconds after which a new try makes sense. */
-    long retryAfterMs(
-            Route route, Service service, UpstreamPicker.Pick pick, long timeLeft, Tenant tenant) {
-        double expected = pick.expectedMs();
-        double patience = timeLeft;
+    /** Shortest wait that clients of model services are thought to accept; chosen. */
+    private static final long MIN_ACCEPTED_WAIT_MS = 2_000;
+
+    /** Accepted wait as a multiple of the route's latency target; chosen. */
+    private static final long ACCEPTED_TARGET_LATENCIES = 4;
+
+    /** Accepted wait as a multiple of the route's longest gap between events; chosen. */
+    private static final long ACCEPTED_EVENT_GAPS = 8;
+
+    /** Share of the accepted wait that requests of the highest priority may use up; chosen. */
+    private static final double USABLE_SHARE = 0.75;
+
+    /** Reduction of {@link #USABLE_SHARE} for each lower priority; chosen. */
+    private static final double USABLE_SHARE_PER_PRIORITY = 0.12;
+
+    /** Lower priorities are treated alike from here on; chosen. */
+    private static final int LOWEST_PRIORITY = 3;
+
+    /** Shortest time after which rejected clients are asked to retry; chosen. */
+    private static final long MIN_RETRY_AFTER_MS = 200;
+
+    /** Longest time after which rejected clients are asked to retry; chosen. */
+    private static final long MAX_RETRY_AFTER_MS = 1_500;
+
+    /**
+     * Decides on a request.
+     *
+     * @param remainingMs milliseconds until the request's deadline
+     * @return 0 if the request is admitted, else milliseconds after which a retry makes sense
+     */
+    long retryAfterMs(Route route, Service service, PickResult pick, long remainingMs) {
+        double acceptedWaitMs = remainingMs;
         if (service.engine() != null) {
-            long longest =
-                    Math.max(
-                            LEAST_PATIENCE,
-                            Math.max(TARGETS * route.targetLatencyMs(), GAPS * route.gapAimMs()));
-            patience = Math.min(timeLeft, longest);
+            acceptedWaitMs = Math.min(remainingMs, longestAcceptedWaitMs(route));
         }
-        int rank = Math.min(LAST_RANK, route.priority());
-        double most = patience * (USED - USED_LESS_BY_RANK * rank);
-        if (expected <= most) {
+        int priority = Math.min(LOWEST_PRIORITY, route.priority());
+        double limitMs = acceptedWaitMs * (USABLE_SHARE - USABLE_SHARE_PER_PRIORITY * priority);
+        double excessMs = pick.expectedMs() - limitMs;
+        if (pick.expectedMs() <= limitMs) {
             return 0;
         }
-        return Math.max(SHORT_PAUSE, Math.min(LONGEST_PAUSE, Math.round(expected - most)));
+        return Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, Math.round(excessMs)));
+    }
+
+    private static long longestAcceptedWaitMs(Route route) {
+        long byLatency = ACCEPTED_TARGET_LATENCIES * route.targetLatencyMs();
+        long byGap = ACCEPTED_EVENT_GAPS * route.gapAimMs();
+        return Math.max(MIN_ACCEPTED_WAIT_MS, Math.max(byLatency, byGap));
     }
 
-    /** The pause told to a client whose request was taken but could not be sent. */
+    /** Milliseconds after which a client retries whose admitted request could not be sent. */
     long defaultRetryAfterMs() {
-        return SHORT_PAUSE;
+        return MIN_RETRY_AFTER_MS;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -4,179 +4,196 @@
 import myrtleladder.io.ResponseHead;
 import myrtleladder.io.Scheduler;
 
-/** One send of a request to one upstream. */
+/**
+ * One send of a request to one upstream. Counts as in flight at the upstream from {@link #start} to
+ * {@link State#ENDED}. Confined to the event loop.
+ */
 final class Attempt implements ConnectionPool.ResponseListener {
-    private static final long CONNECT_TIMEOUT = 500;
+    /** Time in which a connection has to be established; chosen. */
+    private static final long CONNECT_TIMEOUT_MS = 500;
 
     /** How far an attempt has come. */
     enum State {
+        /** Nothing was sent yet. */
         CONNECTING,
+        /** The request was sent and may run from now on. */
         SENT,
-        ANSWERED,
+        /** The head of the response has come. */
+        RECEIVING_RESPONSE,
+        /** It completed, failed or was cancelled; the listener hears nothing more. */
         ENDED
     }
 
-    /** Who hears what becomes of an attempt. */
+    /**
+     * Receives the events of an attempt, each on the event loop; one of the last three is final.
+     */
     interface Listener {
-        /** Nothing was sent: no connection could be had. */
-        void notSent(Attempt attempt);
+        /** The head of the response has come. */
+        void onResponseHead(Attempt attempt, ResponseHead head);
 
-        /** The head of the answer has come. */
-        void head(Attempt attempt, ResponseHead head);
+        /** A part of the response's body has come. */
+        void onResponseBody(Attempt attempt, byte[] bytes);
 
-        /** A piece of the answer's body has come. */
-        void body(Attempt attempt, byte[] bytes);
+        /** The response is complete. */
+        void onResponseComplete(Attempt attempt);
 
-        /** The answer is whole. */
-        void whole(Attempt attempt);
+        /** No connection could be had and nothing was sent. */
+        void onNotSent(Attempt attempt);
 
-        /** The connection broke; the request may have run. */
-        void broken(Attempt attempt);
+        /** The connection was lost before the response was complete; the request may have run. */
+        void onConnectionLost(Attempt attempt);
     }
 
-    private final Upstream upstream;
+    private final PickResult pick;
     private final RequestHead head;
     private final byte[] body;
-    private final UpstreamPicker.Pick pick;
     private final Listener listener;
     private final Scheduler scheduler;
     private final Scheduler.Timer connectTimer;
     private State state = State.CONNECTING;
-    private ConnectionPool.PooledConnection link;
-    private long sentAt;
-    private boolean begun;
+    private ConnectionPool.PooledConnection connection;
+    private long sentAtMs;
+    private boolean isPromptRead;
 
+    /** Creates an attempt, whose time to connect runs from now on. */
     Attempt(
-            UpstreamPicker.Pick pick,
+            PickResult pick,
             RequestHead head,
             byte[] body,
             Scheduler scheduler,
             Listener listener) {
-        this.upstream = pick.upstream();
         this.pick = pick;
         this.head = head;
         this.body = body;
         this.scheduler = scheduler;
         this.listener = listener;
-        this.connectTimer = scheduler.schedule(CONNECT_TIMEOUT, this::connectTimedOut);
+        this.connectTimer = scheduler.schedule(CONNECT_TIMEOUT_MS, this::connectTimedOut);
     }
 
-    /** Asks for a connection, on which the request is sent. */
+    /**
+     * Acquires a connection, on which the request is sent; the listener may be called meanwhile.
+     *
+     * @param recentlyUsedOnly see {@link ConnectionPool#acquire}
+     */
     void start(ConnectionPool connections, boolean recentlyUsedOnly) {
-        upstream.begins(this, scheduler.now());
-        ConnectionPool.PooledConnection used = connections.use(upstream, this, recentlyUsedOnly);
+        upstream().attemptStarted(this, scheduler.now());
+        ConnectionPool.PooledConnection acquired =
+                connections.acquire(upstream(), this, recentlyUsedOnly);
         if (state == State.CONNECTING) {
-            link = used;
+            connection = acquired;
         }
     }
 
     Upstream upstream() {
-        return upstream;
+        return pick.upstream();
     }
 
     State state() {
         return state;
     }
 
-    long sentAt() {
-        return sentAt;
+    /** When the request was sent, 0 before. */
+    long sentAtMs() {
+        return sentAtMs;
     }
 
-    int tokens() {
-        return pick.tokensToRead();
+    /** Tokens of the prompt that the upstream was expected to read. */
+    int promptTokens() {
+        return pick.promptTokens();
     }
 
-    /** Whether it was sent where nobody was known to have a prompt read. */
-    boolean alone() {
-        return pick.alone();
+    /** Whether no other prompt was known to be read there when the upstream was picked. */
+    boolean isWithoutBacklog() {
+        return pick.withoutBacklog();
     }
 
-    /** How long the first event may take by what was known to be under way there. */
+    /** Time to the first event that the requests known at the pick explain. */
     double explainedMs() {
-        return pick.knownMs();
+        return pick.explainedMs();
     }
 
-    /** Tokens that the upstream has yet to read before this answer begins. */
-    long pendingTokens() {
-        return begun || state == State.ENDED ? 0 : pick.tokensToRead();
+    /** Tokens of the prompt that the upstream has yet to read. */
+    long pendingPromptTokens() {
+        return isPromptRead || state == State.ENDED ? 0 : pick.promptTokens();
     }
 
-    /** The first event has come. */
-    void begun() {
-        begun = true;
+    /** Notes that the first event has come, so the prompt is read. */
+    void promptRead() {
+        isPromptRead = true;
     }
 
-    /** Gives the attempt up; the upstream drops the request with its connection. */
+    /** Ends the attempt; the upstream drops the request with its connection. */
     void cancel() {
-        if (state != State.ENDED) {
-            finish();
-            if (link != null) {
-                link.close();
-            }
+        if (state == State.ENDED) {
+            return;
+        }
+        end();
+        if (connection != null) {
+            connection.close();
         }
     }
 
-    private void finish() {
+    private void end() {
         state = State.ENDED;
         connectTimer.cancel();
-        upstream.ends(this);
+        upstream().attemptEnded(this);
     }
 
     private void connectTimedOut() {
         if (state == State.CONNECTING) {
             cancel();
-            listener.notSent(this);
+            listener.onNotSent(this);
         }
     }
 
     @Override
-    public void ready(ConnectionPool.PooledConnection used) {
-        if (!used.ready()) {
-            used.close(); // it ended while its standing was told
-            refused();
+    public void onConnectionReady(ConnectionPool.PooledConnection ready) {
+        if (!ready.canSend()) {
+            ready.close(); // it was closed between its becoming ready and this call
+            onConnectFailed();
             return;
         }
-        link = used;
+        connection = ready;
         connectTimer.cancel();
-        sentAt = scheduler.now();
+        sentAtMs = scheduler.now();
         state = State.SENT;
-        used.send(head, body);
+        ready.send(head, body);
     }
 
     @Override
-    public void refused() {
-        finish();
-        listener.notSent(this);
+    public void onConnectFailed() {
+        end();
+        listener.onNotSent(this);
     }
 
     @Override
-    public void head(ResponseHead answer) {
-        state = State.ANSWERED;
-        upstream.byteArrived(scheduler.now());
-        listener.head(this, answer);
+    public void onResponseHead(ResponseHead responseHead) {
+        state = State.RECEIVING_RESPONSE;
+        upstream().byteReceived(scheduler.now());
+        listener.onResponseHead(this, responseHead);
     }
 
     @Override
-    public void body(byte[] bytes) {
-        upstream.byteArrived(scheduler.now());
+    public void onResponseBody(byte[] bytes) {
+        upstream().byteReceived(scheduler.now());
         if (state != State.ENDED) {
-            listener.body(this, bytes);
+            listener.onResponseBody(this, bytes);
         }
     }
 
     @Override
-    public void end() {
+    public void onResponseComplete() {
         if (state != State.ENDED) {
-            finish();
-            listener.whole(this);
+            end();
+            listener.onResponseComplete(this);
         }
     }
 
     @Override
-    public void broken() {
+    public void onConnectionLost() {
         if (state != State.ENDED) {
-            finish();
-            listener.broken(this);
+            end();
+            listener.onConnectionLost(this);
         }
     }
 }
--- a/src/main/java/myrtleladder/dataplane/ConnectionPool.java
+++ b/src/main/java/myrtleladder/dataplane/ConnectionPool.java
@@ -3,53 +3,59 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
-/** HttpConnectionPool to upstreams, each used by one request at a time. */
+/**
+ * Connections to upstreams, each used by one request at a time. Confined to the event loop, on
+ * which all listeners are called.
+ */
 interface ConnectionPool {
     /**
-     * Finds or opens a connection; with {@code recentlyUsedOnly} one at rest has to have been used
-     * a moment ago.
+     * Acquires an idle connection or opens one. The listener may be called before this returns.
+     *
+     * @param recentlyUsedOnly idle connections qualify only if they were used a moment ago, so that
+     *     a request that must not be repeated hardly meets one that its upstream is about to close
      */
-    PooledConnection use(Upstream upstream, ResponseListener user, boolean recentlyUsedOnly);
+    PooledConnection acquire(
+            Upstream upstream, ResponseListener listener, boolean recentlyUsedOnly);
 
-    /** HttpConnectionPool that stand or are being opened. */
+    /** The number of connections to an upstream that are open or being opened. */
     int openConnections(Upstream upstream);
 
-    /** HttpConnectionPool at rest. */
+    /** The number of idle connections to an upstream. */
     int idleConnections(Upstream upstream);
 
-    /** Closes connections at rest that are of no use any more. */
+    /** Closes idle connections that may not be used any more. */
     void closeExpired();
 
     /** A connection while one request uses it. */
     interface PooledConnection {
         /** Whether a request can be sent now. */
-        boolean ready();
+        boolean canSend();
 
-        /** Sends the request. */
+        /** Sends the request; only if {@link #canSend()}. */
         void send(RequestHead head, byte[] body);
 
-        /** Gives the connection up; its user hears nothing more. */
+        /** Closes the connection; its listener is not called any more. */
         void close();
     }
 
-    /** Who uses a connection for one request. */
+    /** Receives what happens to a connection while one request uses it. */
     interface ResponseListener {
-        /** The connection stands; the request can be sent now. */
-        void ready(PooledConnection link);
+        /** The connection is established; the request can be sent now. */
+        void onConnectionReady(PooledConnection connection);
 
         /** No connection could be had; nothing was sent. */
-        void refused();
+        void onConnectFailed();
 
-        /** The head of the answer. */
-        void head(ResponseHead head);
+        /** The head of the response has come. */
+        void onResponseHead(ResponseHead head);
 
-        /** A piece of the body. */
-        void body(byte[] bytes);
+        /** A part of the body has come. */
+        void onResponseBody(byte[] bytes);
 
-        /** The answer is whole. */
-        void end();
+        /** The response is complete; the connection is the pool's again. */
+        void onResponseComplete();
 
-        /** The connection broke before the answer was whole. */
-        void broken();
+        /** The connection was lost before the response was complete. */
+        void onConnectionLost();
     }
 }
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -1,13 +1,5 @@
 package myrtleladder.dataplane;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
@@ -20,214 +12,276 @@
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.Peers;
+
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
 /**
- * Long polls to the control plane: each names what this balancer has and is answered once there is
- * more. What is taken never goes back: answers of lower epochs and older generations are left.
+ * Long polls to the control plane: each carries the versions that this balancer has and is answered
+ * once there are newer ones.
+ *
+ * <p>Invariants: one poll is in flight at most, apart from the one that announces the end; epoch
+ * and generation never decrease, so responses of lower epochs and older generations are ignored.
+ * Confined to the event loop; {@link Main} starts and ends it.
  */
 final class ControlPoller {
     private static final Logger LOG = LogManager.getLogger(ControlPoller.class);
-    private static final long TIMEOUT =
-            750; // the hold of a poll and what a round trip may take beyond it
-    private static final long PAUSE = 50;
-    private static final long AVOIDED = 1_500;
-    private static final long SILENT = 400; // an answer that stays out for so long: nobody is there
-    private static final int READ_SEEDS_AFTER = 6;
+
+    /** Timeout of a poll: the longest hold of a long poll and a round trip; derived. */
+    private static final long POLL_TIMEOUT_MS = 750;
+
+    /** Backoff before the next poll after a failed one; chosen. */
+    private static final long RETRY_BACKOFF_MS = 50;
+
+    /** Time for which an unresponsive control node is avoided; chosen. */
+    private static final long AVOIDANCE_MS = 1_500;
+
+    /** A failure after a longer time is a timeout, one before it a refusal to connect; chosen. */
+    private static final long UNRESPONSIVE_AFTER_MS = 400;
+
+    /** Failures after which the seeds are read again; chosen. */
+    private static final int FAILURES_BEFORE_SEED_RELOAD = 6;
 
     private final Scheduler scheduler;
     private final Peers peers;
-    private final RequestRouter router;
+    private final DataPlane dataPlane;
     private final String balancer;
     private final String address;
-    private final MembershipAgent agent;
+    private final MembershipAgent membershipAgent;
     private final Supplier<List<String>> seedSource;
+    private final Map<String, Avoidance> avoidances = new HashMap<>();
     private List<String> seeds;
-    private final Map<String, Silence> silences = new HashMap<>();
     private List<String> members = List.of();
+
+    /** Address that is polled, empty until the next one is chosen. */
     private String target = "";
-    private int turn;
-    private int failures;
-    private long askedAt;
+
+    private int nextTargetIndex;
+    private int consecutiveFailures;
+    private long polledAtMs;
     private long epoch;
-    private long namedEpoch;
+
+    /** Highest epoch that any control node named. */
+    private long highestNamedEpoch;
+
     private long generation;
-    private long revision;
-    private boolean complete;
+    private long instanceRevision;
+
+    /** Whether the records of the epoch's primary were complete. */
+    private boolean hasCompleteRecords;
+
     private int balancers;
     private long memberRevision;
-    private boolean leaving;
+    private boolean isLeaving;
 
-    /** A node that did not answer, and the latest epoch that was known then. */
-    private record Silence(long avoidedUntil, long epoch) {}
+    /** An unresponsive control node, and the highest epoch that was known when it timed out. */
+    private record Avoidance(long untilMs, long knownEpoch) {}
 
+    /**
+     * Creates a poller.
+     *
+     * @param address this balancer's own address for other balancers' heartbeats
+     * @param seedSource reads the addresses of control nodes from the settings
+     */
     ControlPoller(
             Scheduler scheduler,
             Peers peers,
-            RequestRouter router,
+            DataPlane dataPlane,
             String balancer,
             String address,
-            MembershipAgent agent,
+            MembershipAgent membershipAgent,
             Supplier<List<String>> seedSource) {
         this.scheduler = scheduler;
         this.peers = peers;
-        this.router = router;
+        this.dataPlane = dataPlane;
         this.balancer = balancer;
         this.address = address;
-        this.agent = agent;
+        this.membershipAgent = membershipAgent;
         this.seedSource = seedSource;
         this.seeds = seedSource.get();
-        router.fleet().name(balancer);
+        dataPlane.fleetLoads().setBalancer(balancer);
     }
 
     /** Reads the seeds again. */
-    void readSeeds() {
+    void reloadSeeds() {
         seeds = seedSource.get();
     }
 
-    /** Begins to poll. */
+    /** Starts to poll; called once. */
     void start() {
         poll();
     }
 
-    /** Tells the control plane that this balancer ends. */
-    void leave() {
-        leaving = true;
+    /** Announces to the control plane that this balancer ends; no poll follows. */
+    void announceLeaving() {
+        isLeaving = true;
         poll();
     }
 
-    /** Asks the primary that answered last. */
-    void ask(QuotaRequest ask, long timeoutMs, Consumer<Message> answer) {
+    /**
+     * Requests quota from the primary that answered last.
+     *
+     * @param callback receives the response, null without a primary or if none came in time
+     */
+    void requestQuota(QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
         if (epoch == 0 || target.isEmpty()) {
-            answer.accept(null);
-        } else {
-            ask.load = router.fleet().report();
-            peers.call(target, ask, timeoutMs, reply -> granted(ask.load, reply, answer));
+            callback.accept(null);
+            return;
         }
+        request.load = dataPlane.fleetLoads().createReport();
+        peers.call(
+                target,
+                request,
+                timeoutMs,
+                response -> quotaResponseReceived(request.load, response, callback));
     }
 
-    private void granted(LoadReport report, Message message, Consumer<Message> answer) {
-        if (message instanceof QuotaResponse grant && grant.valid) {
-            router.fleet().take(report, grant.loads, scheduler.now());
+    private void quotaResponseReceived(
+            LoadReport report, Message response, Consumer<Message> callback) {
+        if (response instanceof QuotaResponse grant && grant.valid) {
+            dataPlane.fleetLoads().applyResponse(report, grant.loads, scheduler.now());
         }
-        answer.accept(message);
+        callback.accept(response);
     }
 
-    /** Whether a configuration is in force and the upstreams were told. */
-    boolean ready() {
+    /** Whether a configuration is in force and upstreams were received. */
+    boolean isReady() {
         return generation > 0 && epoch > 0;
     }
 
-    long generation() {
-        return generation;
-    }
-
     private void poll() {
         if (target.isEmpty()) {
             target = nextTarget();
         }
-        PollRequest poll = new PollRequest();
-        poll.balancer = balancer;
-        poll.leaving = leaving;
-        poll.epoch = epoch;
-        poll.generation = generation;
-        poll.revision = revision;
-        poll.complete = complete;
-        poll.balancers = balancers;
-        poll.address = address;
-        poll.alive = agent.alive();
-        poll.memberRevision = memberRevision;
-        poll.load = router.fleet().report();
-        poll.underWay.addAll(router.directory().inFlightAtLeavingUpstreams());
-        askedAt = scheduler.now();
-        peers.call(target, poll, TIMEOUT, message -> answered(poll.load, message));
+        PollRequest request = createRequest();
+        polledAtMs = scheduler.now();
+        peers.call(
+                target,
+                request,
+                POLL_TIMEOUT_MS,
+                response -> pollResponseReceived(request.load, response));
+    }
+
+    private PollRequest createRequest() {
+        PollRequest request = new PollRequest();
+        request.balancer = balancer;
+        request.leaving = isLeaving;
+        request.epoch = epoch;
+        request.generation = generation;
+        request.revision = instanceRevision;
+        request.complete = hasCompleteRecords;
+        request.balancers = balancers;
+        request.address = address;
+        request.alive = membershipAgent.alive();
+        request.memberRevision = memberRevision;
+        request.load = dataPlane.fleetLoads().createReport();
+        request.underWay.addAll(dataPlane.directory().inFlightAtLeavingUpstreams());
+        return request;
     }
 
+    /** The next control node in turn that is not avoided, or the next at all if all are. */
     private String nextTarget() {
-        Set<String> all = new LinkedHashSet<>(members);
-        all.addAll(seeds);
-        List<String> list = new ArrayList<>(all);
-        for (int i = 0; i < list.size(); i++) {
-            String next = list.get(Math.floorMod(turn++, list.size()));
-            if (!avoided(next)) {
-                return next;
+        Set<String> distinct = new LinkedHashSet<>(members);
+        distinct.addAll(seeds);
+        List<String> nodes = new ArrayList<>(distinct);
+        for (int i = 0; i < nodes.size(); i++) {
+            String node = nodes.get(Math.floorMod(nextTargetIndex++, nodes.size()));
+            if (!isAvoided(node)) {
+                return node;
             }
         }
-        return list.get(Math.floorMod(turn++, list.size()));
+        return nodes.get(Math.floorMod(nextTargetIndex++, nodes.size()));
     }
 
-    private boolean avoided(String address) {
-        Silence silence = silences.get(address);
-        return silence != null && scheduler.now() < silence.avoidedUntil();
-    }
-
-    /**
-     * Who names a primary of a later epoch than any that was known when that node was silent knows
-     * better: it was elected since.
-     */
-    private void named(String primary, long told) {
-        namedEpoch = Math.max(namedEpoch, told);
-        Silence silence = silences.get(primary);
-        if (silence != null && told > silence.epoch()) {
-            silences.remove(primary);
-        }
+    private boolean isAvoided(String node) {
+        Avoidance avoidance = avoidances.get(node);
+        return avoidance != null && scheduler.now() < avoidance.untilMs();
     }
 
-    private void answered(LoadReport report, Message message) {
-        if (leaving) {
+    private void pollResponseReceived(LoadReport report, Message message) {
+        if (isLeaving) {
             return;
         }
-        if (!(message instanceof PollResponse reply)) {
-            if (scheduler.now() - askedAt > SILENT) {
-                // one that refuses may just be starting
-                silences.put(
-                        target,
-                        new Silence(scheduler.now() + AVOIDED, Math.max(epoch, namedEpoch)));
-            }
-            if (++failures % READ_SEEDS_AFTER == 0) {
-                readSeeds();
-            }
-            target = "";
-            scheduler.schedule(PAUSE, this::poll);
+        if (!(message instanceof PollResponse response)) {
+            pollFailed();
             return;
         }
-        if (!reply.members.isEmpty()) {
-            members = reply.members;
+        if (!response.members.isEmpty()) {
+            members = response.members;
         }
-        if (!reply.valid || reply.epoch < epoch) {
-            named(reply.primary, reply.epoch);
-            boolean useless = reply.primary.equals(target) || avoided(reply.primary);
-            target = useless ? "" : reply.primary;
-            scheduler.schedule(PAUSE, this::poll);
+        if (!response.valid || response.epoch < epoch) {
+            redirectTo(response.primary, response.epoch);
             return;
         }
-        failures = 0;
-        take(reply);
-        router.fleet().take(report, reply.loads, scheduler.now());
+        consecutiveFailures = 0;
+        applyResponse(response);
+        dataPlane.fleetLoads().applyResponse(report, response.loads, scheduler.now());
         poll();
     }
 
-    private void take(PollResponse reply) {
-        if (reply.epoch > epoch) {
-            LOG.info("epoch {} of {} follows {}", reply.epoch, reply.primary, epoch);
+    private void pollFailed() {
+        boolean isUnresponsive = scheduler.now() - polledAtMs > UNRESPONSIVE_AFTER_MS;
+        if (isUnresponsive) { // a node that refuses may just be starting
+            long untilMs = scheduler.now() + AVOIDANCE_MS;
+            avoidances.put(target, new Avoidance(untilMs, Math.max(epoch, highestNamedEpoch)));
+        }
+        consecutiveFailures++;
+        if (consecutiveFailures % FAILURES_BEFORE_SEED_RELOAD == 0) {
+            reloadSeeds();
+        }
+        target = "";
+        scheduler.schedule(RETRY_BACKOFF_MS, this::poll);
+    }
+
+    /** Polls the primary that a node named next, unless that node itself or an avoided one. */
+    private void redirectTo(String primary, long namedEpoch) {
+        endAvoidanceOfLaterPrimary(primary, namedEpoch);
+        boolean isUseless = primary.equals(target) || isAvoided(primary);
+        target = isUseless ? "" : primary;
+        scheduler.schedule(RETRY_BACKOFF_MS, this::poll);
+    }
+
+    /** A primary of a later epoch than any known when it timed out was elected since: it is up. */
+    private void endAvoidanceOfLaterPrimary(String primary, long namedEpoch) {
+        highestNamedEpoch = Math.max(highestNamedEpoch, namedEpoch);
+        Avoidance avoidance = avoidances.get(primary);
+        if (avoidance != null && namedEpoch > avoidance.knownEpoch()) {
+            avoidances.remove(primary);
         }
-        complete = reply.complete || complete && reply.epoch == epoch;
-        epoch = reply.epoch;
-        revision = reply.revision;
-        router.directory().take(reply.instances, reply.whole && reply.complete);
-        if (reply.generation > generation && reply.document.length > 0) {
-            Configuration next =
-                    Configuration.read(Json.readObject(Compression.inflate(reply.document)));
-            router.use(next);
-            generation = reply.generation;
-            LOG.info("generation {} is in force", generation);
+    }
+
+    private void applyResponse(PollResponse response) {
+        if (response.epoch > epoch) {
+            LOG.info("epoch {} of {} follows {}", response.epoch, response.primary, epoch);
         }
-        balancers = reply.balancers;
-        memberRevision = reply.memberRevision;
-        if (!reply.balancerList.isEmpty()) {
-            agent.members(reply.balancerList);
+        hasCompleteRecords = response.complete || hasCompleteRecords && response.epoch == epoch;
+        epoch = response.epoch;
+        instanceRevision = response.revision;
+        dataPlane.directory().applyRecords(response.instances, response.whole && response.complete);
+        if (response.generation > generation && response.document.length > 0) {
+            applyConfiguration(response);
         }
-        router.balancers(reply.balancers);
+        balancers = response.balancers;
+        memberRevision = response.memberRevision;
+        if (!response.balancerList.isEmpty()) {
+            membershipAgent.members(response.balancerList);
+        }
+        dataPlane.setBalancers(response.balancers);
+    }
+
+    private void applyConfiguration(PollResponse response) {
+        byte[] document = Compression.inflate(response.document);
+        dataPlane.applyConfiguration(Configuration.read(Json.readObject(document)));
+        generation = response.generation;
+        LOG.info("generation {} is in force", generation);
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -0,0 +1,159 @@
+package myrtleladder.dataplane;
+
+import myrtleladder.configuration.Configuration;
+import myrtleladder.io.Scheduler;
+
+import java.util.SplittableRandom;
+
+/**
+ * The components of a balancer's data plane, what they share, and their periodic work. Confined to
+ * the event loop of its scheduler, like all that it hands out; {@link Main} and {@link
+ * ControlPoller} call it there.
+ */
+final class DataPlane {
+    /** Interval at which deadlines and unresponsive upstreams are looked for; chosen. */
+    private static final long CHECK_INTERVAL_MS = 50;
+
+    /** Mean interval of the reweighting, each drawn from half of it to one and a half; chosen. */
+    private static final long REWEIGHT_INTERVAL_MS = 250;
+
+    private final Scheduler scheduler;
+    private final ConnectionPool connections;
+    private final RetryBudget retryBudget;
+    private final TenantQuotaClient quotas;
+    private final UpstreamDirectory directory;
+    private final FleetLoadSync fleetLoads;
+    private final PrefillTimeEstimator prefillTime = new PrefillTimeEstimator();
+    private final UpstreamPicker picker;
+    private final AdmissionController admission = new AdmissionController();
+    private final RetryPolicy retryPolicy;
+    private final UnresponsiveUpstreamDetector unresponsiveDetector;
+    private final ActiveRequests activeRequests = new ActiveRequests();
+    private final RequestCounters counters = new RequestCounters();
+    private final SplittableRandom random;
+    private final RequestRouter router;
+    private Configuration configuration;
+    private long nextReweightAtMs;
+
+    /**
+     * Creates the components.
+     *
+     * @param seed seeds all random draws, and tells this process from others of the same balancer
+     */
+    DataPlane(
+            Scheduler scheduler,
+            ConnectionPool connections,
+            RetryBudget retryBudget,
+            TenantQuotaClient.QuotaAllocator allocator,
+            long seed) {
+        this.scheduler = scheduler;
+        this.connections = connections;
+        this.retryBudget = retryBudget;
+        this.quotas = new TenantQuotaClient(allocator, seed);
+        this.directory = new UpstreamDirectory(upstream -> connections.closeExpired());
+        this.fleetLoads = new FleetLoadSync(directory, seed);
+        this.picker = new UpstreamPicker(directory, connections, fleetLoads, prefillTime);
+        this.retryPolicy = new RetryPolicy(retryBudget);
+        this.unresponsiveDetector = new UnresponsiveUpstreamDetector(prefillTime);
+        this.random = new SplittableRandom(seed);
+        this.router = new RequestRouter(this, random);
+    }
+
+    /** Starts the periodic work; called once. */
+    void start() {
+        runPeriodicWork();
+    }
+
+    private void runPeriodicWork() {
+        scheduler.schedule(CHECK_INTERVAL_MS, this::runPeriodicWork);
+        long nowMs = nowMs();
+        quotas.advanceClock(nowMs);
+        activeRequests.checkTimeouts(nowMs);
+        if (nowMs >= nextReweightAtMs) {
+            nextReweightAtMs =
+                    nowMs + REWEIGHT_INTERVAL_MS / 2 + random.nextLong(REWEIGHT_INTERVAL_MS);
+            picker.reweight(nowMs);
+            connections.closeExpired();
+        }
+    }
+
+    /** Puts a newer configuration into force. */
+    void applyConfiguration(Configuration next) {
+        configuration = next;
+        directory.applyConfiguration(next);
+        quotas.applyConfiguration(next);
+    }
+
+    /** The configuration in force, null before the first one. */
+    Configuration configuration() {
+        return configuration;
+    }
+
+    /** Sets the number of balancers among which quotas, budgets and connections are divided. */
+    void setBalancers(int count) {
+        picker.setBalancers(count);
+        retryBudget.setBalancers(count);
+        quotas.setBalancers(count);
+    }
+
+    /** Milliseconds of the scheduler's monotonic clock. */
+    long nowMs() {
+        return scheduler.now();
+    }
+
+    Scheduler scheduler() {
+        return scheduler;
+    }
+
+    RequestRouter router() {
+        return router;
+    }
+
+    UpstreamDirectory directory() {
+        return directory;
+    }
+
+    ConnectionPool connections() {
+        return connections;
+    }
+
+    FleetLoadSync fleetLoads() {
+        return fleetLoads;
+    }
+
+    PrefillTimeEstimator prefillTime() {
+        return prefillTime;
+    }
+
+    UpstreamPicker picker() {
+        return picker;
+    }
+
+    AdmissionController admission() {
+        return admission;
+    }
+
+    TenantQuotaClient quotas() {
+        return quotas;
+    }
+
+    RetryBudget retryBudget() {
+        return retryBudget;
+    }
+
+    RetryPolicy retryPolicy() {
+        return retryPolicy;
+    }
+
+    UnresponsiveUpstreamDetector unresponsiveDetector() {
+        return unresponsiveDetector;
+    }
+
+    ActiveRequests activeRequests() {
+        return activeRequests;
+    }
+
+    RequestCounters counters() {
+        return counters;
+    }
+}
--- a/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
+++ b/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
@@ -1,82 +1,93 @@
 package myrtleladder.dataplane;
 
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.function.Supplier;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
 
+import java.util.LinkedHashSet;
+import java.util.Set;
+import java.util.function.Supplier;
+
 /**
- * What this balancer tells the others by way of the primary, and what it takes from them: what is
- * under way at each upstream, and which beginnings of prompts each keeps. Announcements are sent
- * again until an answer shows that they arrived.
+ * Exchanges loads and cached prompt prefixes with the other balancers by way of the primary:
+ * reports go along with polls and requests for quota, responses carry the others' sums. A prefix is
+ * announced again until a response shows that the announcement arrived. Confined to the event loop.
  */
 final class FleetLoadSync {
-    /** How long a balancer goes by the others' figures after it heard them last. */
-    static final long FRESH = 2_000;
+    /** Age up to which the others' sums are used: a poll's timeout and two long polls. */
+    static final long MAX_LOAD_AGE_MS = 2_000;
+
+    /** Time after which a prefix is announced again that is in use; chosen. */
+    private static final long ANNOUNCE_INTERVAL_MS = 20_000;
 
-    private static final long ANNOUNCE_AGAIN = 20_000;
-    private static final int MOST_WAITING = 512;
-    private static final int MOST_ANNOUNCED = 64; // with one report
+    /** Most announcements that wait to be acknowledged; others are dropped; chosen. */
+    private static final int MAX_PENDING_ANNOUNCEMENTS = 512;
 
-    /** No request waits. */
-    static final Supplier<UpstreamLoad> NOTHING = () -> null;
+    /** Most announcements in one report; chosen. */
+    private static final int MAX_ANNOUNCEMENTS_PER_REPORT = 64;
+
+    /** Supplies the pending load while no request waits for its quota. */
+    static final Supplier<UpstreamLoad> NO_PENDING_LOAD = () -> null;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final UpstreamDirectory directory;
     private final long process;
-    private final Set<Announcement> waiting = new LinkedHashSet<>();
+    private final Set<Announcement> pendingAnnouncements = new LinkedHashSet<>();
     private String balancer = "";
     private long sequence;
     private long epoch;
     private long promptRevision;
-    private long heardAt = NEVER;
-    private Supplier<UpstreamLoad> intended = NOTHING;
+    private long loadsReceivedAtMs = NEVER;
+    private Supplier<UpstreamLoad> pendingLoad = NO_PENDING_LOAD;
 
-    private record Announcement(long prompt, int upstream) {}
+    /** A prefix that this balancer sent to an upstream, by their keys. */
+    private record Announcement(long prefixHash, int upstream) {}
 
+    /**
+     * Creates the component.
+     *
+     * @param process tells this process from others of the same balancer
+     */
     FleetLoadSync(UpstreamDirectory directory, long process) {
         this.directory = directory;
         this.process = process;
     }
 
-    /** The name under which the reports go. */
-    void name(String own) {
-        balancer = own;
+    /** Sets the name under which the reports go. */
+    void setBalancer(String name) {
+        balancer = name;
     }
 
-    /** Whether the others' figures are known and fresh. */
-    boolean hasFreshLoads(long now) {
-        return now - heardAt <= FRESH;
+    /** Whether the others' loads are known and fresh. */
+    boolean hasFreshLoads(long nowMs) {
+        return nowMs - loadsReceivedAtMs <= MAX_LOAD_AGE_MS;
     }
 
-    /** A prompt is sent to an upstream, which keeps its shared beginning from then on. */
-    void sent(PromptSegments prompt, Upstream upstream, long now) {
-        long beginning = prompt.subject();
-        if (now - upstream.memory().lastAnnouncedAtMs(beginning) < ANNOUNCE_AGAIN) {
+    /** Announces that a prompt is sent to an upstream, which caches its shared prefix from then. */
+    void promptSent(PromptSegments prompt, Upstream upstream, long nowMs) {
+        long prefixHash = prompt.sharedPrefixHash();
+        long announcedAtMs = upstream.prefixCache().lastAnnouncedAtMs(prefixHash);
+        if (nowMs - announcedAtMs < ANNOUNCE_INTERVAL_MS) {
             return;
         }
-        upstream.memory().told(beginning, now);
-        if (waiting.size() < MOST_WAITING) {
-            waiting.add(new Announcement(beginning, upstream.key()));
+        upstream.prefixCache().recordAnnounced(prefixHash, nowMs);
+        if (pendingAnnouncements.size() < MAX_PENDING_ANNOUNCEMENTS) {
+            pendingAnnouncements.add(new Announcement(prefixHash, upstream.key()));
         }
     }
 
     /**
-     * While a request waits for its quota, reports tell where it will likely go: the primary hears
-     * of it before the request is sent rather than with the next poll.
+     * Sets the load of the request that waits for its quota; reports include it, so that the
+     * primary knows of it before the request is sent rather than with the next poll.
      */
-    void intends(Supplier<UpstreamLoad> likely) {
-        intended = likely;
+    void setPendingLoad(Supplier<UpstreamLoad> supplier) {
+        pendingLoad = supplier;
     }
 
-    /** All that this balancer has to tell now. */
-    LoadReport report() {
+    /** Builds the next report. */
+    LoadReport createReport() {
         LoadReport report = new LoadReport();
         report.balancer = balancer;
         report.process = process;
@@ -84,42 +95,59 @@
         report.epoch = epoch;
         report.promptRevision = promptRevision;
         for (Upstream upstream : directory.all()) {
-            if (upstream.own() > 0) {
+            if (upstream.ownRequests() > 0) {
                 report.loads.add(loadOf(upstream));
             }
         }
-        UpstreamLoad next = intended.get();
-        if (next != null) {
-            report.loads.add(next);
+        UpstreamLoad pending = pendingLoad.get();
+        if (pending != null) {
+            report.loads.add(pending);
         }
-        waiting.stream()
-                .limit(MOST_ANNOUNCED)
-                .forEach(a -> report.prompts.add(CachedPrompt.of(a.prompt(), a.upstream())));
+        addAnnouncements(report);
         return report;
     }
 
     private static UpstreamLoad loadOf(Upstream upstream) {
-        long tokens = Math.min(Integer.MAX_VALUE, upstream.backlogTokens());
-        return UpstreamLoad.of(upstream.key(), upstream.own(), (int) tokens);
+        long tokens = Math.min(Integer.MAX_VALUE, upstream.pendingPromptTokens());
+        return UpstreamLoad.of(upstream.key(), upstream.ownRequests(), (int) tokens);
+    }
+
+    private void addAnnouncements(LoadReport report) {
+        int added = 0;
+        for (Announcement announcement : pendingAnnouncements) {
+            if (added == MAX_ANNOUNCEMENTS_PER_REPORT) {
+                return;
+            }
+            report.prompts.add(CachedPrompt.of(announcement.prefixHash(), announcement.upstream()));
+            added++;
+        }
     }
 
-    /** Takes the answer to a report; null says that nothing is known there. */
-    void take(LoadReport report, FleetLoads answer, long now) {
-        if (answer == null || answer.epoch < epoch) {
+    /**
+     * Takes the response to a report. One of a lower epoch is ignored.
+     *
+     * @param response null if the responder knows nothing of loads
+     */
+    void applyResponse(LoadReport report, FleetLoads response, long nowMs) {
+        if (response == null || response.epoch < epoch) {
             return;
         }
-        List<Announcement> arrived = new ArrayList<>();
-        report.prompts.forEach(k -> arrived.add(new Announcement(k.prompt, k.upstream)));
-        arrived.forEach(waiting::remove);
+        removeAcknowledged(report);
         promptRevision =
-                answer.epoch == epoch
-                        ? Math.max(promptRevision, answer.promptRevision)
-                        : answer.promptRevision;
-        epoch = answer.epoch;
-        directory.applyCachedPrompts(answer.prompts, now);
-        if (answer.known) {
-            heardAt = now;
-            directory.applyFleetLoads(answer.loads, now);
+                response.epoch == epoch
+                        ? Math.max(promptRevision, response.promptRevision)
+                        : response.promptRevision;
+        epoch = response.epoch;
+        directory.applyCachedPrompts(response.prompts, nowMs);
+        if (response.known) {
+            loadsReceivedAtMs = nowMs;
+            directory.applyFleetLoads(response.loads, nowMs);
+        }
+    }
+
+    private void removeAcknowledged(LoadReport report) {
+        for (CachedPrompt prompt : report.prompts) {
+            pendingAnnouncements.remove(new Announcement(prompt.prompt, prompt.upstream));
         }
     }
 }
--- a/src/main/java/myrtleladder/dataplane/HeaderNames.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderNames.java
@@ -1,77 +1,50 @@
 package myrtleladder.dataplane;
 
-import java.util.Set;
-import myrtleladder.io.Headers;
-
-/** The header fields of the deployments' protocol, and what of a message is passed on. */
+/** Header fields that requests and responses of the deployments carry. */
 final class HeaderNames {
-    static final String ATTEMPT = "Myrtleladder-Attempt-Id";
-    static final String DEADLINE = "Myrtleladder-Deadline-Ms";
-    static final String INSTANCE = "Myrtleladder-Expect-Instance";
+    /** Identity of a client's attempt; the upstream repeats it in its response. */
+    static final String ATTEMPT_ID = "Myrtleladder-Attempt-Id";
+
+    /** Milliseconds that are left until the requester gives up. */
+    static final String DEADLINE_MS = "Myrtleladder-Deadline-Ms";
+
+    /** Incarnation to which a request is addressed; another one answers 421. */
+    static final String EXPECT_INSTANCE = "Myrtleladder-Expect-Instance";
+
+    /** Name of the authenticated tenant, set by the balancer. */
     static final String TENANT = "Myrtleladder-Tenant";
-    static final String SIGNATURE = "Myrtleladder-Upstream-Signature";
+
+    /** Proof that an upstream made a response. */
+    static final String UPSTREAM_SIGNATURE = "Myrtleladder-Upstream-Signature";
+
+    /** Present in responses to requests that did not run. */
     static final String NOT_EXECUTED = "Myrtleladder-Not-Executed";
-    static final String LOAD = "Myrtleladder-Upstream-Load";
-    static final String USAGE = "Myrtleladder-Token-Usage";
-    static final String PREFIX = "Myrtleladder-Prompt-Prefix";
+
+    /** Running, waiting and total slots of the upstream, separated by commas. */
+    static final String UPSTREAM_LOAD = "Myrtleladder-Upstream-Load";
+
+    /** Prompt tokens and completion tokens of a request, separated by a comma. */
+    static final String TOKEN_USAGE = "Myrtleladder-Token-Usage";
+
+    /** Segments of a prompt in order, see {@link PromptSegments}. */
+    static final String PROMPT_PREFIX = "Myrtleladder-Prompt-Prefix";
+
+    /** Priority at a model upstream, the lowest number first; see {@link PrefillPriority}. */
     static final String PRIORITY = "Priority";
+
+    /** Version of the model weights that made a response. */
     static final String VERSIONS = "Versions";
+
+    /** Version of the model weights that a resumed response needs. */
     static final String EXPECT_VERSION = "Expect-Version";
-    static final String LAST_EVENT = "Last-Event-Id";
+
+    /** Identifier of the last event that the client has (server-sent events). */
+    static final String LAST_EVENT_ID = "Last-Event-Id";
+
     static final String AUTHORIZATION = "Authorization";
-    static final String RETRY_AFTER = "Retry-After";
 
-    private static final Set<String> OF_ONE_CONNECTION =
-            Set.of(
-                    "connection",
-                    "keep-alive",
-                    "te",
-                    "trailer",
-                    "transfer-encoding",
-                    "upgrade",
-                    "proxy-connection",
-                    "proxy-authenticate",
-                    "proxy-authorization",
-                    "content-length",
-                    "expect");
-    private static final Set<String> OF_THE_FLEET =
-            Set.of(
-                    "authorization",
-                    "myrtleladder-tenant",
-                    "myrtleladder-expect-instance",
-                    "priority",
-                    "expect-version",
-                    "myrtleladder-deadline-ms",
-                    "last-event-id");
+    /** Seconds with three decimals after which a retry makes sense. */
+    static final String RETRY_AFTER = "Retry-After";
 
     private HeaderNames() {}
-
-    /** What of a client's fields an upstream receives; the fleet's own are added by the caller. */
-    static Headers forUpstream(Headers client) {
-        Headers passed = passedOn(client);
-        OF_THE_FLEET.forEach(passed::remove);
-        return passed;
-    }
-
-    /** The fields that do not concern one connection alone. */
-    static Headers passedOn(Headers source) {
-        Headers passed = new Headers();
-        String named = source.get("Connection");
-        Set<String> ofThisOne =
-                named == null
-                        ? Set.of()
-                        : Set.of(
-                                java.util.Arrays.stream(named.toLowerCase().split(","))
-                                        .map(String::trim)
-                                        .distinct()
-                                        .toArray(String[]::new));
-        source.forEach(
-                (name, value) -> {
-                    String lower = name.toLowerCase();
-                    if (!OF_ONE_CONNECTION.contains(lower) && !ofThisOne.contains(lower)) {
-                        passed.add(name, value);
-                    }
-                });
-        return passed;
-    }
 }
--- a/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
+++ b/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
@@ -1,25 +1,37 @@
 package myrtleladder.dataplane;
 
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.Iterator;
-import java.util.Map;
 import myrtleladder.io.EventLoop;
 import myrtleladder.io.HttpConnection;
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
-/** HttpConnectionPool to upstreams, kept for later requests as long as the upstream keeps them. */
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.Map;
+
+/**
+ * HTTP/1.1 connections, kept idle for later requests as long as their upstreams keep them. Of idle
+ * ones the last used is acquired first. Confined to the event loop.
+ */
 final class HttpConnectionPool implements ConnectionPool {
-    private static final long LONGEST_REST = 4_000;
-    private static final long FRESH_REST = 1_200;
-    private static final long REST_MARGIN = 900;
-    private static final int MOST_IDLE = 24;
+    /** Longest time for which a connection is kept idle; chosen. */
+    private static final long MAX_IDLE_MS = 4_000;
+
+    /** Idle time up to which a connection counts as recently used; chosen. */
+    private static final long RECENTLY_USED_MS = 1_200;
+
+    /** How long before the upstream's own timeout an idle connection is closed; chosen. */
+    private static final long KEEP_ALIVE_MARGIN_MS = 900;
+
+    /** Most idle connections to one upstream; chosen. */
+    private static final int MAX_IDLE_CONNECTIONS = 24;
+
+    private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
 
     private final EventLoop loop;
-    private final Map<Upstream, ArrayDeque<Connection>> idle = new HashMap<>();
+    private final Map<Upstream, ArrayDeque<PooledHttpConnection>> idle = new HashMap<>();
     private final Map<Upstream, Integer> open = new HashMap<>();
-    private long opened;
 
     HttpConnectionPool(EventLoop loop) {
         this.loop = loop;
@@ -32,81 +44,103 @@
 
     @Override
     public int idleConnections(Upstream upstream) {
-        ArrayDeque<Connection> links = idle.get(upstream);
-        return links == null ? 0 : links.size();
-    }
-
-    long opened() {
-        return opened;
+        ArrayDeque<PooledHttpConnection> connections = idle.get(upstream);
+        return connections == null ? 0 : connections.size();
     }
 
     @Override
-    public PooledConnection use(
-            Upstream upstream, ResponseListener user, boolean recentlyUsedOnly) {
-        ArrayDeque<Connection> links = idle.computeIfAbsent(upstream, u -> new ArrayDeque<>());
-        long now = loop.now();
-        Connection link = links.pollLast();
-        while (link != null) {
-            long rest = now - link.restingSince;
-            if (link.connection.ready()
-                    && rest < (recentlyUsedOnly ? FRESH_REST : link.longestRest)) {
-                link.user = user;
-                user.ready(link);
-                return link;
-            }
-            link.close();
-            link = links.pollLast();
+    public PooledConnection acquire(
+            Upstream upstream, ResponseListener listener, boolean recentlyUsedOnly) {
+        PooledHttpConnection reused = pollIdle(upstream, recentlyUsedOnly);
+        if (reused != null) {
+            reused.listener = listener;
+            listener.onConnectionReady(reused);
+            return reused;
         }
-        Connection created = new Connection(upstream, user);
+        PooledHttpConnection created = new PooledHttpConnection(upstream, listener);
         open.merge(upstream, 1, Integer::sum);
-        opened++;
-        int colon = upstream.record().address.lastIndexOf(':');
-        created.connection =
-                HttpConnection.connect(
-                        loop,
-                        upstream.record().address.substring(0, colon),
-                        Integer.parseInt(upstream.record().address.substring(colon + 1)),
-                        created);
+        String address = upstream.record().address;
+        int colon = address.lastIndexOf(':');
+        String host = address.substring(0, colon);
+        int port = Integer.parseInt(address.substring(colon + 1));
+        created.connection = HttpConnection.connect(loop, host, port, created);
         return created;
     }
 
-    /**
-     * Closes connections at rest whose time is over, and those to upstreams that take no more
-     * requests.
-     */
+    /** The last used idle connection that may still be used, null if there is none. */
+    private PooledHttpConnection pollIdle(Upstream upstream, boolean recentlyUsedOnly) {
+        ArrayDeque<PooledHttpConnection> connections = idleQueue(upstream);
+        long nowMs = loop.now();
+        PooledHttpConnection connection = connections.pollLast();
+        while (connection != null) {
+            long maxIdleMs = recentlyUsedOnly ? RECENTLY_USED_MS : connection.maxIdleMs;
+            if (connection.canSend() && nowMs - connection.idleSinceMs < maxIdleMs) {
+                return connection;
+            }
+            connection.close();
+            connection = connections.pollLast();
+        }
+        return null;
+    }
+
+    private ArrayDeque<PooledHttpConnection> idleQueue(Upstream upstream) {
+        return idle.computeIfAbsent(upstream, key -> new ArrayDeque<>());
+    }
+
+    /** Closes connections that were idle for too long, and those to leaving upstreams. */
     @Override
     public void closeExpired() {
-        long now = loop.now();
-        for (ArrayDeque<Connection> links : idle.values()) {
-            Iterator<Connection> each = links.iterator();
-            while (each.hasNext()) {
-                Connection link = each.next();
-                if (now - link.restingSince >= link.longestRest
-                        || link.upstream.record().leaving()) {
-                    each.remove();
-                    link.close();
+        long nowMs = loop.now();
+        for (ArrayDeque<PooledHttpConnection> connections : idle.values()) {
+            Iterator<PooledHttpConnection> iterator = connections.iterator();
+            while (iterator.hasNext()) {
+                PooledHttpConnection connection = iterator.next();
+                boolean expired = nowMs - connection.idleSinceMs >= connection.maxIdleMs;
+                if (expired || connection.upstream.record().leaving()) {
+                    iterator.remove();
+                    connection.close();
                 }
             }
         }
-        idle.entrySet().removeIf(e -> e.getValue().isEmpty());
+        idle.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** One connection to an upstream. */
-    private final class Connection implements PooledConnection, HttpConnection.Listener {
+    /** How long a connection may be idle by the upstream's Keep-Alive field. */
+    private static long maxIdleMs(String keepAlive) {
+        for (String parameter : keepAlive.split(",")) {
+            String trimmed = parameter.trim();
+            if (trimmed.startsWith(KEEP_ALIVE_TIMEOUT)) {
+                return maxIdleMsOfTimeout(trimmed.substring(KEEP_ALIVE_TIMEOUT.length()));
+            }
+        }
+        return MAX_IDLE_MS;
+    }
+
+    private static long maxIdleMsOfTimeout(String seconds) {
+        try {
+            long timeoutMs = Long.parseLong(seconds) * 1_000;
+            return Math.min(MAX_IDLE_MS, Math.max(0, timeoutMs - KEEP_ALIVE_MARGIN_MS));
+        } catch (NumberFormatException e) {
+            return MAX_IDLE_MS;
+        }
+    }
+
+    /** One connection to an upstream; without a listener while it is idle or closed. */
+    private final class PooledHttpConnection implements PooledConnection, HttpConnection.Listener {
         private final Upstream upstream;
         private HttpConnection connection;
-        private ResponseListener user;
-        private long restingSince;
-        private long longestRest = LONGEST_REST;
-        private boolean counted = true;
+        private ResponseListener listener;
+        private long idleSinceMs;
+        private long maxIdleMs = MAX_IDLE_MS;
+        private boolean isCounted = true;
 
-        private Connection(Upstream upstream, ResponseListener user) {
+        private PooledHttpConnection(Upstream upstream, ResponseListener listener) {
             this.upstream = upstream;
-            this.user = user;
+            this.listener = listener;
         }
 
         @Override
-        public boolean ready() {
+        public boolean canSend() {
             return connection.ready();
         }
 
@@ -117,14 +151,14 @@
 
         @Override
         public void close() {
-            user = null;
+            listener = null;
             connection.close();
             uncount();
         }
 
         private void uncount() {
-            if (counted) {
-                counted = false;
+            if (isCounted) {
+                isCounted = false;
                 open.merge(upstream, -1, Integer::sum);
                 open.remove(upstream, 0);
             }
@@ -132,8 +166,8 @@
 
         @Override
         public void connected() {
-            if (user != null) {
-                user.ready(this);
+            if (listener != null) {
+                listener.onConnectionReady(this);
             }
         }
 
@@ -141,64 +175,50 @@
         public void head(ResponseHead head) {
             String keepAlive = head.headers().get("Keep-Alive");
             if (keepAlive != null) {
-                longestRest = restOf(keepAlive);
+                maxIdleMs = maxIdleMs(keepAlive);
             }
-            if (user != null) {
-                user.head(head);
-            }
-        }
-
-        private long restOf(String keepAlive) {
-            for (String part : keepAlive.split(",")) {
-                String field = part.trim();
-                if (field.startsWith("timeout=")) {
-                    try {
-                        long told = Long.parseLong(field.substring("timeout=".length())) * 1_000;
-                        return Math.min(LONGEST_REST, Math.max(0, told - REST_MARGIN));
-                    } catch (NumberFormatException e) {
-                        return LONGEST_REST;
-                    }
-                }
+            if (listener != null) {
+                listener.onResponseHead(head);
             }
-            return LONGEST_REST;
         }
 
         @Override
         public void body(byte[] bytes) {
-            if (user != null) {
-                user.body(bytes);
+            if (listener != null) {
+                listener.onResponseBody(bytes);
             }
         }
 
         @Override
         public void end(boolean reusable) {
-            ResponseListener ended = user;
-            user = null;
-            if (reusable && !upstream.record().leaving() && idleConnections(upstream) < MOST_IDLE) {
-                restingSince = loop.now();
-                idle.computeIfAbsent(upstream, u -> new ArrayDeque<>()).addLast(this);
+            ResponseListener completed = listener;
+            listener = null;
+            boolean hasRoom = idleConnections(upstream) < MAX_IDLE_CONNECTIONS;
+            if (reusable && !upstream.record().leaving() && hasRoom) {
+                idleSinceMs = loop.now();
+                idleQueue(upstream).addLast(this);
             } else {
                 connection.close();
                 uncount();
             }
-            if (ended != null) {
-                ended.end();
+            if (completed != null) {
+                completed.onResponseComplete();
             }
         }
 
         @Override
         public void closed(boolean everConnected) {
             uncount();
-            ArrayDeque<Connection> links = idle.get(upstream);
-            if (links != null) {
-                links.remove(this);
+            ArrayDeque<PooledHttpConnection> connections = idle.get(upstream);
+            if (connections != null) {
+                connections.remove(this);
             }
-            ResponseListener broken = user;
-            user = null;
-            if (broken != null && everConnected) {
-                broken.broken();
-            } else if (broken != null) {
-                broken.refused();
+            ResponseListener interrupted = listener;
+            listener = null;
+            if (interrupted != null && everConnected) {
+                interrupted.onConnectionLost();
+            } else if (interrupted != null) {
+                interrupted.onConnectFailed();
             }
         }
     }
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -1,7 +1,5 @@
 package myrtleladder.dataplane;
 
-import java.util.List;
-import java.util.concurrent.CountDownLatch;
 import myrtleladder.configuration.ClientLimits;
 import myrtleladder.heartbeat.MembershipAgent;
 import myrtleladder.io.EventLoop;
@@ -13,33 +11,54 @@
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.BalancerHeartbeat;
+import myrtleladder.protocol.Message;
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.PeerClient;
 import myrtleladder.signal.Signals;
+
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The data plane's program. */
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.function.Consumer;
+
+/**
+ * The data plane's program: wires the components, and drains them at the end. All but {@link #main}
+ * and {@link #serve} is confined to the event loop.
+ */
 public final class Main {
     private static final Logger LOG = LogManager.getLogger(Main.class);
     private static final byte[] NO_BYTES = {};
-    private static final long IDLE_CHECK = 500;
-    private static final long REST_MARGIN = 1_000;
-    private static final long STILL_ACCEPTING = 2_500;
-    private static final long GRACE_MARGIN = 700;
-    private static final long DRAIN_CHECK = 50;
-    private static final long LAST_BYTES = 150;
+
+    /** Interval at which idle and slow client connections are looked for; chosen. */
+    private static final long IDLE_CHECK_INTERVAL_MS = 500;
+
+    /** Time beyond a client connection's announced timeouts before it is closed; chosen. */
+    private static final long CLIENT_TIMEOUT_MARGIN_MS = 1_000;
+
+    /** Time after SIGTERM for which new requests are still accepted; chosen. */
+    private static final long ACCEPT_WHILE_DRAINING_MS = 2_500;
+
+    /** How long before the end of the grace period the process ends; chosen. */
+    private static final long GRACE_MARGIN_MS = 700;
+
+    /** Interval at which the end of draining is looked for; chosen. */
+    private static final long DRAIN_CHECK_INTERVAL_MS = 50;
+
+    /** Time without requests in flight in which the last bytes reach clients; chosen. */
+    private static final long LAST_BYTES_MS = 150;
 
     private final NodeSettings settings;
     private final EventLoop loop;
     private final int internalPort;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private RequestRouter router;
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private DataPlane dataPlane;
     private ControlPoller poller;
-    private HttpServer front;
-    private long longestIdle;
-    private boolean draining;
-    private long quietSince;
+    private HttpServer frontend;
+    private long longestIdleTimeoutMs;
+    private boolean isDraining;
+    private long idleSinceMs;
 
     private Main(NodeSettings settings, int internalPort, EventLoop loop) {
         this.settings = settings;
@@ -47,36 +66,37 @@
         this.loop = loop;
     }
 
-    /** Begins to serve on a loop that runs; called on the loop. */
-    static void beginOn(NodeSettings settings, int internalPort, EventLoop loop) {
-        new Main(settings, internalPort, loop).begin();
-    }
-
-    /** Runs the program; see {@link DataCommand} for its words. */
+    /** Runs the program; see {@link DataCommand} for its arguments. */
     public static void main(String[] arguments) {
         System.exit(DataCommand.run(arguments));
     }
 
-    /** Serves until SIGTERM and the end of what is under way. */
+    /** Serves until SIGTERM and the end of requests in flight; does not return normally. */
     static void serve(NodeSettings settings)
             throws InterruptedException, ReflectiveOperationException {
         Main main = new Main(settings, settings.firstPort(), new EventLoop());
         main.loop.start();
-        main.loop.execute(main::begin);
+        main.loop.execute(main::start);
         Signals.on("TERM", () -> main.loop.execute(main::drain));
-        Signals.on("HUP", () -> main.loop.execute(main::readSeeds));
-        main.ended.await();
+        Signals.on("HUP", () -> main.loop.execute(main::reloadSeeds));
+        main.terminated.await();
         Runtime.getRuntime().halt(0);
     }
 
-    private void begin() {
+    /** Starts to serve on a running loop; called on the loop. */
+    static void startOn(NodeSettings settings, int internalPort, EventLoop loop) {
+        new Main(settings, internalPort, loop).start();
+    }
+
+    private void start() {
         NodeSettings.Bounds bounds = settings.bounds();
-        router =
-                new RequestRouter(
+        dataPlane =
+                new DataPlane(
                         loop,
                         new HttpConnectionPool(loop),
                         new RetryBudget(bounds.budgetRatio(), bounds.budgetSlack()),
-                        (ask, timeout, answer) -> poller.ask(ask, timeout, answer),
+                        (request, timeoutMs, callback) ->
+                                poller.requestQuota(request, timeoutMs, callback),
                         System.nanoTime());
         PeerClient peers = new PeerClient(loop);
         MembershipAgent agent = new MembershipAgent(loop, peers, settings.nodeName());
@@ -84,93 +104,104 @@
                 new ControlPoller(
                         loop,
                         peers,
-                        router,
+                        dataPlane,
                         settings.nodeName(),
                         settings.ip() + ":" + internalPort,
                         agent,
-                        this::seedsNow);
+                        this::readSeeds);
+        startServers(agent);
+        dataPlane.start();
+        poller.start();
+        checkIdleConnections();
+        LOG.info("balancer {} at {}", settings.nodeName(), settings.frontend());
+    }
+
+    private void startServers(MembershipAgent agent) {
         new MessageServer(
                 loop,
                 settings.ip(),
                 internalPort,
-                (message, answer) -> {
-                    if (message instanceof BalancerHeartbeat alive) {
-                        agent.heard(alive);
-                    }
-                    answer.accept(
-                            AcknowledgeResponse.of(message instanceof BalancerHeartbeat, 0, null));
-                });
+                (message, callback) -> messageReceived(agent, message, callback));
         agent.start();
-        new HttpServer(
-                loop, settings.readiness().host(), settings.readiness().port(), this::readiness);
-        front =
-                new HttpServer(
-                        loop,
-                        settings.frontend().host(),
-                        settings.frontend().port(),
-                        router::handle);
-        router.start();
-        poller.start();
-        checkIdle();
-        LOG.info("balancer {} at {}", settings.nodeName(), settings.frontend());
+        Address readiness = settings.readiness();
+        new HttpServer(loop, readiness.host(), readiness.port(), this::answerReadiness);
+        Address clients = settings.frontend();
+        frontend = new HttpServer(loop, clients.host(), clients.port(), dataPlane.router()::handle);
+    }
+
+    private static void messageReceived(
+            MembershipAgent agent, Message message, Consumer<Message> callback) {
+        boolean isHeartbeat = message instanceof BalancerHeartbeat;
+        if (message instanceof BalancerHeartbeat heartbeat) {
+            agent.heard(heartbeat);
+        }
+        callback.accept(AcknowledgeResponse.of(isHeartbeat, 0, null));
     }
 
-    /** The seeds as the settings file has them now: it may change with no signal. */
-    private List<String> seedsNow() {
+    /** The seeds of the settings file, which may change without a signal. */
+    private List<String> readSeeds() {
         List<Address> seeds = settings.seeds();
         try {
             seeds = NodeSettings.fromEnvironment().seeds();
         } catch (SystemException e) {
             LOG.warn("the settings file is left: {}", e.getMessage());
         }
-        return seeds.stream().map(s -> s.host() + ":" + settings.firstPort()).toList();
+        return seeds.stream().map(seed -> seed.host() + ":" + settings.firstPort()).toList();
     }
 
-    private void readSeeds() {
-        poller.readSeeds();
+    private void reloadSeeds() {
+        poller.reloadSeeds();
     }
 
-    private void readiness(ServerExchange exchange) {
-        boolean ready = poller.ready() && !draining;
-        exchange.respond(ready ? 200 : 503, new Headers(), NO_BYTES);
+    private void answerReadiness(ServerExchange exchange) {
+        boolean isReady = poller.isReady() && !isDraining;
+        exchange.respond(isReady ? 200 : 503, new Headers(), NO_BYTES);
     }
 
-    private void checkIdle() {
-        loop.schedule(IDLE_CHECK, this::checkIdle);
-        if (router.configuration() == null) {
+    private void checkIdleConnections() {
+        loop.schedule(IDLE_CHECK_INTERVAL_MS, this::checkIdleConnections);
+        if (dataPlane.configuration() == null) {
             return;
         }
-        ClientLimits limits = router.configuration().limits();
-        // A client rests by what it was told last; a bound that became shorter holds for later
-        // answers.
-        longestIdle = Math.max(longestIdle, limits.idleTimeoutMs());
-        front.limitBody(limits.maxBodyBytes());
-        front.closeIdle(longestIdle + REST_MARGIN, limits.headerTimeoutMs() + REST_MARGIN);
+        ClientLimits limits = dataPlane.configuration().limits();
+        // Clients keep connections by the timeout that they received last, so the longest holds.
+        longestIdleTimeoutMs = Math.max(longestIdleTimeoutMs, limits.idleTimeoutMs());
+        frontend.limitBody(limits.maxBodyBytes());
+        frontend.closeIdle(
+                longestIdleTimeoutMs + CLIENT_TIMEOUT_MARGIN_MS,
+                limits.headerTimeoutMs() + CLIENT_TIMEOUT_MARGIN_MS);
     }
 
     private void drain() {
-        if (draining) {
+        if (isDraining) {
             return;
         }
-        draining = true;
-        LOG.info("draining with {} under way", router.inFlightRequests());
-        long now = loop.now();
-        poller.leave();
-        front.closeGracefully();
-        awaitEnd(now + STILL_ACCEPTING, now + settings.bounds().graceMs() - GRACE_MARGIN);
+        isDraining = true;
+        LOG.info("draining with {} under way", dataPlane.activeRequests().size());
+        long nowMs = loop.now();
+        poller.announceLeaving();
+        frontend.closeGracefully();
+        awaitTermination(
+                nowMs + ACCEPT_WHILE_DRAINING_MS,
+                nowMs + settings.bounds().graceMs() - GRACE_MARGIN_MS);
     }
 
-    private void awaitEnd(long earliest, long latest) {
-        long now = loop.now();
-        quietSince = front.unanswered() > 0 ? now : quietSince;
-        if (now >= earliest) {
-            router.rejectNewRequests();
+    /** Ends the process once no request was in flight for a moment, between two points in time. */
+    private void awaitTermination(long earliestMs, long latestMs) {
+        long nowMs = loop.now();
+        if (frontend.unanswered() > 0) {
+            idleSinceMs = nowMs;
+        }
+        if (nowMs >= earliestMs) {
+            dataPlane.router().rejectNewRequests();
         }
-        if (now >= latest || now >= earliest && now - quietSince >= LAST_BYTES) {
-            LOG.info("ends with {} under way; {}", router.inFlightRequests(), router.counters());
-            ended.countDown();
+        boolean isIdle = nowMs - idleSinceMs >= LAST_BYTES_MS;
+        if (nowMs >= latestMs || nowMs >= earliestMs && isIdle) {
+            int inFlight = dataPlane.activeRequests().size();
+            LOG.info("ends with {} under way; {}", inFlight, dataPlane.counters());
+            terminated.countDown();
             return;
         }
-        loop.schedule(DRAIN_CHECK, () -> awaitEnd(earliest, latest));
+        loop.schedule(DRAIN_CHECK_INTERVAL_MS, () -> awaitTermination(earliestMs, latestMs));
     }
 }
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
@@ -4,79 +4,97 @@
 import java.util.Map;
 
 /**
- * What parts of prompts an upstream was sent lately, as far as its memory reaches: by this balancer
- * part by part, by others as far as they told it.
+ * Models which prompt prefixes an upstream caches: by the segments that this balancer sent there,
+ * as far as the upstream's memory reaches, and by the prefixes that balancers announced. Confined
+ * to the event loop; belongs to one {@link Upstream}.
  */
 final class PrefixCacheModel {
-    private static final long KEPT = 90_000;
-    private static final int MOST_TOLD = 4_096;
+    /** Time for which a prefix is thought to stay cached; chosen. */
+    private static final long CACHE_TTL_MS = 90_000;
 
-    private final LinkedHashMap<Long, Kept> parts = new LinkedHashMap<>(64, 0.75f, true);
-    private final LinkedHashMap<Long, Long> told = new LinkedHashMap<>();
-    private final long mostTokens;
-    private long tokens;
+    /** Most announced prefixes that are remembered, the newest; chosen. */
+    private static final int MAX_ANNOUNCED = 4_096;
 
-    private record Kept(int tokens, long at) {}
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
-    PrefixCacheModel(long mostTokens) {
-        this.mostTokens = mostTokens;
+    /** Segments by the hash of the prefix that they end, least recently used first. */
+    private final LinkedHashMap<Long, Segment> sent = new LinkedHashMap<>(64, 0.75f, true);
+
+    /** Times by prefix hash, the oldest first. */
+    private final LinkedHashMap<Long, Long> announced = new LinkedHashMap<>();
+
+    private final long capacityTokens;
+    private long sentTokens;
+
+    private record Segment(int tokens, long sentAtMs) {}
+
+    /** Creates an empty model of a cache for so many tokens. */
+    PrefixCacheModel(long capacityTokens) {
+        this.capacityTokens = capacityTokens;
     }
 
-    void sent(PromptSegments prompt, long now) {
-        for (int i = 0; i < prompt.chain().length; i++) {
-            Kept before = parts.put(prompt.chain()[i], new Kept(prompt.tokens()[i], now));
-            tokens += prompt.tokens()[i] - (before == null ? 0 : before.tokens());
+    /** Records that the upstream has read a prompt; the least recently used segments give way. */
+    void recordSent(PromptSegments prompt, long nowMs) {
+        for (int i = 0; i < prompt.count(); i++) {
+            Segment segment = new Segment(prompt.tokens(i), nowMs);
+            Segment before = sent.put(prompt.prefixHash(i), segment);
+            sentTokens += segment.tokens() - (before == null ? 0 : before.tokens());
         }
-        while (tokens > mostTokens && !parts.isEmpty()) {
-            Map.Entry<Long, Kept> oldest = parts.entrySet().iterator().next();
-            tokens -= oldest.getValue().tokens();
-            parts.remove(oldest.getKey());
+        while (sentTokens > capacityTokens && !sent.isEmpty()) {
+            Map.Entry<Long, Segment> oldest = sent.entrySet().iterator().next();
+            sentTokens -= oldest.getValue().tokens();
+            sent.remove(oldest.getKey());
         }
     }
 
-    /** Somebody sent a prompt that begins so. */
-    void told(long beginning, long now) {
-        told.remove(beginning); // the newest stand last
-        told.put(beginning, now);
-        while (told.size() > MOST_TOLD) {
-            told.remove(told.keySet().iterator().next());
+    /** Records that a balancer announced a prefix. */
+    void recordAnnounced(long prefixHash, long nowMs) {
+        announced.remove(prefixHash); // so that it moves to the end of the order
+        announced.put(prefixHash, nowMs);
+        while (announced.size() > MAX_ANNOUNCED) {
+            announced.remove(announced.keySet().iterator().next());
         }
     }
 
-    /** When a prompt that begins so was told last, at the latest by this balancer. */
-    long lastAnnouncedAtMs(long beginning) {
-        return told.getOrDefault(beginning, Long.MIN_VALUE / 2);
+    /** When a prefix was announced last, by this balancer or another; far in the past if never. */
+    long lastAnnouncedAtMs(long prefixHash) {
+        return announced.getOrDefault(prefixHash, NEVER);
     }
 
-    /** Tokens of the prompt that need not be read again. */
-    int kept(PromptSegments prompt, long now) {
-        return Math.max(keptOfOwn(prompt, now), keptAsTold(prompt, now));
+    /** Tokens of the prompt that the upstream need not read again. */
+    int cachedTokens(PromptSegments prompt, long nowMs) {
+        return Math.max(sentTokensOf(prompt, nowMs), announcedTokensOf(prompt, nowMs));
     }
 
-    private int keptAsTold(PromptSegments prompt, long now) {
-        int sum = 0;
-        int most = 0;
-        for (int i = 0; i < prompt.chain().length; i++) {
-            sum += prompt.tokens()[i];
-            most = now - lastAnnouncedAtMs(prompt.chain()[i]) <= KEPT ? sum : most;
+    /** Tokens of the longest announced prefix; its segments need no announcements of their own. */
+    private int announcedTokensOf(PromptSegments prompt, long nowMs) {
+        int prefixTokens = 0;
+        int cachedTokens = 0;
+        for (int i = 0; i < prompt.count(); i++) {
+            prefixTokens += prompt.tokens(i);
+            if (nowMs - lastAnnouncedAtMs(prompt.prefixHash(i)) <= CACHE_TTL_MS) {
+                cachedTokens = prefixTokens;
+            }
         }
-        return most;
+        return cachedTokens;
     }
 
-    private int keptOfOwn(PromptSegments prompt, long now) {
-        int sum = 0;
-        for (int i = 0; i < prompt.chain().length; i++) {
-            Kept part = parts.get(prompt.chain()[i]);
-            if (part == null || now - part.at() > KEPT) {
+    /** Tokens of the leading segments that were sent and are still cached. */
+    private int sentTokensOf(PromptSegments prompt, long nowMs) {
+        int cachedTokens = 0;
+        for (int i = 0; i < prompt.count(); i++) {
+            Segment segment = sent.get(prompt.prefixHash(i));
+            if (segment == null || nowMs - segment.sentAtMs() > CACHE_TTL_MS) {
                 break;
             }
-            sum += prompt.tokens()[i];
+            cachedTokens += prompt.tokens(i);
         }
-        return sum;
+        return cachedTokens;
     }
 
-    void clear() {
-        parts.clear();
-        tokens = 0;
+    /** Forgets what this balancer sent; announced prefixes stay. */
+    void clearSent() {
+        sent.clear();
+        sentTokens = 0;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/PromptSegments.java
+++ b/src/main/java/myrtleladder/dataplane/PromptSegments.java
@@ -4,59 +4,87 @@
 import java.util.List;
 
 /**
- * The parts of a prompt as a request lists them, in order. {@code chain} has, for each part, a hash
- * of it and all parts before it: an upstream can use what it keeps of a part only if it keeps all
- * before it.
+ * The segments of a prompt in order, as the header field {@link HeaderNames#PROMPT_PREFIX} lists
+ * them. Each is identified by the hash of the prefix that it ends, which is all segments up to it:
+ * an upstream can use a cached segment only if all before it are cached too. Callers must not
+ * change the arrays.
+ *
+ * @param prefixHashes for each segment the hash of the prefix that it ends
+ * @param segmentTokens for each segment its number of tokens
  */
-record PromptSegments(long[] chain, int[] tokens) {
+record PromptSegments(long[] prefixHashes, int[] segmentTokens) {
+    /** A prompt without segments, as of requests to services without a model. */
     static final PromptSegments NONE = new PromptSegments(new long[0], new int[0]);
 
-    /** Reads ID:TOKENS separated by commas; what can't be read ends the list. */
+    /** Reads ID:TOKENS separated by commas; what cannot be read ends the list. */
     static PromptSegments parse(String text) {
         if (text == null || text.isEmpty()) {
             return NONE;
         }
-        List<long[]> parts = new ArrayList<>();
-        long hash = 0;
-        for (String part : text.split(",")) {
-            int colon = part.indexOf(':');
+        List<long[]> hashesAndTokens = new ArrayList<>();
+        long prefixHash = 0;
+        for (String segment : text.split(",")) {
+            int colon = segment.indexOf(':');
             if (colon <= 0) {
                 break;
             }
             int tokens;
             try {
-                tokens = Integer.parseInt(part.substring(colon + 1).trim());
+                tokens = Integer.parseInt(segment.substring(colon + 1).trim());
             } catch (NumberFormatException e) {
                 break;
             }
-            hash = StableHash.mix(hash ^ StableHash.of(part.substring(0, colon).trim()));
-            parts.add(new long[] {hash, Math.max(0, tokens)});
+            String id = segment.substring(0, colon).trim();
+            prefixHash = StableHash.mix(prefixHash ^ StableHash.of(id));
+            hashesAndTokens.add(new long[] {prefixHash, Math.max(0, tokens)});
         }
-        long[] chain = new long[parts.size()];
-        int[] tokens = new int[parts.size()];
-        for (int i = 0; i < chain.length; i++) {
-            chain[i] = parts.get(i)[0];
-            tokens[i] = (int) parts.get(i)[1];
+        return of(hashesAndTokens);
+    }
+
+    private static PromptSegments of(List<long[]> hashesAndTokens) {
+        long[] prefixHashes = new long[hashesAndTokens.size()];
+        int[] segmentTokens = new int[hashesAndTokens.size()];
+        for (int i = 0; i < prefixHashes.length; i++) {
+            prefixHashes[i] = hashesAndTokens.get(i)[0];
+            segmentTokens[i] = (int) hashesAndTokens.get(i)[1];
         }
-        return new PromptSegments(chain, tokens);
+        return new PromptSegments(prefixHashes, segmentTokens);
+    }
+
+    /** The number of segments. */
+    int count() {
+        return prefixHashes.length;
+    }
+
+    /** The hash of the prefix that a segment ends. */
+    long prefixHash(int index) {
+        return prefixHashes[index];
+    }
+
+    /** Tokens of one segment. */
+    int tokens(int index) {
+        return segmentTokens[index];
     }
 
-    /** Tokens of all parts. */
-    int total() {
+    /** Tokens of all segments. */
+    int totalTokens() {
         int sum = 0;
-        for (int part : tokens) {
-            sum += part;
+        for (int tokens : segmentTokens) {
+            sum += tokens;
         }
         return sum;
     }
 
-    /** Tokens of all parts but the last, which no other subject or session has. */
-    int shared() {
-        return tokens.length == 0 ? 0 : total() - tokens[tokens.length - 1];
+    /** Tokens of the shared prefix. */
+    int sharedTokens() {
+        return count() == 0 ? 0 : totalTokens() - segmentTokens[count() - 1];
     }
 
-    /** What requests of one subject or session have in common: all parts but the last. */
-    long subject() {
-        return chain.length == 0 ? 0 : chain[Math.max(0, chain.length - 2)];
+    /**
+     * The hash of the shared prefix, which requests of one subject or session have in common: all
+     * segments but the last, or the only one; 0 without segments.
+     */
+    long sharedPrefixHash() {
+        return count() == 0 ? 0 : prefixHashes[Math.max(0, count() - 2)];
     }
 }
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -1,442 +1,463 @@
 package myrtleladder.dataplane;
 
-import java.io.ByteArrayOutputStream;
-import java.util.HashSet;
-import java.util.Set;
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
 import myrtleladder.configuration.Tenant;
+import myrtleladder.dataplane.RequestCounters.Event;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 import myrtleladder.io.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 
+import java.util.HashSet;
+import java.util.Set;
+
 /**
- * A client's request from its arrival to its one final answer, over as many upstreams as that
- * takes.
+ * A client's request from its admission to its one final response, over as many upstreams as that
+ * takes: admission, pick, attempt, then response, retry or rejection.
+ *
+ * <p>Invariants: at most one attempt is current, and events of others are ignored; in {@link
+ * State#COMPLETED} there is none and nothing more is sent to the client. A response that says that
+ * the request did not run (503) is given only if no attempt can have run it.
+ *
+ * <p>Confined to the event loop. {@link RequestRouter} starts it, {@link ActiveRequests} checks its
+ * timeouts, its attempts and the client's connection call back.
  */
 final class ProxiedRequest implements Attempt.Listener {
-    private static final byte[] NO_BYTES = {};
-    private static final long MARGIN = 40;
-    private static final int MOST_UNSENT = 4;
-    private static final int MOST_BODY = 4 * 1_024 * 1_024;
-    private static final long MODEL_SILENCE = 700;
-    private static final long PLAIN_SILENCE = 400;
-    private static final double SILENT_TIMES = 6;
-    private static final int MISDIRECTED = 421;
-    private static final int PRIORITY_STEP = 3;
-    private static final int LAST_PRIORITY = 9;
+    /** How long before the deadline a request ends, so that its answer arrives in time; chosen. */
+    private static final long DEADLINE_MARGIN_MS = 40;
+
+    /** Failures to connect after which a request is given up; chosen. */
+    private static final int MAX_UNSENT_ATTEMPTS = 4;
+
+    /** Misdirected Request: the upstream is not the expected incarnation (RFC 9110, 15.5.20). */
+    private static final int MISDIRECTED_REQUEST = 421;
+
+    private static final int BAD_REQUEST = 400;
+    private static final int BAD_GATEWAY = 502;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
 
     private enum State {
-        PLACING,
-        AWAITING,
-        STREAMING,
-        DONE
+        /** No attempt was made yet. */
+        PICKING_UPSTREAM,
+        /** An attempt was made; the client has received nothing. */
+        AWAITING_RESPONSE,
+        /** The client has received a head and events; other upstreams may resume the stream. */
+        STREAMING_RESPONSE,
+        /** The final response was given, or the client has left. */
+        COMPLETED
     }
 
-    private final RequestRouter router;
+    private final DataPlane dataPlane;
     private final ServerExchange client;
     private final Route route;
     private final Service service;
     private final Tenant tenant;
-    private final double cost;
+    private final double quotaCost;
     private final PromptSegments prompt;
     private final String attemptId;
-    private final long arrivedAt;
-    private final long deadlineAt;
-    private final Set<Upstream> tried = new HashSet<>();
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
-    private State state = State.PLACING;
+    private final long deadlineAtMs;
+    private final ResponseAssembler response;
+    private final Set<Upstream> triedUpstreams = new HashSet<>();
+    private State state = State.PICKING_UPSTREAM;
     private Attempt current;
-    private ResponseHead answer;
-    private ServerSentEventSplitter splitter;
     private boolean mayHaveRun;
-    private int sends;
-    private int unsent;
-    private long lastEvent;
-    private boolean anyEvent;
-    private long weights = InstanceRecord.UNKNOWN_WEIGHTS;
+    private int responses;
+    private int unsentAttempts;
 
+    /**
+     * Creates the request.
+     *
+     * @param tenant null on routes that need none
+     * @param quotaCost what the tenant's quota was charged, refunded if the request does not run
+     */
     ProxiedRequest(
-            RequestRouter router,
+            DataPlane dataPlane,
             ServerExchange client,
             Route route,
             Service service,
             Tenant tenant,
-            double cost) {
-        this.router = router;
+            double quotaCost) {
+        this.dataPlane = dataPlane;
         this.client = client;
         this.route = route;
         this.service = service;
         this.tenant = tenant;
-        this.cost = cost;
+        this.quotaCost = quotaCost;
         Headers headers = client.head().headers();
-        this.prompt = PromptSegments.parse(headers.get(HeaderNames.PREFIX));
-        this.attemptId = headers.get(HeaderNames.ATTEMPT);
-        this.arrivedAt = router.now();
-        long patience =
-                Math.min(
-                        headers.number(HeaderNames.DEADLINE, route.timeoutMs()), route.timeoutMs());
-        this.deadlineAt = arrivedAt + patience;
-        this.lastEvent = headers.number(HeaderNames.LAST_EVENT, ServerSentEventSplitter.NO_ID);
-        client.onGone(this::clientGone);
+        this.prompt = PromptSegments.parse(headers.get(HeaderNames.PROMPT_PREFIX));
+        this.attemptId = headers.get(HeaderNames.ATTEMPT_ID);
+        long clientTimeoutMs = headers.number(HeaderNames.DEADLINE_MS, route.timeoutMs());
+        this.deadlineAtMs = dataPlane.nowMs() + Math.min(clientTimeoutMs, route.timeoutMs());
+        long lastEventId = headers.number(HeaderNames.LAST_EVENT_ID, ServerSentEventSplitter.NO_ID);
+        this.response = new ResponseAssembler(client, lastEventId);
+        client.onGone(this::clientDisconnected);
     }
 
-    private void become(State next) {
+    private void transitionTo(State next) {
         state = next;
-        if (next == State.DONE) {
-            router.ended(this);
+        if (next == State.COMPLETED) {
+            dataPlane.activeRequests().remove(this);
         }
     }
 
-    // ---- Placing
-    // -------------------------------------------------------------------------------------
+    /** Makes the first attempt or answers at once; called once. */
+    void start() {
+        tryNextUpstream();
+    }
 
-    /** Sends the request to an upstream, or answers at once if none can take it. */
-    void place() {
-        long now = router.now();
-        if (now >= deadlineAt - MARGIN) {
+    /** Sends the request to an upstream that was not tried yet, or ends it if none can take it. */
+    private void tryNextUpstream() {
+        long nowMs = dataPlane.nowMs();
+        if (isDeadlineReached(nowMs)) {
             giveUp();
             return;
         }
-        UpstreamPicker.Pick pick =
-                router.placement().pick(service, prompt, tried, begunWith(), now);
+        PickResult pick =
+                dataPlane.picker().pick(service, prompt, triedUpstreams, weightsToResume(), nowMs);
         if (pick == null) {
-            router.count(RequestCounters.Event.NO_UPSTREAM);
+            count(Event.NO_UPSTREAM);
             giveUp();
             return;
         }
-        if (sends == 0 && unsent == 0) {
-            long wait =
-                    router.admission().retryAfterMs(route, service, pick, deadlineAt - now, tenant);
-            if (wait > 0) {
-                router.count(RequestCounters.Event.REFUSED);
-                refuse(wait);
+        if (isFirstAttempt()) {
+            long retryAfterMs =
+                    dataPlane.admission().retryAfterMs(route, service, pick, deadlineAtMs - nowMs);
+            if (retryAfterMs > 0) {
+                count(Event.NOT_ADMITTED);
+                reject(retryAfterMs);
                 return;
             }
         }
-        send(pick, now);
+        sendTo(pick, nowMs);
+    }
+
+    private boolean isFirstAttempt() {
+        return responses == 0 && unsentAttempts == 0;
+    }
+
+    private boolean isDeadlineReached(long nowMs) {
+        return nowMs >= deadlineAtMs - DEADLINE_MARGIN_MS;
     }
 
-    private void send(UpstreamPicker.Pick pick, long now) {
-        become(state == State.STREAMING ? State.STREAMING : State.AWAITING);
+    private void sendTo(PickResult pick, long nowMs) {
+        if (state == State.PICKING_UPSTREAM) {
+            transitionTo(State.AWAITING_RESPONSE);
+        }
         Upstream upstream = pick.upstream();
-        tried.add(upstream);
-        double readingMs = pick.tokensToRead() * router.placement().speed().msPerToken();
-        splitter = new ServerSentEventSplitter();
-        whole.reset();
+        triedUpstreams.add(upstream);
+        double prefillMs = pick.promptTokens() * dataPlane.prefillTime().msPerToken();
+        response.startAttempt();
         RequestHead head =
                 new RequestHead(
                         client.head().method(),
                         client.head().target(),
-                        headers(upstream, readingMs, now));
-        if (router.placement().worthKeeping(prompt)) {
-            router.fleet().sent(prompt, upstream, now);
+                        upstreamHeaders(upstream, prefillMs, nowMs));
+        if (dataPlane.picker().isWorthAnnouncing(prompt)) {
+            dataPlane.fleetLoads().promptSent(prompt, upstream, nowMs);
         }
-        current = new Attempt(pick, head, client.body(), router.scheduler(), this);
-        current.start(router.connections(), !route.repeatable());
+        current = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
+        current.start(dataPlane.connections(), !route.repeatable());
     }
 
-    private Headers headers(Upstream upstream, double readingMs, long now) {
-        Headers headers = HeaderNames.forUpstream(client.head().headers());
-        headers.add(HeaderNames.DEADLINE, Long.toString(Math.max(1, deadlineAt - now)));
-        headers.add(HeaderNames.INSTANCE, upstream.record().id);
-        if (lastEvent != ServerSentEventSplitter.NO_ID) {
-            headers.add(HeaderNames.LAST_EVENT, Long.toString(lastEvent));
+    private Headers upstreamHeaders(Upstream upstream, double prefillMs, long nowMs) {
+        Headers headers = HeaderForwarding.toUpstream(client.head().headers());
+        long remainingMs = Math.max(1, deadlineAtMs - nowMs);
+        headers.add(HeaderNames.DEADLINE_MS, Long.toString(remainingMs));
+        headers.add(HeaderNames.EXPECT_INSTANCE, upstream.record().id);
+        if (response.lastEventId() != ServerSentEventSplitter.NO_ID) {
+            headers.add(HeaderNames.LAST_EVENT_ID, Long.toString(response.lastEventId()));
         }
-        if (sameWeights(upstream)) {
-            headers.add(HeaderNames.EXPECT_VERSION, Long.toString(weights));
+        if (hasWeightsToResume(upstream)) {
+            headers.add(HeaderNames.EXPECT_VERSION, Long.toString(response.weights()));
         }
-        int before = tenant == null ? 0 : tenant.priority() * PRIORITY_STEP;
         if (tenant != null) {
             headers.add(HeaderNames.TENANT, tenant.name());
         }
         if (service.engine() != null) {
-            headers.add(
-                    HeaderNames.PRIORITY,
-                    Integer.toString(
-                            Math.min(
-                                    LAST_PRIORITY,
-                                    before + PrefillPriority.rank(route, readingMs))));
+            int priority = PrefillPriority.of(route, tenant, prefillMs);
+            headers.add(HeaderNames.PRIORITY, Integer.toString(priority));
         }
         return headers;
     }
 
-    /** Whether an answer goes on at an upstream that has told the weights that began it. */
-    private boolean sameWeights(Upstream upstream) {
-        long begun = begunWith();
-        return begun != InstanceRecord.UNKNOWN_WEIGHTS && upstream.record().weights == begun;
-    }
-
     /** The weights that made the events which the client has, if it has any. */
-    private long begunWith() {
-        return state == State.STREAMING ? weights : InstanceRecord.UNKNOWN_WEIGHTS;
+    private long weightsToResume() {
+        return state == State.STREAMING_RESPONSE
+                ? response.weights()
+                : InstanceRecord.UNKNOWN_WEIGHTS;
     }
 
-    // ---- What becomes of an attempt
-    // ------------------------------------------------------------------
+    /** Whether a stream is resumed at an upstream that reported the weights which began it. */
+    private boolean hasWeightsToResume(Upstream upstream) {
+        long weights = weightsToResume();
+        return weights != InstanceRecord.UNKNOWN_WEIGHTS && upstream.record().weights == weights;
+    }
 
     @Override
-    public void notSent(Attempt attempt) {
+    public void onNotSent(Attempt attempt) {
         if (attempt != current) {
             return;
         }
         current = null;
-        attempt.upstream().failed(router.now(), true);
-        router.count(RequestCounters.Event.NOT_SENT);
-        if (++unsent < MOST_UNSENT) {
-            place();
+        attempt.upstream().connectionFailed(dataPlane.nowMs());
+        count(Event.NOT_SENT);
+        unsentAttempts++;
+        if (unsentAttempts < MAX_UNSENT_ATTEMPTS) {
+            tryNextUpstream();
         } else {
             giveUp();
         }
     }
 
     @Override
-    public void head(Attempt attempt, ResponseHead head) {
+    public void onResponseHead(Attempt attempt, ResponseHead head) {
         if (attempt != current) {
             return;
         }
-        sends++;
-        long now = router.now();
-        attempt.upstream().reported(head.headers().get(HeaderNames.LOAD), now);
-        boolean rejected =
-                head.status() == MISDIRECTED
-                        || head.headers().get(HeaderNames.NOT_EXECUTED) != null;
-        if (rejected) {
-            rejected(attempt, head);
-            return;
-        }
-        boolean ours =
-                attemptId == null || attemptId.equals(head.headers().get(HeaderNames.ATTEMPT));
-        if (!ours || head.headers().get(HeaderNames.SIGNATURE) == null && head.status() < 300) {
-            router.count(RequestCounters.Event.FOREIGN_ANSWER);
+        responses++;
+        attempt.upstream()
+                .updateReportedLoad(
+                        head.headers().get(HeaderNames.UPSTREAM_LOAD), dataPlane.nowMs());
+        if (isRejection(head)) {
+            attemptRejected(attempt, head);
+        } else if (!isResponseToThisRequest(head)) {
+            count(Event.FOREIGN_ANSWER);
             attempt.cancel();
-            failed(attempt);
-            return;
-        }
-        if (state != State.STREAMING) {
-            answer = head;
-            weights = head.headers().number(HeaderNames.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS);
+            attemptFailed(attempt);
+        } else if (state != State.STREAMING_RESPONSE) {
+            response.acceptHead(head);
         } else if (head.status() >= 300) {
             attempt.cancel();
-            failed(attempt);
+            attemptFailed(attempt);
         }
     }
 
-    private void rejected(Attempt attempt, ResponseHead head) {
-        router.count(RequestCounters.Event.REJECTED);
+    private static boolean isRejection(ResponseHead head) {
+        return head.status() == MISDIRECTED_REQUEST
+                || head.headers().get(HeaderNames.NOT_EXECUTED) != null;
+    }
+
+    /** Whether the response names this attempt and, if it is a success, has a signature. */
+    private boolean isResponseToThisRequest(ResponseHead head) {
+        if (attemptId != null && !attemptId.equals(head.headers().get(HeaderNames.ATTEMPT_ID))) {
+            return false;
+        }
+        return head.status() >= 300 || head.headers().get(HeaderNames.UPSTREAM_SIGNATURE) != null;
+    }
+
+    /** The upstream says that it did not run the request. */
+    private void attemptRejected(Attempt attempt, ResponseHead head) {
+        count(Event.REJECTED);
         current = null;
         attempt.cancel();
-        if (head.status() == MISDIRECTED && !sameWeights(attempt.upstream())) {
-            router.directory().gone(attempt.upstream());
-        } else if (head.status() == 400) {
-            answerAndEnd(400, HeaderNames.passedOn(head.headers()), NO_BYTES);
+        if (head.status() == MISDIRECTED_REQUEST && !hasWeightsToResume(attempt.upstream())) {
+            dataPlane.directory().markGone(attempt.upstream());
+        } else if (head.status() == BAD_REQUEST) {
+            transitionTo(State.COMPLETED);
+            response.respond(BAD_REQUEST, HeaderForwarding.toClient(head.headers()));
             return;
         }
-        boolean more = sends < route.retries() && router.budget().take(service.name());
-        if (more) {
-            place();
+        if (dataPlane.retryPolicy().shouldRetryRejection(route, service, responses)) {
+            tryNextUpstream();
         } else {
             giveUp();
         }
     }
 
     @Override
-    public void body(Attempt attempt, byte[] bytes) {
+    public void onResponseBody(Attempt attempt, byte[] bytes) {
         if (attempt != current) {
             return;
         }
-        if (route.streaming() && (state == State.STREAMING || answer.status() < 300)) {
-            splitter.feed(bytes, (event, id) -> event(attempt, event, id));
+        if (isEventStream()) {
+            response.splitEvents(bytes, (event, id) -> eventReceived(attempt, event, id));
             return;
         }
-        whole.writeBytes(bytes);
-        if (whole.size() > MOST_BODY) {
+        boolean fits = response.buffer(bytes);
+        if (!fits) {
             attempt.cancel();
-            failed(attempt);
+            attemptFailed(attempt);
         }
     }
 
-    private void event(Attempt attempt, byte[] event, long id) {
-        if (attempt != current || state == State.DONE) {
+    private boolean isEventStream() {
+        return route.streaming() && (state == State.STREAMING_RESPONSE || response.status() < 300);
+    }
+
+    private void eventReceived(Attempt attempt, byte[] event, long eventId) {
+        if (attempt != current || state == State.COMPLETED) {
             return;
         }
-        if (attempt.pendingTokens() > 0 || !anyEvent) {
-            firstEvent(attempt);
+        if (attempt.pendingPromptTokens() > 0 || !response.hasForwardedEvent()) {
+            firstEventReceived(attempt);
         }
-        if (id != ServerSentEventSplitter.NO_ID && anyEvent && id <= lastEvent) {
-            return; // sent already, before this upstream went on
+        if (response.isDuplicate(eventId)) {
+            return;
         }
-        if (state == State.AWAITING) {
-            client.begin(answer.status(), HeaderNames.passedOn(answer.headers()));
-            become(State.STREAMING);
+        if (state == State.AWAITING_RESPONSE) {
+            response.beginStream();
+            transitionTo(State.STREAMING_RESPONSE);
         }
-        anyEvent = true;
-        lastEvent = id == ServerSentEventSplitter.NO_ID ? lastEvent : id;
-        client.write(event, 0, event.length);
+        response.forwardEvent(event, eventId);
     }
 
-    private void firstEvent(Attempt attempt) {
-        long now = router.now();
-        long took = now - attempt.sentAt();
-        if (attempt.alone()) {
-            router.placement().speed().learn(attempt.tokens(), took);
+    private void firstEventReceived(Attempt attempt) {
+        long nowMs = dataPlane.nowMs();
+        long timeToFirstEventMs = nowMs - attempt.sentAtMs();
+        if (attempt.isWithoutBacklog()) {
+            dataPlane.prefillTime().addSample(attempt.promptTokens(), timeToFirstEventMs);
         }
-        attempt.upstream().delayed(Math.max(0, took - attempt.explainedMs()), now);
-        attempt.begun();
-        attempt.upstream().memory().sent(prompt, now);
+        double unexplainedMs = Math.max(0, timeToFirstEventMs - attempt.explainedMs());
+        attempt.upstream().recordExtraDelay(unexplainedMs, nowMs);
+        attempt.promptRead();
+        attempt.upstream().prefixCache().recordSent(prompt, nowMs);
     }
 
     @Override
-    public void whole(Attempt attempt) {
+    public void onResponseComplete(Attempt attempt) {
         if (attempt != current) {
             return;
         }
         current = null;
-        if (state == State.STREAMING) {
-            byte[] rest = splitter.rest();
-            client.write(rest, 0, rest.length);
-            attempt.upstream().succeeded(router.now() - attempt.sentAt());
-            become(State.DONE);
-            client.end();
+        if (state == State.STREAMING_RESPONSE) {
+            completeStream(attempt);
             return;
         }
-        if (answer.status() >= 500 && route.repeatable() && mayRepeat()) {
-            attempt.upstream().failed(router.now(), false);
-            place();
+        boolean isServerError = response.status() >= 500;
+        if (isServerError && shouldRetryFailure()) {
+            attempt.upstream().requestFailed(dataPlane.nowMs());
+            tryNextUpstream();
             return;
         }
-        noteAnswer(attempt);
+        recordOutcome(attempt, isServerError);
         byte[] body =
-                route.streaming() && answer.status() < 300 ? splitter.rest() : whole.toByteArray();
-        answerAndEnd(answer.status(), HeaderNames.passedOn(answer.headers()), body);
+                route.streaming() && response.status() < 300
+                        ? response.eventlessBody()
+                        : response.bufferedBody();
+        transitionTo(State.COMPLETED);
+        response.respond(body);
+    }
+
+    private void completeStream(Attempt attempt) {
+        response.forwardRemainder();
+        recordOutcome(attempt, false);
+        transitionTo(State.COMPLETED);
+        response.endStream();
     }
 
-    private void noteAnswer(Attempt attempt) {
-        long now = router.now();
-        if (answer.status() >= 500) {
-            attempt.upstream().failed(now, false);
+    private void recordOutcome(Attempt attempt, boolean isServerError) {
+        long nowMs = dataPlane.nowMs();
+        if (isServerError) {
+            attempt.upstream().requestFailed(nowMs);
         } else {
-            attempt.upstream().succeeded(now - attempt.sentAt());
+            attempt.upstream().requestSucceeded(nowMs - attempt.sentAtMs());
         }
     }
 
     @Override
-    public void broken(Attempt attempt) {
-        if (attempt == current) {
-            sends += attempt.state() == Attempt.State.ENDED && answer == null ? 1 : 0;
-            failed(attempt);
+    public void onConnectionLost(Attempt attempt) {
+        if (attempt != current) {
+            return;
+        }
+        if (!response.hasHead()) {
+            responses++;
         }
+        attemptFailed(attempt);
     }
 
-    /** The request may have run and there is no whole answer. */
-    private void failed(Attempt attempt) {
+    /** The request may have run and there is no complete response. */
+    private void attemptFailed(Attempt attempt) {
         current = null;
         mayHaveRun = true;
-        attempt.upstream().failed(router.now(), false);
-        router.count(RequestCounters.Event.BROKEN);
-        if (route.repeatable() && mayRepeat()) {
-            place();
+        attempt.upstream().requestFailed(dataPlane.nowMs());
+        count(Event.BROKEN);
+        if (shouldRetryFailure()) {
+            tryNextUpstream();
         } else {
             giveUp();
         }
     }
 
-    private boolean mayRepeat() {
-        return tried.size() < route.retries()
-                && router.now() < deadlineAt - MARGIN
-                && router.budget().take(service.name());
+    private boolean shouldRetryFailure() {
+        boolean deadlineReached = isDeadlineReached(dataPlane.nowMs());
+        return dataPlane
+                .retryPolicy()
+                .shouldRetryFailure(route, service, triedUpstreams.size(), deadlineReached);
     }
 
-    // ---- Time
-    // ----------------------------------------------------------------------------------------
-
-    /** Looks at the time: a deadline that is reached, or an upstream that says nothing. */
-    void check(long now) {
-        if (state == State.DONE) {
+    /** Ends the request at its deadline, or retries it if its upstream is unresponsive. */
+    void checkTimeouts(long nowMs) {
+        if (state == State.COMPLETED) {
             return;
         }
-        if (now >= deadlineAt - MARGIN) {
+        if (isDeadlineReached(nowMs)) {
             giveUp();
             return;
         }
         if (current == null || current.state() == Attempt.State.CONNECTING) {
             return;
         }
-        Upstream upstream = current.upstream();
-        long quietSince = Math.max(upstream.lastByteAt(), current.sentAt());
-        if (now - quietSince <= silence(upstream)) {
+        if (!dataPlane.unresponsiveDetector().isUnresponsive(current, service, nowMs)) {
             return;
         }
-        upstream.eject(now);
-        if (route.repeatable() && mayRepeat()) {
-            router.count(RequestCounters.Event.SILENT);
-            Attempt silent = current;
+        current.upstream().eject(nowMs);
+        if (shouldRetryFailure()) {
+            count(Event.UNRESPONSIVE);
+            Attempt unresponsive = current;
             current = null;
             mayHaveRun = true;
-            silent.cancel();
-            place();
-        }
-    }
-
-    private double silence(Upstream upstream) {
-        if (service.engine() == null) {
-            return Math.max(PLAIN_SILENCE, SILENT_TIMES * upstream.took());
+            unresponsive.cancel();
+            tryNextUpstream();
         }
-        return MODEL_SILENCE
-                + 2 * upstream.backlogTokens() * router.placement().speed().msPerToken();
     }
 
-    // ---- The final answer
-    // ----------------------------------------------------------------------------
-
-    /**
-     * Ends the request as it stands: a refusal if it never ran, else a failure that promises
-     * nothing.
-     */
+    /** Ends the request as it stands: a rejection if it never ran, else an error. */
     private void giveUp() {
-        Attempt running = current;
+        Attempt last = current;
         current = null;
-        if (running != null) {
-            mayHaveRun |= running.state() != Attempt.State.CONNECTING;
-            running.cancel();
+        if (last != null) {
+            mayHaveRun |= last.state() != Attempt.State.CONNECTING;
+            last.cancel();
         }
-        if (state == State.STREAMING) {
-            become(State.DONE);
-            client.abort();
+        if (state == State.STREAMING_RESPONSE) {
+            transitionTo(State.COMPLETED);
+            response.abortStream();
         } else if (mayHaveRun) {
-            boolean late = router.now() >= deadlineAt - MARGIN;
-            answerAndEnd(late ? 504 : 502, new Headers(), NO_BYTES);
+            boolean late = isDeadlineReached(dataPlane.nowMs());
+            transitionTo(State.COMPLETED);
+            response.respond(late ? GATEWAY_TIMEOUT : BAD_GATEWAY, new Headers());
         } else {
-            refuse(router.admission().defaultRetryAfterMs());
+            reject(dataPlane.admission().defaultRetryAfterMs());
         }
     }
 
-    private void refuse(long waitMs) {
+    /** Ends a request that never ran. */
+    private void reject(long retryAfterMs) {
         if (tenant != null) {
-            router.quotas().refund(tenant, cost);
+            dataPlane.quotas().refund(tenant, quotaCost);
         }
-        answerAndEnd(
-                503,
-                new Headers().add(HeaderNames.RETRY_AFTER, RequestRouter.seconds(waitMs)),
-                NO_BYTES);
-    }
-
-    private void answerAndEnd(int status, Headers headers, byte[] body) {
-        become(State.DONE);
-        client.respond(status, headers, body);
+        Headers headers = new Headers();
+        headers.add(HeaderNames.RETRY_AFTER, RequestRouter.retryAfter(retryAfterMs));
+        transitionTo(State.COMPLETED);
+        response.respond(SERVICE_UNAVAILABLE, headers);
     }
 
-    private void clientGone() {
-        if (state == State.DONE) {
+    private void clientDisconnected() {
+        if (state == State.COMPLETED) {
             return;
         }
-        Attempt running = current;
+        Attempt last = current;
         current = null;
-        if (running != null) {
-            running.cancel();
+        if (last != null) {
+            last.cancel();
         }
-        become(State.DONE);
+        transitionTo(State.COMPLETED);
+    }
+
+    private void count(Event event) {
+        dataPlane.counters().increment(event);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -1,289 +1,205 @@
 package myrtleladder.dataplane;
 
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Locale;
-import java.util.Set;
-import java.util.SplittableRandom;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
 import myrtleladder.configuration.Tenant;
+import myrtleladder.dataplane.RequestCounters.Event;
 import myrtleladder.io.Headers;
-import myrtleladder.io.Scheduler;
 import myrtleladder.io.ServerExchange;
 import myrtleladder.protocol.UpstreamLoad;
 
-/** The data plane's routing: from a request to its route, its tenant's quota and its exchange. */
+import java.util.List;
+import java.util.Locale;
+import java.util.SplittableRandom;
+
+/**
+ * First part of a request's way: matches the route, authenticates the tenant, acquires its quota
+ * and starts a {@link ProxiedRequest}, or answers with an error. Confined to the event loop; the
+ * HTTP server calls {@link #handle}.
+ */
 final class RequestRouter {
     private static final byte[] NO_BYTES = {};
-    private static final long CHECK = 50;
-    private static final long PERIOD = 250;
-    private static final long NOT_READY_PAUSE = 300;
-    private static final long LEAVING_PAUSE = 10; // other balancers are there
-    private static final long LONGEST_QUOTA_PAUSE = 2_000;
-    private static final String KEY_SCHEME = "Token ";
-
-    private final Scheduler scheduler;
-    private final UpstreamDirectory directory;
-    private final FleetLoadSync fleet;
-    private final ConnectionPool connections;
-    private final UpstreamPicker placement;
-    private final AdmissionController admission = new AdmissionController();
-    private final TenantQuotaClient quotas;
-    private final RetryBudget budget;
-    private final RequestCounters counters = new RequestCounters();
-    private final Set<ProxiedRequest> exchanges = new LinkedHashSet<>();
-    private final SplittableRandom random;
-    private Configuration configuration;
-    private long nextPeriod;
-    private boolean taking = true;
+    private static final String API_KEY_SCHEME = "Token ";
 
-    RequestRouter(
-            Scheduler scheduler,
-            ConnectionPool connections,
-            RetryBudget budget,
-            TenantQuotaClient.QuotaAllocator bank,
-            long seed) {
-        this.quotas = new TenantQuotaClient(bank, seed);
-        this.scheduler = scheduler;
-        this.connections = connections;
-        this.directory = new UpstreamDirectory(u -> connections.closeExpired());
-        this.fleet = new FleetLoadSync(directory, seed);
-        this.placement = new UpstreamPicker(directory, connections, fleet);
-        this.budget = budget;
-        this.random = new SplittableRandom(seed);
-    }
+    /** Time after which clients retry while there is no configuration yet; chosen. */
+    private static final long NOT_CONFIGURED_RETRY_AFTER_MS = 300;
 
-    void start() {
-        tick();
-    }
+    /** The same while this balancer shuts down: other balancers serve; chosen. */
+    private static final long SHUTDOWN_RETRY_AFTER_MS = 10;
 
-    private void tick() {
-        scheduler.schedule(CHECK, this::tick);
-        long now = now();
-        quotas.time(now);
-        for (ProxiedRequest exchange : new ArrayList<>(exchanges)) {
-            exchange.check(now);
-        }
-        if (now >= nextPeriod) {
-            nextPeriod = now + PERIOD / 2 + random.nextLong(PERIOD);
-            placement.reweight(now);
-            connections.closeExpired();
-        }
-    }
+    /** Longest time after which clients over their quota are asked to retry; chosen. */
+    private static final long MAX_QUOTA_RETRY_AFTER_MS = 2_000;
 
-    /** Takes a newer configuration. */
-    void use(Configuration next) {
-        configuration = next;
-        directory.use(next);
-        quotas.use(next, now());
-    }
-
-    Configuration configuration() {
-        return configuration;
-    }
+    private final DataPlane dataPlane;
+    private final SplittableRandom random;
+    private boolean acceptsRequests = true;
 
-    /** How many balancers share what is shared. */
-    void balancers(int count) {
-        placement.balancers(count);
-        budget.balancers(count);
-        quotas.balancers(count);
+    /**
+     * Creates a router.
+     *
+     * @param random draws services of split routes; shared with the data plane's periodic work
+     */
+    RequestRouter(DataPlane dataPlane, SplittableRandom random) {
+        this.dataPlane = dataPlane;
+        this.random = random;
     }
 
-    // ---- Requests
-    // ------------------------------------------------------------------------------------
-
-    /** From now on requests are refused at once: this balancer ends before they could. */
+    /** Rejects all later requests at once: the balancer ends before they could. */
     void rejectNewRequests() {
-        taking = false;
+        acceptsRequests = false;
     }
 
-    /** Takes a client's request. */
+    /** Takes a client's request; exactly one final response follows unless the client leaves. */
     void handle(ServerExchange client) {
-        counters.count(RequestCounters.Event.REQUEST);
-        if (configuration == null || !taking) {
-            long pause = taking ? NOT_READY_PAUSE : LEAVING_PAUSE;
-            client.respond(
-                    503, new Headers().add(HeaderNames.RETRY_AFTER, seconds(pause)), NO_BYTES);
+        count(Event.REQUEST);
+        Configuration configuration = dataPlane.configuration();
+        if (configuration == null || !acceptsRequests) {
+            long retryAfterMs =
+                    acceptsRequests ? NOT_CONFIGURED_RETRY_AFTER_MS : SHUTDOWN_RETRY_AFTER_MS;
+            reject(client, 503, retryAfterMs);
             return;
         }
-        Headers headers = client.head().headers();
-        Route route = configuration.route(headers.get("Host"), client.head().path());
+        Route route = matchRoute(client);
         if (route == null) {
-            counters.count(RequestCounters.Event.NO_ROUTE);
+            count(Event.NO_ROUTE);
             client.respond(404, new Headers(), NO_BYTES);
             return;
         }
-        Tenant tenant = null;
-        if (!route.open() && !configuration.tenants().isEmpty()) {
-            tenant = configuration.tenant(keyOf(headers));
-            if (tenant == null) {
-                counters.count(RequestCounters.Event.NO_KEY);
-                client.respond(401, new Headers(), NO_BYTES);
-                return;
-            }
+        if (route.open() || configuration.tenants().isEmpty()) {
+            startRequest(client, route, null, 0);
+            return;
         }
-        admit(client, route, tenant);
+        Tenant tenant = configuration.tenant(apiKeyOf(client.head().headers()));
+        if (tenant == null) {
+            count(Event.NO_KEY);
+            client.respond(401, new Headers(), NO_BYTES);
+            return;
+        }
+        acquireQuota(client, route, tenant);
+    }
+
+    private Route matchRoute(ServerExchange client) {
+        String host = client.head().headers().get("Host");
+        return dataPlane.configuration().route(host, client.head().path());
     }
 
-    private static String keyOf(Headers headers) {
+    private static String apiKeyOf(Headers headers) {
         String value = headers.get(HeaderNames.AUTHORIZATION);
-        return value != null && value.startsWith(KEY_SCHEME)
-                ? value.substring(KEY_SCHEME.length()).trim()
+        return value != null && value.startsWith(API_KEY_SCHEME)
+                ? value.substring(API_KEY_SCHEME.length()).trim()
                 : null;
     }
 
-    private void admit(ServerExchange client, Route route, Tenant tenant) {
-        if (tenant == null) {
-            exchange(client, route, null, 0);
+    /**
+     * Goes on once the quota is decided, at once or after a round trip to the primary. The request
+     * for quota carries the load that this request would be, so that the primary can tell others of
+     * it before the request is sent.
+     */
+    private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
+        int usedTokens = usedTokens(client.head().headers().get(HeaderNames.TOKEN_USAGE));
+        double cost = TenantQuotaClient.cost(tenant, usedTokens);
+        dataPlane.quotas().advanceClock(dataPlane.nowMs());
+        dataPlane.fleetLoads().setPendingLoad(() -> likelyLoad(client, route));
+        dataPlane
+                .quotas()
+                .acquire(
+                        tenant,
+                        cost,
+                        dataPlane.nowMs(),
+                        waitMs -> quotaDecided(client, route, tenant, cost, waitMs));
+        dataPlane.fleetLoads().setPendingLoad(FleetLoadSync.NO_PENDING_LOAD);
+    }
+
+    private void quotaDecided(
+            ServerExchange client, Route route, Tenant tenant, double cost, long waitMs) {
+        if (waitMs == 0) {
+            startRequest(client, route, tenant, cost);
             return;
         }
-        double cost =
-                TenantQuotaClient.cost(
-                        tenant, usage(client.head().headers().get(HeaderNames.USAGE)));
-        quotas.time(now());
-        fleet.intends(() -> likely(client, route));
-        quotas.admit(
-                tenant,
-                cost,
-                now(),
-                wait -> {
-                    if (wait == 0) {
-                        exchange(client, route, tenant, cost);
-                        return;
-                    }
-                    counters.count(RequestCounters.Event.OVER_QUOTA);
-                    String pause = seconds(Math.min(LONGEST_QUOTA_PAUSE, wait));
-                    client.respond(
-                            429, new Headers().add(HeaderNames.RETRY_AFTER, pause), NO_BYTES);
-                });
-        fleet.intends(FleetLoadSync.NOTHING);
+        count(Event.OVER_QUOTA);
+        reject(client, 429, Math.min(MAX_QUOTA_RETRY_AFTER_MS, waitMs));
     }
 
-    /** Where a request that waits for its quota will likely go. */
-    private UpstreamLoad likely(ServerExchange client, Route route) {
+    /** The load of a request that waits for its quota, null if its service is not known yet. */
+    private UpstreamLoad likelyLoad(ServerExchange client, Route route) {
         if (route.shares().size() != 1) {
             return null;
         }
-        Service service = configuration.service(route.shares().get(0).service());
-        PromptSegments prompt =
-                PromptSegments.parse(client.head().headers().get(HeaderNames.PREFIX));
-        return placement.likely(service, prompt, now());
+        String serviceName = route.shares().get(0).service();
+        Service service = dataPlane.configuration().service(serviceName);
+        String prefix = client.head().headers().get(HeaderNames.PROMPT_PREFIX);
+        return dataPlane
+                .picker()
+                .likelyLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
     }
 
-    /** Begins the exchange of a request that is allowed; the configuration may be newer by now. */
-    private void exchange(ServerExchange client, Route admitted, Tenant tenant, double cost) {
+    /** Starts an admitted request; the configuration may have changed since its route matched. */
+    private void startRequest(ServerExchange client, Route admitted, Tenant tenant, double cost) {
         if (!client.open()) {
             return;
         }
-        Route route =
-                configuration.route(client.head().headers().get("Host"), client.head().path());
+        Route route = matchRoute(client);
         if (route == null || !admitted.name().equals(route.name())) {
             handle(client);
             return;
         }
-        Service service = configuration.service(serviceOf(route));
-        budget.request(service.name());
-        ProxiedRequest exchange = new ProxiedRequest(this, client, route, service, tenant, cost);
-        exchanges.add(exchange);
-        exchange.place();
-    }
-
-    /** The two numbers of the usage together, 0 without them. */
-    static int usage(String text) {
-        if (text == null) {
-            return 0;
-        }
-        long sum = 0;
-        for (String part : text.split(",")) {
-            try {
-                sum += Long.parseLong(part.trim());
-            } catch (NumberFormatException e) {
-                return 0;
-            }
-        }
-        return (int) Math.max(0, Math.min(Integer.MAX_VALUE, sum));
+        Service service = dataPlane.configuration().service(drawService(route));
+        dataPlane.retryBudget().recordRequest(service.name());
+        ProxiedRequest request =
+                new ProxiedRequest(dataPlane, client, route, service, tenant, cost);
+        dataPlane.activeRequests().add(request);
+        request.start();
     }
 
-    private String serviceOf(Route route) {
+    /** Draws a service in proportion to the weights of the route's traffic split. */
+    private String drawService(Route route) {
         List<Route.Share> shares = route.shares();
-        double sum = 0;
+        double totalWeight = 0;
         for (Route.Share share : shares) {
-            sum += share.weight();
+            totalWeight += share.weight();
         }
-        double drawn = random.nextDouble() * sum;
-        String last = null;
+        double drawn = random.nextDouble() * totalWeight;
+        String service = null;
         for (Route.Share share : shares) {
             if (share.weight() > 0) {
-                last = share.service();
+                service = share.service();
                 drawn -= share.weight();
                 if (drawn < 0) {
-                    return last;
+                    return service;
                 }
             }
         }
-        return last;
-    }
-
-    /** Milliseconds as the seconds of a header field. */
-    static String seconds(long ms) {
-        return String.format(Locale.ROOT, "%.3f", ms / 1_000.0);
-    }
-
-    // ---- What exchanges use
-    // --------------------------------------------------------------------------
-
-    long now() {
-        return scheduler.now();
+        return service;
     }
 
-    Scheduler scheduler() {
-        return scheduler;
-    }
-
-    UpstreamDirectory directory() {
-        return directory;
-    }
-
-    FleetLoadSync fleet() {
-        return fleet;
-    }
-
-    ConnectionPool connections() {
-        return connections;
-    }
-
-    UpstreamPicker placement() {
-        return placement;
-    }
-
-    AdmissionController admission() {
-        return admission;
-    }
-
-    TenantQuotaClient quotas() {
-        return quotas;
-    }
-
-    RetryBudget budget() {
-        return budget;
-    }
-
-    RequestCounters counters() {
-        return counters;
+    /** The sum of a token usage field, 0 without a field that can be read. */
+    private static int usedTokens(String usage) {
+        if (usage == null) {
+            return 0;
+        }
+        long sum = 0;
+        for (String part : usage.split(",")) {
+            try {
+                sum += Long.parseLong(part.trim());
+            } catch (NumberFormatException e) {
+                return 0;
+            }
+        }
+        return (int) Math.max(0, Math.min(Integer.MAX_VALUE, sum));
     }
 
-    void count(RequestCounters.Event event) {
-        counters.count(event);
+    private static void reject(ServerExchange client, int status, long retryAfterMs) {
+        Headers headers = new Headers().add(HeaderNames.RETRY_AFTER, retryAfter(retryAfterMs));
+        client.respond(status, headers, NO_BYTES);
     }
 
-    void ended(ProxiedRequest exchange) {
-        exchanges.remove(exchange);
+    /** The value of a Retry-After field: seconds with three decimals. */
+    static String retryAfter(long delayMs) {
+        return String.format(Locale.ROOT, "%.3f", delayMs / 1_000.0);
     }
 
-    int inFlightRequests() {
-        return exchanges.size();
+    private void count(Event event) {
+        dataPlane.counters().increment(event);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
+++ b/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
@@ -3,84 +3,97 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Cuts a stream of bytes into whole events, so that one cut off midway is never passed on. */
+/**
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events, so that
+ * one cut off midway is never forwarded. Lines end with LF or CRLF; a lone CR ends none. Belongs to
+ * one response; confined to the event loop.
+ */
 final class ServerSentEventSplitter {
-    private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
+    /** Identifier of an event that has none, or none that is a number. */
     static final long NO_ID = -1;
 
-    /** Who takes events. */
+    private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] NO_BYTES = {};
+
+    /** Receives complete events. */
     interface Listener {
         /**
-         * A whole event with the empty line behind it; {@code id} is {@link #NO_ID} if it has none.
+         * A complete event has come.
+         *
+         * @param event its bytes with the empty line that ends it; the listener's own
+         * @param id its identifier or {@link #NO_ID}
          */
-        void event(byte[] bytes, long id);
+        void onEvent(byte[] event, long id);
     }
 
-    private byte[] rest = {};
+    private byte[] remainder = NO_BYTES;
 
+    /** Takes the next bytes of the stream; the listener is called for each event that they end. */
     void feed(byte[] bytes, Listener listener) {
-        byte[] all = rest.length == 0 ? bytes : concatenate(rest, bytes);
-        int begin = 0;
-        int lineBegin = 0;
-        for (int i = 0; i < all.length; i++) {
-            if (all[i] != '\n') {
+        byte[] input = remainder.length == 0 ? bytes : concatenate(remainder, bytes);
+        int eventStart = 0;
+        int lineStart = 0;
+        for (int i = 0; i < input.length; i++) {
+            if (input[i] != '\n') {
                 continue;
             }
-            boolean empty = i == lineBegin || i == lineBegin + 1 && all[lineBegin] == '\r';
-            lineBegin = i + 1;
-            if (empty) {
-                byte[] event = Arrays.copyOfRange(all, begin, i + 1);
-                begin = i + 1;
-                listener.event(event, idOf(event));
+            boolean isEmptyLine = i == lineStart || i == lineStart + 1 && input[lineStart] == '\r';
+            lineStart = i + 1;
+            if (isEmptyLine) {
+                byte[] event = Arrays.copyOfRange(input, eventStart, i + 1);
+                eventStart = i + 1;
+                listener.onEvent(event, idOf(event));
             }
         }
-        rest = begin == 0 ? all : Arrays.copyOfRange(all, begin, all.length);
+        remainder = eventStart == 0 ? input : Arrays.copyOfRange(input, eventStart, input.length);
     }
 
-    /** What has come of the next event. */
-    byte[] rest() {
-        return rest;
+    /** The bytes after the last complete event. */
+    byte[] remainder() {
+        return remainder;
     }
 
-    private static byte[] concatenate(byte[] a, byte[] b) {
-        byte[] both = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, both, a.length, b.length);
+    private static byte[] concatenate(byte[] first, byte[] second) {
+        byte[] both = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, both, first.length, second.length);
         return both;
     }
 
-    static long idOf(byte[] event) {
+    /** The number in an event's first id field. */
+    private static long idOf(byte[] event) {
         for (int i = 0; i < event.length; i++) {
-            boolean lineStarts = i == 0 || event[i - 1] == '\n';
-            if (lineStarts && startsWith(event, i)) {
-                return number(event, i + ID.length);
+            boolean isLineStart = i == 0 || event[i - 1] == '\n';
+            if (isLineStart && hasIdFieldAt(event, i)) {
+                return parseNumber(event, i + ID_FIELD.length);
             }
         }
         return NO_ID;
     }
 
-    private static boolean startsWith(byte[] event, int at) {
-        if (event.length - at < ID.length) {
+    private static boolean hasIdFieldAt(byte[] event, int offset) {
+        if (event.length - offset < ID_FIELD.length) {
             return false;
         }
-        for (int k = 0; k < ID.length; k++) {
-            if (event[at + k] != ID[k]) {
+        for (int i = 0; i < ID_FIELD.length; i++) {
+            if (event[offset + i] != ID_FIELD[i]) {
                 return false;
             }
         }
         return true;
     }
 
-    private static long number(byte[] event, int from) {
+    /** The decimal number in the rest of a line, spaces apart. */
+    private static long parseNumber(byte[] event, int offset) {
         long value = 0;
-        boolean any = false;
-        for (int i = from; i < event.length && event[i] != '\n' && event[i] != '\r'; i++) {
+        boolean hasDigit = false;
+        for (int i = offset; i < event.length && event[i] != '\n' && event[i] != '\r'; i++) {
             if (event[i] >= '0' && event[i] <= '9') {
                 value = value * 10 + event[i] - '0';
-                any = true;
+                hasDigit = true;
             } else if (event[i] != ' ') {
                 return NO_ID;
             }
         }
-        return any ? value : NO_ID;
+        return hasDigit ? value : NO_ID;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/StableHash.java
+++ b/src/main/java/myrtleladder/dataplane/StableHash.java
@@ -1,24 +1,38 @@
 package myrtleladder.dataplane;
 
-/** Hash functions that give the same at every balancer. */
+/**
+ * 64-bit hash functions that give the same values in every process, for rendezvous hashing and
+ * identities that balancers exchange. Not cryptographic. Stateless.
+ */
 final class StableHash {
-    private static final long PRIME = 0x100000001b3L;
-    private static final long BASIS = 0xcbf29ce484222325L;
+    /** Prime of 64-bit FNV-1a. */
+    private static final long FNV_PRIME = 0x100000001b3L;
+
+    /** Offset basis of 64-bit FNV-1a. */
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+
+    /** First multiplier of the SplitMix64 finalizer. */
+    private static final long MIX_MULTIPLIER_1 = 0xBF58476D1CE4E5B9L;
+
+    /** Second multiplier of the SplitMix64 finalizer. */
+    private static final long MIX_MULTIPLIER_2 = 0x94D049BB133111EBL;
 
     private StableHash() {}
 
+    /** FNV-1a over the characters of a text, finalized by {@link #mix}. */
     static long of(String text) {
-        long hash = BASIS;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
-            hash = (hash ^ text.charAt(i)) * PRIME;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
         return mix(hash);
     }
 
+    /** Spreads a value over all bits: the finalizer of SplitMix64. */
     static long mix(long value) {
-        long z = value;
-        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-        return z ^ (z >>> 31);
+        long mixed = value;
+        mixed = (mixed ^ (mixed >>> 30)) * MIX_MULTIPLIER_1;
+        mixed = (mixed ^ (mixed >>> 27)) * MIX_MULTIPLIER_2;
+        return mixed ^ (mixed >>> 31);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
@@ -1,148 +1,214 @@
 package myrtleladder.dataplane;
 
-import java.util.HashMap;
-import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.function.LongConsumer;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Tenant;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 
+import java.util.HashMap;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+
 /**
- * The quotas as this balancer uses them. The primary grants what requests count; without an answer
- * of it, a balancer goes on with an equal part of the quota for a short time, and with a small one
- * from then on, since the others may be in touch and get the whole.
+ * Acquires tenants' quota units from the primary, which holds the buckets. Without its response a
+ * balancer falls back to a bucket of its own: it goes on with an equal part of the quota for a
+ * short time, and with a small part from then on, since the others may reach the primary and get
+ * all of it. Confined to the event loop.
  */
 final class TenantQuotaClient {
-    private static final long ANSWER = 250;
-    private static final long ASK_AGAIN = 400;
-    private static final long REMEMBER_EMPTY = 100;
-    private static final long FULL_PART_FOR = 4_000;
-    private static final double FULL_PART = 0.85;
-    private static final double SMALL_PART = 0.25;
-    private static final double FALLBACK_SECONDS = 0.5;
-
-    /** Where grants come from. */
+    /** Time in which the primary has to answer; chosen. */
+    private static final long REQUEST_TIMEOUT_MS = 250;
+
+    /** Time without requests to a primary that did not answer; chosen. */
+    private static final long RETRY_INTERVAL_MS = 400;
+
+    /** Longest time for which a bucket found empty is not asked for again; chosen. */
+    private static final long MAX_EMPTY_MS = 100;
+
+    /** Time without a primary for which the equal part is used; chosen. */
+    private static final long EQUAL_PART_DURATION_MS = 4_000;
+
+    /** Share of an equal part of the quota that is used at first; chosen. */
+    private static final double EQUAL_PART = 0.85;
+
+    /** Share of an equal part of the quota that is used from then on; chosen. */
+    private static final double REDUCED_PART = 0.25;
+
+    /** Capacity of a fallback bucket, in seconds of its rate; chosen. */
+    private static final double FALLBACK_CAPACITY_S = 0.5;
+
+    /** Keeps a division by the rate finite. */
+    private static final double MIN_RATE_PER_S = 1e-6;
+
+    private static final long NEVER = Long.MAX_VALUE;
+
+    /** Grants quota units; a client's view of the primary. */
     interface QuotaAllocator {
-        /** Asks the primary; the answer is null if none came in time. */
-        void ask(QuotaRequest ask, long timeoutMs, java.util.function.Consumer<Message> answer);
+        /**
+         * Requests units from the primary, or returns them if they are negative.
+         *
+         * @param callback receives the response, null if none came in time
+         */
+        void request(QuotaRequest request, long timeoutMs, Consumer<Message> callback);
     }
 
-    private final QuotaAllocator bank;
+    private final QuotaAllocator allocator;
     private final SplittableRandom random;
-    private final Map<String, Bucket> buckets = new HashMap<>();
+    private final Map<String, TenantState> tenants = new HashMap<>();
     private int balancers = 1;
-    private long silentSince = Long.MAX_VALUE;
-    private long askAgainAt;
-    private long clock;
+    private long unansweredSinceMs = NEVER;
+    private long nextRequestAtMs;
+    private long clockMs;
 
-    private static final class Bucket {
+    /** What is known of one tenant's quota. */
+    private static final class TenantState {
         Tenant tenant;
-        double units;
-        long emptyUntil;
-        double fallback;
-        long fallbackAt = Long.MIN_VALUE;
+
+        /** Granted units that are not used yet. */
+        double grantedUnits;
+
+        long emptyUntilMs;
+
+        /** Units in the fallback bucket; negative as a debt. */
+        double fallbackUnits;
+
+        long fallbackUpdatedAtMs = Long.MIN_VALUE;
     }
 
-    TenantQuotaClient(QuotaAllocator bank, long seed) {
-        this.bank = bank;
+    /** Creates a client; the seed draws the first debts of fallback buckets. */
+    TenantQuotaClient(QuotaAllocator allocator, long seed) {
+        this.allocator = allocator;
         this.random = new SplittableRandom(seed);
     }
 
-    void use(Configuration configuration, long now) {
-        Map<String, Bucket> before = new HashMap<>(buckets);
-        buckets.clear();
+    /** Takes the tenants of a newer configuration; granted units of those that stay are kept. */
+    void applyConfiguration(Configuration configuration) {
+        Map<String, TenantState> before = new HashMap<>(tenants);
+        tenants.clear();
         for (Tenant tenant : configuration.tenants()) {
-            Bucket bucket = before.getOrDefault(tenant.name(), new Bucket());
-            bucket.tenant = tenant;
-            buckets.put(tenant.name(), bucket);
+            TenantState state = before.getOrDefault(tenant.name(), new TenantState());
+            state.tenant = tenant;
+            tenants.put(tenant.name(), state);
         }
     }
 
-    void balancers(int count) {
+    /** Sets the number of balancers among which quotas are divided without a primary. */
+    void setBalancers(int count) {
         balancers = Math.max(1, count);
     }
 
-    /** What a request counts. */
-    static double cost(Tenant tenant, int usage) {
-        return !tenant.countsTokens() ? 1 : usage > 0 ? usage : tenant.plainTokens();
+    /**
+     * The units of a request.
+     *
+     * @param usedTokens prompt and completion tokens, 0 if they are not known
+     */
+    static double cost(Tenant tenant, int usedTokens) {
+        if (!tenant.countsTokens()) {
+            return 1;
+        }
+        return usedTokens > 0 ? usedTokens : tenant.plainTokens();
     }
 
-    /** Hands over 0 once the request is within the quota, or milliseconds until one would be. */
-    void admit(Tenant tenant, double cost, long now, LongConsumer decided) {
-        Bucket bucket = buckets.get(tenant.name());
-        if (bucket == null || tenant.ratePerSecond() <= 0) {
-            decided.accept(0);
-        } else if (bucket.units >= cost) {
-            bucket.units -= cost;
-            decided.accept(0);
-        } else if (now < bucket.emptyUntil) {
-            decided.accept(bucket.emptyUntil - now);
-        } else if (now < askAgainAt) {
-            decided.accept(fallBack(bucket, cost, now));
+    /**
+     * Acquires the units of a request, at once or after a round trip to the primary.
+     *
+     * @param callback receives 0 once the request is within the quota, or the milliseconds until
+     *     one would be
+     */
+    void acquire(Tenant tenant, double cost, long nowMs, LongConsumer callback) {
+        TenantState state = tenants.get(tenant.name());
+        if (state == null || !isLimited(tenant)) {
+            callback.accept(0);
+        } else if (state.grantedUnits >= cost) {
+            state.grantedUnits -= cost;
+            callback.accept(0);
+        } else if (nowMs < state.emptyUntilMs) {
+            callback.accept(state.emptyUntilMs - nowMs);
+        } else if (nowMs < nextRequestAtMs) {
+            callback.accept(acquireFromFallback(state, cost, nowMs));
         } else {
-            bank.ask(
-                    QuotaRequest.of(tenant.name(), cost - bucket.units),
-                    ANSWER,
-                    answer -> answered(bucket, cost, answer, decided));
+            allocator.request(
+                    QuotaRequest.of(tenant.name(), cost - state.grantedUnits),
+                    REQUEST_TIMEOUT_MS,
+                    response -> responseReceived(state, cost, response, callback));
         }
     }
 
-    /** Tells the time; answers come between two calls. */
-    void time(long now) {
-        clock = Math.max(clock, now);
+    private static boolean isLimited(Tenant tenant) {
+        return tenant.ratePerSecond() > 0;
+    }
+
+    /** Advances the clock by which responses are taken; called between them. */
+    void advanceClock(long nowMs) {
+        clockMs = Math.max(clockMs, nowMs);
     }
 
-    private void answered(Bucket bucket, double cost, Message answer, LongConsumer decided) {
-        if (!(answer instanceof QuotaResponse grant) || !grant.valid) {
-            silentSince = Math.min(silentSince, clock);
-            askAgainAt = clock + ASK_AGAIN;
-            decided.accept(fallBack(bucket, cost, clock));
+    private void responseReceived(
+            TenantState state, double cost, Message response, LongConsumer callback) {
+        if (!(response instanceof QuotaResponse grant) || !grant.valid) {
+            unansweredSinceMs = Math.min(unansweredSinceMs, clockMs);
+            nextRequestAtMs = clockMs + RETRY_INTERVAL_MS;
+            callback.accept(acquireFromFallback(state, cost, clockMs));
             return;
         }
-        silentSince = Long.MAX_VALUE;
-        bucket.units += grant.units;
-        if (bucket.units >= cost) {
-            bucket.units -= cost;
-            decided.accept(0);
+        unansweredSinceMs = NEVER;
+        state.grantedUnits += grant.units;
+        if (state.grantedUnits >= cost) {
+            state.grantedUnits -= cost;
+            callback.accept(0);
             return;
         }
-        bucket.emptyUntil = clock + Math.min(REMEMBER_EMPTY, grant.waitMs);
-        decided.accept(Math.max(1, grant.waitMs));
+        state.emptyUntilMs = clockMs + Math.min(MAX_EMPTY_MS, grant.waitMs);
+        callback.accept(Math.max(1, grant.waitMs));
     }
 
-    private long fallBack(Bucket bucket, double cost, long now) {
-        double part = now - silentSince <= FULL_PART_FOR ? FULL_PART : SMALL_PART;
-        double rate = bucket.tenant.ratePerSecond() * part / balancers;
-        if (bucket.fallbackAt < silentSince) {
-            // A request may leave a debt, and all balancers begin at once: each with a part of one.
-            bucket.fallback = -random.nextDouble() * cost;
-        }
-        double gained = rate * (now - Math.max(bucket.fallbackAt, silentSince)) / 1_000;
-        bucket.fallback = Math.min(rate * FALLBACK_SECONDS, bucket.fallback + Math.max(0, gained));
-        bucket.fallbackAt = now;
-        if (bucket.fallback >= 0) {
-            bucket.fallback -= cost;
+    /** Acquires without the primary; returns 0 or the milliseconds until a request would pass. */
+    private long acquireFromFallback(TenantState state, double cost, long nowMs) {
+        double ratePerS = fallbackRatePerS(state.tenant, nowMs);
+        refillFallback(state, cost, ratePerS, nowMs);
+        if (state.fallbackUnits >= 0) {
+            state.fallbackUnits -= cost;
             return 0;
         }
-        return Math.max(1, Math.round(-bucket.fallback / Math.max(rate, 1e-6) * 1_000));
+        double debt = -state.fallbackUnits;
+        return Math.max(1, Math.round(debt / Math.max(ratePerS, MIN_RATE_PER_S) * 1_000));
+    }
+
+    private double fallbackRatePerS(Tenant tenant, long nowMs) {
+        boolean isEqualPart = nowMs - unansweredSinceMs <= EQUAL_PART_DURATION_MS;
+        double part = isEqualPart ? EQUAL_PART : REDUCED_PART;
+        return tenant.ratePerSecond() * part / balancers;
+    }
+
+    private void refillFallback(TenantState state, double cost, double ratePerS, long nowMs) {
+        if (state.fallbackUpdatedAtMs < unansweredSinceMs) {
+            // A request may leave a debt, and all balancers begin at once: each with a part of one.
+            state.fallbackUnits = -random.nextDouble() * cost;
+        }
+        long refilledUntilMs = Math.max(state.fallbackUpdatedAtMs, unansweredSinceMs);
+        double gained = ratePerS * (nowMs - refilledUntilMs) / 1_000;
+        double capacity = ratePerS * FALLBACK_CAPACITY_S;
+        state.fallbackUnits = Math.min(capacity, state.fallbackUnits + Math.max(0, gained));
+        state.fallbackUpdatedAtMs = nowMs;
     }
 
     /**
-     * Gives back what a request that did not run was counted: to where it came from, so that no
-     * balancer keeps units which the others could use.
+     * Refunds the units of a request that did not run: to where they came from, so that no balancer
+     * keeps units which the others could use.
      */
     void refund(Tenant tenant, double cost) {
-        Bucket bucket = buckets.get(tenant.name());
-        if (bucket == null || tenant.ratePerSecond() <= 0) {
+        TenantState state = tenants.get(tenant.name());
+        if (state == null || !isLimited(tenant)) {
             return;
         }
-        if (silentSince == Long.MAX_VALUE) {
-            bank.ask(QuotaRequest.of(tenant.name(), -cost), ANSWER, answer -> {});
+        if (unansweredSinceMs == NEVER) {
+            QuotaRequest refund = QuotaRequest.of(tenant.name(), -cost);
+            allocator.request(refund, REQUEST_TIMEOUT_MS, response -> {});
         } else {
-            bucket.fallback = Math.min(0, bucket.fallback + cost);
+            state.fallbackUnits = Math.min(0, state.fallbackUnits + cost);
         }
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -1,74 +1,77 @@
 package myrtleladder.dataplane;
 
-import java.util.HashSet;
-import java.util.Set;
 import myrtleladder.configuration.Service;
 import myrtleladder.loadbalancer.policy.WeightedSchedule;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
+import java.util.HashSet;
+import java.util.Set;
+
 /**
- * An incarnation of an upstream as this balancer sees it: what is under way there and how it does.
+ * An incarnation of an upstream as this balancer sees it: its record, the requests in flight there,
+ * and what was observed of it. Confined to the event loop; {@link UpstreamDirectory} alone creates
+ * upstreams and updates their records.
  */
 final class Upstream extends WeightedSchedule.Candidate {
-    private static final long REPORT_FRESH = 3_000;
-    private static final long FIRST_EJECTION = 700;
-    private static final long LONGEST_EJECTION = 6_000;
-    private static final double SMOOTH = 0.2;
-    private static final double DELAY_HALF_LIFE = 800;
-    private static final double BACKLOG_FULL_MS = 1_000;
+    /** Backlog that counts as full utilisation; chosen. */
+    private static final double FULL_BACKLOG_MS = 1_000;
 
-    private InstanceRecord record;
     private final int key;
-    private long hash;
     private final Set<Attempt> attempts = new HashSet<>();
-    private PrefixCacheModel memory = new PrefixCacheModel(0);
+    private final OutlierEjection ejection = new OutlierEjection();
+    private final ExtraDelayEstimate extraDelay = new ExtraDelayEstimate();
+    private final ReportedLoad reportedLoad = new ReportedLoad();
+    private final PeerLoad peerLoad = new PeerLoad();
+    private InstanceRecord record;
+    private long affinityHash;
+    private PrefixCacheModel prefixCache = new PrefixCacheModel(0);
     private boolean hasEngine;
-    private int others;
-    private int reportedWaiting;
-    private long reportedAt = Long.MIN_VALUE / 2;
-    private double errors;
-    private double took;
-    private double extraDelay;
-    private long extraDelayAt;
-    private long lastByteAt;
-    private long ejectedUntil;
-    private long ejection = FIRST_EJECTION;
-    private int failuresInRow;
-    private double inFlightNow;
-    private int sharedRequests;
-    private int sharedTokens;
-    private long sharedAt = Long.MIN_VALUE / 2;
+    private double responseTimeMs;
+    private long lastByteAtMs;
+    private double inFlightAtLastRefresh;
 
     Upstream(InstanceRecord record) {
         this.record = record;
-        this.hash = hashOf(record);
+        this.affinityHash = affinityHash(record);
         this.key = UpstreamLoad.keyOf(record.id);
     }
 
     /** The same for all incarnations that took over an ordinal one after the other. */
-    private static long hashOf(InstanceRecord record) {
-        boolean unassigned = record.ordinal == InstanceRecord.UNASSIGNED;
-        return StableHash.of(unassigned ? record.id : record.service + "#" + record.ordinal);
-    }
-
-    /** Whether subjects can have their home here. */
-    boolean hasOrdinal() {
-        return record.ordinal != InstanceRecord.UNASSIGNED;
+    private static long affinityHash(InstanceRecord record) {
+        boolean hasOrdinal = record.ordinal != InstanceRecord.UNASSIGNED;
+        return StableHash.of(hasOrdinal ? record.service + "#" + record.ordinal : record.id);
     }
 
     InstanceRecord record() {
         return record;
     }
 
-    void update(InstanceRecord next) {
+    /** Takes a newer record of the same incarnation. */
+    void updateRecord(InstanceRecord next) {
         record = next;
-        hash = hashOf(next);
+        affinityHash = affinityHash(next);
+    }
+
+    /** The number by which balancers name this incarnation to each other. */
+    int key() {
+        return key;
+    }
+
+    /** Whether its place in the rendezvous order of prefixes is settled. */
+    boolean hasOrdinal() {
+        return record.ordinal != InstanceRecord.UNASSIGNED;
+    }
+
+    /** Score of this upstream for a prefix by rendezvous hashing; the highest is the first. */
+    long affinityScore(long prefixHash) {
+        return StableHash.mix(affinityHash ^ prefixHash);
     }
 
-    void engine(Service.Engine engine) {
+    /** Sets the engine of a model upstream and empties the model of its cache; null is ignored. */
+    void setEngine(Service.Engine engine) {
         if (engine != null) {
-            memory = new PrefixCacheModel(engine.kvTokens());
+            prefixCache = new PrefixCacheModel(engine.kvTokens());
             hasEngine = true;
         }
     }
@@ -77,191 +80,161 @@
         return hasEngine;
     }
 
-    PrefixCacheModel memory() {
-        return memory;
+    PrefixCacheModel prefixCache() {
+        return prefixCache;
     }
 
-    boolean ready() {
+    /** Whether its record says that it takes requests. */
+    boolean isReady() {
         return record.stage == InstanceRecord.Stage.READY;
     }
 
+    /** Requests that it handles at once, at least one. */
     int capacity() {
         return Math.max(1, record.capacity);
     }
 
-    /** Rendezvous rank of this upstream for a subject. */
-    long rank(long subject) {
-        return StableHash.mix(hash ^ subject);
-    }
-
-    // ---- What is under way
-    // ---------------------------------------------------------------------------
-
-    void begins(Attempt attempt, long now) {
+    void attemptStarted(Attempt attempt, long nowMs) {
         if (attempts.isEmpty()) {
-            lastByteAt = now;
+            lastByteAtMs = nowMs;
         }
         attempts.add(attempt);
     }
 
-    void ends(Attempt attempt) {
+    void attemptEnded(Attempt attempt) {
         attempts.remove(attempt);
     }
 
-    Set<Attempt> attempts() {
-        return attempts;
-    }
-
-    int own() {
+    /** Requests of this balancer in flight there. */
+    int ownRequests() {
         return attempts.size();
     }
 
-    /** What others have there, by the newer of the upstream's own word and the balancers' sums. */
-    double others(long now) {
-        if (sharedAt >= reportedAt) {
-            return sharedRequests * sharedPart(now);
+    /** Prompt tokens that this balancer sent there and that are not read yet. */
+    long pendingPromptTokens() {
+        long sum = 0;
+        for (Attempt attempt : attempts) {
+            sum += attempt.pendingPromptTokens();
         }
-        long age = now - reportedAt;
-        return age > REPORT_FRESH ? 0 : others * (1 - age / (2.0 * REPORT_FRESH));
-    }
-
-    /** Prompt tokens of other balancers whose answers have not begun. */
-    double peerPromptTokens(long now) {
-        return sharedTokens * sharedPart(now);
+        return sum;
     }
 
-    /** Sums count less the older they are, and nothing once they are old. */
-    private double sharedPart(long now) {
-        return Math.max(0, 1 - (now - sharedAt) / (double) FleetLoadSync.FRESH);
+    /** Requests of other balancers in flight there, by the newer of report and peers' sums. */
+    double peerRequests(long nowMs) {
+        return peerLoad.isNewerThan(reportedLoad)
+                ? peerLoad.requests(nowMs)
+                : reportedLoad.peerRequests(nowMs);
     }
 
-    /** The other balancers have this under way here. */
-    void updatePeerLoad(int requests, int tokens, long now) {
-        sharedRequests = requests;
-        sharedTokens = tokens;
-        sharedAt = now;
+    /** Prompt tokens that other balancers sent there and that are not read yet. */
+    double peerPromptTokens(long nowMs) {
+        return peerLoad.promptTokens(nowMs);
     }
 
-    /** The number by which the balancers name this incarnation to each other. */
-    int key() {
-        return key;
+    /** Takes the other balancers' sums. */
+    void updatePeerLoad(int requests, int promptTokens, long nowMs) {
+        peerLoad.update(requests, promptTokens, nowMs);
     }
 
-    void refresh(long now) {
-        inFlightNow = own() + others(now);
+    /** Takes the load field of a response, null without one; see {@link ReportedLoad}. */
+    void updateReportedLoad(String load, long nowMs) {
+        if (load != null) {
+            reportedLoad.update(load, ownRequests(), nowMs);
+        }
     }
 
-    @Override
-    public double inFlight() {
-        return inFlightNow;
+    /** Requests that wait there by the last report. */
+    int reportedWaiting(long nowMs) {
+        return reportedLoad.waiting(nowMs);
     }
 
-    /** Prompt tokens of ours that were sent there and whose answers have not begun. */
-    long backlogTokens() {
-        long sum = 0;
-        for (Attempt attempt : attempts) {
-            sum += attempt.pendingTokens();
-        }
-        return sum;
+    /** Computes {@link #inFlight}, which picks go by, for the present time. */
+    void refreshInFlight(long nowMs) {
+        inFlightAtLastRefresh = ownRequests() + peerRequests(nowMs);
     }
 
-    // ---- What is observed
-    // ----------------------------------------------------------------------------
-
-    /** The load that the upstream told in an answer: running, waiting, slots. */
-    void reported(String load, long now) {
-        if (load == null) {
-            return;
-        }
-        String[] parts = load.split(",");
-        try {
-            int running = Integer.parseInt(parts[0].trim());
-            reportedWaiting = parts.length > 1 ? Integer.parseInt(parts[1].trim()) : 0;
-            others = Math.max(0, running + reportedWaiting - own());
-            reportedAt = now;
-        } catch (NumberFormatException e) {
-            reportedAt = Long.MIN_VALUE / 2;
-        }
+    /** Requests of all balancers in flight there when they were refreshed last. */
+    @Override
+    public double inFlight() {
+        return inFlightAtLastRefresh;
     }
 
-    void byteArrived(long now) {
-        lastByteAt = now;
+    void byteReceived(long nowMs) {
+        lastByteAtMs = nowMs;
     }
 
-    long lastByteAt() {
-        return lastByteAt;
+    /** When the last byte came, or the first attempt after a time without any started. */
+    long lastByteAtMs() {
+        return lastByteAtMs;
     }
 
-    void succeeded(long tookMs) {
-        errors *= 1 - SMOOTH;
-        took = took == 0 ? tookMs : took + SMOOTH * (tookMs - took);
-        ejection = FIRST_EJECTION;
-        ejectedUntil = 0;
-        failuresInRow = 0;
+    void requestSucceeded(long tookMs) {
+        ejection.recordSuccess();
+        responseTimeMs =
+                responseTimeMs == 0
+                        ? tookMs
+                        : responseTimeMs + OutlierEjection.SMOOTHING * (tookMs - responseTimeMs);
     }
 
-    /** The first event came later than the work that is known of explains. */
-    void delayed(double extraMs, long now) {
-        double current = extraDelay(now);
-        extraDelay = Math.max(0, current + 2 * SMOOTH * (extraMs - current));
-        extraDelayAt = now;
+    /** A request failed that was sent. */
+    void requestFailed(long nowMs) {
+        if (ejection.recordFailure()) {
+            eject(nowMs);
+        }
     }
 
-    double extraDelay(long now) {
-        return extraDelay * Math.pow(0.5, (now - extraDelayAt) / DELAY_HALF_LIFE);
+    /** No connection could be had, which ejects the upstream at once. */
+    void connectionFailed(long nowMs) {
+        ejection.recordFailure();
+        eject(nowMs);
     }
 
-    void failed(long now, boolean dead) {
-        errors += SMOOTH * (1 - errors);
-        failuresInRow++;
-        if (dead || errors > 0.5 || failuresInRow >= 3) {
-            eject(now);
+    /** Ejects the upstream unless it is ejected already; its cache may be lost. */
+    void eject(long nowMs) {
+        if (ejection.eject(nowMs)) {
+            prefixCache.clearSent();
         }
     }
 
-    void eject(long now) {
-        if (ejectedUntil <= now) {
-            ejectedUntil = now + ejection;
-            ejection = Math.min(LONGEST_EJECTION, ejection * 2);
-            memory.clear();
-        }
+    /** Whether requests go elsewhere; after the ejection one request probes it first. */
+    boolean isEjected(long nowMs) {
+        return ejection.isEjected(nowMs) || ejection.isProbing() && ownRequests() > 0;
     }
 
-    /** Until this time requests go elsewhere; behind it one is tried before the others follow. */
-    boolean ejected(long now) {
-        return ejectedUntil > now || ejection > FIRST_EJECTION && own() > 0;
+    /** Smoothed share of requests that failed, 0 to 1. */
+    double errorRate() {
+        return ejection.errorRate();
     }
 
-    double errors() {
-        return errors;
+    /** Smoothed time of complete responses, 0 before the first. */
+    double responseTimeMs() {
+        return responseTimeMs;
     }
 
-    double took() {
-        return took;
+    /** Takes by how much the first event came later than known work explains. */
+    void recordExtraDelay(double delayMs, long nowMs) {
+        extraDelay.addSample(delayMs, nowMs);
     }
 
-    int waiting(long now) {
-        return now - reportedAt > REPORT_FRESH ? 0 : reportedWaiting;
+    /** Delay of first events beyond what known work explains. */
+    double extraDelayMs(long nowMs) {
+        return extraDelay.valueMs(nowMs);
     }
 
     /**
-     * Derives the utilisation from reports, own requests, timings and errors; NaN without any of
-     * them.
+     * Derives the utilisation, by which weights are set, from reports, own requests, delays and
+     * errors; NaN without any fresh ones.
      */
-    void derive(long now, double msPerToken) {
-        refresh(now);
-        boolean told = now - reportedAt <= REPORT_FRESH || now - sharedAt <= FleetLoadSync.FRESH;
-        boolean fresh = told || own() > 0;
-        if (!fresh) {
+    void updateUtilisation(long nowMs, double msPerToken) {
+        refreshInFlight(nowMs);
+        if (!reportedLoad.isFresh(nowMs) && !peerLoad.isFresh(nowMs) && ownRequests() == 0) {
             utilisation = Double.NaN;
             return;
         }
-        double places = Math.min(1, inFlight() / capacity());
-        double backlog =
-                Math.min(
-                        1,
-                        ((backlogTokens() + peerPromptTokens(now)) * msPerToken + extraDelay(now))
-                                / BACKLOG_FULL_MS);
-        utilisation = Math.min(1, Math.max(places, backlog) + errors);
+        double ofCapacity = Math.min(1, inFlight() / capacity());
+        double backlogTokens = pendingPromptTokens() + peerPromptTokens(nowMs);
+        double backlogMs = backlogTokens * msPerToken + extraDelayMs(nowMs);
+        double ofBacklog = Math.min(1, backlogMs / FULL_BACKLOG_MS);
+        utilisation = Math.min(1, Math.max(ofCapacity, ofBacklog) + errorRate());
     }
 }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -1,5 +1,13 @@
 package myrtleladder.dataplane;
 
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Service;
+import myrtleladder.protocol.CachedPrompt;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.UpstreamLoad;
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -10,179 +18,181 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Service;
-import myrtleladder.protocol.CachedPrompt;
-import myrtleladder.protocol.InFlightRequests;
-import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * The upstreams that this balancer knows, by service. One that drains or is gone never comes back.
+ * The upstreams that this balancer knows, by service. An incarnation that drains or is gone never
+ * comes back. Confined to the event loop.
  */
 final class UpstreamDirectory {
-    private static final int MOST_ENDED = 5_000;
+    /** Incarnations remembered as left; all are forgotten when there are more; chosen. */
+    private static final int MAX_REMEMBERED_LEFT = 5_000;
 
     private final Map<String, Upstream> byId = new LinkedHashMap<>();
-    private final Map<String, List<Upstream>> readyByService = new HashMap<>();
-    private final Set<String> ended = new HashSet<>();
-    private final Set<Upstream> finishing = new LinkedHashSet<>();
-    private final Consumer<Upstream> onEnd;
+    private final Map<String, List<Upstream>> availableByService = new HashMap<>();
+    private final Set<String> leftIds = new HashSet<>();
+    private final Set<Upstream> leavingUpstreams = new LinkedHashSet<>();
+    private final Consumer<Upstream> onLeft;
     private Configuration configuration;
 
-    /** Creates a directory; {@code onEnd} hears of upstreams that take no more requests. */
-    UpstreamDirectory(Consumer<Upstream> onEnd) {
-        this.onEnd = onEnd;
+    /** Creates a directory; {@code onLeft} receives upstreams that take no more requests. */
+    UpstreamDirectory(Consumer<Upstream> onLeft) {
+        this.onLeft = onLeft;
     }
 
-    void use(Configuration next) {
+    /** Takes the engines of services that were not configured before. */
+    void applyConfiguration(Configuration next) {
         configuration = next;
-        byId.values()
-                .forEach(
-                        u -> {
-                            if (!u.hasEngine()) {
-                                u.engine(engineOf(u.record()));
-                            }
-                        });
+        for (Upstream upstream : byId.values()) {
+            if (!upstream.hasEngine()) {
+                upstream.setEngine(engineOf(upstream.record()));
+            }
+        }
     }
 
+    /** The engine of a record's service, null if it has none or is not configured. */
     private Service.Engine engineOf(InstanceRecord record) {
         Service service = configuration == null ? null : configuration.service(record.service);
         return service == null ? null : service.engine();
     }
 
-    /** Takes records; if they are {@code all}, what is not among them is gone. */
-    void take(Collection<InstanceRecord> records, boolean all) {
-        if (records.isEmpty() && !all) {
-            return; // most answers to polls tell nothing of upstreams
+    /**
+     * Takes records from the control plane.
+     *
+     * @param complete whether these are all, so that upstreams without a record are gone
+     */
+    void applyRecords(Collection<InstanceRecord> records, boolean complete) {
+        if (records.isEmpty() && !complete) {
+            return; // most poll responses carry no upstreams
         }
-        Set<String> named = new HashSet<>();
+        Set<String> ids = new HashSet<>();
         for (InstanceRecord record : records) {
-            named.add(record.id);
-            take(record);
+            ids.add(record.id);
+            applyRecord(record);
         }
-        if (all) {
+        if (complete) {
             for (Upstream upstream : new ArrayList<>(byId.values())) {
-                if (!named.contains(upstream.record().id)) {
-                    end(upstream, Stage.GONE);
+                if (!ids.contains(upstream.record().id)) {
+                    remove(upstream, Stage.GONE);
                 }
             }
         }
-        index();
+        updateAvailable();
     }
 
-    private void take(InstanceRecord record) {
-        if (ended.contains(record.id)) {
+    private void applyRecord(InstanceRecord record) {
+        if (leftIds.contains(record.id)) {
             return;
         }
         Upstream known = byId.get(record.id);
         if (record.leaving()) {
-            remember(record.id);
+            rememberLeft(record.id);
             if (known != null) {
-                end(known, record.stage);
+                remove(known, record.stage);
             }
-            return;
-        }
-        if (known == null) {
+        } else if (known == null) {
             Upstream created = new Upstream(record);
-            created.engine(engineOf(record));
+            created.setEngine(engineOf(record));
             byId.put(record.id, created);
         } else if (known.record().sequence <= record.sequence
                 || known.record().stage != record.stage) {
-            known.update(record);
+            known.updateRecord(record);
         }
     }
 
-    private void remember(String id) {
-        if (ended.size() >= MOST_ENDED) {
-            ended.clear();
+    private void rememberLeft(String id) {
+        if (leftIds.size() >= MAX_REMEMBERED_LEFT) {
+            leftIds.clear();
         }
-        ended.add(id);
+        leftIds.add(id);
     }
 
-    private void end(Upstream upstream, Stage stage) {
+    private void remove(Upstream upstream, Stage stage) {
         byId.remove(upstream.record().id);
-        upstream.update(upstream.record().at(stage));
-        finishing.add(upstream);
-        onEnd.accept(upstream);
+        upstream.updateRecord(upstream.record().at(stage));
+        leavingUpstreams.add(upstream);
+        onLeft.accept(upstream);
     }
 
-    /** What is under way at upstreams that take no more requests; it ends where it began. */
-    List<InFlightRequests> inFlightAtLeavingUpstreams() {
-        finishing.removeIf(upstream -> upstream.own() == 0);
-        return finishing.stream().map(u -> InFlightRequests.of(u.record().id, u.own())).toList();
+    /** Removes an incarnation that answered that it is not at its address any more. */
+    void markGone(Upstream upstream) {
+        if (byId.get(upstream.record().id) == upstream) {
+            rememberLeft(upstream.record().id);
+            remove(upstream, Stage.GONE);
+            updateAvailable();
+        }
     }
 
-    /** An answer showed that this incarnation is not at its address any more. */
-    void gone(Upstream upstream) {
-        if (byId.get(upstream.record().id) == upstream) {
-            remember(upstream.record().id);
-            end(upstream, Stage.GONE);
-            index();
+    /** Requests in flight at upstreams that take no more; they end where they began. */
+    List<InFlightRequests> inFlightAtLeavingUpstreams() {
+        leavingUpstreams.removeIf(upstream -> upstream.ownRequests() == 0);
+        List<InFlightRequests> inFlight = new ArrayList<>();
+        for (Upstream upstream : leavingUpstreams) {
+            inFlight.add(InFlightRequests.of(upstream.record().id, upstream.ownRequests()));
         }
+        return inFlight;
     }
 
-    /**
-     * Upstreams whose heartbeats stay out get nothing, unless that would leave less than half of a
-     * service.
-     */
-    private void index() {
-        readyByService.clear();
+    /** Leaves out upstreams that are not ready, unless less than half of a service would remain. */
+    private void updateAvailable() {
+        availableByService.clear();
         Map<String, List<Upstream>> all = new HashMap<>();
         for (Upstream upstream : byId.values()) {
-            all.computeIfAbsent(upstream.record().service, s -> new ArrayList<>()).add(upstream);
+            String service = upstream.record().service;
+            all.computeIfAbsent(service, name -> new ArrayList<>()).add(upstream);
         }
         all.forEach(
                 (service, upstreams) -> {
-                    List<Upstream> ready = upstreams.stream().filter(Upstream::ready).toList();
-                    readyByService.put(
-                            service, 2 * ready.size() < upstreams.size() ? upstreams : ready);
+                    List<Upstream> ready = upstreams.stream().filter(Upstream::isReady).toList();
+                    boolean tooFew = 2 * ready.size() < upstreams.size();
+                    availableByService.put(service, tooFew ? upstreams : ready);
                 });
     }
 
     /** The upstreams of a service that take requests. */
-    List<Upstream> ready(String service) {
-        return readyByService.getOrDefault(service, List.of());
+    List<Upstream> available(String service) {
+        return availableByService.getOrDefault(service, List.of());
     }
 
-    /** All that take requests, by service. */
-    Map<String, List<Upstream>> byService() {
-        return readyByService;
+    /** All upstreams that take requests, by service. */
+    Map<String, List<Upstream>> availableByService() {
+        return availableByService;
     }
 
-    /** All that are known, ready or not. */
+    /** All known upstreams, available or not. */
     Collection<Upstream> all() {
         return byId.values();
     }
 
-    /** Takes what the other balancers have under way. */
-    void applyFleetLoads(List<UpstreamLoad> loads, long now) {
+    /** Takes what the other balancers have in flight; upstreams without a load are idle. */
+    void applyFleetLoads(List<UpstreamLoad> loads, long nowMs) {
         Map<Integer, UpstreamLoad> byKey = new HashMap<>();
-        loads.forEach(load -> byKey.put(load.upstream, load));
+        for (UpstreamLoad load : loads) {
+            byKey.put(load.upstream, load);
+        }
         for (Upstream upstream : byId.values()) {
             UpstreamLoad load = byKey.get(upstream.key());
-            upstream.updatePeerLoad(
-                    load == null ? 0 : load.requests, load == null ? 0 : load.tokens, now);
+            if (load == null) {
+                upstream.updatePeerLoad(0, 0, nowMs);
+            } else {
+                upstream.updatePeerLoad(load.requests, load.tokens, nowMs);
+            }
         }
     }
 
-    /** Takes what upstreams keep by what other balancers sent them. */
-    void applyCachedPrompts(List<CachedPrompt> prompts, long now) {
+    /** Takes prompt prefixes that upstreams cache since other balancers sent them there. */
+    void applyCachedPrompts(List<CachedPrompt> prompts, long nowMs) {
         if (prompts.isEmpty()) {
             return;
         }
         Map<Integer, Upstream> byKey = new HashMap<>();
-        byId.values().forEach(upstream -> byKey.put(upstream.key(), upstream));
-        for (CachedPrompt kept : prompts) {
-            Upstream upstream = byKey.get(kept.upstream);
+        for (Upstream upstream : byId.values()) {
+            byKey.put(upstream.key(), upstream);
+        }
+        for (CachedPrompt cached : prompts) {
+            Upstream upstream = byKey.get(cached.upstream);
             if (upstream != null) {
-                upstream.memory().told(kept.prompt, now);
+                upstream.prefixCache().recordAnnounced(cached.prompt, nowMs);
             }
         }
     }
-
-    int size() {
-        return byId.size();
-    }
 }
