--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -1,256 +1,166 @@
 package myrtleladder.dataplane;
 
-import java.util.ArrayList;
-import java.util.Collections;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import myrtleladder.configuration.Service;
 import myrtleladder.loadbalancer.policy.Reweighting;
 import myrtleladder.loadbalancer.policy.WeightedSchedule;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
 /**
- * Which upstream a request goes to. Health, kept parts of prompts and the expected time to the
- * first event narrow the candidates; among those, picks go by weight / (in-flight + 1)^bias,
- * earliest deadline first.
+ * Picks the upstream of a request. Candidates are narrowed by health, connections and, for model
+ * services, the expected time to the first event; among those left, picks go by weight / (in-flight
+ * + 1)^bias, earliest deadline first ({@link WeightedSchedule}). Confined to the event loop.
  */
 final class UpstreamPicker {
-    private static final double MODEL_BIAS = 3; // a clearly shorter line nearly always wins
+    /** Bias for model services; chosen so that a clearly shorter queue nearly always wins. */
+    private static final double MODEL_BIAS = 3;
+
+    /** Bias for other services; chosen. */
     private static final double PLAIN_BIAS = 4;
-    private static final double PANIC = 0.4;
-    private static final double HOME_KEPT = 0.7;
-    private static final double SECOND_KEPT = 0.15;
-    private static final double SPREAD_MS = 25;
-    private static final double DETOUR_MS = 40;
-    private static final double READ_ANEW_COST = 3;
-    private static final double WAITING_MS = 40;
+
+    /** Ejected upstreams are picked too if less than this share is healthy; chosen. */
+    private static final double PANIC_THRESHOLD = 0.4;
+
+    /** Share of an upstream's connection limit that all balancers use together; chosen. */
+    private static final double CONNECTION_LIMIT_SHARE = 0.9;
+
+    /** Connections that each balancer may open to an upstream in any case; chosen. */
+    private static final int MIN_CONNECTION_LIMIT = 2;
 
     private final UpstreamDirectory directory;
     private final ConnectionPool connections;
-    private final FleetLoadSync fleet;
+    private final PrefillTimeEstimator prefillTime;
+    private final PrefixCacheAwarePolicy modelPolicy;
     private final Map<String, WeightedSchedule> schedules = new HashMap<>();
-    private final PrefillTimeEstimator speed = new PrefillTimeEstimator();
     private int balancers = 1;
 
-    UpstreamPicker(UpstreamDirectory directory, ConnectionPool connections, FleetLoadSync fleet) {
+    UpstreamPicker(
+            UpstreamDirectory directory,
+            ConnectionPool connections,
+            FleetLoadSync fleetLoads,
+            PrefillTimeEstimator prefillTime) {
         this.directory = directory;
-        this.fleet = fleet;
         this.connections = connections;
+        this.prefillTime = prefillTime;
+        this.modelPolicy = new PrefixCacheAwarePolicy(fleetLoads, prefillTime);
     }
 
-    /**
-     * An upstream with what a request would find there; {@code knownMs} is the part that requests
-     * which are known of explain, and {@code alone} says that no prompt is read there.
-     */
-    record Pick(
-            Upstream upstream,
-            int tokensToRead,
-            double expectedMs,
-            double knownMs,
-            double costMs,
-            boolean alone) {}
-
-    void balancers(int count) {
+    /** Sets the number of balancers that share the upstreams' connection limits. */
+    void setBalancers(int count) {
         balancers = Math.max(1, count);
     }
 
-    PrefillTimeEstimator speed() {
-        return speed;
-    }
-
     /** Carries out a period of the reweighting, service by service. */
-    void reweight(long now) {
-        for (List<Upstream> upstreams : directory.byService().values()) {
-            upstreams.forEach(u -> u.derive(now, speed.msPerToken()));
+    void reweight(long nowMs) {
+        for (List<Upstream> upstreams : directory.availableByService().values()) {
+            for (Upstream upstream : upstreams) {
+                upstream.updateUtilisation(nowMs, prefillTime.msPerToken());
+            }
             Reweighting.period(upstreams);
         }
     }
 
-    /** Picks an upstream of a service, null if none can take the request now. */
-    Pick pick(Service service, PromptSegments prompt, Set<Upstream> tried, long now) {
-        return pick(service, prompt, tried, InstanceRecord.UNKNOWN_WEIGHTS, now);
-    }
-
-    /** The same for an answer that goes on: one with the weights that began it, if there is one. */
-    Pick pick(Service service, PromptSegments prompt, Set<Upstream> tried, long weights, long now) {
-        List<Upstream> open = withWeights(open(service, tried, now), weights);
-        if (open.isEmpty()) {
+    /**
+     * Picks an upstream.
+     *
+     * @param tried upstreams to which the request was sent already; none of them is picked
+     * @param weights version of the model weights that began the response, or {@link
+     *     InstanceRecord#UNKNOWN_WEIGHTS}; upstreams with this version are preferred
+     * @return null if no upstream can take the request now
+     */
+    PickResult pick(
+            Service service, PromptSegments prompt, Set<Upstream> tried, long weights, long nowMs) {
+        List<Upstream> candidates = withWeights(candidates(service, tried, nowMs), weights);
+        if (candidates.isEmpty()) {
             return null;
         }
         return service.engine() == null
-                ? pickPlain(service, open, now)
-                : pickModel(service, prompt, open, now);
+                ? pickPlain(service, candidates, nowMs)
+                : modelPolicy.pick(schedule(service), prompt, candidates, nowMs);
     }
 
-    /** Where a request would likely go, null if that is not known; nothing is picked by it. */
-    UpstreamLoad likely(Service service, PromptSegments prompt, long now) {
-        List<Upstream> open = open(service, Set.of(), now);
-        if (service.engine() == null || open.isEmpty()) {
+    /**
+     * The load that a request would likely be; picks nothing.
+     *
+     * @return null if it is not known
+     */
+    UpstreamLoad likelyLoad(Service service, PromptSegments prompt, long nowMs) {
+        List<Upstream> candidates = candidates(service, Set.of(), nowMs);
+        if (service.engine() == null || candidates.isEmpty()) {
             return null;
         }
-        Pick likely =
-                Collections.min(picks(prompt, open, now), Comparator.comparingDouble(Pick::costMs));
-        return UpstreamLoad.of(likely.upstream().key(), 1, likely.tokensToRead());
+        PickResult likely = modelPolicy.cheapest(prompt, candidates, nowMs);
+        return UpstreamLoad.of(likely.upstream().key(), 1, likely.promptTokens());
     }
 
-    private List<Upstream> open(Service service, Set<Upstream> tried, long now) {
-        List<Upstream> all = directory.ready(service.name());
-        int healthy = 0;
-        for (Upstream upstream : all) {
-            healthy += upstream.ejected(now) ? 0 : 1;
-        }
-        boolean panic = healthy < PANIC * all.size();
-        int most = connectionLimit(service);
-        List<Upstream> open = new ArrayList<>();
-        for (Upstream upstream : all) {
-            boolean room =
-                    connections.idleConnections(upstream) > 0
-                            || connections.openConnections(upstream) < most;
-            if (!tried.contains(upstream) && room && (panic || !upstream.ejected(now))) {
-                open.add(upstream);
-            }
-        }
-        return open;
+    /** Whether the shared prefix of a prompt is long enough to announce where it is cached. */
+    boolean isWorthAnnouncing(PromptSegments prompt) {
+        return modelPolicy.isWorthAnnouncing(prompt);
     }
 
-    private static List<Upstream> withWeights(List<Upstream> open, long weights) {
-        if (weights == InstanceRecord.UNKNOWN_WEIGHTS) {
-            return open;
-        }
-        List<Upstream> same = open.stream().filter(u -> u.record().weights == weights).toList();
-        return same.isEmpty() ? open : same;
-    }
-
-    /** All balancers together keep below the upstream's bound. */
-    private int connectionLimit(Service service) {
-        return Math.max(2, (int) (0.9 * service.maxConnections() / balancers));
-    }
-
-    private WeightedSchedule schedule(Service service) {
-        return schedules.computeIfAbsent(
-                service.name(),
-                s -> new WeightedSchedule(service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
-    }
-
-    private Pick pickPlain(Service service, List<Upstream> open, long now) {
-        open.forEach(u -> u.refresh(now));
-        Upstream picked = schedule(service).pick(open);
-        double line = Math.max(0, picked.inFlight() + 1 - picked.capacity());
-        double expected = line / picked.capacity() * picked.took();
-        return new Pick(picked, 0, expected, 0, expected, false);
-    }
-
-    private Pick pickModel(Service service, PromptSegments prompt, List<Upstream> open, long now) {
-        List<Pick> picks = picks(prompt, open, now);
-        double least = Double.POSITIVE_INFINITY;
-        for (Pick pick : picks) {
-            least = Math.min(least, pick.costMs());
-        }
-        List<Upstream> near = new ArrayList<>();
-        for (Pick pick : picks) {
-            if (pick.costMs() <= least + SPREAD_MS) {
-                near.add(pick.upstream());
+    private List<Upstream> candidates(Service service, Set<Upstream> tried, long nowMs) {
+        List<Upstream> available = directory.available(service.name());
+        boolean panic = isPanic(available, nowMs);
+        int limit = connectionLimit(service);
+        List<Upstream> candidates = new ArrayList<>();
+        for (Upstream upstream : available) {
+            boolean connectable =
+                    connections.idleConnections(upstream) > 0
+                            || connections.openConnections(upstream) < limit;
+            boolean healthy = panic || !upstream.isEjected(nowMs);
+            if (!tried.contains(upstream) && connectable && healthy) {
+                candidates.add(upstream);
             }
         }
-        Upstream picked = schedule(service).pick(near);
-        return picks.stream().filter(p -> p.upstream() == picked).findFirst().orElseThrow();
+        return candidates;
     }
 
-    private List<Pick> picks(PromptSegments prompt, List<Upstream> open, long now) {
-        Upstream home = ranked(open, prompt.subject(), null);
-        Upstream second = ranked(open, prompt.subject(), home);
-        boolean hasFreshLoads = fleet.hasFreshLoads(now);
-        List<Pick> picks = new ArrayList<>();
-        for (Upstream upstream : open) {
-            upstream.refresh(now);
-            Rank rank =
-                    upstream == home ? Rank.HOME : upstream == second ? Rank.SECOND : Rank.OTHER;
-            picks.add(cost(upstream, prompt, rank, hasFreshLoads, now));
+    private static boolean isPanic(List<Upstream> upstreams, long nowMs) {
+        int healthy = 0;
+        for (Upstream upstream : upstreams) {
+            healthy += upstream.isEjected(nowMs) ? 0 : 1;
         }
-        return picks;
+        return healthy < PANIC_THRESHOLD * upstreams.size();
     }
 
-    /** How likely a new subject has its home at an upstream. */
-    private enum Rank {
-        HOME(0, 0),
-        SECOND(DETOUR_MS, 1 - SECOND_KEPT / HOME_KEPT),
-        OTHER(2 * DETOUR_MS, 1);
-
-        /** How much shorter a wait has to be for a new subject to go here rather than home. */
-        private final double detourMs;
-
-        /** The same out of touch, as a part of the time that what homes may keep takes to read. */
-        private final double detourPart;
-
-        Rank(double detourMs, double detourPart) {
-            this.detourMs = detourMs;
-            this.detourPart = detourPart;
+    private static List<Upstream> withWeights(List<Upstream> candidates, long weights) {
+        if (weights == InstanceRecord.UNKNOWN_WEIGHTS) {
+            return candidates;
         }
-    }
-
-    /**
-     * The upstream at which a subject is at home, the same at every balancer that sees the same
-     * ones.
-     */
-    private static Upstream ranked(List<Upstream> open, long subject, Upstream except) {
-        Upstream best = null;
-        for (Upstream upstream : open) {
-            if (upstream != except && (best == null || ranksBefore(upstream, best, subject))) {
-                best = upstream;
+        List<Upstream> same = new ArrayList<>();
+        for (Upstream upstream : candidates) {
+            if (upstream.record().weights == weights) {
+                same.add(upstream);
             }
         }
-        return best;
-    }
-
-    /** New instances are nobody's home until they have an ordinal. */
-    private static boolean ranksBefore(Upstream upstream, Upstream other, long subject) {
-        if (upstream.hasOrdinal() != other.hasOrdinal()) {
-            return upstream.hasOrdinal();
-        }
-        return upstream.rank(subject) > other.rank(subject);
+        return same.isEmpty() ? candidates : same;
     }
 
-    /** Whether the shared part of a prompt is so long that the others should know where it is. */
-    boolean worthKeeping(PromptSegments prompt) {
-        return prompt.shared() * speed.msPerToken() > SPREAD_MS;
+    /** This balancer's part of the limit that all balancers together keep. */
+    private int connectionLimit(Service service) {
+        double part = CONNECTION_LIMIT_SHARE * service.maxConnections() / balancers;
+        return Math.max(MIN_CONNECTION_LIMIT, (int) part);
     }
 
-    /**
-     * What a request costs at an upstream, itself and those behind it: what is read anew costs the
-     * others there several times its time. A new subject goes to its home unless the wait there is
-     * clearly longer than elsewhere. Out of touch the waits are not known, nor where others sent
-     * the subject lately, so that much more speaks for the home.
-     */
-    private Pick cost(
-            Upstream upstream, PromptSegments prompt, Rank rank, boolean hasFreshLoads, long now) {
-        int kept = upstream.memory().kept(prompt, now);
-        double toReadAnew = Math.max(0, prompt.shared() - kept) * speed.msPerToken();
-        Pick pick = expectation(upstream, prompt, kept, now);
-        double detour =
-                hasFreshLoads
-                        ? Math.min(rank.detourMs, toReadAnew)
-                        : rank.detourPart * HOME_KEPT * toReadAnew;
-        return new Pick(
-                upstream,
-                pick.tokensToRead(),
-                pick.expectedMs(),
-                pick.knownMs(),
-                pick.expectedMs() + READ_ANEW_COST * toReadAnew + detour,
-                pick.alone());
+    private WeightedSchedule schedule(Service service) {
+        return schedules.computeIfAbsent(
+                service.name(),
+                name -> new WeightedSchedule(service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
     }
 
-    private Pick expectation(Upstream upstream, PromptSegments prompt, double kept, long now) {
-        double toRead = prompt.total() - kept;
-        double places = Math.max(0, upstream.inFlight() + 1 - upstream.capacity()) * WAITING_MS;
-        double before = upstream.backlogTokens() + upstream.peerPromptTokens(now);
-        double known = speed.baseMs() + (before + toRead) * speed.msPerToken();
-        double expected =
-                (known + upstream.extraDelay(now) + places + upstream.waiting(now) * WAITING_MS)
-                        / Math.max(0.1, 1 - upstream.errors());
-        return new Pick(upstream, (int) Math.round(toRead), expected, known, expected, before == 0);
+    private PickResult pickPlain(Service service, List<Upstream> candidates, long nowMs) {
+        for (Upstream upstream : candidates) {
+            upstream.refreshInFlight(nowMs);
+        }
+        Upstream picked = schedule(service).pick(candidates);
+        double queued = Math.max(0, picked.inFlight() + 1 - picked.capacity());
+        double expectedMs = queued / picked.capacity() * picked.responseTimeMs();
+        return new PickResult(picked, 0, expectedMs, 0, expectedMs, false);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Warmup.java
+++ b/src/main/java/myrtleladder/dataplane/Warmup.java
@@ -1,18 +1,12 @@
 package myrtleladder.dataplane;
 
-import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
-import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import myrtleladder.configuration.Compression;
 import myrtleladder.io.EventLoop;
 import myrtleladder.io.Headers;
 import myrtleladder.io.HttpServer;
+import myrtleladder.io.IoException;
 import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResultCode;
 import myrtleladder.io.ServerExchange;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
@@ -30,15 +24,34 @@
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.OneCall;
 
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+
 /**
- * A balancer that serves itself on the loopback for a moment, with stand-ins for the control plane
- * and for upstreams. The build runs it to learn which classes a start needs; they are kept in an
- * archive.
+ * The warm-up run: a balancer that serves a few requests on the loopback interface, with fakes of
+ * the control plane and of upstreams. The build runs it to record the class archive of the data
+ * plane. {@link #run} is called by the command line; all else is confined to the event loop.
  */
 final class Warmup {
-    private static final long LONGEST = 10_000;
-    private static final long STEP = 500;
+    /** Time in which the run has to end; chosen. */
+    private static final long TIMEOUT_MS = 10_000;
+
+    /** Time for the start before the first request, and for the last responses; chosen. */
+    private static final long SETTLE_MS = 500;
+
+    /** Interval between rounds of requests; chosen. */
+    private static final long ROUND_INTERVAL_MS = 20;
+
+    /** Rounds of requests; chosen. */
     private static final int ROUNDS = 40;
+
     private static final String HOST = "127.0.0.1";
     private static final byte[] NO_BYTES = {};
     private static final String DOCUMENT =
@@ -59,84 +72,90 @@
 
     private final EventLoop loop = new EventLoop();
     private final CountDownLatch done = new CountDownLatch(1);
-    private final int control = freePort();
-    private final int upstream = freePort();
-    private final int frontend = freePort();
-    private final int readiness = freePort();
+    private final int controlPort = freePort();
+    private final int upstreamPort = freePort();
+    private final int frontendPort = freePort();
+    private final int readinessPort = freePort();
 
     private static int freePort() {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new myrtleladder.io.IoException(
-                    myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new IoException(ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
-    /** Serves and ends; whether all of it was served. */
+    /** Runs on a thread of its own loop; false if it did not end in time. */
     static boolean run() throws InterruptedException {
-        Warmup rehearsal = new Warmup();
-        rehearsal.loop.start();
-        rehearsal.loop.execute(rehearsal::begin);
-        return rehearsal.done.await(LONGEST, TimeUnit.MILLISECONDS);
+        Warmup warmup = new Warmup();
+        warmup.loop.start();
+        warmup.loop.execute(warmup::start);
+        return warmup.done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void begin() {
-        new MessageServer(loop, HOST, control, this::control);
-        new HttpServer(loop, HOST, upstream, this::upstream);
-        NodeSettings settings =
-                new NodeSettings(
-                        "n",
-                        "r",
-                        HOST,
-                        "z",
-                        "",
-                        Map.of(),
-                        control,
-                        List.of(new Address(HOST, control)),
-                        false,
-                        200,
-                        "",
-                        new Address(HOST, frontend),
-                        new Address(HOST, readiness),
-                        null,
-                        1,
-                        new NodeSettings.Limits(256, 1_024),
-                        new NodeSettings.Bounds(
-                                2_000, 2_000, 8_000, 0.2, 10_000, 52, 3_000, 0.1, 190_000, 4_000));
-        Main.beginOn(settings, freePort(), loop);
-        for (int i = 1; i <= ROUNDS; i++) {
-            loop.schedule(STEP + i * 20L, this::callAll);
+    private void start() {
+        new MessageServer(loop, HOST, controlPort, this::answerControlMessage);
+        new HttpServer(loop, HOST, upstreamPort, this::answerAsUpstream);
+        Main.startOn(settings(), freePort(), loop);
+        for (int round = 1; round <= ROUNDS; round++) {
+            loop.schedule(SETTLE_MS + round * ROUND_INTERVAL_MS, this::sendRound);
         }
-        loop.schedule(STEP + ROUNDS * 20L + STEP, done::countDown);
+        long lastRoundMs = SETTLE_MS + ROUNDS * ROUND_INTERVAL_MS;
+        loop.schedule(lastRoundMs + SETTLE_MS, done::countDown);
+    }
+
+    private NodeSettings settings() {
+        return new NodeSettings(
+                "n",
+                "r",
+                HOST,
+                "z",
+                "",
+                Map.of(),
+                controlPort,
+                List.of(new Address(HOST, controlPort)),
+                false,
+                200,
+                "",
+                new Address(HOST, frontendPort),
+                new Address(HOST, readinessPort),
+                null,
+                1,
+                new NodeSettings.Limits(256, 1_024),
+                new NodeSettings.Bounds(
+                        2_000, 2_000, 8_000, 0.2, 10_000, 52, 3_000, 0.1, 190_000, 4_000));
     }
 
-    private void control(Message message, java.util.function.Consumer<Message> answer) {
-        if (message instanceof QuotaRequest ask) {
-            QuotaResponse grant = QuotaResponse.of(true, ask.units, 0);
+    private void answerControlMessage(Message message, Consumer<Message> callback) {
+        if (message instanceof QuotaRequest request) {
+            QuotaResponse grant = QuotaResponse.of(true, request.units, 0);
             grant.loads = loads();
-            answer.accept(grant);
-        } else if (message instanceof PollRequest poll && poll.generation == 0) {
-            PollResponse reply = new PollResponse();
-            reply.valid = true;
-            reply.epoch = 1;
-            reply.generation = 3;
-            reply.document = Compression.deflate(DOCUMENT.getBytes(StandardCharsets.UTF_8));
-            reply.whole = true;
-            reply.complete = true;
-            reply.balancers = 1;
-            reply.primary = HOST + ":" + control;
-            reply.members = List.of(reply.primary);
-            reply.balancerList =
-                    List.of(
-                            BalancerAddress.of("n", HOST + ":" + control),
-                            BalancerAddress.of("m", HOST + ":" + control));
-            reply.instances = List.of(instance("i", "s"), instance("j", "p"));
-            reply.loads = loads();
-            answer.accept(reply);
+            callback.accept(grant);
+        } else if (message instanceof PollRequest request && request.generation == 0) {
+            callback.accept(firstPollResponse());
         }
     }
 
+    private PollResponse firstPollResponse() {
+        PollResponse response = new PollResponse();
+        response.valid = true;
+        response.epoch = 1;
+        response.generation = 3;
+        response.document = Compression.deflate(DOCUMENT.getBytes(StandardCharsets.UTF_8));
+        response.whole = true;
+        response.complete = true;
+        response.balancers = 1;
+        response.primary = HOST + ":" + controlPort;
+        response.members = List.of(response.primary);
+        response.balancerList =
+                List.of(
+                        BalancerAddress.of("n", HOST + ":" + controlPort),
+                        BalancerAddress.of("m", HOST + ":" + controlPort));
+        response.instances = List.of(instance("i", "s"), instance("j", "p"));
+        response.loads = loads();
+        return response;
+    }
+
     private static FleetLoads loads() {
         FleetLoads loads = new FleetLoads();
         loads.epoch = 1;
@@ -148,17 +167,19 @@
     }
 
     private InstanceRecord instance(String id, String service) {
-        return InstanceRecord.of(id, service, HOST + ":" + upstream, "z", 64, "v1", Stage.READY, 1);
+        return InstanceRecord.of(
+                id, service, HOST + ":" + upstreamPort, "z", 64, "v1", Stage.READY, 1);
     }
 
-    private void upstream(ServerExchange exchange) {
+    private void answerAsUpstream(ServerExchange exchange) {
         Headers headers =
                 new Headers()
-                        .add(HeaderNames.SIGNATURE, "x")
-                        .add(HeaderNames.LOAD, "1,0,64")
+                        .add(HeaderNames.UPSTREAM_SIGNATURE, "x")
+                        .add(HeaderNames.UPSTREAM_LOAD, "1,0,64")
                         .add(
-                                HeaderNames.ATTEMPT,
-                                String.valueOf(exchange.head().headers().get(HeaderNames.ATTEMPT)));
+                                HeaderNames.ATTEMPT_ID,
+                                String.valueOf(
+                                        exchange.head().headers().get(HeaderNames.ATTEMPT_ID)));
         if (exchange.head().path().startsWith("/b/")) {
             exchange.respond(200, headers, new byte[] {'o', 'k'});
             return;
@@ -171,29 +192,29 @@
         exchange.end();
     }
 
-    private void callAll() {
-        call("/a/1", "1f:800,2b:410");
-        call("/b/1", null);
-        call("/c/1", null);
+    private void sendRound() {
+        send("/a/1", "1f:800,2b:410");
+        send("/b/1", null);
+        send("/c/1", null);
         OneCall.send(
                 loop,
                 HOST,
-                readiness,
+                readinessPort,
                 new RequestHead("GET", "/readyz", new Headers().add("Host", "h")),
                 NO_BYTES);
     }
 
-    private void call(String path, String prefix) {
+    private void send(String path, String prefix) {
         Headers headers =
                 new Headers()
                         .add("Host", "h")
-                        .add(HeaderNames.ATTEMPT, "a1b2")
-                        .add(HeaderNames.DEADLINE, "5000")
+                        .add(HeaderNames.ATTEMPT_ID, "a1b2")
+                        .add(HeaderNames.DEADLINE_MS, "5000")
                         .add(HeaderNames.AUTHORIZATION, "Token k");
         if (prefix != null) {
-            headers.add(HeaderNames.PREFIX, prefix).add(HeaderNames.USAGE, "1210,80");
+            headers.add(HeaderNames.PROMPT_PREFIX, prefix).add(HeaderNames.TOKEN_USAGE, "1210,80");
         }
         OneCall.send(
-                loop, HOST, frontend, new RequestHead("POST", path, headers), new byte[] {'x'});
+                loop, HOST, frontendPort, new RequestHead("POST", path, headers), new byte[] {'x'});
     }
 }
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -4,47 +4,43 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Consumer;
 import myrtleladder.configuration.Compression;
 import myrtleladder.heartbeat.MembershipAgent;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.replication.ManualScheduler;
+
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which control node a balancer asks, and what it takes from whom. */
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** Which control node a balancer polls, and which responses it applies. */
 class ControlPollerTest {
     private final ManualScheduler clock = new ManualScheduler();
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> polledNodes = new ArrayList<>();
     private final List<PollRequest> polls = new ArrayList<>();
-    private Consumer<Message> answer;
-    private RequestRouter router;
+    private Consumer<Message> pendingCallback;
+    private final DataPlane dataPlane =
+            new DataPlaneContext.Builder().withClock(clock).build().dataPlane;
     private ControlPoller poller;
 
     @BeforeEach
     void start() {
-        router =
-                new RequestRouter(
-                        clock,
-                        new ScriptedConnectionPool(),
-                        new RetryBudget(0.2, 10),
-                        (ask, timeout, to) -> to.accept(null),
-                        1);
         MembershipAgent agent = new MembershipAgent(clock, (to, message, timeout, back) -> {}, "e");
         poller =
                 new ControlPoller(
                         clock,
-                        (to, message, timeout, back) -> {
-                            asked.add(to);
+                        (node, message, timeoutMs, callback) -> {
+                            polledNodes.add(node);
                             polls.add((PollRequest) message);
-                            answer = back;
+                            pendingCallback = callback;
                         },
-                        router,
+                        dataPlane,
                         "e",
                         "e:1",
                         agent,
@@ -52,120 +48,120 @@
         poller.start();
     }
 
-    private static PollResponse reply(long epoch, long generation) {
-        PollResponse reply = new PollResponse();
-        reply.valid = true;
-        reply.epoch = epoch;
-        reply.generation = generation;
-        reply.document =
+    private static PollResponse response(long epoch, long generation) {
+        PollResponse response = new PollResponse();
+        response.valid = true;
+        response.epoch = epoch;
+        response.generation = generation;
+        response.document =
                 generation == 0
                         ? new byte[0]
                         : Compression.deflate(
                                 ("{\"generation\":" + generation + "}")
                                         .getBytes(StandardCharsets.UTF_8));
-        reply.primary = "a:1";
-        reply.members = List.of("a:1", "b:1", "c:1");
-        return reply;
+        response.primary = "a:1";
+        response.members = List.of("a:1", "b:1", "c:1");
+        return response;
     }
 
-    private String last() {
-        return asked.get(asked.size() - 1);
+    private String lastPolledNode() {
+        return polledNodes.get(polledNodes.size() - 1);
     }
 
     @Test
-    void itIsReadyOnceAConfigurationIsInForce() {
-        assertFalse(poller.ready());
-        answer.accept(reply(3, 0));
-        assertFalse(poller.ready());
-        answer.accept(reply(3, 7));
-        assertTrue(poller.ready());
-        assertEquals(7, router.configuration().generation());
+    void pollerIsReadyOnceAConfigurationIsInForce() {
+        assertFalse(poller.isReady());
+        pendingCallback.accept(response(3, 0));
+        assertFalse(poller.isReady());
+        pendingCallback.accept(response(3, 7));
+        assertTrue(poller.isReady());
+        assertEquals(7, dataPlane.configuration().generation());
         assertEquals(7, polls.get(polls.size() - 1).generation);
     }
 
     @Test
-    void nothingOfALowerEpochOrAnOlderGenerationIsTaken() {
-        answer.accept(reply(3, 7));
-        answer.accept(reply(2, 9));
-        assertEquals(7, router.configuration().generation());
+    void lowerEpochsAndOlderGenerationsAreIgnored() {
+        pendingCallback.accept(response(3, 7));
+        pendingCallback.accept(response(2, 9));
+        assertEquals(7, dataPlane.configuration().generation());
         clock.run(100);
-        answer.accept(reply(4, 5));
-        assertEquals(7, router.configuration().generation());
+        pendingCallback.accept(response(4, 5));
+        assertEquals(7, dataPlane.configuration().generation());
     }
 
     @Test
-    void aSilentNodeIsAvoidedButOneThatRefusesIsAskedAgain() {
-        assertEquals("a:1", last());
-        answer.accept(null);
+    void unresponsiveNodeIsAvoidedButOneThatRefusesIsPolledAgain() {
+        assertEquals("a:1", lastPolledNode());
+        pendingCallback.accept(null);
         clock.run(60);
-        assertEquals("b:1", last());
+        assertEquals("b:1", lastPolledNode());
         clock.run(700);
-        answer.accept(null);
+        pendingCallback.accept(null);
         clock.run(60);
-        assertEquals("c:1", last());
-        answer.accept(null);
+        assertEquals("c:1", lastPolledNode());
+        pendingCallback.accept(null);
         clock.run(60);
-        assertEquals("a:1", last());
-        answer.accept(null);
+        assertEquals("a:1", lastPolledNode());
+        pendingCallback.accept(null);
         clock.run(60);
-        assertEquals("c:1", last());
+        assertEquals("c:1", lastPolledNode());
         clock.run(1_500);
-        answer.accept(null);
+        pendingCallback.accept(null);
         clock.run(60);
-        assertTrue(List.of("a:1", "b:1").contains(last()));
+        assertTrue(List.of("a:1", "b:1").contains(lastPolledNode()));
     }
 
-    private static PollResponse names(String primary, long epoch) {
-        PollResponse reply = new PollResponse();
-        reply.primary = primary;
-        reply.epoch = epoch;
-        return reply;
+    private static PollResponse redirection(String primary, long epoch) {
+        PollResponse response = new PollResponse();
+        response.primary = primary;
+        response.epoch = epoch;
+        return response;
     }
 
-    private void isSilent() {
+    private void timeOut() {
         clock.run(750);
-        answer.accept(null);
+        pendingCallback.accept(null);
         clock.run(60);
     }
 
     @Test
-    void aNodeThatWasSilentIsAskedOnceItIsNamedPrimaryOfALaterEpoch() {
-        assertEquals("a:1", last());
-        isSilent(); // its machine was about to start
-        assertEquals("b:1", last());
-        answer.accept(names("a:1", 4));
+    void avoidedNodeIsPolledOnceItIsNamedPrimaryOfALaterEpoch() {
+        assertEquals("a:1", lastPolledNode());
+        timeOut(); // its machine was about to start
+        assertEquals("b:1", lastPolledNode());
+        pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
-        assertEquals("a:1", last());
+        assertEquals("a:1", lastPolledNode());
     }
 
     @Test
-    void aDeadPrimaryIsNotAskedOnTheWordOfThoseWhoKnowNoLaterEpoch() {
-        answer.accept(reply(3, 7));
-        assertEquals("a:1", last());
-        isSilent();
-        answer.accept(names("a:1", 3));
+    void avoidedPrimaryIsNotPolledWhenItIsNamedForTheKnownEpoch() {
+        pendingCallback.accept(response(3, 7));
+        assertEquals("a:1", lastPolledNode());
+        timeOut();
+        pendingCallback.accept(redirection("a:1", 3));
         clock.run(60);
-        assertEquals("c:1", last());
+        assertEquals("c:1", lastPolledNode());
     }
 
     @Test
-    void aDeadPrimaryCostsABalancerThatJustStartedTwoCallsAtMost() {
-        isSilent();
-        answer.accept(names("a:1", 4));
+    void deadPrimaryCostsAStartingBalancerTwoPollsAtMost() {
+        timeOut();
+        pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
-        assertEquals("a:1", last());
-        isSilent();
-        answer.accept(names("a:1", 4));
+        assertEquals("a:1", lastPolledNode());
+        timeOut();
+        pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
-        assertTrue(List.of("b:1", "c:1").contains(last()));
+        assertTrue(List.of("b:1", "c:1").contains(lastPolledNode()));
     }
 
     @Test
-    void aBackupsWordLeadsToThePrimary() {
+    void backupRedirectsToThePrimary() {
         PollResponse other = new PollResponse();
         other.primary = "c:1";
-        answer.accept(other);
+        pendingCallback.accept(other);
         clock.run(60);
-        assertEquals("c:1", last());
+        assertEquals("c:1", lastPolledNode());
     }
 }
--- /dev/null
+++ b/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
@@ -0,0 +1,119 @@
+package myrtleladder.dataplane;
+
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.QuotaResponse;
+import myrtleladder.replication.ManualScheduler;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+
+/** A data plane on a manual clock, with scripted connections and a scripted quota allocator. */
+final class DataPlaneContext {
+    final ManualScheduler clock;
+    final ScriptedConnectionPool connections = new ScriptedConnectionPool();
+    final DataPlane dataPlane;
+    private Message quotaResponse = QuotaResponse.of(true, 1_000_000, 0);
+
+    private DataPlaneContext(Builder builder) {
+        clock = builder.clock;
+        dataPlane =
+                new DataPlane(
+                        clock,
+                        connections,
+                        new RetryBudget(0.2, 100),
+                        (request, timeoutMs, callback) -> callback.accept(quotaResponse),
+                        builder.seed);
+        if (builder.configuration != null) {
+            dataPlane.applyConfiguration(builder.configuration);
+        }
+        if (!builder.records.isEmpty()) {
+            dataPlane.directory().applyRecords(builder.records, true);
+            dataPlane.start();
+        }
+    }
+
+    /** The routes of {@link RoutesDocument}, with three upstreams of each service. */
+    static DataPlaneContext withRouteOfEachKind() {
+        return new Builder()
+                .withConfiguration(RoutesDocument.TEXT)
+                .withUpstreams("m", 3)
+                .withUpstreams("p", 3)
+                .withUpstreams("q", 3)
+                .build();
+    }
+
+    /** Reads a document that is written with single quotes. */
+    static Configuration configuration(String document) {
+        byte[] bytes = document.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+        return Configuration.read(Json.readObject(bytes));
+    }
+
+    /** The record of an upstream in zone z. */
+    static InstanceRecord record(String id, String service, Stage stage) {
+        return InstanceRecord.of(id, service, "10.0.0.1:80", "z", 64, "v1", stage, 1);
+    }
+
+    /** From now on the quota allocator answers so; null stands for no answer in time. */
+    void answerQuotaRequestsWith(Message response) {
+        quotaResponse = response;
+    }
+
+    /** Lets a client send a request. */
+    ScriptedClient send(String path, String... fields) {
+        ScriptedClient client = new ScriptedClient(path, fields);
+        dataPlane.router().handle(client);
+        return client;
+    }
+
+    /** Applies records that are not all. */
+    void update(InstanceRecord... records) {
+        dataPlane.directory().applyRecords(List.of(records), false);
+    }
+
+    /** Builds a context; periodic work starts if there are upstreams. */
+    static final class Builder {
+        private final List<InstanceRecord> records = new ArrayList<>();
+        private ManualScheduler clock = new ManualScheduler();
+        private Configuration configuration;
+        private long seed = 1;
+
+        /** Shares a clock with other contexts. */
+        Builder withClock(ManualScheduler shared) {
+            clock = shared;
+            return this;
+        }
+
+        Builder withSeed(long value) {
+            seed = value;
+            return this;
+        }
+
+        Builder withConfiguration(String document) {
+            configuration = configuration(document);
+            return this;
+        }
+
+        /** Adds ready upstreams, named by the service and numbers from 1. */
+        Builder withUpstreams(String service, int count) {
+            for (int i = 1; i <= count; i++) {
+                records.add(record(service + i, service, Stage.READY));
+            }
+            return this;
+        }
+
+        Builder withRecords(Collection<InstanceRecord> added) {
+            records.addAll(added);
+            return this;
+        }
+
+        DataPlaneContext build() {
+            return new DataPlaneContext(this);
+        }
+    }
+}
--- a/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
@@ -4,129 +4,133 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
+import myrtleladder.configuration.Service;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
+
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a balancer tells the others and takes from them. */
+import java.util.List;
+
+/** Which loads and prefixes a balancer reports, and which it takes from others. */
 class FleetLoadSyncTest {
-    private static final long NOW = 50_000;
+    private static final long NOW_MS = 50_000;
     private static final PromptSegments PROMPT = PromptSegments.parse("a:5000,b:300");
 
     private final UpstreamDirectory directory = new UpstreamDirectory(u -> {});
-    private final FleetLoadSync fleet = new FleetLoadSync(directory, 1);
+    private final FleetLoadSync fleetLoads = new FleetLoadSync(directory, 1);
     private Upstream upstream;
 
     @BeforeEach
-    void know() {
+    void addUpstream() {
         InstanceRecord record =
                 InstanceRecord.of("i", "m", "10.0.0.1:80", "z", 64, "v", Stage.READY, 1);
-        directory.take(List.of(record), true);
-        upstream = directory.ready("m").get(0);
-        upstream.engine(new myrtleladder.configuration.Service.Engine(64, 500_000, 3));
+        directory.applyRecords(List.of(record), true);
+        upstream = directory.available("m").get(0);
+        upstream.setEngine(new Service.Engine(64, 500_000, 3));
     }
 
-    private static FleetLoads answer(long epoch, long revision) {
-        FleetLoads answer = new FleetLoads();
-        answer.epoch = epoch;
-        answer.promptRevision = revision;
-        answer.known = true;
-        return answer;
+    private static FleetLoads response(long epoch, long revision) {
+        FleetLoads response = new FleetLoads();
+        response.epoch = epoch;
+        response.promptRevision = revision;
+        response.known = true;
+        return response;
     }
 
     @Test
-    void anAnnouncementIsSentAgainUntilAnAnswerShowsThatItArrived() {
-        fleet.sent(PROMPT, upstream, NOW);
-        LoadReport lost = fleet.report();
-        assertEquals(PROMPT.subject(), lost.prompts.get(0).prompt);
+    void announcementIsRepeatedUntilAResponseAcknowledgesIt() {
+        fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
+        LoadReport lost = fleetLoads.createReport();
+        assertEquals(PROMPT.sharedPrefixHash(), lost.prompts.get(0).prompt);
         assertEquals(upstream.key(), lost.prompts.get(0).upstream);
-        LoadReport second = fleet.report();
+        LoadReport second = fleetLoads.createReport();
         assertEquals(1, second.prompts.size());
         assertTrue(second.sequence > lost.sequence);
-        fleet.take(second, answer(3, 1), NOW);
-        assertEquals(List.of(), fleet.report().prompts);
+        fleetLoads.applyResponse(second, response(3, 1), NOW_MS);
+        assertEquals(List.of(), fleetLoads.createReport().prompts);
     }
 
     @Test
-    void whatIsKnownAlreadyIsNotAnnouncedAgainForAWhile() {
-        fleet.sent(PROMPT, upstream, NOW);
-        fleet.take(fleet.report(), answer(3, 1), NOW);
-        fleet.sent(PROMPT, upstream, NOW + 1_000);
-        assertEquals(List.of(), fleet.report().prompts);
-        fleet.sent(PROMPT, upstream, NOW + 30_000);
-        assertEquals(1, fleet.report().prompts.size());
+    void announcedPrefixIsNotAnnouncedAgainForAWhile() {
+        fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
+        fleetLoads.applyResponse(fleetLoads.createReport(), response(3, 1), NOW_MS);
+        fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 1_000);
+        assertEquals(List.of(), fleetLoads.createReport().prompts);
+        fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 30_000);
+        assertEquals(1, fleetLoads.createReport().prompts.size());
     }
 
     @Test
-    void theOthersLoadsCountLessWithAgeAndThenNotAtAll() {
-        FleetLoads answer = answer(3, 1);
-        answer.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        fleet.take(fleet.report(), answer, NOW);
-        assertTrue(fleet.hasFreshLoads(NOW));
-        assertEquals(4, upstream.others(NOW));
-        assertEquals(8_000, upstream.peerPromptTokens(NOW));
-        assertTrue(upstream.peerPromptTokens(NOW + 500) < 8_000);
-        assertEquals(0, upstream.peerPromptTokens(NOW + FleetLoadSync.FRESH));
-        assertFalse(fleet.hasFreshLoads(NOW + FleetLoadSync.FRESH + 1));
+    void peerLoadsCountLessWithAgeAndThenNotAtAll() {
+        FleetLoads response = response(3, 1);
+        response.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
+        fleetLoads.applyResponse(fleetLoads.createReport(), response, NOW_MS);
+        assertTrue(fleetLoads.hasFreshLoads(NOW_MS));
+        assertEquals(4, upstream.peerRequests(NOW_MS));
+        assertEquals(8_000, upstream.peerPromptTokens(NOW_MS));
+        assertTrue(upstream.peerPromptTokens(NOW_MS + 500) < 8_000);
+        assertEquals(0, upstream.peerPromptTokens(NOW_MS + FleetLoadSync.MAX_LOAD_AGE_MS));
+        assertFalse(fleetLoads.hasFreshLoads(NOW_MS + FleetLoadSync.MAX_LOAD_AGE_MS + 1));
     }
 
     @Test
-    void whatIsNotNamedIsIdle() {
-        FleetLoads busy = answer(3, 1);
-        busy.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        fleet.take(fleet.report(), busy, NOW);
-        fleet.take(fleet.report(), answer(3, 1), NOW);
-        assertEquals(0, upstream.others(NOW));
+    void upstreamWithoutAPeerLoadIsIdle() {
+        FleetLoads withLoad = response(3, 1);
+        withLoad.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
+        fleetLoads.applyResponse(fleetLoads.createReport(), withLoad, NOW_MS);
+        fleetLoads.applyResponse(fleetLoads.createReport(), response(3, 1), NOW_MS);
+        assertEquals(0, upstream.peerRequests(NOW_MS));
     }
 
     @Test
-    void aPrimaryWithoutSumsTakesNothingAway() {
-        FleetLoads busy = answer(3, 1);
-        busy.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        fleet.take(fleet.report(), busy, NOW);
-        FleetLoads unknown = answer(4, 0);
+    void primaryWithoutSumsLeavesPeerLoadsUnchanged() {
+        FleetLoads withLoad = response(3, 1);
+        withLoad.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
+        fleetLoads.applyResponse(fleetLoads.createReport(), withLoad, NOW_MS);
+        FleetLoads unknown = response(4, 0);
         unknown.known = false;
-        fleet.take(fleet.report(), unknown, NOW + 100);
-        assertTrue(upstream.peerPromptTokens(NOW + 100) > 0);
-        fleet.take(fleet.report(), null, NOW + 200);
-        assertTrue(upstream.peerPromptTokens(NOW + 200) > 0);
+        fleetLoads.applyResponse(fleetLoads.createReport(), unknown, NOW_MS + 100);
+        assertTrue(upstream.peerPromptTokens(NOW_MS + 100) > 0);
+        fleetLoads.applyResponse(fleetLoads.createReport(), null, NOW_MS + 200);
+        assertTrue(upstream.peerPromptTokens(NOW_MS + 200) > 0);
     }
 
     @Test
-    void aDeposedPrimaryTellsNothing() {
-        fleet.take(fleet.report(), answer(4, 9), NOW);
-        FleetLoads old = answer(3, 50);
-        old.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        old.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
-        fleet.take(fleet.report(), old, NOW);
-        assertEquals(0, upstream.others(NOW));
-        assertEquals(0, upstream.memory().kept(PROMPT, NOW));
-        assertEquals(9, fleet.report().promptRevision);
+    void responseOfADeposedPrimaryIsIgnored() {
+        fleetLoads.applyResponse(fleetLoads.createReport(), response(4, 9), NOW_MS);
+        FleetLoads deposed = response(3, 50);
+        deposed.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
+        deposed.prompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
+        fleetLoads.applyResponse(fleetLoads.createReport(), deposed, NOW_MS);
+        assertEquals(0, upstream.peerRequests(NOW_MS));
+        assertEquals(0, upstream.prefixCache().cachedTokens(PROMPT, NOW_MS));
+        assertEquals(9, fleetLoads.createReport().promptRevision);
     }
 
     @Test
-    void beginningsThatOthersSentAreKnownToBeKept() {
-        FleetLoads answer = answer(3, 7);
-        answer.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key()));
-        answer.prompts.add(CachedPrompt.of(PROMPT.subject(), upstream.key() + 1)); // not known here
-        fleet.take(fleet.report(), answer, NOW);
-        assertEquals(5_000, upstream.memory().kept(PROMPT, NOW));
-        assertEquals(7, fleet.report().promptRevision);
-        fleet.sent(PROMPT, upstream, NOW);
-        assertEquals(List.of(), fleet.report().prompts);
+    void prefixesThatOthersAnnouncedCountAsCached() {
+        FleetLoads response = response(3, 7);
+        response.prompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
+        response.prompts.add(
+                CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key() + 1)); // not known here
+        fleetLoads.applyResponse(fleetLoads.createReport(), response, NOW_MS);
+        assertEquals(5_000, upstream.prefixCache().cachedTokens(PROMPT, NOW_MS));
+        assertEquals(7, fleetLoads.createReport().promptRevision);
+        fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
+        assertEquals(List.of(), fleetLoads.createReport().prompts);
     }
 
     @Test
-    void whereARequestWillLikelyGoIsToldWhileItWaits() {
-        fleet.intends(() -> UpstreamLoad.of(upstream.key(), 1, 5_300));
-        assertEquals(5_300, fleet.report().loads.get(0).tokens);
-        fleet.intends(FleetLoadSync.NOTHING);
-        assertEquals(List.of(), fleet.report().loads);
+    void pendingLoadIsReportedWhileTheRequestWaitsForItsQuota() {
+        fleetLoads.setPendingLoad(() -> UpstreamLoad.of(upstream.key(), 1, 5_300));
+        assertEquals(5_300, fleetLoads.createReport().loads.get(0).tokens);
+        fleetLoads.setPendingLoad(FleetLoadSync.NO_PENDING_LOAD);
+        assertEquals(List.of(), fleetLoads.createReport().loads);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -2,13 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import java.nio.charset.StandardCharsets;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
 import myrtleladder.configuration.Route;
+
 import org.junit.jupiter.api.Test;
 
-/** The rank of a request at a model upstream. */
+import java.nio.charset.StandardCharsets;
+
+/** The prefill class of a request at a model upstream. */
 class PrefillPriorityTest {
     private static Route route(int targetMs, int priority) {
         String text =
@@ -24,22 +26,22 @@
     }
 
     @Test
-    void whatTakesLittleOfItsObjectiveGoesFirst() {
+    void shortPrefillComparedWithTheTargetGoesFirst() {
         Route route = route(800, 1);
-        assertEquals(0, PrefillPriority.rank(route, 0));
-        assertEquals(0, PrefillPriority.rank(route, 100));
-        assertEquals(1, PrefillPriority.rank(route, 200));
-        assertEquals(2, PrefillPriority.rank(route, 700));
+        assertEquals(0, PrefillPriority.prefillClass(route, 0));
+        assertEquals(0, PrefillPriority.prefillClass(route, 100));
+        assertEquals(1, PrefillPriority.prefillClass(route, 200));
+        assertEquals(2, PrefillPriority.prefillClass(route, 700));
     }
 
     @Test
-    void theSamePromptIsMoreUrgentTheShorterItsObjective() {
-        assertEquals(1, PrefillPriority.rank(route(500, 0), 100));
-        assertEquals(0, PrefillPriority.rank(route(2_000, 0), 100));
+    void samePromptIsALaterClassTheShorterTheTarget() {
+        assertEquals(1, PrefillPriority.prefillClass(route(500, 0), 100));
+        assertEquals(0, PrefillPriority.prefillClass(route(2_000, 0), 100));
     }
 
     @Test
-    void aRouteWithoutAnObjectiveIsNotUrgent() {
-        assertEquals(2, PrefillPriority.rank(route(0, 0), 100));
+    void routeWithoutATargetIsInTheLastClass() {
+        assertEquals(2, PrefillPriority.prefillClass(route(0, 0), 100));
     }
 }
--- a/src/test/java/myrtleladder/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -4,7 +4,7 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ServerExchange;
 
-/** A client's request and what came back. */
+/** A fake client: a request with what came back. */
 final class ScriptedClient implements ServerExchange {
     private final RequestHead head;
     private Runnable onGone;
@@ -14,15 +14,15 @@
     final StringBuilder body = new StringBuilder();
     boolean ended;
     boolean aborted;
-    int answers;
+    int responses;
 
     ScriptedClient(String path, String... fields) {
         Headers sent =
                 new Headers()
                         .add("Host", "h.example")
-                        .add(HeaderNames.ATTEMPT, "a1")
+                        .add(HeaderNames.ATTEMPT_ID, "a1")
                         .add(HeaderNames.AUTHORIZATION, "Token k1")
-                        .add(HeaderNames.DEADLINE, "8000");
+                        .add(HeaderNames.DEADLINE_MS, "8000");
         for (int i = 0; i < fields.length; i += 2) {
             sent.set(fields[i], fields[i + 1]);
         }
@@ -46,7 +46,7 @@
 
     @Override
     public void respond(int code, Headers answer, byte[] bytes) {
-        answers++;
+        responses++;
         status = code;
         headers = answer;
         body.append(new String(bytes));
@@ -55,7 +55,7 @@
 
     @Override
     public void begin(int code, Headers answer) {
-        answers++;
+        responses++;
         status = code;
         headers = answer;
     }
@@ -85,7 +85,7 @@
         onGone = task;
     }
 
-    void leave() {
+    void disconnect() {
         open = false;
         onGone.run();
     }
--- a/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -1,31 +1,32 @@
 package myrtleladder.dataplane;
 
-import java.util.ArrayList;
-import java.util.List;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
+import java.util.ArrayList;
+import java.util.List;
+
 /** HttpConnectionPool to upstreams that do what a test says. */
 final class ScriptedConnectionPool implements ConnectionPool {
-    final List<Sent> sent = new ArrayList<>();
-    boolean refuses;
-    boolean dark;
+    final List<SentRequest> sent = new ArrayList<>();
+    boolean refusesConnections;
+    boolean neverConnects;
 
     /** A request that an upstream received. */
-    final class Sent implements PooledConnection {
+    final class SentRequest implements PooledConnection {
         final Upstream upstream;
-        final ResponseListener user;
+        final ResponseListener listener;
         RequestHead head;
         boolean closed;
 
-        Sent(Upstream upstream, ResponseListener user) {
+        SentRequest(Upstream upstream, ResponseListener listener) {
             this.upstream = upstream;
-            this.user = user;
+            this.listener = listener;
         }
 
         @Override
-        public boolean ready() {
+        public boolean canSend() {
             return true;
         }
 
@@ -45,47 +46,47 @@
         }
 
         /** The head of an answer that carries the request's id and a signature. */
-        void head(int status, String... fields) {
+        void respondHead(int status, String... fields) {
             Headers headers =
                     new Headers()
-                            .add(HeaderNames.ATTEMPT, header(HeaderNames.ATTEMPT))
-                            .add(HeaderNames.SIGNATURE, "sig");
+                            .add(HeaderNames.ATTEMPT_ID, header(HeaderNames.ATTEMPT_ID))
+                            .add(HeaderNames.UPSTREAM_SIGNATURE, "sig");
             for (int i = 0; i < fields.length; i += 2) {
                 headers.set(fields[i], fields[i + 1]);
             }
-            user.head(new ResponseHead(status, headers, true));
+            listener.onResponseHead(new ResponseHead(status, headers, true));
         }
 
-        void reject() {
-            user.head(
+        void rejectAsNotExecuted() {
+            listener.onResponseHead(
                     new ResponseHead(503, new Headers().add(HeaderNames.NOT_EXECUTED, "1"), true));
         }
 
-        void event(long id) {
-            user.body(("id: " + id + "\ndata: x" + id + "\n\n").getBytes());
+        void sendEvent(long id) {
+            listener.onResponseBody(("id: " + id + "\ndata: x" + id + "\n\n").getBytes());
         }
 
-        void bytes(String text) {
-            user.body(text.getBytes());
+        void sendBytes(String text) {
+            listener.onResponseBody(text.getBytes());
         }
 
-        void end() {
-            user.end();
+        void completeResponse() {
+            listener.onResponseComplete();
         }
 
-        void broken() {
-            user.broken();
+        void loseConnection() {
+            listener.onConnectionLost();
         }
     }
 
     @Override
-    public PooledConnection use(
-            Upstream upstream, ResponseListener user, boolean recentlyUsedOnly) {
-        Sent link = new Sent(upstream, user);
-        if (refuses) {
-            user.refused();
-        } else if (!dark) {
-            user.ready(link);
+    public PooledConnection acquire(
+            Upstream upstream, ResponseListener listener, boolean recentlyUsedOnly) {
+        SentRequest link = new SentRequest(upstream, listener);
+        if (refusesConnections) {
+            listener.onConnectFailed();
+        } else if (!neverConnects) {
+            listener.onConnectionReady(link);
         }
         return link;
     }
@@ -102,10 +103,10 @@
 
     @Override
     public void closeExpired() {
-        // nothing rests here
+        // no connection is kept idle
     }
 
-    Sent last() {
+    SentRequest lastSent() {
         return sent.get(sent.size() - 1);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -4,235 +4,231 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.charset.StandardCharsets;
+import myrtleladder.dataplane.ScriptedConnectionPool.SentRequest;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.replication.ManualScheduler;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
-import myrtleladder.dataplane.ScriptedConnectionPool.Sent;
-import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.QuotaResponse;
-import myrtleladder.replication.ManualScheduler;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
 
 /**
- * The model is upgraded zone by zone while replies are under way at several balancers: each reply
- * ends where it began, and requests of a session meet at one upstream before and after.
+ * A model is upgraded zone by zone while replies are in flight at several balancers: each reply
+ * completes where it began, and requests of a session go to one upstream before and after.
  */
 class UpgradeByRegionTest {
     private static final int BALANCERS = 4;
     private static final int ZONES = 3;
-    private static final int IN_ZONE = 3;
+    private static final int UPSTREAMS_PER_ZONE = 3;
     private static final int SESSIONS = 30;
-    private static final long STEP = 400;
-    private static final long READING = 150;
+    private static final long UPDATE_INTERVAL_MS = 400;
+    private static final long PREFILL_MS = 150;
     private static final String DOCUMENT =
-            ("{'generation':1,'routes':["
-                            + "{'name':'s','hostname':'h.example','path_prefix':'/s/',"
-                            + "'type':'streaming','timeout_ms':60000,'target_latency_ms':600,"
-                            + "'backend':'m','retries':2,'resumable':true,'gap_aim_ms':400},"
-                            + "{'name':'c','hostname':'h.example','path_prefix':'/c/',"
-                            + "'type':'non_idempotent','timeout_ms':60000,'backend':'p',"
-                            + "'retries':2}],"
-                            + "'services':[{'name':'m','engine':{'capacity':64,"
-                            + "'kv_tokens':5000000,'stride':5}},{'name':'p'}]}")
-                    .replace('\'', '"');
+            "{'generation':1,'routes':["
+                    + "{'name':'s','hostname':'h.example','path_prefix':'/s/',"
+                    + "'type':'streaming','timeout_ms':60000,'target_latency_ms':600,"
+                    + "'backend':'m','retries':2,'resumable':true,'gap_aim_ms':400},"
+                    + "{'name':'c','hostname':'h.example','path_prefix':'/c/',"
+                    + "'type':'non_idempotent','timeout_ms':60000,'backend':'p',"
+                    + "'retries':2}],"
+                    + "'services':[{'name':'m','engine':{'capacity':64,"
+                    + "'kv_tokens':5000000,'stride':5}},{'name':'p'}]}";
 
     private final ManualScheduler clock = new ManualScheduler();
-    private final List<ScriptedConnectionPool> links = new ArrayList<>();
-    private final List<RequestRouter> routers = new ArrayList<>();
+    private final List<DataPlaneContext> balancers = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
     private final Map<String, InstanceRecord> records = new HashMap<>();
     private int attempts;
-    private long lastEvent = 1;
+    private long lastEventId = 1;
 
-    /** A reply under way, with the sends that were made for it. */
-    private record Reply(ScriptedClient client, Sent sent) {}
+    /** A reply in flight, with the request that was sent for it. */
+    private record Reply(ScriptedClient client, SentRequest sent) {}
 
     @BeforeEach
-    void start() {
+    void startBalancers() {
+        for (int i = 0; i < ZONES * UPSTREAMS_PER_ZONE; i++) {
+            store("old" + i, "m", i / UPSTREAMS_PER_ZONE, Stage.READY, i + 1);
+        }
+        store("cert0", "p", 0, Stage.READY, 1);
+        store("cert1", "p", 1, Stage.READY, 2);
         for (int i = 0; i < BALANCERS; i++) {
-            ScriptedConnectionPool own = new ScriptedConnectionPool();
-            RequestRouter router =
-                    new RequestRouter(
-                            clock,
-                            own,
-                            new RetryBudget(0.2, 100),
-                            (ask, timeout, answer) -> answer.accept(QuotaResponse.of(true, 1e9, 0)),
-                            i);
-            router.use(
-                    Configuration.read(Json.readObject(DOCUMENT.getBytes(StandardCharsets.UTF_8))));
-            links.add(own);
-            routers.add(router);
-        }
-        for (int i = 0; i < ZONES * IN_ZONE; i++) {
-            note("old" + i, "m", i / IN_ZONE, Stage.READY, i + 1);
-        }
-        note("cert0", "p", 0, Stage.READY, 1);
-        note("cert1", "p", 1, Stage.READY, 2);
-        for (RequestRouter router : routers) {
-            router.directory().take(records.values(), true);
-            router.start();
+            balancers.add(
+                    new DataPlaneContext.Builder()
+                            .withClock(clock)
+                            .withSeed(i)
+                            .withConfiguration(DOCUMENT)
+                            .withRecords(records.values())
+                            .build());
         }
     }
 
-    private void note(String id, String service, int zone, Stage stage, int ordinal) {
+    private void store(String id, String service, int zone, Stage stage, int ordinal) {
         records.put(
                 id,
                 InstanceRecord.of(id, service, "10.0.0.1:80", "z" + zone, 64, "v1", stage, 1)
                         .withOrdinal(ordinal));
     }
 
-    private void tell(String id, String service, int zone, Stage stage, int ordinal) {
-        note(id, service, zone, stage, ordinal);
-        routers.forEach(r -> r.directory().take(List.of(records.get(id)), false));
-        goOn();
-        clock.run(STEP);
+    private void update(String id, String service, int zone, Stage stage, int ordinal) {
+        store(id, service, zone, stage, ordinal);
+        balancers.forEach(balancer -> balancer.update(records.get(id)));
+        sendNextEvent();
+        clock.run(UPDATE_INTERVAL_MS);
     }
 
-    private Sent send(int balancer, String path, String... fields) {
+    private SentRequest send(int balancer, String path, String... fields) {
         String[] all = new String[fields.length + 4];
-        all[0] = HeaderNames.ATTEMPT;
+        all[0] = HeaderNames.ATTEMPT_ID;
         all[1] = "a" + attempts++;
-        all[2] = HeaderNames.DEADLINE;
+        all[2] = HeaderNames.DEADLINE_MS;
         all[3] = "60000";
         System.arraycopy(fields, 0, all, 4, fields.length);
-        ScriptedClient client = new ScriptedClient(path, all);
-        int before = links.get(balancer).sent.size();
-        routers.get(balancer).handle(client);
-        assertEquals(before + 1, links.get(balancer).sent.size(), "sent once");
-        Sent sent = links.get(balancer).last();
+        List<SentRequest> requests = balancers.get(balancer).connections.sent;
+        int before = requests.size();
+        ScriptedClient client = balancers.get(balancer).send(path, all);
+        assertEquals(before + 1, requests.size(), "sent once");
+        SentRequest sent = requests.get(before);
         replies.add(new Reply(client, sent));
         return sent;
     }
 
-    /** A request of a session, whose reply begins and stays under way. */
-    private Sent ask(int balancer, int session) {
-        Sent sent =
+    /** Sends a request of a session; its reply begins and stays in flight. */
+    private SentRequest startReply(int balancer, int session) {
+        SentRequest sent =
                 send(
                         balancer,
                         "/s/" + session,
-                        HeaderNames.PREFIX,
+                        HeaderNames.PROMPT_PREFIX,
                         "5e55" + session + ":9000,b" + attempts + ":50",
-                        HeaderNames.USAGE,
+                        HeaderNames.TOKEN_USAGE,
                         "9050,10");
-        clock.run(READING);
-        sent.head(200);
-        sent.event(1);
+        clock.run(PREFILL_MS);
+        sent.respondHead(200);
+        sent.sendEvent(1);
         return sent;
     }
 
-    private void goOn() {
-        lastEvent++;
+    private int requestsSent() {
+        return balancers.stream().mapToInt(balancer -> balancer.connections.sent.size()).sum();
+    }
+
+    private static List<InFlightRequests> leavingInFlight(DataPlaneContext balancer) {
+        return balancer.dataPlane.directory().inFlightAtLeavingUpstreams();
+    }
+
+    private void sendNextEvent() {
+        lastEventId++;
         for (Reply reply : replies) {
             if (!reply.client().ended && reply.client().head().path().startsWith("/s/")) {
-                reply.sent().event(lastEvent);
+                reply.sent().sendEvent(lastEventId);
             }
         }
     }
 
-    private void finishAll() {
+    private void completeReplies() {
         for (Reply reply : replies) {
             if (!reply.client().ended) {
-                reply.sent().end();
+                reply.sent().completeResponse();
             }
         }
     }
 
-    private Set<String> placesOf(int session) {
-        Set<String> places = new HashSet<>();
+    private Set<String> upstreamsOf(int session) {
+        Set<String> upstreams = new HashSet<>();
         for (int balancer = 0; balancer < BALANCERS; balancer++) {
-            places.add(ask(balancer, session).upstream.record().id);
+            upstreams.add(startReply(balancer, session).upstream.record().id);
         }
-        return places;
+        return upstreams;
     }
 
-    private void upgradeOne(int number) {
-        int zone = number / IN_ZONE;
-        tell("new" + number, "m", zone, Stage.READY, InstanceRecord.UNASSIGNED);
-        tell("old" + number, "m", zone, Stage.DRAINING, number + 1);
-        tell("new" + number, "m", zone, Stage.READY, number + 1);
-        tell("old" + number, "m", zone, Stage.GONE, number + 1);
+    private void replaceUpstream(int number) {
+        int zone = number / UPSTREAMS_PER_ZONE;
+        update("new" + number, "m", zone, Stage.READY, InstanceRecord.UNASSIGNED);
+        update("old" + number, "m", zone, Stage.DRAINING, number + 1);
+        update("new" + number, "m", zone, Stage.READY, number + 1);
+        update("old" + number, "m", zone, Stage.GONE, number + 1);
     }
 
     @Test
-    void repliesUnderWayEndWhereTheyBeganThroughAnUpgradeOfEveryZone() {
+    void repliesInFlightCompleteWhereTheyBeganWhileEveryZoneIsUpgraded() {
         for (int session = 0; session < SESSIONS; session++) {
-            ask(session % BALANCERS, session);
-            goOn();
+            startReply(session % BALANCERS, session);
+            sendNextEvent();
         }
         for (int request = 0; request < SESSIONS; request++) {
             send(request % BALANCERS, "/c/" + request);
         }
-        int sent = links.stream().mapToInt(l -> l.sent.size()).sum();
-        for (int number = 0; number < ZONES * IN_ZONE; number++) {
-            upgradeOne(number);
+        int sent = requestsSent();
+        for (int number = 0; number < ZONES * UPSTREAMS_PER_ZONE; number++) {
+            replaceUpstream(number);
         }
-        int underWay = 0;
-        for (RequestRouter router : routers) {
-            underWay +=
-                    router.directory().inFlightAtLeavingUpstreams().stream()
-                            .mapToInt(u -> u.requests)
-                            .sum();
+        int inFlight = 0;
+        for (DataPlaneContext balancer : balancers) {
+            for (InFlightRequests requests : leavingInFlight(balancer)) {
+                inFlight += requests.requests;
+            }
         }
-        assertEquals(SESSIONS, underWay, "all model replies are at upstreams that left");
+        assertEquals(SESSIONS, inFlight, "all model replies are at upstreams that left");
         for (Reply reply : replies) {
             if (reply.client().head().path().startsWith("/c/")) {
-                reply.sent().head(200);
-                reply.sent().bytes("ok");
+                reply.sent().respondHead(200);
+                reply.sent().sendBytes("ok");
             }
         }
-        finishAll();
-        assertEquals(sent, links.stream().mapToInt(l -> l.sent.size()).sum(), "sent twice");
+        completeReplies();
+        assertEquals(sent, requestsSent(), "sent twice");
         for (Reply reply : replies) {
             assertFalse(reply.sent().closed, "dropped");
-            assertTrue(reply.client().ended, "not whole");
-            assertEquals(1, reply.client().answers);
+            assertTrue(reply.client().ended, "not complete");
+            assertEquals(1, reply.client().responses);
             if (reply.client().head().path().startsWith("/s/")) {
-                assertTrue(reply.client().body.toString().endsWith("data: x" + lastEvent + "\n\n"));
+                assertTrue(
+                        reply.client().body.toString().endsWith("data: x" + lastEventId + "\n\n"));
             }
         }
-        routers.forEach(r -> assertTrue(r.directory().inFlightAtLeavingUpstreams().isEmpty()));
+        balancers.forEach(balancer -> assertTrue(leavingInFlight(balancer).isEmpty()));
     }
 
     @Test
-    void requestsOfASessionMeetAtTheOneThatTookOver() {
+    void requestsOfASessionGoToTheReplacementOfTheirUpstream() {
         Map<Integer, String> before = new HashMap<>();
         for (int session = 0; session < SESSIONS; session++) {
-            Set<String> places = placesOf(session);
-            assertEquals(1, places.size(), "balancers differ: " + places);
-            before.put(session, places.iterator().next());
-            finishAll();
+            Set<String> upstreams = upstreamsOf(session);
+            assertEquals(1, upstreams.size(), "balancers differ: " + upstreams);
+            before.put(session, upstreams.iterator().next());
+            completeReplies();
         }
-        for (int number = 0; number < ZONES * IN_ZONE; number++) {
-            upgradeOne(number);
+        for (int number = 0; number < ZONES * UPSTREAMS_PER_ZONE; number++) {
+            replaceUpstream(number);
         }
         for (int session = 0; session < SESSIONS; session++) {
-            Set<String> places = placesOf(session);
-            finishAll();
-            assertEquals(Set.of(before.get(session).replace("old", "new")), places);
+            Set<String> upstreams = upstreamsOf(session);
+            completeReplies();
+            assertEquals(Set.of(before.get(session).replace("old", "new")), upstreams);
         }
     }
 
     @Test
-    void aNewUpstreamTakesNoSessionFromAnotherUntilItTakesOver() {
+    void newUpstreamWithoutOrdinalTakesNoSessionFromAnother() {
         Map<Integer, Set<String>> before = new HashMap<>();
         for (int session = 0; session < SESSIONS; session++) {
-            before.put(session, placesOf(session));
-            finishAll();
+            before.put(session, upstreamsOf(session));
+            completeReplies();
         }
         for (int i = 0; i < ZONES; i++) {
-            tell("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED);
+            update("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED);
         }
         for (int session = 0; session < SESSIONS; session++) {
-            assertEquals(before.get(session), placesOf(session));
-            finishAll();
+            assertEquals(before.get(session), upstreamsOf(session));
+            completeReplies();
         }
     }
 }
--- /dev/null
+++ b/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
@@ -0,0 +1,36 @@
+package myrtleladder.dataplane;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import myrtleladder.protocol.InstanceRecord.Stage;
+
+import org.junit.jupiter.api.Test;
+
+/** Which upstreams take requests as their records change. */
+class UpstreamDirectoryTest {
+    private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
+    private final ScriptedConnectionPool connections = context.connections;
+    private final DataPlane dataPlane = context.dataPlane;
+
+    @Test
+    void drainingUpstreamGetsNoRequestsAndNeverComesBack() {
+        context.update(
+                DataPlaneContext.record("p1", "p", Stage.DRAINING),
+                DataPlaneContext.record("p2", "p", Stage.GONE));
+        context.update(DataPlaneContext.record("p1", "p", Stage.READY));
+        for (int i = 0; i < 5; i++) {
+            context.send("/u/" + i);
+            assertEquals("p3", connections.lastSent().upstream.record().id);
+        }
+    }
+
+    @Test
+    void lostUpstreamIsLeftOutUnlessHalfOfTheServiceIsLost() {
+        context.update(DataPlaneContext.record("p1", "p", Stage.LOST));
+        assertEquals(2, dataPlane.directory().available("p").size());
+        context.update(DataPlaneContext.record("p2", "p", Stage.LOST));
+        assertEquals(3, dataPlane.directory().available("p").size());
+        context.update(DataPlaneContext.record("p1", "p", Stage.READY));
+        assertEquals(2, dataPlane.directory().available("p").size());
+    }
+}
--- a/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
@@ -4,42 +4,43 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
 import myrtleladder.configuration.Service;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.UpstreamLoad;
+
 import org.junit.jupiter.api.Test;
 
-/** Which upstream a prompt goes to, by what is known of the other balancers. */
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** Which upstream a prompt goes to, by loads and cached prefixes of all balancers. */
 class UpstreamPickerTest {
-    private static final long NOW = 50_000;
+    private static final long NOW_MS = 50_000;
     private static final int UPSTREAMS = 10;
     private static final Configuration CONFIGURATION =
-            Configuration.read(
-                    Json.readObject(
-                            ("{\"generation\":1,\"services\":[{\"name\":\"m\",\"engine\":"
-                                            + "{\"capacity\":64,\"kv_tokens\":500000,"
-                                            + "\"stride\":3}}]}")
-                                    .getBytes(StandardCharsets.UTF_8)));
-
-    /** One balancer's view. */
-    private static final class View {
-        private final UpstreamDirectory directory = new UpstreamDirectory(u -> {});
-        private final FleetLoadSync fleet = new FleetLoadSync(directory, 1);
-        private final UpstreamPicker placement =
-                new UpstreamPicker(directory, new ScriptedConnectionPool(), fleet);
+            DataPlaneContext.configuration(
+                    "{'generation':1,'services':[{'name':'m','engine':"
+                            + "{'capacity':64,'kv_tokens':500000,'stride':3}}]}");
 
-        View() {
-            directory.use(CONFIGURATION);
+    /** What one balancer knows. */
+    private static final class Balancer {
+        private final UpstreamDirectory directory = new UpstreamDirectory(u -> {});
+        private final FleetLoadSync fleetLoads = new FleetLoadSync(directory, 1);
+        private final UpstreamPicker picker =
+                new UpstreamPicker(
+                        directory,
+                        new ScriptedConnectionPool(),
+                        fleetLoads,
+                        new PrefillTimeEstimator());
+
+        Balancer() {
+            directory.applyConfiguration(CONFIGURATION);
             List<InstanceRecord> records = new ArrayList<>();
             for (int i = 1; i <= UPSTREAMS; i++) {
                 InstanceRecord record =
@@ -48,148 +49,163 @@
                 record.ordinal = i;
                 records.add(record);
             }
-            directory.take(records, true);
+            directory.applyRecords(records, true);
         }
 
-        void tell(FleetLoads answer, long now) {
-            answer.known = true;
-            answer.epoch = 1;
-            fleet.take(fleet.report(), answer, now);
+        void receive(FleetLoads response, long nowMs) {
+            response.known = true;
+            response.epoch = 1;
+            fleetLoads.applyResponse(fleetLoads.createReport(), response, nowMs);
         }
 
-        Upstream pick(String prompt, long now) {
+        Upstream pick(String prompt, long nowMs) {
             Service service = CONFIGURATION.service("m");
-            return placement.pick(service, PromptSegments.parse(prompt), Set.of(), now).upstream();
+            return picker.pick(
+                            service,
+                            PromptSegments.parse(prompt),
+                            Set.of(),
+                            InstanceRecord.UNKNOWN_WEIGHTS,
+                            nowMs)
+                    .upstream();
         }
     }
 
-    private static FleetLoads keeps(String prompt, Upstream upstream) {
-        FleetLoads answer = new FleetLoads();
-        answer.prompts.add(CachedPrompt.of(PromptSegments.parse(prompt).subject(), upstream.key()));
-        return answer;
+    private static FleetLoads caching(String prompt, Upstream upstream) {
+        FleetLoads response = new FleetLoads();
+        response.prompts.add(
+                CachedPrompt.of(PromptSegments.parse(prompt).sharedPrefixHash(), upstream.key()));
+        return response;
     }
 
-    private static FleetLoads busy(Upstream upstream, int tokens) {
-        FleetLoads answer = new FleetLoads();
-        answer.loads.add(UpstreamLoad.of(upstream.key(), 3, tokens));
-        return answer;
+    private static FleetLoads withLoad(Upstream upstream, int tokens) {
+        FleetLoads response = new FleetLoads();
+        response.loads.add(UpstreamLoad.of(upstream.key(), 3, tokens));
+        return response;
     }
 
-    private static Upstream sameAt(View view, Upstream upstream) {
-        return view.directory.ready("m").stream()
+    private static Upstream sameUpstreamAt(Balancer balancer, Upstream upstream) {
+        return balancer.directory.available("m").stream()
                 .filter(u -> u.key() == upstream.key())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static Upstream other(View view, Upstream upstream) {
-        return view.directory.ready("m").stream().filter(u -> u != upstream).findFirst().get();
+    private static Upstream otherUpstream(Balancer balancer, Upstream upstream) {
+        return balancer.directory.available("m").stream()
+                .filter(u -> u != upstream)
+                .findFirst()
+                .get();
     }
 
     @Test
-    void aSubjectGoesWhereAnotherBalancerSentIt() {
-        View view = new View();
-        Upstream home = new View().pick("a:9000,x:100", NOW);
-        Upstream keeper = other(view, sameAt(view, home));
-        view.tell(keeps("a:9000,x:100", keeper), NOW);
-        assertEquals(keeper, view.pick("a:9000,y:100", NOW));
+    void cachedPrefixGoesWhereAnotherBalancerSentIt() {
+        Balancer balancer = new Balancer();
+        Upstream affinityUpstream = new Balancer().pick("a:9000,x:100", NOW_MS);
+        Upstream cachingUpstream =
+                otherUpstream(balancer, sameUpstreamAt(balancer, affinityUpstream));
+        balancer.receive(caching("a:9000,x:100", cachingUpstream), NOW_MS);
+        assertEquals(cachingUpstream, balancer.pick("a:9000,y:100", NOW_MS));
     }
 
     @Test
-    void aNewSubjectGoesToTheSamePlaceAtAllBalancersAndManySpread() {
-        View one = new View();
-        View two = new View();
-        one.tell(new FleetLoads(), NOW);
-        two.tell(new FleetLoads(), NOW);
+    void newPrefixesGoToTheSameUpstreamAtAllBalancersAndSpread() {
+        Balancer one = new Balancer();
+        Balancer two = new Balancer();
+        one.receive(new FleetLoads(), NOW_MS);
+        two.receive(new FleetLoads(), NOW_MS);
         Set<Integer> used = new HashSet<>();
-        for (int subject = 0; subject < 60; subject++) {
-            String prompt = subject + ":9000,x:100";
-            int key = one.pick(prompt, NOW).key();
-            assertEquals(key, two.pick(prompt, NOW).key());
+        for (int prefix = 0; prefix < 60; prefix++) {
+            String prompt = prefix + ":9000,x:100";
+            int key = one.pick(prompt, NOW_MS).key();
+            assertEquals(key, two.pick(prompt, NOW_MS).key());
             used.add(key);
         }
-        assertTrue(used.size() >= UPSTREAMS - 1, "subjects at " + used.size());
+        assertTrue(used.size() >= UPSTREAMS - 1, "prefixes at " + used.size());
     }
 
     @Test
-    void aNewSubjectAvoidsAHomeWhereOthersHaveMuchUnread() {
-        View view = new View();
-        view.tell(new FleetLoads(), NOW);
-        Upstream home = view.pick("a:9000,x:100", NOW);
-        view.tell(busy(home, 30_000), NOW);
-        assertNotEquals(home, view.pick("a:9000,x:100", NOW));
+    void newPrefixAvoidsItsAffinityUpstreamWhenOthersHaveMuchUnreadThere() {
+        Balancer balancer = new Balancer();
+        balancer.receive(new FleetLoads(), NOW_MS);
+        Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
+        balancer.receive(withLoad(affinityUpstream, 30_000), NOW_MS);
+        assertNotEquals(affinityUpstream, balancer.pick("a:9000,x:100", NOW_MS));
     }
 
     @Test
-    void aKeptSubjectStaysUntilTheWaitExceedsWhatReadingItAnewCosts() {
-        View view = new View();
-        Upstream keeper = view.directory.ready("m").get(0);
-        view.tell(keeps("a:9000,x:100", keeper), NOW);
-        view.tell(busy(keeper, 20_000), NOW);
-        assertEquals(keeper, view.pick("a:9000,x:100", NOW));
-        view.tell(busy(keeper, 60_000), NOW);
-        assertNotEquals(keeper, view.pick("a:9000,x:100", NOW));
+    void cachedPrefixStaysUntilTheWaitExceedsTheCostOfReadingItAnew() {
+        Balancer balancer = new Balancer();
+        Upstream cachingUpstream = balancer.directory.available("m").get(0);
+        balancer.receive(caching("a:9000,x:100", cachingUpstream), NOW_MS);
+        balancer.receive(withLoad(cachingUpstream, 20_000), NOW_MS);
+        assertEquals(cachingUpstream, balancer.pick("a:9000,x:100", NOW_MS));
+        balancer.receive(withLoad(cachingUpstream, 60_000), NOW_MS);
+        assertNotEquals(cachingUpstream, balancer.pick("a:9000,x:100", NOW_MS));
     }
 
     @Test
-    void aShortSharedPartIsNoReasonToWait() {
-        View view = new View();
-        Upstream keeper = view.directory.ready("m").get(0);
-        view.tell(keeps("a:350,x:1100", keeper), NOW);
-        view.tell(busy(keeper, 5_000), NOW);
-        assertNotEquals(keeper, view.pick("a:350,x:1100", NOW));
+    void shortSharedPrefixIsNoReasonToWait() {
+        Balancer balancer = new Balancer();
+        Upstream cachingUpstream = balancer.directory.available("m").get(0);
+        balancer.receive(caching("a:350,x:1100", cachingUpstream), NOW_MS);
+        balancer.receive(withLoad(cachingUpstream, 5_000), NOW_MS);
+        assertNotEquals(cachingUpstream, balancer.pick("a:350,x:1100", NOW_MS));
     }
 
     @Test
-    void oldLoadsMoveNothing() {
-        View view = new View();
-        Upstream home = view.pick("a:9000,x:100", NOW);
-        view.tell(busy(home, 60_000), NOW);
-        long later = NOW + FleetLoadSync.FRESH + 1;
-        assertEquals(home, view.pick("a:9000,x:100", later));
+    void staleLoadsAreIgnored() {
+        Balancer balancer = new Balancer();
+        Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
+        balancer.receive(withLoad(affinityUpstream, 60_000), NOW_MS);
+        long laterMs = NOW_MS + FleetLoadSync.MAX_LOAD_AGE_MS + 1;
+        assertEquals(affinityUpstream, balancer.pick("a:9000,x:100", laterMs));
     }
 
     @Test
-    void aSubjectStaysWhereItIsKeptWhileNoPrimaryTellsAnything() {
-        View view = new View();
-        Upstream home = view.pick("a:9000,x:100", NOW);
-        Upstream keeper = other(view, home);
-        view.tell(keeps("a:9000,x:100", keeper), NOW);
-        long later = NOW + FleetLoadSync.FRESH + 1;
-        keeper.delayed(300, later); // one late answer, and more than a home is thought to save
-        assertEquals(keeper, view.pick("a:9000,y:100", later));
+    void cachedPrefixStaysWhileThereIsNoPrimary() {
+        Balancer balancer = new Balancer();
+        Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
+        Upstream cachingUpstream = otherUpstream(balancer, affinityUpstream);
+        balancer.receive(caching("a:9000,x:100", cachingUpstream), NOW_MS);
+        long laterMs = NOW_MS + FleetLoadSync.MAX_LOAD_AGE_MS + 1;
+        cachingUpstream.recordExtraDelay(
+                300, laterMs); // more than the affinity upstream is thought to save
+        assertEquals(cachingUpstream, balancer.pick("a:9000,y:100", laterMs));
     }
 
     @Test
-    void outOfTouchAndInTouchASubjectHasTheSameHome() {
-        View alone = new View();
-        View hasFreshLoads = new View();
-        hasFreshLoads.tell(new FleetLoads(), NOW);
-        for (int subject = 0; subject < 20; subject++) {
-            String prompt = subject + ":9000,x:100";
-            assertEquals(alone.pick(prompt, NOW).key(), hasFreshLoads.pick(prompt, NOW).key());
+    void affinityUpstreamIsTheSameWithAndWithoutFleetLoads() {
+        Balancer withoutLoads = new Balancer();
+        Balancer withLoads = new Balancer();
+        withLoads.receive(new FleetLoads(), NOW_MS);
+        for (int prefix = 0; prefix < 20; prefix++) {
+            String prompt = prefix + ":9000,x:100";
+            assertEquals(
+                    withoutLoads.pick(prompt, NOW_MS).key(), withLoads.pick(prompt, NOW_MS).key());
         }
     }
 
     @Test
-    void whatIsToldOfAnUpstreamThatIsGoneMovesNothing() {
-        View view = new View();
-        view.tell(new FleetLoads(), NOW);
-        Upstream home = view.pick("a:9000,x:100", NOW);
-        FleetLoads answer = new FleetLoads();
-        answer.prompts.add(CachedPrompt.of(PromptSegments.parse("a:9000,x:100").subject(), 1));
-        answer.loads.add(UpstreamLoad.of(1, 50, 500_000));
-        view.tell(answer, NOW);
-        assertEquals(home, view.pick("a:9000,x:100", NOW));
+    void loadsAndPrefixesOfUnknownUpstreamsAreIgnored() {
+        Balancer balancer = new Balancer();
+        balancer.receive(new FleetLoads(), NOW_MS);
+        Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
+        FleetLoads response = new FleetLoads();
+        response.prompts.add(
+                CachedPrompt.of(PromptSegments.parse("a:9000,x:100").sharedPrefixHash(), 1));
+        response.loads.add(UpstreamLoad.of(1, 50, 500_000));
+        balancer.receive(response, NOW_MS);
+        assertEquals(affinityUpstream, balancer.pick("a:9000,x:100", NOW_MS));
     }
 
     @Test
-    void theLikelyPlaceIsThePickAndPicksNothing() {
-        View view = new View();
-        view.tell(new FleetLoads(), NOW);
+    void likelyLoadIsThatOfThePickAndPicksNothing() {
+        Balancer balancer = new Balancer();
+        balancer.receive(new FleetLoads(), NOW_MS);
         PromptSegments prompt = PromptSegments.parse("a:9000,x:100");
-        UpstreamLoad likely = view.placement.likely(CONFIGURATION.service("m"), prompt, NOW);
+        UpstreamLoad likely =
+                balancer.picker.likelyLoad(CONFIGURATION.service("m"), prompt, NOW_MS);
         assertEquals(9_100, likely.tokens);
-        assertEquals(likely.upstream, view.pick("a:9000,x:100", NOW).key());
+        assertEquals(likely.upstream, balancer.pick("a:9000,x:100", NOW_MS).key());
     }
 }
