--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -1,5 +1,13 @@
 package myrtleladder.dataplane;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
@@ -12,19 +20,9 @@
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.Peers;
-
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
-
 /**
  * Long polls to the control plane: each carries the versions that this balancer has and is answered
  * once there are newer ones.
@@ -76,8 +74,8 @@
     private long generation;
     private long instanceRevision;
 
-    /** Whether the records of the epoch's primary were complete. */
-    private boolean hasCompleteRecords;
+    /** Whether the list of the epoch's primary was authoritative. */
+    private boolean hasAuthoritativeList;
 
     private int balancers;
     private long memberRevision;
@@ -137,18 +135,18 @@
             callback.accept(null);
             return;
         }
-        request.load = dataPlane.fleetLoads().createReport();
+        request.loadReport = dataPlane.fleetLoads().createReport();
         peers.call(
                 target,
                 request,
                 timeoutMs,
-                response -> quotaResponseReceived(request.load, response, callback));
+                response -> quotaResponseReceived(request.loadReport, response, callback));
     }
 
     private void quotaResponseReceived(
             LoadReport report, Message response, Consumer<Message> callback) {
-        if (response instanceof QuotaResponse grant && grant.valid) {
-            dataPlane.fleetLoads().applyResponse(report, grant.loads, scheduler.now());
+        if (response instanceof QuotaResponse grant && grant.fromPrimary) {
+            dataPlane.fleetLoads().applyResponse(report, grant.fleetLoads, scheduler.now());
         }
         callback.accept(response);
     }
@@ -168,7 +166,7 @@
                 target,
                 request,
                 POLL_TIMEOUT_MS,
-                response -> pollResponseReceived(request.load, response));
+                response -> pollResponseReceived(request.loadReport, response));
     }
 
     private PollRequest createRequest() {
@@ -177,14 +175,14 @@
         request.leaving = isLeaving;
         request.epoch = epoch;
         request.generation = generation;
-        request.revision = instanceRevision;
-        request.complete = hasCompleteRecords;
-        request.balancers = balancers;
+        request.instanceRevision = instanceRevision;
+        request.hasAuthoritativeList = hasAuthoritativeList;
+        request.balancerCount = balancers;
         request.address = address;
-        request.alive = membershipAgent.alive();
-        request.memberRevision = memberRevision;
-        request.load = dataPlane.fleetLoads().createReport();
-        request.underWay.addAll(dataPlane.directory().inFlightAtLeavingUpstreams());
+        request.liveBalancers = membershipAgent.alive();
+        request.balancerListRevision = memberRevision;
+        request.loadReport = dataPlane.fleetLoads().createReport();
+        request.inFlightAtDraining.addAll(dataPlane.directory().inFlightAtLeavingUpstreams());
         return request;
     }
 
@@ -215,16 +213,16 @@
             pollFailed();
             return;
         }
-        if (!response.members.isEmpty()) {
-            members = response.members;
+        if (!response.controlNodeAddresses.isEmpty()) {
+            members = response.controlNodeAddresses;
         }
-        if (!response.valid || response.epoch < epoch) {
-            redirectTo(response.primary, response.epoch);
+        if (!response.fromPrimary || response.epoch < epoch) {
+            redirectTo(response.primaryAddress, response.epoch);
             return;
         }
         consecutiveFailures = 0;
         applyResponse(response);
-        dataPlane.fleetLoads().applyResponse(report, response.loads, scheduler.now());
+        dataPlane.fleetLoads().applyResponse(report, response.fleetLoads, scheduler.now());
         poll();
     }
 
@@ -261,21 +259,25 @@
 
     private void applyResponse(PollResponse response) {
         if (response.epoch > epoch) {
-            LOG.info("epoch {} of {} follows {}", response.epoch, response.primary, epoch);
+            LOG.info("epoch {} of {} follows {}", response.epoch, response.primaryAddress, epoch);
         }
-        hasCompleteRecords = response.complete || hasCompleteRecords && response.epoch == epoch;
+        hasAuthoritativeList =
+                response.authoritative || hasAuthoritativeList && response.epoch == epoch;
         epoch = response.epoch;
-        instanceRevision = response.revision;
-        dataPlane.directory().applyRecords(response.instances, response.whole && response.complete);
+        instanceRevision = response.instanceRevision;
+        dataPlane
+                .directory()
+                .applyRecords(
+                        response.instances, response.fullInstanceList && response.authoritative);
         if (response.generation > generation && response.document.length > 0) {
             applyConfiguration(response);
         }
-        balancers = response.balancers;
-        memberRevision = response.memberRevision;
+        balancers = response.balancerCount;
+        memberRevision = response.balancerListRevision;
         if (!response.balancerList.isEmpty()) {
             membershipAgent.members(response.balancerList);
         }
-        dataPlane.setBalancers(response.balancers);
+        dataPlane.setBalancers(response.balancerCount);
     }
 
     private void applyConfiguration(PollResponse response) {
--- a/src/main/java/myrtleladder/dataplane/DataPlane.java
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -1,10 +1,9 @@
 package myrtleladder.dataplane;
 
+import java.util.SplittableRandom;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.io.Scheduler;
 
-import java.util.SplittableRandom;
-
 /**
  * The components of a balancer's data plane, what they share, and their periodic work. Confined to
  * the event loop of its scheduler, like all that it hands out; {@link Main} and {@link
--- a/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
+++ b/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
@@ -1,14 +1,13 @@
 package myrtleladder.dataplane;
 
+import java.util.LinkedHashSet;
+import java.util.Set;
+import java.util.function.Supplier;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
 
-import java.util.LinkedHashSet;
-import java.util.Set;
-import java.util.function.Supplier;
-
 /**
  * Exchanges loads and cached prompt prefixes with the other balancers by way of the primary:
  * reports go along with polls and requests for quota, responses carry the others' sums. A prefix is
@@ -90,7 +89,7 @@
     LoadReport createReport() {
         LoadReport report = new LoadReport();
         report.balancer = balancer;
-        report.process = process;
+        report.processId = process;
         report.sequence = ++sequence;
         report.epoch = epoch;
         report.promptRevision = promptRevision;
@@ -118,7 +117,8 @@
             if (added == MAX_ANNOUNCEMENTS_PER_REPORT) {
                 return;
             }
-            report.prompts.add(CachedPrompt.of(announcement.prefixHash(), announcement.upstream()));
+            report.cachedPrompts.add(
+                    CachedPrompt.of(announcement.prefixHash(), announcement.upstream()));
             added++;
         }
     }
@@ -138,16 +138,16 @@
                         ? Math.max(promptRevision, response.promptRevision)
                         : response.promptRevision;
         epoch = response.epoch;
-        directory.applyCachedPrompts(response.prompts, nowMs);
-        if (response.known) {
+        directory.applyCachedPrompts(response.cachedPrompts, nowMs);
+        if (response.loadsKnown) {
             loadsReceivedAtMs = nowMs;
             directory.applyFleetLoads(response.loads, nowMs);
         }
     }
 
     private void removeAcknowledged(LoadReport report) {
-        for (CachedPrompt prompt : report.prompts) {
-            pendingAnnouncements.remove(new Announcement(prompt.prompt, prompt.upstream));
+        for (CachedPrompt prompt : report.cachedPrompts) {
+            pendingAnnouncements.remove(new Announcement(prompt.prefixHash, prompt.upstreamKey));
         }
     }
 }
--- a/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
@@ -1,9 +1,8 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.io.Headers;
-
 import java.util.Arrays;
 import java.util.Set;
+import myrtleladder.io.Headers;
 
 /**
  * Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). Stateless;
--- a/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
+++ b/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
@@ -1,14 +1,13 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.HttpConnection;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
-
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.HttpConnection;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
 
 /**
  * HTTP/1.1 connections, kept idle for later requests as long as their upstreams keep them. Of idle
@@ -96,7 +95,7 @@
             while (iterator.hasNext()) {
                 PooledHttpConnection connection = iterator.next();
                 boolean expired = nowMs - connection.idleSinceMs >= connection.maxIdleMs;
-                if (expired || connection.upstream.record().leaving()) {
+                if (expired || connection.upstream.record().isLeaving()) {
                     iterator.remove();
                     connection.close();
                 }
@@ -194,7 +193,7 @@
             ResponseListener completed = listener;
             listener = null;
             boolean hasRoom = idleConnections(upstream) < MAX_IDLE_CONNECTIONS;
-            if (reusable && !upstream.record().leaving() && hasRoom) {
+            if (reusable && !upstream.record().isLeaving() && hasRoom) {
                 idleSinceMs = loop.now();
                 idleQueue(upstream).addLast(this);
             } else {
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -1,5 +1,8 @@
 package myrtleladder.dataplane;
 
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.function.Consumer;
 import myrtleladder.configuration.ClientLimits;
 import myrtleladder.heartbeat.MembershipAgent;
 import myrtleladder.io.EventLoop;
@@ -15,14 +18,9 @@
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.PeerClient;
 import myrtleladder.signal.Signals;
-
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-import java.util.List;
-import java.util.concurrent.CountDownLatch;
-import java.util.function.Consumer;
-
 /**
  * The data plane's program: wires the components, and drains them at the end. All but {@link #main}
  * and {@link #serve} is confined to the event loop.
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
@@ -1,9 +1,8 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
-
 import java.util.ArrayList;
 import java.util.List;
+import myrtleladder.loadbalancer.policy.WeightedSchedule;
 
 /**
  * Picks among the upstreams of a model service by the expected time to the first event and by what
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -1,5 +1,7 @@
 package myrtleladder.dataplane;
 
+import java.util.HashSet;
+import java.util.Set;
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
 import myrtleladder.configuration.Tenant;
@@ -10,9 +12,6 @@
 import myrtleladder.io.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 
-import java.util.HashSet;
-import java.util.Set;
-
 /**
  * A client's request from its admission to its one final response, over as many upstreams as that
  * takes: admission, pick, attempt, then response, retry or rejection.
@@ -116,7 +115,9 @@
             return;
         }
         PickResult pick =
-                dataPlane.picker().pick(service, prompt, triedUpstreams, weightsToResume(), nowMs);
+                dataPlane
+                        .picker()
+                        .pick(service, prompt, triedUpstreams, weightsVersionToResume(), nowMs);
         if (pick == null) {
             count(Event.NO_UPSTREAM);
             giveUp();
@@ -170,8 +171,8 @@
         if (response.lastEventId() != ServerSentEventSplitter.NO_ID) {
             headers.add(HeaderNames.LAST_EVENT_ID, Long.toString(response.lastEventId()));
         }
-        if (hasWeightsToResume(upstream)) {
-            headers.add(HeaderNames.EXPECT_VERSION, Long.toString(response.weights()));
+        if (canResumeWithSameWeights(upstream)) {
+            headers.add(HeaderNames.EXPECT_VERSION, Long.toString(response.weightsVersion()));
         }
         if (tenant != null) {
             headers.add(HeaderNames.TENANT, tenant.name());
@@ -184,16 +185,17 @@
     }
 
     /** The weights that made the events which the client has, if it has any. */
-    private long weightsToResume() {
+    private long weightsVersionToResume() {
         return state == State.STREAMING_RESPONSE
-                ? response.weights()
-                : InstanceRecord.UNKNOWN_WEIGHTS;
+                ? response.weightsVersion()
+                : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
     /** Whether a stream is resumed at an upstream that reported the weights which began it. */
-    private boolean hasWeightsToResume(Upstream upstream) {
-        long weights = weightsToResume();
-        return weights != InstanceRecord.UNKNOWN_WEIGHTS && upstream.record().weights == weights;
+    private boolean canResumeWithSameWeights(Upstream upstream) {
+        long weightsVersion = weightsVersionToResume();
+        return weightsVersion != InstanceRecord.UNKNOWN_WEIGHTS_VERSION
+                && upstream.record().weightsVersion == weightsVersion;
     }
 
     @Override
@@ -253,7 +255,7 @@
         count(Event.REJECTED);
         current = null;
         attempt.cancel();
-        if (head.status() == MISDIRECTED_REQUEST && !hasWeightsToResume(attempt.upstream())) {
+        if (head.status() == MISDIRECTED_REQUEST && !canResumeWithSameWeights(attempt.upstream())) {
             dataPlane.directory().markGone(attempt.upstream());
         } else if (head.status() == BAD_REQUEST) {
             transitionTo(State.COMPLETED);
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -1,5 +1,8 @@
 package myrtleladder.dataplane;
 
+import java.util.List;
+import java.util.Locale;
+import java.util.SplittableRandom;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
@@ -9,10 +12,6 @@
 import myrtleladder.io.ServerExchange;
 import myrtleladder.protocol.UpstreamLoad;
 
-import java.util.List;
-import java.util.Locale;
-import java.util.SplittableRandom;
-
 /**
  * First part of a request's way: matches the route, authenticates the tenant, acquires its quota
  * and starts a {@link ProxiedRequest}, or answers with an error. Confined to the event loop; the
--- a/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
+++ b/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
@@ -1,12 +1,11 @@
 package myrtleladder.dataplane;
 
+import java.io.ByteArrayOutputStream;
 import myrtleladder.io.Headers;
 import myrtleladder.io.ResponseHead;
 import myrtleladder.io.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 
-import java.io.ByteArrayOutputStream;
-
 /**
  * Assembles one response to the client out of the responses of one or more upstreams: events are
  * forwarded when they are complete and at most once, other bodies are buffered. The first accepted
@@ -21,7 +20,7 @@
 
     private final ServerExchange client;
     private ResponseHead head;
-    private long weights = InstanceRecord.UNKNOWN_WEIGHTS;
+    private long weightsVersion = InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     private ServerSentEventSplitter splitter;
     private ByteArrayOutputStream buffer;
     private long lastEventId;
@@ -44,7 +43,9 @@
     /** Takes the head that the client is to receive. */
     void acceptHead(ResponseHead accepted) {
         head = accepted;
-        weights = accepted.headers().number(HeaderNames.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS);
+        weightsVersion =
+                accepted.headers()
+                        .number(HeaderNames.VERSIONS, InstanceRecord.UNKNOWN_WEIGHTS_VERSION);
     }
 
     /** Whether a head was accepted, of this attempt or an earlier one. */
@@ -57,8 +58,8 @@
     }
 
     /** Version of the model weights that made the response, if its upstream reported it. */
-    long weights() {
-        return weights;
+    long weightsVersion() {
+        return weightsVersion;
     }
 
     /** Identifier of the last forwarded event, or {@link ServerSentEventSplitter#NO_ID}. */
--- a/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
@@ -1,16 +1,15 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Tenant;
-import myrtleladder.protocol.Message;
-import myrtleladder.protocol.QuotaRequest;
-import myrtleladder.protocol.QuotaResponse;
-
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Tenant;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
 
 /**
  * Acquires tenants' quota units from the primary, which holds the buckets. Without its response a
@@ -148,14 +147,14 @@
 
     private void responseReceived(
             TenantState state, double cost, Message response, LongConsumer callback) {
-        if (!(response instanceof QuotaResponse grant) || !grant.valid) {
+        if (!(response instanceof QuotaResponse grant) || !grant.fromPrimary) {
             unansweredSinceMs = Math.min(unansweredSinceMs, clockMs);
             nextRequestAtMs = clockMs + RETRY_INTERVAL_MS;
             callback.accept(acquireFromFallback(state, cost, clockMs));
             return;
         }
         unansweredSinceMs = NEVER;
-        state.grantedUnits += grant.units;
+        state.grantedUnits += grant.grantedUnits;
         if (state.grantedUnits >= cost) {
             state.grantedUnits -= cost;
             callback.accept(0);
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -1,13 +1,12 @@
 package myrtleladder.dataplane;
 
+import java.util.HashSet;
+import java.util.Set;
 import myrtleladder.configuration.Service;
 import myrtleladder.loadbalancer.policy.WeightedSchedule;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
-import java.util.HashSet;
-import java.util.Set;
-
 /**
  * An incarnation of an upstream as this balancer sees it: its record, the requests in flight there,
  * and what was observed of it. Confined to the event loop; {@link UpstreamDirectory} alone creates
@@ -39,7 +38,7 @@
 
     /** The same for all incarnations that took over an ordinal one after the other. */
     private static long affinityHash(InstanceRecord record) {
-        boolean hasOrdinal = record.ordinal != InstanceRecord.UNASSIGNED;
+        boolean hasOrdinal = record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
         return StableHash.of(hasOrdinal ? record.service + "#" + record.ordinal : record.id);
     }
 
@@ -60,7 +59,7 @@
 
     /** Whether its place in the rendezvous order of prefixes is settled. */
     boolean hasOrdinal() {
-        return record.ordinal != InstanceRecord.UNASSIGNED;
+        return record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
     }
 
     /** Score of this upstream for a prefix by rendezvous hashing; the highest is the first. */
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -1,13 +1,5 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Service;
-import myrtleladder.protocol.CachedPrompt;
-import myrtleladder.protocol.InFlightRequests;
-import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.protocol.UpstreamLoad;
-
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -18,6 +10,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Service;
+import myrtleladder.protocol.CachedPrompt;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * The upstreams that this balancer knows, by service. An incarnation that drains or is gone never
@@ -84,7 +83,7 @@
             return;
         }
         Upstream known = byId.get(record.id);
-        if (record.leaving()) {
+        if (record.isLeaving()) {
             rememberLeft(record.id);
             if (known != null) {
                 remove(known, record.stage);
@@ -93,7 +92,7 @@
             Upstream created = new Upstream(record);
             created.setEngine(engineOf(record));
             byId.put(record.id, created);
-        } else if (known.record().sequence <= record.sequence
+        } else if (known.record().heartbeatSequence <= record.heartbeatSequence
                 || known.record().stage != record.stage) {
             known.updateRecord(record);
         }
@@ -108,7 +107,7 @@
 
     private void remove(Upstream upstream, Stage stage) {
         byId.remove(upstream.record().id);
-        upstream.updateRecord(upstream.record().at(stage));
+        upstream.updateRecord(upstream.record().withStage(stage));
         leavingUpstreams.add(upstream);
         onLeft.accept(upstream);
     }
@@ -167,14 +166,14 @@
     void applyFleetLoads(List<UpstreamLoad> loads, long nowMs) {
         Map<Integer, UpstreamLoad> byKey = new HashMap<>();
         for (UpstreamLoad load : loads) {
-            byKey.put(load.upstream, load);
+            byKey.put(load.upstreamKey, load);
         }
         for (Upstream upstream : byId.values()) {
             UpstreamLoad load = byKey.get(upstream.key());
             if (load == null) {
                 upstream.updatePeerLoad(0, 0, nowMs);
             } else {
-                upstream.updatePeerLoad(load.requests, load.tokens, nowMs);
+                upstream.updatePeerLoad(load.inFlightRequests, load.pendingPromptTokens, nowMs);
             }
         }
     }
@@ -189,9 +188,9 @@
             byKey.put(upstream.key(), upstream);
         }
         for (CachedPrompt cached : prompts) {
-            Upstream upstream = byKey.get(cached.upstream);
+            Upstream upstream = byKey.get(cached.upstreamKey);
             if (upstream != null) {
-                upstream.prefixCache().recordAnnounced(cached.prompt, nowMs);
+                upstream.prefixCache().recordAnnounced(cached.prefixHash, nowMs);
             }
         }
     }
--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -1,16 +1,15 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.configuration.Service;
-import myrtleladder.loadbalancer.policy.Reweighting;
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
-import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.UpstreamLoad;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import myrtleladder.configuration.Service;
+import myrtleladder.loadbalancer.policy.Reweighting;
+import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * Picks the upstream of a request. Candidates are narrowed by health, connections and, for model
@@ -70,13 +69,18 @@
      * Picks an upstream.
      *
      * @param tried upstreams to which the request was sent already; none of them is picked
-     * @param weights version of the model weights that began the response, or {@link
-     *     InstanceRecord#UNKNOWN_WEIGHTS}; upstreams with this version are preferred
+     * @param weightsVersion version of the model weights that began the response, or {@link
+     *     InstanceRecord#UNKNOWN_WEIGHTS_VERSION}; upstreams with this version are preferred
      * @return null if no upstream can take the request now
      */
     PickResult pick(
-            Service service, PromptSegments prompt, Set<Upstream> tried, long weights, long nowMs) {
-        List<Upstream> candidates = withWeights(candidates(service, tried, nowMs), weights);
+            Service service,
+            PromptSegments prompt,
+            Set<Upstream> tried,
+            long weightsVersion,
+            long nowMs) {
+        List<Upstream> candidates =
+                withWeightsVersion(candidates(service, tried, nowMs), weightsVersion);
         if (candidates.isEmpty()) {
             return null;
         }
@@ -129,13 +133,14 @@
         return healthy < PANIC_THRESHOLD * upstreams.size();
     }
 
-    private static List<Upstream> withWeights(List<Upstream> candidates, long weights) {
-        if (weights == InstanceRecord.UNKNOWN_WEIGHTS) {
+    private static List<Upstream> withWeightsVersion(
+            List<Upstream> candidates, long weightsVersion) {
+        if (weightsVersion == InstanceRecord.UNKNOWN_WEIGHTS_VERSION) {
             return candidates;
         }
         List<Upstream> same = new ArrayList<>();
         for (Upstream upstream : candidates) {
-            if (upstream.record().weights == weights) {
+            if (upstream.record().weightsVersion == weightsVersion) {
                 same.add(upstream);
             }
         }
--- a/src/main/java/myrtleladder/dataplane/Warmup.java
+++ b/src/main/java/myrtleladder/dataplane/Warmup.java
@@ -1,5 +1,14 @@
 package myrtleladder.dataplane;
 
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import myrtleladder.configuration.Compression;
 import myrtleladder.io.EventLoop;
 import myrtleladder.io.Headers;
@@ -13,8 +22,8 @@
 import myrtleladder.protocol.BalancerAddress;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
@@ -24,16 +33,6 @@
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.OneCall;
 
-import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
-import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-
 /**
  * The warm-up run: a balancer that serves a few requests on the loopback interface, with fakes of
  * the control plane and of upstreams. The build runs it to record the class archive of the data
@@ -129,7 +128,7 @@
     private void answerControlMessage(Message message, Consumer<Message> callback) {
         if (message instanceof QuotaRequest request) {
             QuotaResponse grant = QuotaResponse.of(true, request.units, 0);
-            grant.loads = loads();
+            grant.fleetLoads = loads();
             callback.accept(grant);
         } else if (message instanceof PollRequest request && request.generation == 0) {
             callback.accept(firstPollResponse());
@@ -138,31 +137,31 @@
 
     private PollResponse firstPollResponse() {
         PollResponse response = new PollResponse();
-        response.valid = true;
+        response.fromPrimary = true;
         response.epoch = 1;
         response.generation = 3;
         response.document = Compression.deflate(DOCUMENT.getBytes(StandardCharsets.UTF_8));
-        response.whole = true;
-        response.complete = true;
-        response.balancers = 1;
-        response.primary = HOST + ":" + controlPort;
-        response.members = List.of(response.primary);
+        response.fullInstanceList = true;
+        response.authoritative = true;
+        response.balancerCount = 1;
+        response.primaryAddress = HOST + ":" + controlPort;
+        response.controlNodeAddresses = List.of(response.primaryAddress);
         response.balancerList =
                 List.of(
                         BalancerAddress.of("n", HOST + ":" + controlPort),
                         BalancerAddress.of("m", HOST + ":" + controlPort));
         response.instances = List.of(instance("i", "s"), instance("j", "p"));
-        response.loads = loads();
+        response.fleetLoads = loads();
         return response;
     }
 
     private static FleetLoads loads() {
         FleetLoads loads = new FleetLoads();
         loads.epoch = 1;
-        loads.known = true;
+        loads.loadsKnown = true;
         loads.promptRevision = 1;
         loads.loads.add(UpstreamLoad.of(UpstreamLoad.keyOf("i"), 1, 1));
-        loads.prompts.add(CachedPrompt.of(1, UpstreamLoad.keyOf("i")));
+        loads.cachedPrompts.add(CachedPrompt.of(1, UpstreamLoad.keyOf("i")));
         return loads;
     }
 
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -4,21 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
 import myrtleladder.configuration.Compression;
 import myrtleladder.heartbeat.MembershipAgent;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.replication.ManualScheduler;
-
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Consumer;
-
 /** Which control node a balancer polls, and which responses it applies. */
 class ControlPollerTest {
     private final ManualScheduler clock = new ManualScheduler();
@@ -50,7 +48,7 @@
 
     private static PollResponse response(long epoch, long generation) {
         PollResponse response = new PollResponse();
-        response.valid = true;
+        response.fromPrimary = true;
         response.epoch = epoch;
         response.generation = generation;
         response.document =
@@ -59,8 +57,8 @@
                         : Compression.deflate(
                                 ("{\"generation\":" + generation + "}")
                                         .getBytes(StandardCharsets.UTF_8));
-        response.primary = "a:1";
-        response.members = List.of("a:1", "b:1", "c:1");
+        response.primaryAddress = "a:1";
+        response.controlNodeAddresses = List.of("a:1", "b:1", "c:1");
         return response;
     }
 
@@ -113,7 +111,7 @@
 
     private static PollResponse redirection(String primary, long epoch) {
         PollResponse response = new PollResponse();
-        response.primary = primary;
+        response.primaryAddress = primary;
         response.epoch = epoch;
         return response;
     }
@@ -159,7 +157,7 @@
     @Test
     void backupRedirectsToThePrimary() {
         PollResponse other = new PollResponse();
-        other.primary = "c:1";
+        other.primaryAddress = "c:1";
         pendingCallback.accept(other);
         clock.run(60);
         assertEquals("c:1", lastPolledNode());
--- a/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
+++ b/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
@@ -1,18 +1,17 @@
 package myrtleladder.dataplane;
 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.ManualScheduler;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.List;
-
 /** A data plane on a manual clock, with scripted connections and a scripted quota allocator. */
 final class DataPlaneContext {
     final ManualScheduler clock;
--- a/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
@@ -4,19 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import myrtleladder.configuration.Service;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.UpstreamLoad;
-
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-import java.util.List;
-
 /** Which loads and prefixes a balancer reports, and which it takes from others. */
 class FleetLoadSyncTest {
     private static final long NOW_MS = 50_000;
@@ -39,7 +37,7 @@
         FleetLoads response = new FleetLoads();
         response.epoch = epoch;
         response.promptRevision = revision;
-        response.known = true;
+        response.loadsKnown = true;
         return response;
     }
 
@@ -47,13 +45,13 @@
     void announcementIsRepeatedUntilAResponseAcknowledgesIt() {
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
         LoadReport lost = fleetLoads.createReport();
-        assertEquals(PROMPT.sharedPrefixHash(), lost.prompts.get(0).prompt);
-        assertEquals(upstream.key(), lost.prompts.get(0).upstream);
+        assertEquals(PROMPT.sharedPrefixHash(), lost.cachedPrompts.get(0).prefixHash);
+        assertEquals(upstream.key(), lost.cachedPrompts.get(0).upstreamKey);
         LoadReport second = fleetLoads.createReport();
-        assertEquals(1, second.prompts.size());
+        assertEquals(1, second.cachedPrompts.size());
         assertTrue(second.sequence > lost.sequence);
         fleetLoads.applyResponse(second, response(3, 1), NOW_MS);
-        assertEquals(List.of(), fleetLoads.createReport().prompts);
+        assertEquals(List.of(), fleetLoads.createReport().cachedPrompts);
     }
 
     @Test
@@ -61,9 +59,9 @@
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
         fleetLoads.applyResponse(fleetLoads.createReport(), response(3, 1), NOW_MS);
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 1_000);
-        assertEquals(List.of(), fleetLoads.createReport().prompts);
+        assertEquals(List.of(), fleetLoads.createReport().cachedPrompts);
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 30_000);
-        assertEquals(1, fleetLoads.createReport().prompts.size());
+        assertEquals(1, fleetLoads.createReport().cachedPrompts.size());
     }
 
     @Test
@@ -94,7 +92,7 @@
         withLoad.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
         fleetLoads.applyResponse(fleetLoads.createReport(), withLoad, NOW_MS);
         FleetLoads unknown = response(4, 0);
-        unknown.known = false;
+        unknown.loadsKnown = false;
         fleetLoads.applyResponse(fleetLoads.createReport(), unknown, NOW_MS + 100);
         assertTrue(upstream.peerPromptTokens(NOW_MS + 100) > 0);
         fleetLoads.applyResponse(fleetLoads.createReport(), null, NOW_MS + 200);
@@ -106,7 +104,7 @@
         fleetLoads.applyResponse(fleetLoads.createReport(), response(4, 9), NOW_MS);
         FleetLoads deposed = response(3, 50);
         deposed.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
-        deposed.prompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
+        deposed.cachedPrompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
         fleetLoads.applyResponse(fleetLoads.createReport(), deposed, NOW_MS);
         assertEquals(0, upstream.peerRequests(NOW_MS));
         assertEquals(0, upstream.prefixCache().cachedTokens(PROMPT, NOW_MS));
@@ -116,20 +114,20 @@
     @Test
     void prefixesThatOthersAnnouncedCountAsCached() {
         FleetLoads response = response(3, 7);
-        response.prompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
-        response.prompts.add(
+        response.cachedPrompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
+        response.cachedPrompts.add(
                 CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key() + 1)); // not known here
         fleetLoads.applyResponse(fleetLoads.createReport(), response, NOW_MS);
         assertEquals(5_000, upstream.prefixCache().cachedTokens(PROMPT, NOW_MS));
         assertEquals(7, fleetLoads.createReport().promptRevision);
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
-        assertEquals(List.of(), fleetLoads.createReport().prompts);
+        assertEquals(List.of(), fleetLoads.createReport().cachedPrompts);
     }
 
     @Test
     void pendingLoadIsReportedWhileTheRequestWaitsForItsQuota() {
         fleetLoads.setPendingLoad(() -> UpstreamLoad.of(upstream.key(), 1, 5_300));
-        assertEquals(5_300, fleetLoads.createReport().loads.get(0).tokens);
+        assertEquals(5_300, fleetLoads.createReport().loads.get(0).pendingPromptTokens);
         fleetLoads.setPendingLoad(FleetLoadSync.NO_PENDING_LOAD);
         assertEquals(List.of(), fleetLoads.createReport().loads);
     }
--- a/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -2,14 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
 import myrtleladder.configuration.Route;
-
 import org.junit.jupiter.api.Test;
 
-import java.nio.charset.StandardCharsets;
-
 /** The prefill class of a request at a model upstream. */
 class PrefillPriorityTest {
     private static Route route(int targetMs, int priority) {
--- a/src/test/java/myrtleladder/dataplane/PrefillTimeEstimatorTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillTimeEstimatorTest.java
@@ -3,9 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
 
 /** Estimates of the time to the first event from samples. */
 class PrefillTimeEstimatorTest {
--- a/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
@@ -11,7 +11,6 @@
 import myrtleladder.io.ResponseHead;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.replication.ManualScheduler;
-
 import org.junit.jupiter.api.Test;
 
 /** Admitted requests to their final response, with scripted upstreams on a manual clock. */
@@ -96,7 +95,8 @@
         for (int i = 1; i <= 3; i++) {
             String id = "m" + i;
             long weights = id.equals(former) ? 1 : 2;
-            context.update(DataPlaneContext.record(id, "m", Stage.READY).withWeights(weights));
+            context.update(
+                    DataPlaneContext.record(id, "m", Stage.READY).withWeightsVersion(weights));
         }
     }
 
--- a/src/test/java/myrtleladder/dataplane/RequestRouterTest.java
+++ b/src/test/java/myrtleladder/dataplane/RequestRouterTest.java
@@ -7,7 +7,6 @@
 
 import myrtleladder.dataplane.ScriptedConnectionPool.SentRequest;
 import myrtleladder.protocol.QuotaResponse;
-
 import org.junit.jupiter.api.Test;
 
 /** Requests up to their admission: route, tenant, quota and service. */
--- a/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -1,12 +1,11 @@
 package myrtleladder.dataplane;
 
+import java.util.ArrayList;
+import java.util.List;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ResponseHead;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /** HttpConnectionPool to upstreams that do what a test says. */
 final class ScriptedConnectionPool implements ConnectionPool {
     final List<SentRequest> sent = new ArrayList<>();
--- a/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
@@ -3,19 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Tenant;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
-
 import org.junit.jupiter.api.Test;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.SplittableRandom;
-import java.util.function.Consumer;
-
 /** Quotas at balancers, with a scripted primary. */
 class TenantQuotaClientTest {
     private static final int RATE_PER_S = 446_000;
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -4,21 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import myrtleladder.dataplane.ScriptedConnectionPool.SentRequest;
-import myrtleladder.protocol.InFlightRequests;
-import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.InstanceRecord.Stage;
-import myrtleladder.replication.ManualScheduler;
-
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import myrtleladder.dataplane.ScriptedConnectionPool.SentRequest;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.replication.ManualScheduler;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /**
  * A model is upgraded zone by zone while replies are in flight at several balancers: each reply
@@ -151,7 +149,7 @@
 
     private void replaceUpstream(int number) {
         int zone = number / UPSTREAMS_PER_ZONE;
-        update("new" + number, "m", zone, Stage.READY, InstanceRecord.UNASSIGNED);
+        update("new" + number, "m", zone, Stage.READY, InstanceRecord.UNASSIGNED_ORDINAL);
         update("old" + number, "m", zone, Stage.DRAINING, number + 1);
         update("new" + number, "m", zone, Stage.READY, number + 1);
         update("old" + number, "m", zone, Stage.GONE, number + 1);
@@ -224,7 +222,7 @@
             completeReplies();
         }
         for (int i = 0; i < ZONES; i++) {
-            update("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED);
+            update("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED_ORDINAL);
         }
         for (int session = 0; session < SESSIONS; session++) {
             assertEquals(before.get(session), upstreamsOf(session));
--- a/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import myrtleladder.protocol.InstanceRecord.Stage;
-
 import org.junit.jupiter.api.Test;
 
 /** Which upstreams take requests as their records change. */
--- a/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
@@ -4,21 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Service;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
-
 import org.junit.jupiter.api.Test;
 
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-
 /** Which upstream a prompt goes to, by loads and cached prefixes of all balancers. */
 class UpstreamPickerTest {
     private static final long NOW_MS = 50_000;
@@ -53,7 +51,7 @@
         }
 
         void receive(FleetLoads response, long nowMs) {
-            response.known = true;
+            response.loadsKnown = true;
             response.epoch = 1;
             fleetLoads.applyResponse(fleetLoads.createReport(), response, nowMs);
         }
@@ -64,7 +62,7 @@
                             service,
                             PromptSegments.parse(prompt),
                             Set.of(),
-                            InstanceRecord.UNKNOWN_WEIGHTS,
+                            InstanceRecord.UNKNOWN_WEIGHTS_VERSION,
                             nowMs)
                     .upstream();
         }
@@ -72,7 +70,7 @@
 
     private static FleetLoads caching(String prompt, Upstream upstream) {
         FleetLoads response = new FleetLoads();
-        response.prompts.add(
+        response.cachedPrompts.add(
                 CachedPrompt.of(PromptSegments.parse(prompt).sharedPrefixHash(), upstream.key()));
         return response;
     }
@@ -191,7 +189,7 @@
         balancer.receive(new FleetLoads(), NOW_MS);
         Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
         FleetLoads response = new FleetLoads();
-        response.prompts.add(
+        response.cachedPrompts.add(
                 CachedPrompt.of(PromptSegments.parse("a:9000,x:100").sharedPrefixHash(), 1));
         response.loads.add(UpstreamLoad.of(1, 50, 500_000));
         balancer.receive(response, NOW_MS);
@@ -205,7 +203,7 @@
         PromptSegments prompt = PromptSegments.parse("a:9000,x:100");
         UpstreamLoad likely =
                 balancer.picker.likelyLoad(CONFIGURATION.service("m"), prompt, NOW_MS);
-        assertEquals(9_100, likely.tokens);
-        assertEquals(likely.upstream, balancer.pick("a:9000,x:100", NOW_MS).key());
+        assertEquals(9_100, likely.pendingPromptTokens);
+        assertEquals(likely.upstreamKey, balancer.pick("a:9000,x:100", NOW_MS).key());
     }
 }
