--- a/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
@@ -137,9 +137,12 @@
     }
 
     private void registerServiceMetrics() {
-        gauge("yewyoke.ready", "1 if there is a list to serve from", s -> s.ready() ? 1 : 0);
+        gauge("yewyoke.ready", "1 if there is a list to serve from", s -> s.isReady() ? 1 : 0);
         gauge("yewyoke.upstreams", "Upstreams on the list", BalancerStatus::upstreams);
-        gauge("yewyoke.requests.open", "Requests taken and not ended", BalancerStatus::open);
+        gauge(
+                "yewyoke.requests.open",
+                "Requests taken and not ended",
+                BalancerStatus::openRequests);
         gauge("yewyoke.connections", "Connections to upstreams", BalancerStatus::connections);
         counter(
                 "yewyoke.connects",
--- a/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
@@ -8,44 +8,44 @@
 import myrtleladder.loadbalancer.server.TrafficControl;
 
 /** The balancer as the work on machines knows it: neither knows of the other. */
-record Beside(TrafficControl sending) implements Balancing {
+record Beside(TrafficControl trafficControl) implements Balancing {
     /** From now on the work on machines has a say on each attempt. */
     static void restrain(RunningBalancer balancer, WorkCarrier work) {
         balancer.loop()
                 .execute(
                         () ->
-                                balancer.sending()
-                                        .restrain(
+                                balancer.trafficControl()
+                                        .setAdmission(
                                                 new TrafficControl.AttemptAdmission() {
                                                     @Override
-                                                    public boolean maySend(String upstream) {
+                                                    public boolean canSend(String upstream) {
                                                         return work.maySend(upstream);
                                                     }
 
                                                     @Override
-                                                    public void ended(
+                                                    public void attemptEnded(
                                                             String upstream,
-                                                            boolean served,
-                                                            long took) {
-                                                        work.ended(upstream, served, took);
+                                                            boolean isServed,
+                                                            long tookUs) {
+                                                        work.ended(upstream, isServed, tookUs);
                                                     }
                                                 }));
     }
 
     @Override
     public int inFlight(String upstream) {
-        return sending.inFlight(upstream);
+        return trafficControl.attemptsInFlight(upstream);
     }
 
     @Override
     public void setAside(Set<String> away, Set<String> cold) {
-        sending.setAside(away, cold);
+        trafficControl.setDraining(away, cold);
     }
 
     @Override
     public List<Upstream> listed() {
-        return sending.listed().stream()
-                .map(u -> new Upstream(u.id(), u.zone(), u.kind(), u.cell(), u.ready()))
+        return trafficControl.listedEndpoints().stream()
+                .map(u -> new Upstream(u.id(), u.zone(), u.kind(), u.cell(), u.isReady()))
                 .toList();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -168,7 +168,7 @@
                                 agreement,
                                 agenda,
                                 settings,
-                                new Beside(balancer.sending()),
+                                new Beside(balancer.trafficControl()),
                                 points);
             }
             if (at != null) {
--- a/src/main/java/myrtleladder/loadbalancer/server/Backoff.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Backoff.java
@@ -2,21 +2,30 @@
 
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Pauses between failed calls: each up to twice the one before, spread by chance, and bounded. */
+/**
+ * Exponential backoff with jitter between failed calls: the mean doubles with each failure up to a
+ * bound, and a delay is between half and one and a half of its mean.
+ *
+ * <p>Not safe for use by several threads.
+ */
 final class Backoff {
-    private static final long FIRST_MS = 50;
-    private static final long LONGEST_MS = 1_000;
-    private long mean = FIRST_MS;
+    /** Chosen: mean of the first delay. */
+    private static final long INITIAL_MEAN_MS = 50;
 
-    /** The pause before the next call, in milliseconds. */
-    long next() {
-        long pause = mean / 2 + ThreadLocalRandom.current().nextLong(mean);
-        mean = Math.min(LONGEST_MS, 2 * mean);
-        return pause;
+    /** Chosen: bound of the mean. */
+    private static final long MAX_MEAN_MS = 1_000;
+
+    private long meanMs = INITIAL_MEAN_MS;
+
+    /** The delay before the next call, in milliseconds. */
+    long nextDelayMs() {
+        long delayMs = meanMs / 2 + ThreadLocalRandom.current().nextLong(meanMs);
+        meanMs = Math.min(MAX_MEAN_MS, 2 * meanMs);
+        return delayMs;
     }
 
     /** A call has succeeded. */
     void reset() {
-        mean = FIRST_MS;
+        meanMs = INITIAL_MEAN_MS;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
@@ -18,8 +18,15 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * What this balancer is told at its start: addresses, limits, the list as last held, and the
- * settings.
+ * The configuration of one balancer, as its file has it. Immutable.
+ *
+ * @param listen address for clients
+ * @param discovery address of discovery
+ * @param seed of the decision module's random numbers
+ * @param sockets limit of file descriptors
+ * @param memoryMb limit of memory in megabytes
+ * @param known the endpoint list known before the start
+ * @param settings of the decision module, and names
  */
 record BalancerConfig(
         InetSocketAddress listen,
@@ -28,11 +35,24 @@
         int sockets,
         int memoryMb,
         EndpointList known,
-        SettingsReader.ParsedSettings facts) {
+        SettingsReader.ParsedSettings settings) {
     static final JsonFactory JSON = new JsonFactory();
+
+    /** Chosen: limit of file descriptors where the file has none. */
     private static final int DEFAULT_SOCKETS = 1024;
+
+    /** Chosen: limit of memory where the file has none. */
     private static final int DEFAULT_MEMORY_MB = 192;
 
+    /** The machine's limits. */
+    private record MachineLimits(int sockets, int memoryMb) {}
+
+    /**
+     * Reads and checks a configuration file.
+     *
+     * @throws NoFile if it can't be read
+     * @throws BadConfiguration if it is malformed or a setting is invalid
+     */
     static BalancerConfig read(Path file) throws OperatorError {
         byte[] text;
         try {
@@ -60,49 +80,52 @@
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         long seed = 0;
-        int[] limits = {DEFAULT_SOCKETS, DEFAULT_MEMORY_MB};
+        MachineLimits limits = new MachineLimits(DEFAULT_SOCKETS, DEFAULT_MEMORY_MB);
         EndpointList known = EndpointList.EMPTY;
-        SettingsReader.ParsedSettings facts = null;
+        SettingsReader.ParsedSettings settings = null;
         if (json.nextToken() != JsonToken.START_OBJECT) {
             throw new BadInput("not a JSON object");
         }
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
-            JsonToken value = json.nextToken();
+            boolean isObject = json.nextToken() == JsonToken.START_OBJECT;
             switch (name) {
-                case "listen" -> listen = address(json.getText());
-                case "discovery" -> discovery = address(json.getText());
-                case "seed" -> seed = seed(json.getText());
-                case "limits" -> limits(json, limits);
-                case "known" ->
-                        known = value == JsonToken.START_OBJECT ? EndpointList.read(json) : known;
-                case "settings" ->
-                        facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
+                case "listen" -> listen = parseAddress(json.getText());
+                case "discovery" -> discovery = parseAddress(json.getText());
+                case "seed" -> seed = parseSeed(json.getText());
+                case "limits" -> limits = readLimits(json, limits);
+                case "known" -> known = isObject ? EndpointList.read(json) : known;
+                case "settings" -> settings = isObject ? SettingsReader.read(json) : null;
                 default -> json.skipChildren();
             }
         }
         EndpointList.require(listen != null, "listen");
         EndpointList.require(discovery != null, "discovery");
-        EndpointList.require(facts != null, "settings");
-        SettingsCheck.check(facts.settings());
-        return new BalancerConfig(listen, discovery, seed, limits[0], limits[1], known, facts);
+        EndpointList.require(settings != null, "settings");
+        SettingsCheck.check(settings.balancer());
+        return new BalancerConfig(
+                listen, discovery, seed, limits.sockets(), limits.memoryMb(), known, settings);
     }
 
-    /** Reads descriptors and megabytes, as far as they are told. */
-    private static void limits(JsonParser json, int[] into) throws IOException {
+    /** Reads the limits that are there; the others stay as they were. */
+    private static MachineLimits readLimits(JsonParser json, MachineLimits defaults)
+            throws IOException {
+        int sockets = defaults.sockets();
+        int memoryMb = defaults.memoryMb();
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
             JsonToken value = json.nextToken();
             if (value.isNumeric() && name.equals("sockets")) {
-                into[0] = json.getIntValue();
+                sockets = json.getIntValue();
             } else if (value.isNumeric() && name.equals("memory_mb")) {
-                into[1] = json.getIntValue();
+                memoryMb = json.getIntValue();
             }
             json.skipChildren();
         }
+        return new MachineLimits(sockets, memoryMb);
     }
 
-    private static long seed(String hex) throws BadInput {
+    private static long parseSeed(String hex) throws BadInput {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -110,8 +133,12 @@
         }
     }
 
-    /** Reads {@code host:port}; there is no DNS, so the host must be an address. */
-    static InetSocketAddress address(String text) throws BadInput {
+    /**
+     * Parses {@code host:port}; there is no DNS, so the host must be an IP address.
+     *
+     * @throws BadInput if it is not an address
+     */
+    static InetSocketAddress parseAddress(String text) throws BadInput {
         int colon = text.lastIndexOf(':');
         String name = text.substring(0, Math.max(colon, 0));
         InetAddress host = NetUtil.createInetAddressFromIpAddressString(name);
@@ -120,7 +147,7 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // a bad port; the one complaint below serves for it too
+            // A malformed port; the message below serves for it too.
         }
         throw new BadInput("not an address: " + text);
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerStatus.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerStatus.java
@@ -3,22 +3,22 @@
 import java.util.Map;
 
 /**
- * What one balancer has done since its start, and what it holds now; made when somebody asks.
+ * A snapshot of a balancer's gauges, and of its counters since the start. Immutable.
  *
- * @param ready whether it has a list to serve from
- * @param upstreams on the list
- * @param open requests taken that are not ended yet
- * @param connections open or coming up, to upstreams
- * @param connects connections opened to upstreams so far
- * @param requests taken so far
- * @param answers given so far: {@code served}, {@code refused}, {@code failed}; {@code left}: no
- *     answer due
- * @param attempts ended so far, by how they ended
+ * @param isReady whether there is an endpoint list to serve from
+ * @param upstreams number on the list
+ * @param openRequests requests received and not ended yet
+ * @param connections to upstreams, open or coming up
+ * @param connects connections to upstreams begun so far
+ * @param requests received so far
+ * @param answers so far, by result: {@code served}, {@code refused}, {@code failed}, and {@code
+ *     left} for clients that left before the response
+ * @param attempts ended so far, by outcome
  */
 public record BalancerStatus(
-        boolean ready,
+        boolean isReady,
         int upstreams,
-        int open,
+        int openRequests,
         int connections,
         long connects,
         long requests,
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -29,90 +29,103 @@
 import myrtleladder.loadbalancer.policy.Balancer.Request;
 
 /**
- * One client connection: its requests are handled one after another, and answered in their order.
+ * One client connection, and the last handler of its pipeline. Pipelined requests are processed one
+ * after another and answered in their order (RFC 9112, 9.3.2). The session holds the reference to
+ * each message that waits, until the balancer takes it over.
+ *
+ * <p>Confined to the event loop.
  */
 final class ClientSession extends SimpleChannelInboundHandler<FullHttpRequest>
-        implements BalancerRuntime.Client {
+        implements ResponseObserver {
     private static final System.Logger LOG = System.getLogger(ClientSession.class.getName());
-    private static final String HEALTH = "/healthz";
+    private static final String HEALTH_PATH = "/healthz";
 
     /**
-     * How long a request may take to come whole. Peers that send none are owed an end within 3 s.
+     * Chosen: how long the receipt of a request may take. Clients that send none must see the end
+     * of their connection within 3 s.
      */
-    private static final long REQUEST_MS = 2_000;
+    private static final long RECEIVE_TIMEOUT_MS = 2_000;
 
-    /** How long a connection that we end is still read, for its client to see the end first. */
+    /** Chosen: how long a connection that we end is still read, so that its client sees our end. */
     private static final long LINGER_MS = 250;
 
-    /** How long a client may leave answers unread, before it counts as gone. */
-    private static final long UNREAD_MS = 10_000;
+    /** Chosen: how long a client may leave responses unread before its connection is closed. */
+    private static final long WRITE_TIMEOUT_MS = 10_000;
 
     private final LoadBalancerServer server;
-    private final BalancerRuntime driver;
+    private final ClientSessions sessions;
+    private final BalancerRuntime balancer;
     private final Channel channel;
-    private final RequestReceiveTimeoutHandler deadline =
-            new RequestReceiveTimeoutHandler(REQUEST_MS, this::requestOverdue);
-    private final Deque<Received> waiting = new ArrayDeque<>();
-    private long waitingBytes;
-    private String current;
-    private ScheduledFuture<?> unread;
+    private final RequestReceiveTimeoutHandler receiveTimeout =
+            new RequestReceiveTimeoutHandler(RECEIVE_TIMEOUT_MS, this::receiveTimedOut);
+    private final Deque<PendingRequest> pendingRequests = new ArrayDeque<>();
+    private long pendingBytes;
 
-    /** Came when all connections were taken. Those that came before are served all the same. */
-    private boolean beyond;
+    /** The id of the request that the balancer has; null if it has none. */
+    private String currentRequestId;
 
-    private boolean busy;
-    private boolean lastRequest;
-    private boolean stalled;
-    private boolean ending;
+    /** Null while the client reads its responses. */
+    private ScheduledFuture<?> writeTimeout;
+
+    /** The connection was accepted beyond the limit; those accepted before it are served. */
+    private boolean isBeyondLimit;
+
+    private boolean isProcessing;
+    private boolean isLastRequest;
+    private boolean isWaitingForWritability;
+    private boolean isClosing;
 
     /**
-     * A request that has been read, and when it can have come, in microseconds of the driver's
-     * clock.
+     * A request that has been read and waits for its turn.
+     *
+     * @param receivedUs when it can have come at the earliest, by the balancer's clock
      */
-    private record Received(FullHttpRequest message, long cameAt) {
-        /**
-         * What it takes of the memory for requests that wait: its body, and about this for the
-         * rest.
-         */
-        private static final long OVERHEAD = 2_048;
+    private record PendingRequest(FullHttpRequest message, long receivedUs) {
+        /** Chosen: memory that a request takes beside its body, in bytes. */
+        private static final long OVERHEAD_BYTES = 2_048;
 
         long bytes() {
-            return OVERHEAD + message.content().readableBytes();
+            return OVERHEAD_BYTES + message.content().readableBytes();
         }
     }
 
-    ClientSession(LoadBalancerServer server, BalancerRuntime driver, Channel channel) {
+    ClientSession(
+            LoadBalancerServer server,
+            ClientSessions sessions,
+            BalancerRuntime balancer,
+            Channel channel) {
         super(false);
         this.server = server;
-        this.driver = driver;
+        this.sessions = sessions;
+        this.balancer = balancer;
         this.channel = channel;
     }
 
-    /** Puts this session and what it needs before it into the channel's pipeline. */
-    void install() {
+    /** Adds this session, and the handlers that it needs before it, to the channel's pipeline. */
+    void initPipeline() {
         channel.pipeline()
                 .addLast(
-                        deadline,
+                        receiveTimeout,
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(UpstreamConnectionPool.MAX_BODY),
+                        new HttpObjectAggregator(UpstreamConnectionPool.MAX_BODY_BYTES),
                         this);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        beyond = server.isFull();
-        server.opened(this, channel.parent());
+        isBeyondLimit = sessions.isFull();
+        sessions.opened(this, channel.parent());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        forgetWaiting();
-        stopWaitingForReader();
-        if (current != null) {
-            driver.gone(current);
-            current = null;
+        releasePending();
+        cancelWriteTimeout();
+        if (currentRequestId != null) {
+            balancer.clientDisconnected(currentRequestId);
+            currentRequestId = null;
         }
-        server.closed(this, channel.parent());
+        server.sessionClosed(this, channel.parent());
     }
 
     @Override
@@ -120,253 +133,245 @@
         return channel.isActive();
     }
 
-    // ---- Requests
-    // --------------------------------------------------------------------------------------
-
     /**
-     * Only takes note of a request: it is begun when all that has come in this turn of the loop is
+     * Only queues a request: it is processed after all that has come in this turn of the loop is
      * read. The end of its connection may be behind it, or that of another one for which an attempt
-     * would begin.
+     * would be sent.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
-        deadline.met();
-        if (ending || lastRequest) {
+        receiveTimeout.requestReceived();
+        if (isClosing || isLastRequest) {
             message.release();
             return;
         }
-        Received received = new Received(message, driver.now() - driver.unread());
-        waiting.add(received);
-        account(received.bytes());
-        if (!busy) {
-            busy = true;
-            server.notIdle(this);
-            begin();
+        PendingRequest request =
+                new PendingRequest(message, balancer.clock().nowUs() - balancer.lag().lagUs());
+        pendingRequests.add(request);
+        addPendingBytes(request.bytes());
+        if (!isProcessing) {
+            isProcessing = true;
+            sessions.busy(this);
+            scheduleFirst();
         }
     }
 
     /**
-     * After a loop that was late, the next turn reads first: the end of this connection may have
-     * come.
+     * After a lag of the loop the next turn reads first: the end of this connection may have come.
      */
-    private void begin() {
-        if (driver.isLate()) {
-            // Set from a task, a timer comes behind the reads of the next turn.
+    private void scheduleFirst() {
+        if (balancer.lag().isLagging()) {
+            // Set from a task, a timer runs behind the reads of the next turn.
             channel.eventLoop()
                     .execute(
                             () ->
                                     channel.eventLoop()
-                                            .schedule(this::next, 0, TimeUnit.MILLISECONDS));
+                                            .schedule(this::processNext, 0, TimeUnit.MILLISECONDS));
         } else {
-            channel.eventLoop().execute(this::next);
+            channel.eventLoop().execute(this::processNext);
         }
     }
 
-    /**
-     * Stops reading when too much waits; a client that sends more at once waits for its answers.
-     */
-    private void account(long bytes) {
-        waitingBytes += bytes;
-        server.account(bytes);
+    /** Stops reading while too much waits; a client that pipelines more waits for its responses. */
+    private void addPendingBytes(long bytes) {
+        pendingBytes += bytes;
+        sessions.addPendingBytes(bytes);
         channel.config()
-                .setAutoRead(ending || waiting.isEmpty() || !server.holdsTooMuch(waitingBytes));
+                .setAutoRead(
+                        isClosing
+                                || pendingRequests.isEmpty()
+                                || !sessions.isOverPendingLimit(pendingBytes));
     }
 
-    private void forgetWaiting() {
-        for (Received received : waiting) {
-            received.message().release();
+    private void releasePending() {
+        for (PendingRequest request : pendingRequests) {
+            request.message().release();
         }
-        waiting.clear();
-        account(-waitingBytes);
+        pendingRequests.clear();
+        addPendingBytes(-pendingBytes);
     }
 
-    private void next() {
-        if (ending || !channel.isActive()) {
+    private void processNext() {
+        if (isClosing || !channel.isActive()) {
             return;
         }
         if (!channel.isWritable()) {
-            stalled = true;
+            isWaitingForWritability = true;
             return;
         }
-        Received received = waiting.poll();
-        if (received == null) {
-            busy = false;
-            server.idle(this);
+        PendingRequest request = pendingRequests.poll();
+        if (request == null) {
+            isProcessing = false;
+            sessions.idle(this);
             return;
         }
-        account(-received.bytes());
-        take(received);
+        addPendingBytes(-request.bytes());
+        process(request);
     }
 
-    private void take(Received received) {
-        FullHttpRequest message = received.message();
+    private void process(PendingRequest pending) {
+        FullHttpRequest message = pending.message();
         if (message.decoderResult().isFailure()) {
-            // What follows on this connection can't be told apart any more, and would go
-            // unanswered.
-            lastRequest = true;
-            reject(message, "malformed request");
+            // Where the next request on this connection begins can't be told any more.
+            isLastRequest = true;
+            respondBadRequest(message, "malformed request");
             return;
         }
-        lastRequest = !HttpUtil.isKeepAlive(message);
+        isLastRequest = !HttpUtil.isKeepAlive(message);
         Request request;
         try {
             QueryStringDecoder uri = new QueryStringDecoder(message.uri());
-            // Throws on escapes that can't be decoded; from here that still ends in an answer.
-            if (uri.path().equals(HEALTH)) {
+            // Throws on an escape that can't be decoded, which is answered below.
+            if (uri.path().equals(HEALTH_PATH)) {
                 message.release();
-                answer(
-                        server.isHealthy()
-                                ? HttpResponseStatus.OK
-                                : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        Unpooled.EMPTY_BUFFER,
-                        0);
+                respondHealth();
                 return;
             }
-            request = server.read(message, uri, driver.now() - received.cameAt());
+            long waitedUs = balancer.clock().nowUs() - pending.receivedUs();
+            request = server.parse(message, uri, waitedUs);
         } catch (BadInput e) {
-            reject(message, e.what());
+            respondBadRequest(message, e.what());
             return;
         } catch (IllegalArgumentException e) {
-            reject(message, e.getMessage());
+            respondBadRequest(message, e.getMessage());
             return;
         }
-        if (server.refusesAll() || beyond && server.isOverfull()) {
+        if (server.rejectsAll() || isBeyondLimit && sessions.isOverLimit()) {
             message.release();
-            refused(0);
+            onRejected(0);
             return;
         }
-        current = request.id();
-        driver.request(request, message, this);
+        currentRequestId = request.id();
+        balancer.dispatch(request, message, this);
     }
 
     /**
-     * A request that is still whole in our hands is answered first. A plain close is safe to cross.
+     * A request that has been received is answered first. A plain close may cross with the next.
      */
-    private void requestOverdue() {
-        if (!busy) {
+    private void receiveTimedOut() {
+        if (!isProcessing) {
             close();
         }
     }
 
-    // ---- Answers
-    // ---------------------------------------------------------------------------------------
+    private void respondHealth() {
+        respond(
+                server.isHealthy() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                Unpooled.EMPTY_BUFFER,
+                0);
+    }
 
-    private void reject(FullHttpRequest message, String why) {
+    private void respondBadRequest(FullHttpRequest message, String reason) {
         message.release();
-        answer(
+        respond(
                 HttpResponseStatus.BAD_REQUEST,
-                Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8),
+                Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8),
                 0);
     }
 
     @Override
-    public void served(ByteBuf body) {
-        answer(HttpResponseStatus.OK, body, 0);
+    public void onSuccess(ByteBuf body) {
+        respond(HttpResponseStatus.OK, body, 0);
     }
 
     @Override
-    public void refused(long retryAfter) {
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfter);
+    public void onRejected(long retryAfterUs) {
+        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfterUs);
     }
 
     @Override
-    public void failed() {
-        answer(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
+    public void onFailure() {
+        respond(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
     }
 
-    private void answer(HttpResponseStatus status, ByteBuf body, long retryAfter) {
-        current = null;
-        DefaultFullHttpResponse answer =
+    /** Writes the response to the current request; takes over the reference to {@code body}. */
+    private void respond(HttpResponseStatus status, ByteBuf body, long retryAfterUs) {
+        currentRequestId = null;
+        DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        if (retryAfter > 0) {
-            answer.headers()
-                    .set(
-                            HttpHeaderNames.RETRY_AFTER,
-                            BigDecimal.valueOf(retryAfter, 6).toPlainString());
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+        if (retryAfterUs > 0) {
+            String seconds = BigDecimal.valueOf(retryAfterUs, 6).toPlainString();
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
         }
-        // Whatever has been read is owed its answer before the connection may end.
-        boolean last = lastRequest || waiting.isEmpty() && server.closesWithAnswers();
-        HttpUtil.setKeepAlive(answer, !last);
-        channel.writeAndFlush(answer)
+        // What has been read is answered before the connection may end.
+        boolean isLast = isLastRequest || pendingRequests.isEmpty() && server.closesWithResponses();
+        HttpUtil.setKeepAlive(response, !isLast);
+        channel.writeAndFlush(response)
                 .addListener(
-                        written -> {
-                            if (!written.isSuccess()) {
+                        future -> {
+                            if (!future.isSuccess()) {
                                 channel.close();
-                            } else if (last) {
+                            } else if (isLast) {
                                 close();
                             }
                         });
-        if (!last) {
-            // Not from within the module's event: the next request on this connection is one of its
-            // own.
-            channel.eventLoop().execute(this::next);
+        if (!isLast) {
+            // Not from within the module's event: the next request is an event of its own.
+            channel.eventLoop().execute(this::processNext);
         }
     }
 
-    /**
-     * A client that does not read its answers is given no more of them, and at last counts as gone.
-     */
+    /** A client that reads no responses is given no more of them, and is closed at last. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        stopWaitingForReader();
+        cancelWriteTimeout();
         if (!channel.isWritable()) {
-            unread =
+            writeTimeout =
                     ctx.executor()
-                            .schedule(() -> channel.close(), UNREAD_MS, TimeUnit.MILLISECONDS);
-        } else if (stalled) {
-            stalled = false;
-            channel.eventLoop().execute(this::next);
+                            .schedule(
+                                    () -> channel.close(), WRITE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        } else if (isWaitingForWritability) {
+            isWaitingForWritability = false;
+            channel.eventLoop().execute(this::processNext);
         }
     }
 
-    private void stopWaitingForReader() {
-        if (unread != null) {
-            unread.cancel(false);
-            unread = null;
+    private void cancelWriteTimeout() {
+        if (writeTimeout != null) {
+            writeTimeout.cancel(false);
+            writeTimeout = null;
         }
     }
 
-    // ---- The end
-    // ---------------------------------------------------------------------------------------
-
     /**
-     * Ends the connection between requests. Closed at once, with bytes unread or on their way, it
-     * would be reset, and a reset takes along what the client has not read yet; so our side ends
-     * first, and what still comes is read and dropped for a moment. A client resends a request that
-     * crossed with the end.
+     * Ends the connection between requests (RFC 9112, 9.6). Closed at once, with bytes unread or in
+     * flight, it would be reset, and a reset discards what the client has not read yet; so only our
+     * side is shut down first, and for a moment what still comes is read and dropped. A client
+     * retries a request that crossed with the end.
      */
     void close() {
-        if (ending) {
+        if (isClosing) {
             return;
         }
-        ending = true;
-        deadline.met();
-        forgetWaiting();
-        server.leaving(this);
+        isClosing = true;
+        receiveTimeout.requestReceived();
+        releasePending();
+        sessions.closing(this);
         if (!(channel instanceof DuplexChannel duplex)) {
             channel.close();
             return;
         }
-        channel.pipeline().addFirst(new Discard());
+        channel.pipeline().addFirst(new DiscardHandler());
         duplex.shutdownOutput()
                 .addListener(
-                        done -> {
-                            if (!done.isSuccess()) {
+                        future -> {
+                            if (!future.isSuccess()) {
                                 channel.close();
                             }
                         });
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Drops what comes. */
-    private static final class Discard extends ChannelInboundHandlerAdapter {
+    /** Releases what comes. */
+    private static final class DiscardHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ReferenceCountUtil.release(message);
         }
     }
 
+    /** Closes the connection. What neither the network nor the codec explains is logged. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -1,117 +1,120 @@
 package myrtleladder.loadbalancer.server;
 
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.LineBasedFrameDecoder;
-import io.netty.handler.codec.MessageToMessageDecoder;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.timeout.ReadTimeoutException;
 import io.netty.handler.timeout.ReadTimeoutHandler;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.List;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.error.OperatorError.BadList;
 import myrtleladder.loadbalancer.policy.Balancer.ListKind;
 
 /**
- * Follows the list of upstreams: one watch, kept open from the version known, and single lists if
- * asked.
+ * Follows the endpoint list of discovery: by one watch that stays open and begins at the version
+ * known, and by single full lists on request. A full list is also fetched, until one has come,
+ * after a line that could not be parsed.
+ *
+ * <p>Confined to the event loop.
  */
-final class DiscoveryClient {
+final class DiscoveryClient implements DiscoveryCall.Listener {
     private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
-    private static final String LIST = "/v1/servers";
-    private static final int MAX_LINE = 4 << 20;
+    private static final String LIST_PATH = "/v1/servers";
 
     /**
-     * A watch says something every 2 s; one silent for longer may be cut off, and what it has is
-     * unheard.
+     * Chosen: a watch sends a line every 2 s; one from which none comes for longer may be
+     * partitioned, and its changes lost.
      */
-    private static final long SILENCE_MS = 3_000;
+    private static final long READ_TIMEOUT_MS = 3_000;
 
+    /** Chosen. */
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final EventLoop loop;
     private final Transport transport;
-    private final boolean asked;
-    private final BalancerRuntime driver;
+    private final boolean isOnRequest;
+    private final BalancerRuntime balancer;
+    private final Backoff watchBackoff = new Backoff();
+    private final Backoff repairBackoff = new Backoff();
     private InetSocketAddress address;
+
+    /** The version of the last list or change that was taken over. */
     private long version;
-    private boolean wanted;
-    private Call watch;
-    private Call repair;
-    private final Backoff watchBackoff = new Backoff();
 
-    /** A line could not be read, so what is known may lack something until the next whole list. */
-    private boolean incomplete;
+    private boolean shouldWatch;
 
-    private final Backoff repairBackoff = new Backoff();
-    private boolean badLineLogged;
+    /** The watch that is open, or null. */
+    private DiscoveryCall watch;
+
+    /** The call for a full list after a malformed one, or null. */
+    private DiscoveryCall repair;
+
+    /**
+     * A list could not be parsed, so that what is known may lack something until the next full
+     * list.
+     */
+    private boolean isIncomplete;
 
-    /** With {@code asked} the module says when to call; otherwise the watch opens itself again. */
+    private boolean isMalformedListLogged;
+
+    /**
+     * Creates a client that makes no call yet.
+     *
+     * @param isOnRequest whether the decision module says when to call; otherwise an ended watch is
+     *     opened again here
+     * @param version of the list known before the start
+     */
     DiscoveryClient(
             EventLoop loop,
             Transport transport,
             InetSocketAddress address,
-            boolean asked,
+            boolean isOnRequest,
             long version,
-            BalancerRuntime driver) {
+            BalancerRuntime balancer) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
-        this.asked = asked;
+        this.isOnRequest = isOnRequest;
         this.version = version;
-        this.driver = driver;
+        this.balancer = balancer;
     }
 
-    /** Begins to follow changes, anew if it does so already, or ends that. */
-    void watch(boolean on) {
-        wanted = on;
-        Call old = watch;
+    /** Begins to follow changes, with a new call if there is one already; or stops that. */
+    void watch(boolean isOn) {
+        shouldWatch = isOn;
+        DiscoveryCall previous = watch;
         watch = null;
-        if (old != null) {
-            old.superseded = true;
-            old.channel.close();
+        if (previous != null) {
+            previous.supersede();
         }
-        if (on) {
-            watch = call(LIST + "?follow=1&since=" + version);
+        if (isOn) {
+            watch = call(LIST_PATH + "?follow=1&since=" + version);
         }
     }
 
-    /** Discovery is elsewhere from now on; a watch goes on there from the version known. */
-    void move(InetSocketAddress to) {
-        address = to;
-        if (wanted) {
+    /** Discovery is at another address from now on; the watch goes on there. */
+    void moveTo(InetSocketAddress newAddress) {
+        address = newAddress;
+        if (shouldWatch) {
             watch(true);
         }
     }
 
-    /** Gets the whole list once. */
+    /** Fetches the full list once. */
     void fetch() {
-        call(LIST);
+        call(LIST_PATH);
     }
 
-    private Call call(String uri) {
-        Call call = new Call();
+    private DiscoveryCall call(String uri) {
+        DiscoveryCall call = new DiscoveryCall(this);
         ChannelFuture connecting =
                 transport
                         .client(loop)
@@ -120,170 +123,112 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        channel.pipeline()
-                                                .addLast(
-                                                        new HttpClientCodec(),
-                                                        new ReadTimeoutHandler(
-                                                                SILENCE_MS, TimeUnit.MILLISECONDS),
-                                                        new Body(),
-                                                        new LineBasedFrameDecoder(MAX_LINE),
-                                                        call);
+                                        initPipeline(channel, call);
                                     }
                                 })
                         .connect(transport.address(address));
-        call.channel = connecting.channel();
+        call.setChannel(connecting.channel());
         connecting.addListener(
-                f -> {
-                    if (f.isSuccess()) {
-                        DefaultFullHttpRequest request =
-                                new DefaultFullHttpRequest(
-                                        HttpVersion.HTTP_1_1,
-                                        HttpMethod.GET,
-                                        uri,
-                                        Unpooled.EMPTY_BUFFER);
-                        request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-                        call.channel.writeAndFlush(request);
+                future -> {
+                    if (future.isSuccess()) {
+                        call.channel().writeAndFlush(request(uri));
                     }
                 });
-        call.channel.closeFuture().addListener(f -> ended(call));
+        call.channel().closeFuture().addListener(future -> callEnded(call));
         return call;
     }
 
-    private void ended(Call call) {
-        boolean watching = call == watch;
-        if (watching) {
+    private static void initPipeline(Channel channel, DiscoveryCall call) {
+        channel.pipeline()
+                .addLast(
+                        new HttpClientCodec(),
+                        new ReadTimeoutHandler(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                        new HttpBodyDecoder(),
+                        new LineBasedFrameDecoder(DiscoveryCall.MAX_LIST_BYTES),
+                        call);
+    }
+
+    private DefaultFullHttpRequest request(String uri) {
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
+        request.headers().set(HttpHeaderNames.HOST, address.getHostString());
+        return request;
+    }
+
+    private void callEnded(DiscoveryCall call) {
+        boolean isWatch = call == watch;
+        if (isWatch) {
             watch = null;
         }
         if (call == repair) {
             repair = null;
-            repairSoon();
+            scheduleRepair();
             return;
         }
-        if (call.superseded) {
-            return; // Another one has taken its place, and goes on from what this one told.
+        if (call.isSuperseded()) {
+            return; // Another call has taken its place, and goes on from the same version.
         }
-        if (asked) {
-            if (watching || !call.told) {
-                loop.execute(driver::listUnavailable);
+        if (isOnRequest) {
+            if (isWatch || !call.hasAcceptedList()) {
+                loop.execute(balancer::listUnavailable);
             }
-        } else if (watching && wanted) {
-            loop.schedule(
-                    () -> {
-                        if (wanted && watch == null) {
-                            watch(true);
-                        }
-                    },
-                    watchBackoff.next(),
-                    TimeUnit.MILLISECONDS);
+        } else if (isWatch && shouldWatch) {
+            loop.schedule(this::reopenWatch, watchBackoff.nextDelayMs(), TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void reopenWatch() {
+        if (shouldWatch && watch == null) {
+            watch(true);
         }
     }
 
-    /** Gets the whole list, again and again after growing pauses, until one has come. */
-    private void repairSoon() {
-        if (!incomplete || repair != null) {
+    /** Fetches the full list, again after growing delays, until one has come. */
+    private void scheduleRepair() {
+        if (!isIncomplete || repair != null) {
             return;
         }
         loop.schedule(
                 () -> {
-                    if (incomplete && repair == null) {
-                        repair = call(LIST);
+                    if (isIncomplete && repair == null) {
+                        repair = call(LIST_PATH);
                     }
                 },
-                repairBackoff.next(),
+                repairBackoff.nextDelayMs(),
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The body of a 200 answer as bytes; its end counts as the end of a line. */
-    private static final class Body extends MessageToMessageDecoder<HttpObject> {
-        Body() {
-            super(HttpObject.class);
-        }
-
-        @Override
-        protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) {
-            if (part instanceof HttpResponse response && response.status().code() != 200
-                    || part.decoderResult().isFailure()) {
-                ctx.close();
-                return;
-            }
-            if (part instanceof HttpContent content && ctx.channel().isActive()) {
-                out.add(content.content().retain());
-                if (part instanceof LastHttpContent) {
-                    out.add(Unpooled.wrappedBuffer(new byte[] {'\n'}));
-                    ctx.executor().execute(ctx::close);
-                }
-            }
-        }
+    @Override
+    public void lineReceived() {
+        watchBackoff.reset();
     }
 
-    /** One call: each line that is not empty is a list, or a part of one that comes indented. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
-        private final JsonObjectAssembler lines =
-                new JsonObjectAssembler(MAX_LINE, () -> broken("a list that was not closed"));
-        private Channel channel;
-        private boolean told;
-        private boolean superseded;
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            watchBackoff.reset();
-            byte[] whole = lines.add(ByteBufUtil.getBytes(line));
-            if (whole != null && whole.length > 0) {
-                line(whole);
-            }
-        }
-
-        private void line(byte[] bytes) {
-            EndpointList list;
-            try (JsonParser json = BalancerConfig.JSON.createParser(bytes)) {
-                if (json.nextToken() != JsonToken.START_OBJECT) {
-                    throw new BadInput("not a JSON object");
-                }
-                list = EndpointList.read(json);
-            } catch (BadInput e) {
-                broken(e.what());
-                return;
-            } catch (IOException e) {
-                broken(e.getMessage());
-                return;
-            }
-            if (this == repair && list.version() < version) {
-                return; // The watch has told more meanwhile: the next one has that too.
-            }
-            told = true;
-            version = list.version();
-            if (list.full()) {
-                incomplete = false;
-                repairBackoff.reset();
-            }
-            // Not before all is read that has come: clients that have left get nothing sent for
-            // them.
-            loop.execute(
-                    () -> driver.list(list.full() ? ListKind.COMPLETE : ListKind.CHANGES, list));
+    @Override
+    public void listReceived(DiscoveryCall call, EndpointList list) {
+        if (call == repair && list.version() < version) {
+            return; // The watch has sent later changes meanwhile: the next full list has these too.
         }
-
-        /**
-         * What a broken line held is known again with a whole list, which is asked for beside the
-         * watch.
-         */
-        private void broken(String why) {
-            incomplete = true;
-            repairSoon();
-            if (!badLineLogged) {
-                badLineLogged = true;
-                LOG.log(System.Logger.Level.WARNING, new BadList(address, why).getMessage());
-            }
+        call.listAccepted();
+        version = list.version();
+        if (list.isFull()) {
+            isIncomplete = false;
+            repairBackoff.reset();
         }
+        // Not before all that has come is read: a request whose client has left is not to be sent
+        // because of this list.
+        ListKind kind = list.isFull() ? ListKind.COMPLETE : ListKind.CHANGES;
+        loop.execute(() -> balancer.endpointsListed(kind, list));
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!(cause instanceof IOException || cause instanceof ReadTimeoutException)) {
-                LOG.log(
-                        System.Logger.Level.ERROR,
-                        "closed a call to discovery after a failure",
-                        cause);
-            }
-            ctx.close();
+    /** What a malformed list held is known again with a full one, fetched beside the watch. */
+    @Override
+    public void malformedList(String reason) {
+        isIncomplete = true;
+        scheduleRepair();
+        if (!isMalformedListLogged) {
+            isMalformedListLogged = true;
+            LOG.log(System.Logger.Level.WARNING, new BadList(address, reason).getMessage());
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
@@ -12,16 +12,29 @@
 import myrtleladder.loadbalancer.policy.Balancer.Upstream;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
-/** A list of upstreams, or changes of it, in discovery's form. */
-record EndpointList(long version, boolean full, List<Endpoint> entries) {
+/**
+ * A list of endpoints, or changes of one, in the form that discovery has for it. Immutable.
+ *
+ * @param isFull whether endpoints that are missing are gone
+ */
+record EndpointList(long version, boolean isFull, List<Endpoint> endpoints) {
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
+
     private static final Map<String, State> STATES =
             Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
-    /** One upstream as listed; {@code startedMs} is Unix time, 0 for long ago. */
+    /** Keeps the indices of names that the settings lack positive; most are distinct by it. */
+    private static final int UNKNOWN_NAME_MASK = 0xFFFFFF;
+
+    /**
+     * One endpoint as listed.
+     *
+     * @param address null for one that is gone
+     * @param startedMs Unix time in milliseconds; 0 for long ago
+     */
     record Endpoint(
             String id,
-            InetSocketAddress addr,
+            InetSocketAddress address,
             String zone,
             String kind,
             int cell,
@@ -30,14 +43,15 @@
             long startedMs) {
 
         /**
-         * The same for the module, whose clock is Unix time in microseconds that never steps. An
-         * entry told again thus has exactly the same start, and only a real restart looks like one.
+         * The same for the decision module, whose clock is Unix time in microseconds that never
+         * steps. An endpoint listed again thus has exactly the same start, and only a real restart
+         * looks like one.
          */
-        Upstream toModule(SettingsReader.ParsedSettings facts) {
+        Upstream toModule(SettingsReader.ParsedSettings settings) {
             return new Upstream(
                     id,
-                    place(facts.zones(), zone),
-                    place(facts.kinds(), kind),
+                    index(settings.zones(), zone),
+                    index(settings.kinds(), kind),
                     cell,
                     state,
                     weight,
@@ -45,31 +59,35 @@
         }
 
         /**
-         * A name that the settings lack gets a place of its own, so that two such zones aren't one
-         * group.
+         * A name that the settings lack gets an index of its own, so that two are not one group.
          */
-        private static int place(List<String> names, String name) {
-            int place = names.indexOf(name);
-            return place >= 0 ? place : names.size() + (name.hashCode() & 0xFFFFFF);
+        private static int index(List<String> names, String name) {
+            int index = names.indexOf(name);
+            return index >= 0 ? index : names.size() + (name.hashCode() & UNKNOWN_NAME_MASK);
         }
     }
 
-    /** Reads one list; the parser stands at the start of its object. */
+    /**
+     * Reads one list; the parser is at the start of its object.
+     *
+     * @throws BadInput if a field is missing or malformed
+     * @throws IOException if it is not JSON
+     */
     static EndpointList read(JsonParser json) throws BadInput, IOException {
         long version = -1;
-        boolean full = false;
-        List<Endpoint> entries = null;
+        boolean isFull = false;
+        List<Endpoint> endpoints = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
             JsonToken value = json.nextToken();
             switch (name) {
                 case "version" -> version = json.getLongValue();
-                case "full" -> full = json.getBooleanValue();
+                case "full" -> isFull = json.getBooleanValue();
                 case "servers" -> {
                     require(value == JsonToken.START_ARRAY, name);
-                    entries = new ArrayList<>();
+                    endpoints = new ArrayList<>();
                     while (json.nextToken() == JsonToken.START_OBJECT) {
-                        entries.add(entry(json));
+                        endpoints.add(readEndpoint(json));
                     }
                 }
                 default -> json.skipChildren();
@@ -77,19 +95,19 @@
         }
         require(json.currentToken() == JsonToken.END_OBJECT, "servers");
         require(version >= 0, "version");
-        require(entries != null, "servers");
-        return new EndpointList(version, full, entries);
+        require(endpoints != null, "servers");
+        return new EndpointList(version, isFull, endpoints);
     }
 
-    private static Endpoint entry(JsonParser json) throws BadInput, IOException {
+    private static Endpoint readEndpoint(JsonParser json) throws BadInput, IOException {
         String id = null;
-        InetSocketAddress addr = null;
+        InetSocketAddress address = null;
         String zone = "";
         String kind = "";
         int cell = 0;
         State state = null;
         double weight = 1;
-        long started = 0;
+        long startedMs = 0;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
             if (json.nextToken() == JsonToken.VALUE_NULL) {
@@ -97,25 +115,29 @@
             }
             switch (name) {
                 case "id" -> id = json.getText();
-                case "addr" -> addr = BalancerConfig.address(json.getText());
+                case "addr" -> address = BalancerConfig.parseAddress(json.getText());
                 case "zone" -> zone = json.getText();
                 case "kind" -> kind = json.getText();
                 case "cell" -> cell = json.getIntValue();
                 case "state" -> state = STATES.get(json.getText());
                 case "weight" -> weight = json.getDoubleValue();
-                case "started_ms" -> started = json.getLongValue();
+                case "started_ms" -> startedMs = json.getLongValue();
                 default -> json.skipChildren();
             }
         }
         require(id != null, "id");
         require(state != null, "state");
-        require(addr != null || state == State.GONE, "addr");
-        return new Endpoint(id, addr, zone, kind, cell, state, weight, started);
+        require(address != null || state == State.GONE, "addr");
+        return new Endpoint(id, address, zone, kind, cell, state, weight, startedMs);
     }
 
-    /** Complains of a field by its name. */
-    static void require(boolean good, String field) throws BadInput {
-        if (!good) {
+    /**
+     * Checks a field.
+     *
+     * @throws BadInput with the name of the field, unless it is valid
+     */
+    static void require(boolean isValid, String field) throws BadInput {
+        if (!isValid) {
             throw new BadInput("field " + field + " is missing or not understood");
         }
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
@@ -3,73 +3,82 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Joins the lines of a list that comes indented. One line is one object as a rule; where an object
- * goes on over further lines, these are counted in until its braces close. An object that begins at
- * the start of a line ends whatever was not closed before it: a broken one costs itself and not all
- * that come after it.
+ * Assembles JSON objects from lines. As a rule a line is one object; where an object goes on over
+ * further lines, they are joined until its braces are closed. A line that starts with an opening
+ * brace begins a new object and ends one that was not closed before it, so that a broken object
+ * costs no other.
+ *
+ * <p>Not safe for use by several threads.
  */
 final class JsonObjectAssembler {
-    private final int longest;
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
-    private final Runnable broken;
+    private final int maxBytes;
+    private final Runnable onUnclosedObject;
+    private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
     private int depth;
 
     /**
-     * Objects of at most so many bytes; {@code broken} is told of each that was begun and never
-     * closed.
+     * Creates an assembler.
+     *
+     * @param maxBytes of an object that is joined from several lines
+     * @param onUnclosedObject runs for each object that was begun and never closed
      */
-    JsonObjectAssembler(int longest, Runnable broken) {
-        this.longest = longest;
-        this.broken = broken;
+    JsonObjectAssembler(int maxBytes, Runnable onUnclosedObject) {
+        this.maxBytes = maxBytes;
+        this.onUnclosedObject = onUnclosedObject;
     }
 
     /**
-     * What is complete with this line, an object or what can't become one; null if more has to
-     * come.
+     * Adds a line. Returns what is complete with it, an object or a line that can't become one;
+     * null if more has to come.
      */
     byte[] add(byte[] line) {
-        if (line.length > 0 && line[0] == '{'
-                || line.length == 0
-                || begun.size() + line.length > longest) {
-            if (begun.size() > 0) {
-                broken.run();
+        if (startsAnew(line)) {
+            if (partial.size() > 0) {
+                onUnclosedObject.run();
             }
-            begun.reset();
-            depth = 0;
+            clear();
         }
-        if (begun.size() == 0 && (line.length == 0 || opens(line) <= 0)) {
+        if (partial.size() == 0 && (line.length == 0 || depthChange(line) <= 0)) {
             return line;
         }
-        begun.writeBytes(line);
-        begun.write('\n');
-        depth += opens(line);
+        partial.writeBytes(line);
+        partial.write('\n');
+        depth += depthChange(line);
         if (depth > 0) {
             return null;
         }
-        byte[] whole = begun.toByteArray();
-        begun.reset();
+        byte[] complete = partial.toByteArray();
+        clear();
+        return complete;
+    }
+
+    private boolean startsAnew(byte[] line) {
+        return line.length > 0 && line[0] == '{'
+                || line.length == 0
+                || partial.size() + line.length > maxBytes;
+    }
+
+    private void clear() {
+        partial.reset();
         depth = 0;
-        return whole;
     }
 
-    /**
-     * Braces and brackets that a line opens, less those that it closes; a text ends with its line.
-     */
-    private static int opens(byte[] line) {
-        int opens = 0;
-        boolean text = false;
+    /** Braces and brackets that a line opens, less those that it closes; strings end with it. */
+    private static int depthChange(byte[] line) {
+        int change = 0;
+        boolean isInString = false;
         for (int i = 0; i < line.length; i++) {
             byte b = line[i];
-            if (text && b == '\\') {
+            if (isInString && b == '\\') {
                 i++;
             } else if (b == '"') {
-                text = !text;
-            } else if (!text && (b == '{' || b == '[')) {
-                opens++;
-            } else if (!text && (b == '}' || b == ']')) {
-                opens--;
+                isInString = !isInString;
+            } else if (!isInString && (b == '{' || b == '[')) {
+                change++;
+            } else if (!isInString && (b == '}' || b == ']')) {
+                change--;
             }
         }
-        return opens;
+        return change;
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
@@ -0,0 +1,59 @@
+package myrtleladder.loadbalancer.server;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.Callable;
+import myrtleladder.loadbalancer.policy.Balancer.Settings;
+
+/** Creates load balancers from their configuration, each confined to one event loop. */
+final class LoadBalancerBootstrap {
+    /** Observed: file descriptors that the JVM itself needs, for jars, selector and log. */
+    static final int RESERVED_DESCRIPTORS = 64;
+
+    /** Chosen: the part of the other descriptors for clients; upstreams have the rest. */
+    private static final double CLIENT_PART = 0.75;
+
+    private LoadBalancerBootstrap() {}
+
+    /**
+     * Creates a balancer and binds its address; it is healthy once opened. Don't call it on the
+     * event loop.
+     */
+    static LoadBalancerServer bind(BalancerConfig config, EventLoop loop, Transport transport)
+            throws Exception {
+        LoadBalancerServer server = create(config, loop, transport);
+        server.bind(transport, config.listen()).sync();
+        return server;
+    }
+
+    /** Creates a balancer that follows discovery already, but does not listen yet. */
+    static LoadBalancerServer create(BalancerConfig config, EventLoop loop, Transport transport)
+            throws Exception {
+        Callable<LoadBalancerServer> create = () -> createOnLoop(config, loop, transport);
+        return loop.inEventLoop() ? create.call() : loop.submit(create).get();
+    }
+
+    private static LoadBalancerServer createOnLoop(
+            BalancerConfig config, EventLoop loop, Transport transport) {
+        int descriptors = Math.max(0, config.sockets() - RESERVED_DESCRIPTORS);
+        int clientDescriptors = Math.max(1, (int) (CLIENT_PART * descriptors));
+        Settings settings = config.settings().balancer();
+        UpstreamConnectionPool connections =
+                new UpstreamConnectionPool(
+                        loop,
+                        transport,
+                        settings.limits().connectTimeout(),
+                        settings.limits().connectIdle(),
+                        Math.max(1, descriptors - clientDescriptors));
+        BalancerRuntime balancer = new BalancerRuntime(loop, config, connections);
+        DiscoveryClient discovery =
+                new DiscoveryClient(
+                        loop,
+                        transport,
+                        config.discovery(),
+                        settings.askForList(),
+                        config.known().version(),
+                        balancer);
+        balancer.start(discovery, config.known());
+        return new LoadBalancerServer(loop, balancer, config.settings(), clientDescriptors);
+    }
+}
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
@@ -13,87 +13,74 @@
 import io.netty.util.concurrent.Promise;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import java.util.LinkedHashSet;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.loadbalancer.policy.Balancer.Request;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * The side towards clients: listens, keeps their connections within the descriptors, and drains
- * them.
+ * The load balancer as a server: listens for clients, answers for its health, and shuts down
+ * gracefully.
+ *
+ * <p>Its state is confined to the event loop. {@link #bind}, {@link #open}, {@link #reload}, {@link
+ * #status} and {@link #drain} may be called from any thread; the methods that sessions call, on the
+ * event loop alone.
  */
 final class LoadBalancerServer {
-    /**
-     * Part of the connections that are kept between requests. With more, an answer says that its
-     * connection closes: to close one that looks idle can cross with the next request on it, which
-     * is then lost.
+    /*
+     * Sizes of one read in bytes, and reads of one connection in a turn of the loop; chosen. Reading
+     * stops only between two reads, and the codec closes a connection with 128 requests unanswered:
+     * a read must not hold that many.
      */
-    private static final double KEPT_PART = 0.5;
 
-    /**
-     * So many clients beyond the limit are let in to be refused; with more, upstreams lacked
-     * descriptors.
-     */
-    private static final int REFUSED_AT_ONCE = 24;
+    /** Smallest size of a read. */
+    private static final int MIN_READ_BYTES = 64;
 
-    /**
-     * Bytes of one read, and reads of one connection in a turn of the loop. Reading stops only
-     * between two reads, and the codec closes a connection with 128 requests unanswered: a read
-     * must not hold that many.
-     */
-    private static final int LEAST_READ = 64;
+    /** Size of the first read of a connection. */
+    private static final int INITIAL_READ_BYTES = 2 * 1024;
 
-    private static final int FIRST_READ = 2 * 1024;
-    private static final int LARGEST_READ = 8 * 1024;
-    private static final int READS_AT_ONCE = 16;
+    /** Largest size of a read. */
+    private static final int MAX_READ_BYTES = 8 * 1024;
 
-    /** At a planned stop idle connections are closed one by one, this far apart. */
-    private static final long BETWEEN_CLOSES_MS = 1;
+    /** Reads of one connection in a turn of the loop. */
+    private static final int MAX_READS_PER_TURN = 16;
 
-    /**
-     * Memory for requests that wait behind another on their connection: of one connection, and of
-     * all. Up to there a connection is read on, since its end is seen in no other way.
-     */
-    private static final long WAITING_BYTES = 96 * 1024;
-
-    private static final long WAITING_BYTES_IN_ALL = 4 * 1024 * 1024;
+    /** Chosen: in a graceful shutdown idle connections are closed one by one, at this interval. */
+    private static final long IDLE_CLOSE_INTERVAL_MS = 1;
 
     private final EventLoop loop;
-    private final BalancerRuntime driver;
-    private final RequestParser reader;
-    private final int maxConnections;
-    private final Set<ClientSession> sessions = new LinkedHashSet<>();
+    private final BalancerRuntime balancer;
+    private final RequestParser parser;
+    private final ClientSessions sessions;
+    private final Promise<Void> drained;
 
-    /** The connections between requests. */
-    private final Set<ClientSession> idle = new LinkedHashSet<>();
+    /** Null before {@link #bind}. */
+    private volatile Channel listener;
 
-    private final Promise<Void> drained;
-    private volatile Channel listening;
-    private long waitingBytes;
-    private boolean open;
-    private boolean stopping;
-    private boolean closing;
+    private boolean isOpen;
 
-    /**
-     * The last answers of a planned stop are given: nobody would answer what is sent on after that.
-     */
-    private boolean ended;
+    /** A graceful shutdown has begun; it still serves. */
+    private boolean isStopping;
+
+    /** The listener is closed, and connections close with their responses. */
+    private boolean isClosing;
+
+    /** The last responses of a graceful shutdown are given; what comes later is rejected. */
+    private boolean hasEnded;
 
     LoadBalancerServer(
             EventLoop loop,
-            BalancerRuntime driver,
-            SettingsReader.ParsedSettings facts,
+            BalancerRuntime balancer,
+            SettingsReader.ParsedSettings settings,
             int maxConnections) {
         this.loop = loop;
-        this.driver = driver;
-        this.reader = new RequestParser(facts);
-        this.maxConnections = maxConnections;
+        this.balancer = balancer;
+        this.parser = new RequestParser(settings);
+        this.sessions = new ClientSessions(maxConnections);
         this.drained = loop.newPromise();
     }
 
-    /** Begins to listen; the future fails if the address can't be had. */
+    /** Begins to listen; the future fails if the address can't be bound. */
     ChannelFuture bind(Transport transport, InetSocketAddress address) {
         ChannelFuture bound =
                 transport
@@ -103,168 +90,128 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        new ClientSession(LoadBalancerServer.this, driver, channel)
-                                                .install();
+                                        newSession(channel).initPipeline();
                                     }
                                 })
                         .bind(transport.address(address));
-        listening = bound.channel();
+        listener = bound.channel();
         return bound;
     }
 
+    private ClientSession newSession(Channel channel) {
+        return new ClientSession(this, sessions, balancer, channel);
+    }
+
     private static RecvByteBufAllocator smallReads() {
         AdaptiveRecvByteBufAllocator allocator =
-                new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, LARGEST_READ);
-        allocator.maxMessagesPerRead(READS_AT_ONCE);
+                new AdaptiveRecvByteBufAllocator(
+                        MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
+        allocator.maxMessagesPerRead(MAX_READS_PER_TURN);
         return allocator;
     }
 
-    /** From here on health is good, once there is a list to serve from. */
+    /** From now on the server is healthy once there is an endpoint list to serve from. */
     void open() {
-        loop.execute(() -> open = true);
+        loop.execute(() -> isOpen = true);
     }
 
     /** Takes over a new configuration without a pause in service. */
     void reload(BalancerConfig config) {
-        loop.execute(() -> driver.reload(config));
+        loop.execute(() -> balancer.reload(config));
     }
 
-    /** What the balancer has done and what it holds, as of soon. */
+    /** Asks for a snapshot of counters and gauges. */
     Future<BalancerStatus> status() {
-        return loop.submit(driver::status);
+        return loop.submit(balancer::status);
     }
 
-    /** Its sending to upstreams, for use on its event loop. */
-    TrafficControl sending() {
-        return driver;
+    /** For use on the event loop. */
+    TrafficControl trafficControl() {
+        return balancer;
     }
 
+    /** The address that it listens on; only after {@link #bind}. */
     SocketAddress address() {
-        return listening.localAddress();
+        return listener.localAddress();
     }
 
-    // ---- A planned stop
-    // --------------------------------------------------------------------------------
-
     /**
-     * A planned stop: goes on as before while clients still come, but in ill health; then answers
-     * all that was taken, the last of it as failed when time runs out, and closes connections
-     * between requests. The future is done when nothing can be pending any more; at once if no
-     * client could come yet.
+     * Shuts down gracefully: goes on as before while clients still come, but unhealthy; then stops
+     * listening and closes connections between requests, and answers all requests that have come,
+     * the last of them as failed. The future is done when no request can be pending any more; at
+     * once if the server never listened.
+     *
+     * @param acceptMs how long it still accepts connections, from now
+     * @param lastResponseMs when what is still open fails, from now
      */
-    Promise<Void> drain(long keepAcceptingMs, long lastAnswerMs) {
-        if (listening == null) {
+    Promise<Void> drain(long acceptMs, long lastResponseMs) {
+        if (listener == null) {
             drained.trySuccess(null);
             return drained;
         }
-        loop.execute(() -> stopping = true);
-        loop.schedule(
-                () -> {
-                    closing = true;
-                    listening.close();
-                    closeIdle();
-                },
-                keepAcceptingMs,
-                TimeUnit.MILLISECONDS);
-        loop.schedule(
-                () -> {
-                    ended = true;
-                    driver.failAll();
-                },
-                lastAnswerMs,
-                TimeUnit.MILLISECONDS);
+        loop.execute(() -> isStopping = true);
+        loop.schedule(this::beginClosing, acceptMs, TimeUnit.MILLISECONDS);
+        loop.schedule(this::failOpenRequests, lastResponseMs, TimeUnit.MILLISECONDS);
         return drained;
     }
 
+    private void beginClosing() {
+        isClosing = true;
+        listener.close();
+        closeIdleSessions();
+    }
+
+    private void failOpenRequests() {
+        hasEnded = true;
+        balancer.failAll();
+    }
+
     /**
-     * Closes one idle connection at a time: between two the loop reads what has come. All in one
-     * go, requests that came while the first ones were being closed would be lost with the last
-     * ones.
+     * Closes one idle connection at a time: between two the loop reads what has come. All at once,
+     * requests that came while the first ones were closed would be lost with the last ones.
      */
-    private void closeIdle() {
-        idle.stream().findFirst().ifPresent(ClientSession::close);
-        finishIfDrained();
+    private void closeIdleSessions() {
+        sessions.firstIdle().ifPresent(ClientSession::close);
+        completeIfDrained();
         if (!sessions.isEmpty()) {
-            loop.schedule(this::closeIdle, BETWEEN_CLOSES_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeIdleSessions, IDLE_CLOSE_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void finishIfDrained() {
-        if (closing && sessions.isEmpty()) {
+    private void completeIfDrained() {
+        if (isClosing && sessions.isEmpty()) {
             drained.trySuccess(null);
         }
     }
 
-    // ---- For the sessions
-    // ------------------------------------------------------------------------------
-
-    /** A new session, of a connection that this listener accepted. */
-    void opened(ClientSession session, Channel listener) {
-        sessions.add(session);
-        idle.add(session);
-        acceptWhileThereIsRoom(listener);
-    }
-
-    void closed(ClientSession session, Channel listener) {
-        sessions.remove(session);
-        idle.remove(session);
-        acceptWhileThereIsRoom(listener);
-        finishIfDrained();
-    }
-
-    /** It will send nothing more; its descriptor is taken until its client has seen that. */
-    void leaving(ClientSession session) {
-        idle.remove(session);
-    }
-
-    void idle(ClientSession session) {
-        idle.add(session);
-    }
-
-    void notIdle(ClientSession session) {
-        idle.remove(session);
-    }
-
-    private void acceptWhileThereIsRoom(Channel listener) {
-        listener.config().setAutoRead(sessions.size() < maxConnections + REFUSED_AT_ONCE);
-    }
-
-    /** Whether all connections are taken. */
-    boolean isFull() {
-        return sessions.size() >= maxConnections;
-    }
-
-    /** Whether there are more connections than are served. */
-    boolean isOverfull() {
-        return sessions.size() > maxConnections;
+    /** The connection of a session is closed. */
+    void sessionClosed(ClientSession session, Channel listener) {
+        sessions.closed(session, listener);
+        completeIfDrained();
     }
 
     boolean isHealthy() {
-        return open && driver.ready() && !stopping;
-    }
-
-    /** Whether what is read now is refused, since nobody would answer it any more. */
-    boolean refusesAll() {
-        return ended;
-    }
-
-    /** Whether a connection ends with its next answer. */
-    boolean closesWithAnswers() {
-        return closing || ended || sessions.size() > KEPT_PART * maxConnections;
+        return isOpen && balancer.isReady() && !isStopping;
     }
 
-    /** Counts memory of requests that wait, or no longer do. */
-    void account(long bytes) {
-        waitingBytes += bytes;
+    /** Whether requests are rejected, since nothing would answer them any more. */
+    boolean rejectsAll() {
+        return hasEnded;
     }
 
-    /** Whether a connection whose waiting requests take so much is read no further. */
-    boolean holdsTooMuch(long bytesOfSession) {
-        return bytesOfSession >= WAITING_BYTES || waitingBytes >= WAITING_BYTES_IN_ALL;
+    /** Whether a connection ends with its next response. */
+    boolean closesWithResponses() {
+        return isClosing || hasEnded || sessions.isOverKeptLimit();
     }
 
-    Request read(FullHttpRequest message, QueryStringDecoder uri, long waited) throws BadInput {
-        RequestParser.require(!driver.isOpen(RequestParser.id(message)), "X-Correlation-Id");
-        return reader.read(message, uri, waited);
+    /**
+     * Parses a request that has waited here for {@code waitedUs}.
+     *
+     * @throws BadInput if a field is missing or malformed, or a request with this id is open
+     */
+    Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs) throws BadInput {
+        boolean isNew = !balancer.isOpen(RequestParser.requestId(message));
+        RequestParser.require(isNew, RequestParser.REQUEST_ID_HEADER);
+        return parser.parse(message, uri, waitedUs);
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
@@ -0,0 +1,65 @@
+package myrtleladder.loadbalancer.server;
+
+import java.util.Arrays;
+import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.settings.SettingsReader;
+
+/**
+ * Parses the load reports of upstreams, {@code name=value,name=value}, from the header field {@code
+ * X-Backend-Load} or the body of a probe's response.
+ *
+ * <p>Confined to the event loop.
+ */
+final class LoadReportParser {
+    private static final System.Logger LOG = System.getLogger(LoadReportParser.class.getName());
+
+    private final boolean areReportsExpected;
+    private boolean isBadReportLogged;
+
+    LoadReportParser(Balancer.Reports reports) {
+        this.areReportsExpected = reports != Balancer.Reports.NONE;
+    }
+
+    /**
+     * Returns the report, or null if there is none, none is expected, or it can't be parsed; the
+     * first that can't be parsed is logged. Values are known by the names of the settings ({@code
+     * cpu}); other names are skipped.
+     *
+     * @param text the report, or null
+     */
+    LoadReport parse(String text) {
+        if (text == null || text.isBlank() || !areReportsExpected) {
+            return null;
+        }
+        double[] values = new double[SettingsReader.REPORTED.size()];
+        Arrays.fill(values, Double.NaN);
+        boolean isParsed = parseInto(values, text);
+        if (!isParsed && !isBadReportLogged) {
+            isBadReportLogged = true;
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "ignored a load report that can't be read: " + text);
+        }
+        return isParsed ? SettingsReader.toLoadReport(values) : null;
+    }
+
+    /** Returns whether at least one known value was found and none was malformed. */
+    private static boolean parseInto(double[] values, String text) {
+        boolean hasValue = false;
+        try {
+            for (String field : text.trim().split(",")) {
+                int equals = field.indexOf('=');
+                String name = field.substring(0, Math.max(0, equals)).trim();
+                int index = SettingsReader.REPORTED.indexOf(name);
+                if (index >= 0) {
+                    values[index] = Double.parseDouble(field.substring(equals + 1));
+                    hasValue = true;
+                }
+            }
+        } catch (NumberFormatException e) {
+            return false;
+        }
+        return hasValue;
+    }
+}
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
@@ -6,30 +6,45 @@
 import myrtleladder.loadbalancer.policy.Balancer.Outcome;
 
 /**
- * What a balancer has done since its start: plain numbers, written and read on its event loop
- * alone.
+ * Counters of requests, answers and attempts since the start of a balancer: plain numbers, confined
+ * to the event loop.
  */
 final class RequestCounters {
     private static final Outcome[] OUTCOMES = Outcome.values();
+
+    /** Requests received. */
     long requests;
+
+    /** Requests answered by an upstream. */
     long served;
-    long refused;
+
+    /** Requests rejected: they have not run. */
+    long rejected;
+
+    /** Requests failed: they may have run. */
     long failed;
-    long left;
-    private final long[] attempts = new long[OUTCOMES.length];
 
+    /** Requests whose client left before the response. */
+    long abandoned;
+
+    private final long[] attemptsByOutcome = new long[OUTCOMES.length];
+
+    /** Counts an attempt that has ended. */
     void attemptEnded(Outcome outcome) {
-        attempts[outcome.ordinal()]++;
+        attemptsByOutcome[outcome.ordinal()]++;
     }
 
+    /** Answers by the names that the metrics have for them. */
     Map<String, Long> answers() {
-        return Map.of("served", served, "refused", refused, "failed", failed, "left", left);
+        return Map.of("served", served, "refused", rejected, "failed", failed, "left", abandoned);
     }
 
+    /** Attempts by the names that the metrics have for their outcomes. */
     Map<String, Long> attempts() {
         Map<String, Long> byOutcome = new LinkedHashMap<>();
         for (Outcome outcome : OUTCOMES) {
-            byOutcome.put(outcome.name().toLowerCase(Locale.ROOT), attempts[outcome.ordinal()]);
+            String name = outcome.name().toLowerCase(Locale.ROOT);
+            byOutcome.put(name, attemptsByOutcome[outcome.ordinal()]);
         }
         return byOutcome;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -11,64 +11,84 @@
 import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
-/** Reads a client's request from its HTTP message, as the settings name classes and tenants. */
+/**
+ * Parses a client's request from its HTTP message; the settings say which classes and tenants there
+ * are. Immutable; it takes no reference to a message.
+ */
 final class RequestParser {
-    private static final String REQUEST_ID = "X-Correlation-Id";
-    private static final String SERVICE_CLASS = "X-Service-Class";
-    private static final String TENANT = "X-Account";
-    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    private static final String WORK_HINT = "X-Weight-Hint";
-    private static final String CLIENT_RETRY = "X-Repeat";
-    private static final String KEY = "key";
+    static final String REQUEST_ID_HEADER = "X-Correlation-Id";
+    private static final String CLASS_HEADER = "X-Service-Class";
+    private static final String TENANT_HEADER = "X-Account";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String WORK_HINT_HEADER = "X-Weight-Hint";
+    private static final String CLIENT_RETRY_HEADER = "X-Repeat";
+    private static final String AFFINITY_KEY_PARAMETER = "key";
 
-    private final SettingsReader.ParsedSettings facts;
+    private final SettingsReader.ParsedSettings settings;
 
-    RequestParser(SettingsReader.ParsedSettings facts) {
-        this.facts = facts;
+    RequestParser(SettingsReader.ParsedSettings settings) {
+        this.settings = settings;
     }
 
-    /** The request's id; every request has one. */
-    static String id(FullHttpRequest message) throws BadInput {
-        String id = message.headers().get(REQUEST_ID);
-        require(id != null && !id.isEmpty(), REQUEST_ID);
+    /**
+     * Returns the id of a request.
+     *
+     * @throws BadInput if it has none
+     */
+    static String requestId(FullHttpRequest message) throws BadInput {
+        String id = message.headers().get(REQUEST_ID_HEADER);
+        require(id != null && !id.isEmpty(), REQUEST_ID_HEADER);
         return id;
     }
 
     /**
-     * Reads a request that has waited here for so many microseconds; they are taken from its time.
+     * Parses a request.
+     *
+     * @param uri of the message
+     * @param waitedUs how long the request has waited here, in microseconds: taken off its time
+     * @throws BadInput if a field is missing or malformed; names the field
      */
-    Request read(FullHttpRequest message, QueryStringDecoder uri, long waited) throws BadInput {
+    Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs) throws BadInput {
         HttpHeaders headers = message.headers();
-        int classIndex = facts.classes().indexOf(headers.get(SERVICE_CLASS));
-        require(classIndex >= 0, SERVICE_CLASS);
-        RequestClass requestClass = facts.settings().classes().get(classIndex);
+        int classIndex = settings.classes().indexOf(headers.get(CLASS_HEADER));
+        require(classIndex >= 0, CLASS_HEADER);
+        RequestClass requestClass = settings.balancer().classes().get(classIndex);
         Effect effect = requestClass.effect();
+        HttpMethod method = effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        require(message.method().equals(method), "method");
+        // Without the key upstreams could not discard a retry.
         require(
-                message.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST),
-                "method");
-        // Without the key upstreams couldn't drop a repeat.
-        require(effect != Effect.KEYED || headers.contains(IDEMPOTENCY_KEY), IDEMPOTENCY_KEY);
-        int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(TENANT));
-        require(tenant >= 0, TENANT);
-        long timeLeft =
-                number(headers, BalancerRuntime.TIME_LEFT, requestClass.giveUp() / 1_000) * 1_000;
-        long hint = number(headers, WORK_HINT, 0);
-        List<String> keys = uri.parameters().get(KEY);
+                effect != Effect.KEYED || headers.contains(IDEMPOTENCY_KEY_HEADER),
+                IDEMPOTENCY_KEY_HEADER);
+        int tenant = tenantIndex(headers);
+        require(tenant >= 0, TENANT_HEADER);
+        long defaultTimeLeftMs = requestClass.giveUp() / 1_000;
+        long timeLeftUs =
+                parseNumber(headers, RequestDispatcher.TIME_LEFT_HEADER, defaultTimeLeftMs) * 1_000;
+        long workHint = parseNumber(headers, WORK_HINT_HEADER, 0);
+        List<String> keys = uri.parameters().get(AFFINITY_KEY_PARAMETER);
         return new Request(
-                id(message),
+                requestId(message),
                 classIndex,
                 tenant,
                 keys == null ? null : keys.get(0),
-                hint,
-                Math.max(0, timeLeft - waited),
+                workHint,
+                Math.max(0, timeLeftUs - waitedUs),
                 effect != Effect.SAFE,
-                "1".equals(headers.get(CLIENT_RETRY)));
+                "1".equals(headers.get(CLIENT_RETRY_HEADER)));
+    }
+
+    /** Negative if the settings have tenants, but not this one. */
+    private int tenantIndex(HttpHeaders headers) {
+        List<String> tenants = settings.tenants();
+        return tenants.isEmpty() ? 0 : tenants.indexOf(headers.get(TENANT_HEADER));
     }
 
-    private static long number(HttpHeaders headers, String name, long otherwise) throws BadInput {
+    private static long parseNumber(HttpHeaders headers, String name, long defaultValue)
+            throws BadInput {
         String text = headers.get(name);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             int number = Integer.parseInt(text.trim());
@@ -79,9 +99,14 @@
         }
     }
 
-    static void require(boolean good, String what) throws BadInput {
-        if (!good) {
-            throw new BadInput("bad or missing " + what);
+    /**
+     * Checks a field of a request.
+     *
+     * @throws BadInput with the name of the field, unless it is valid
+     */
+    static void require(boolean isValid, String field) throws BadInput {
+        if (!isValid) {
+            throw new BadInput("bad or missing " + field);
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestReceiveTimeoutHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestReceiveTimeoutHandler.java
@@ -6,63 +6,67 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells when a request is too long in coming: from the connection's start for the first one, from
- * its first byte for the others. A peer that sends nothing, or never the end, would else hold its
- * descriptor for good, and with enough of them every other client is refused.
+ * Times out the receipt of a request: from the start of the connection for the first one, from its
+ * first byte for the others. Without it a peer that sends nothing, or never the end, would keep its
+ * descriptor for good, and enough of them would have every other client rejected.
+ *
+ * <p>The first handler of the pipeline, before the codec.
  */
 final class RequestReceiveTimeoutHandler extends ChannelInboundHandlerAdapter {
-    private final long millis;
-    private final Runnable overdue;
-    private ScheduledFuture<?> due;
+    private final long timeoutMs;
+    private final Runnable onTimeout;
+
+    /** Null while no request is awaited. */
+    private ScheduledFuture<?> timer;
 
     /**
-     * {@code overdue} runs on the channel's event loop, again and again until the request is whole.
+     * Creates a handler for one channel.
+     *
+     * @param onTimeout runs on the channel's event loop, after each further timeout once more until
+     *     the request has been received
      */
-    RequestReceiveTimeoutHandler(long millis, Runnable overdue) {
-        this.millis = millis;
-        this.overdue = overdue;
+    RequestReceiveTimeoutHandler(long timeoutMs, Runnable onTimeout) {
+        this.timeoutMs = timeoutMs;
+        this.onTimeout = onTimeout;
+    }
+
+    /** The request that was awaited is complete. Call it on the event loop. */
+    void requestReceived() {
+        if (timer != null) {
+            timer.cancel(false);
+            timer = null;
+        }
     }
 
-    /** The request that was awaited has come. */
-    void met() {
-        if (due != null) {
-            due.cancel(false);
-            due = null;
+    private void startTimer(ChannelHandlerContext ctx) {
+        if (timer == null) {
+            timer = ctx.executor().schedule(() -> timedOut(ctx), timeoutMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void await(ChannelHandlerContext ctx) {
-        if (due == null) {
-            due =
-                    ctx.executor()
-                            .schedule(
-                                    () -> {
-                                        due = null;
-                                        if (ctx.channel().isActive()) {
-                                            await(ctx);
-                                            overdue.run();
-                                        }
-                                    },
-                                    millis,
-                                    TimeUnit.MILLISECONDS);
+    private void timedOut(ChannelHandlerContext ctx) {
+        timer = null;
+        if (ctx.channel().isActive()) {
+            startTimer(ctx);
+            onTimeout.run();
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        await(ctx);
+        startTimer(ctx);
         ctx.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        await(ctx);
+        startTimer(ctx);
         ctx.fireChannelRead(message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        met();
+        requestReceived();
         ctx.fireChannelInactive();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
@@ -5,11 +5,12 @@
 import java.util.function.Supplier;
 
 /**
- * A balancer that is about to serve, for parts that are switched on beside it.
+ * A balancer that is about to serve, for components that run beside it.
  *
- * @param loop where all of it happens; whoever lives there too must not keep it waiting
- * @param status what it has done and what it holds, as of soon
- * @param sending to upstreams, on the loop
+ * @param loop the event loop that all of the balancer is confined to; whoever else runs on it must
+ *     not block
+ * @param status asks for a snapshot of counters and gauges, from any thread
+ * @param trafficControl confined to {@code loop}
  */
 public record RunningBalancer(
-        EventLoop loop, Supplier<Future<BalancerStatus>> status, TrafficControl sending) {}
+        EventLoop loop, Supplier<Future<BalancerStatus>> status, TrafficControl trafficControl) {}
--- a/src/main/java/myrtleladder/loadbalancer/server/StrictHttpResponseDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/StrictHttpResponseDecoder.java
@@ -10,39 +10,50 @@
 import java.util.List;
 
 /**
- * Reads answers as the protocol has them, one for each request written. The library takes a header
- * line with a blank and no colon for a name without a value; such an answer can't be read, so it is
- * no answer and must not be passed on. And what comes when no answer is due, were it kept, would
- * answer the next request.
+ * Decodes HTTP/1.1 responses, exactly one for each request, stricter than the library's decoder in
+ * two ways:
+ *
+ * <ul>
+ *   <li>Bytes that come when no response is due are dropped and close the connection; kept, they
+ *       would be taken for the response to the next request.
+ *   <li>A header line without a colon right behind its name is an error (RFC 9112, 5.1), where the
+ *       library takes the part before a blank for a name without a value.
+ * </ul>
  */
 final class StrictHttpResponseDecoder extends HttpResponseDecoder {
-    private boolean due;
-    private boolean interim;
+    private boolean isResponseDue;
+    private boolean isInterim;
 
-    /** A request is about to be written. */
-    void expect() {
-        due = true;
+    /** A request is about to be written. Call it on the event loop. */
+    void expectResponse() {
+        isResponseDue = true;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
-        if (!due) {
+        if (!isResponseDue) {
             in.skipBytes(in.readableBytes());
             ctx.close();
             return;
         }
-        int before = out.size();
+        int decodedBefore = out.size();
         super.decode(ctx, in, out);
-        for (Object part : out.subList(before, out.size())) {
+        for (Object part : out.subList(decodedBefore, out.size())) {
             if (part instanceof HttpResponse head) {
-                interim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+                isInterim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
             }
-            due &= interim || !(part instanceof LastHttpContent);
+            isResponseDue &= isInterim || !(part instanceof LastHttpContent);
         }
     }
 
-    /** The name ends at the first colon or blank, so there is always a byte behind it. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The name ends at the first colon or blank, so there is always a byte behind it.
+     *
+     * @throws IllegalArgumentException if that byte is no colon, or the name is empty
+     */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (length == 0 || line[start + length] != ':') {
--- a/src/main/java/myrtleladder/loadbalancer/server/TrafficControl.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/TrafficControl.java
@@ -4,32 +4,41 @@
 import java.util.Set;
 
 /**
- * What a part beside the balancer may know of its sending, and say of it; on its event loop alone.
+ * What components beside the balancer, such as the maintenance of upstreams, may know of its
+ * traffic and change in it. Confined to the balancer's event loop.
  */
 public interface TrafficControl {
-    /** Who has a say on each attempt. */
+    /** Decides on each attempt whether it may be sent. Called on the balancer's event loop. */
     interface AttemptAdmission {
-        /** Whether an attempt may begin now. */
-        boolean maySend(String upstream);
-
-        /** An attempt is over after so many microseconds; {@code served} if it was. */
-        void ended(String upstream, boolean served, long took);
+        /** Whether an attempt may be sent to this upstream now. */
+        boolean canSend(String upstream);
+
+        /**
+         * An attempt has ended.
+         *
+         * @param isServed whether it succeeded
+         * @param tookUs its duration in microseconds
+         */
+        void attemptEnded(String upstream, boolean isServed, long tookUs);
     }
 
-    /** An upstream as discovery told it last. */
-    record ListedEndpoint(String id, String zone, String kind, int cell, boolean ready) {}
+    /** An endpoint as discovery listed it last. */
+    record ListedEndpoint(String id, String zone, String kind, int cell, boolean isReady) {}
 
-    /** From now on each attempt is asked for. */
-    void restrain(AttemptAdmission restraint);
+    /** From now on each attempt is subject to this admission, in place of the one before. */
+    void setAdmission(AttemptAdmission admission);
 
     /**
-     * Upstreams that count as draining, in place of those before; {@code cold} ones have come back.
+     * Replaces the set of upstreams that count as draining.
+     *
+     * @param draining ids of upstreams; no new request is sent to them
+     * @param restarted ids of upstreams that have restarted just now and are warming up
      */
-    void setAside(Set<String> away, Set<String> cold);
+    void setDraining(Set<String> draining, Set<String> restarted);
 
-    /** Attempts that are out. */
-    int inFlight(String upstream);
+    /** The number of attempts that are in flight to an upstream. */
+    int attemptsInFlight(String upstream);
 
-    /** All upstreams. */
-    List<ListedEndpoint> listed();
+    /** All endpoints, draining ones included. */
+    List<ListedEndpoint> listedEndpoints();
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/Transport.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Transport.java
@@ -12,9 +12,9 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** What connections go over: TCP, or the memory of this process for a rehearsal. */
+/** What connections are made over: TCP, or the memory of this process for the warm-up run. */
 enum Transport {
-    /** The network. */
+    /** TCP, by java.nio. */
     TCP {
         @Override
         Bootstrap client(EventLoop loop) {
@@ -40,7 +40,7 @@
         }
     },
 
-    /** Nothing leaves the process, and no descriptor is used. */
+    /** Local channels: nothing leaves the process, and no descriptor is used. */
     MEMORY {
         @Override
         Bootstrap client(EventLoop loop) {
@@ -58,14 +58,15 @@
         }
     };
 
+    /** Chosen: connections that the kernel holds until they are accepted. */
     private static final int BACKLOG = 1024;
 
-    /** What opens connections. */
+    /** A bootstrap for connections; the caller sets the handler. */
     abstract Bootstrap client(EventLoop loop);
 
-    /** What accepts connections. */
+    /** A bootstrap for listeners; the caller sets the child handler. */
     abstract ServerBootstrap server(EventLoop loop);
 
-    /** The address of this transport that stands for an address of the configuration. */
+    /** This transport's address for an address of the configuration. */
     abstract SocketAddress address(InetSocketAddress address);
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
@@ -3,21 +3,13 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.CodecException;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpRequestEncoder;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpUtil;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.HashMap;
@@ -29,51 +21,55 @@
 import myrtleladder.loadbalancer.policy.Balancer.State;
 
 /**
- * The connections to upstreams, and the attempts on them. A connection carries one request at a
- * time and is kept for the next one; nothing is ever sent again from here.
+ * The connections to upstreams. A connection carries one exchange at a time and is kept for the
+ * next one; nothing is retried here.
+ *
+ * <p>Confined to the event loop.
  */
 final class UpstreamConnectionPool {
-    private static final System.Logger LOG =
-            System.getLogger(UpstreamConnectionPool.class.getName());
-
-    /** The largest body of the protocol. */
-    static final int MAX_BODY = 64 * 1024;
-
-    private static final String NOT_RUN = "X-Unprocessed";
+    /** The largest body of the protocol, in bytes. */
+    static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
-     * Part of the upstream's idle time after which we drop a connection: never write to a dying
-     * one.
+     * Chosen: part of an upstream's idle timeout after which an idle connection is closed, so that
+     * no request is written to one that the upstream is closing.
      */
-    private static final double IDLE_PART = 0.6;
+    private static final double IDLE_TIMEOUT_PART = 0.6;
 
-    private static final long SWEEP_MS = 250;
+    /** Chosen: interval between two checks for connections that have been idle too long. */
+    private static final long IDLE_CHECK_INTERVAL_MS = 250;
 
     private final EventLoop loop;
     private final Transport transport;
     private final Bootstrap bootstrap;
-    private final long idleNanos;
+    private final long idleTimeoutNanos;
     private final int maxConnections;
-    private final Map<String, Server> servers = new HashMap<>();
+    private final Map<String, Upstream> upstreams = new HashMap<>();
     private int connections;
     private long connects;
 
+    /**
+     * Creates an empty pool.
+     *
+     * @param upstreamIdleTimeoutUs after which upstreams close idle connections
+     * @param maxConnections open or coming up at the same time
+     */
     UpstreamConnectionPool(
             EventLoop loop,
             Transport transport,
-            long connectTimeoutMicros,
-            long connectIdleMicros,
+            long connectTimeoutUs,
+            long upstreamIdleTimeoutUs,
             int maxConnections) {
         this.loop = loop;
         this.transport = transport;
         this.maxConnections = maxConnections;
-        this.idleNanos = (long) (connectIdleMicros * 1_000 * IDLE_PART);
+        this.idleTimeoutNanos = (long) (upstreamIdleTimeoutUs * 1_000 * IDLE_TIMEOUT_PART);
         this.bootstrap =
                 transport
                         .client(loop)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                (int) Math.max(1, connectTimeoutMicros / 1_000))
+                                (int) Math.max(1, connectTimeoutUs / 1_000))
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
@@ -82,352 +78,174 @@
                                                 .addLast(
                                                         new HttpRequestEncoder(),
                                                         new StrictHttpResponseDecoder(),
-                                                        new HttpObjectAggregator(MAX_BODY));
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES));
                                     }
                                 });
-        loop.scheduleWithFixedDelay(this::dropIdle, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-    }
-
-    /**
-     * Gets the end of an exchange, exactly once; the answer, if any, is released after the call.
-     */
-    interface Listener {
-        void ended(Outcome outcome, FullHttpResponse answer);
+        loop.scheduleWithFixedDelay(
+                this::closeExpired,
+                IDLE_CHECK_INTERVAL_MS,
+                IDLE_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    /** One upstream: where it is, and its idle connections, the last used first. */
-    private static final class Server {
-        InetSocketAddress addr;
-        boolean ready;
-        long startedMs;
-        final Deque<Connection> idle = new ArrayDeque<>();
-    }
-
-    /** Takes over a list or changes of it. */
+    /** Takes over an endpoint list, or changes of one. */
     void apply(EndpointList list) {
-        if (list.full()) {
-            List<String> ids = list.entries().stream().map(EndpointList.Endpoint::id).toList();
-            List<String> missing = new ArrayList<>(servers.keySet());
+        if (list.isFull()) {
+            List<String> ids = list.endpoints().stream().map(EndpointList.Endpoint::id).toList();
+            List<String> missing = new ArrayList<>(upstreams.keySet());
             missing.removeAll(ids);
-            missing.forEach(this::forget);
+            missing.forEach(this::remove);
         }
-        for (EndpointList.Endpoint e : list.entries()) {
-            if (e.state() == State.GONE) {
-                forget(e.id());
-                continue;
-            }
-            Server server = servers.computeIfAbsent(e.id(), id -> new Server());
-            // Connections to a process that is no more end as a reset, after which a request may
-            // have run.
-            boolean replaced = !e.addr().equals(server.addr) || e.startedMs() != server.startedMs;
-            server.addr = e.addr();
-            server.startedMs = e.startedMs();
-            server.ready = e.state() == State.READY;
-            if (replaced || !server.ready) {
-                closeIdle(server);
+        for (EndpointList.Endpoint endpoint : list.endpoints()) {
+            if (endpoint.state() == State.GONE) {
+                remove(endpoint.id());
+            } else {
+                upstreams
+                        .computeIfAbsent(endpoint.id(), id -> new Upstream())
+                        .update(
+                                endpoint.address(),
+                                endpoint.startedMs(),
+                                endpoint.state() == State.READY);
             }
         }
     }
 
-    /** How many there are on the list. */
-    int size() {
-        return servers.size();
+    private void remove(String id) {
+        Upstream upstream = upstreams.remove(id);
+        if (upstream != null) {
+            upstream.remove();
+        }
+    }
+
+    /** The number of upstreams on the list. */
+    int upstreams() {
+        return upstreams.size();
     }
 
-    /** Connections that are open or coming up. */
+    /** The number of connections that are open or coming up. */
     int connections() {
         return connections;
     }
 
-    /** Connections opened so far. */
+    /** The number of connections begun so far. */
     long connects() {
         return connects;
     }
 
-    private void forget(String id) {
-        Server server = servers.remove(id);
-        if (server != null) {
-            server.ready = false;
-            closeIdle(server);
-        }
-    }
-
+    /** Closes the idle connections to an upstream, if it is known. */
     void closeIdle(String id) {
-        if (servers.containsKey(id)) {
-            closeIdle(servers.get(id));
-        }
-    }
-
-    private static void closeIdle(Server server) {
-        while (!server.idle.isEmpty()) {
-            server.idle.poll().channel.close();
+        Upstream upstream = upstreams.get(id);
+        if (upstream != null) {
+            upstream.closeIdleConnections();
         }
     }
 
-    private void dropIdle() {
-        long now = System.nanoTime();
-        for (Server server : servers.values()) {
-            while (!server.idle.isEmpty() && now - server.idle.peekLast().idleSince > idleNanos) {
-                server.idle.pollLast().channel.close();
+    private void closeExpired() {
+        long nowNanos = System.nanoTime();
+        for (Upstream upstream : upstreams.values()) {
+            Deque<UpstreamConnection> idle = upstream.idleConnections();
+            while (!idle.isEmpty()
+                    && nowNanos - idle.peekLast().idleSinceNanos() > idleTimeoutNanos) {
+                idle.pollLast().close();
             }
         }
     }
 
     /**
-     * Starts an exchange; takes over the request. {@code mayBegin} is asked when it has its
-     * connection, right before it is written. The listener is never called from within this call,
-     * so that the caller has the exchange in hand before its end.
+     * Starts an exchange; takes over the reference to the request. The listener is never called
+     * from within this call, so that the caller has the exchange in hand before its end.
+     *
+     * @param canBegin asked when the exchange has its connection, right before it is written
      */
     Exchange start(
-            String id, FullHttpRequest request, BooleanSupplier mayBegin, Listener listener) {
-        Exchange exchange = new Exchange(request, mayBegin, listener);
-        Server server = servers.get(id);
-        if (server == null || !server.ready) {
+            String id,
+            FullHttpRequest request,
+            BooleanSupplier canBegin,
+            ExchangeListener listener) {
+        Exchange exchange = new Exchange(loop, request, canBegin, listener);
+        Upstream upstream = upstreams.get(id);
+        if (upstream == null || !upstream.isReady()) {
             loop.execute(() -> exchange.end(Outcome.CONNECT_FAILED, null));
             return exchange;
         }
-        Connection connection = idle(server);
+        UpstreamConnection connection = pollIdle(upstream);
         if (connection != null) {
             exchange.write(connection);
         } else if (connections >= maxConnections && !closeOldestIdle()) {
             loop.execute(() -> exchange.end(Outcome.CONNECT_FAILED, null));
         } else {
-            connect(server, exchange);
+            connect(upstream, exchange);
         }
         return exchange;
     }
 
-    private Connection idle(Server server) {
-        long now = System.nanoTime();
-        for (Connection c = server.idle.poll(); c != null; c = server.idle.poll()) {
-            if (c.channel.isActive() && now - c.idleSince < idleNanos) {
+    /** Takes out an idle connection that can be used; null if there is none. */
+    private UpstreamConnection pollIdle(Upstream upstream) {
+        long nowNanos = System.nanoTime();
+        Deque<UpstreamConnection> idle = upstream.idleConnections();
+        for (UpstreamConnection c = idle.poll(); c != null; c = idle.poll()) {
+            if (c.isActive() && nowNanos - c.idleSinceNanos() < idleTimeoutNanos) {
                 return c;
             }
-            c.channel.close();
+            c.close();
         }
         return null;
     }
 
+    /** Returns whether there was one. */
     private boolean closeOldestIdle() {
-        Server oldest = null;
-        for (Server server : servers.values()) {
-            if (!server.idle.isEmpty()
-                    && (oldest == null
-                            || server.idle.peekLast().idleSince
-                                    < oldest.idle.peekLast().idleSince)) {
-                oldest = server;
+        UpstreamConnection oldest = null;
+        Upstream upstreamOfOldest = null;
+        for (Upstream upstream : upstreams.values()) {
+            UpstreamConnection candidate = upstream.idleConnections().peekLast();
+            if (candidate != null
+                    && (oldest == null || candidate.idleSinceNanos() < oldest.idleSinceNanos())) {
+                oldest = candidate;
+                upstreamOfOldest = upstream;
             }
         }
-        if (oldest != null) {
-            oldest.idle.pollLast().channel.close();
+        if (oldest == null) {
+            return false;
         }
-        return oldest != null;
+        upstreamOfOldest.idleConnections().pollLast().close();
+        return true;
     }
 
-    private void connect(Server server, Exchange exchange) {
+    private void connect(Upstream upstream, Exchange exchange) {
         connections++;
         connects++;
-        InetSocketAddress addr = server.addr;
-        ChannelFuture connecting = bootstrap.connect(transport.address(addr));
-        exchange.channel = connecting.channel();
-        connecting.channel().closeFuture().addListener(f -> connections--);
-        // Not before the next turn has read all that has come meanwhile: its client may have left.
+        InetSocketAddress address = upstream.address();
+        ChannelFuture connecting = bootstrap.connect(transport.address(address));
+        exchange.connecting(connecting.channel());
+        connecting.channel().closeFuture().addListener(future -> connections--);
+        // Not before the next turn of the loop has read all that has come meanwhile: the client may
+        // have closed its connection.
         connecting.addListener(
-                f ->
+                future ->
                         loop.schedule(
-                                () -> connected(server, addr, exchange, connecting),
+                                () -> connected(upstream, address, exchange, connecting),
                                 0,
                                 TimeUnit.MILLISECONDS));
     }
 
     private void connected(
-            Server server, InetSocketAddress addr, Exchange exchange, ChannelFuture connecting) {
-        // The list may have changed meanwhile: nothing new goes to an upstream that drains or has
-        // moved.
+            Upstream upstream,
+            InetSocketAddress address,
+            Exchange exchange,
+            ChannelFuture connecting) {
+        // The list may have changed meanwhile: no new request goes to an upstream that drains or
+        // has moved.
         if (!connecting.isSuccess()
-                || exchange.ended
-                || !server.ready
-                || !server.addr.equals(addr)) {
+                || exchange.hasEnded()
+                || !upstream.isReady()
+                || !upstream.address().equals(address)) {
             connecting.channel().close();
             exchange.end(Outcome.CONNECT_FAILED, null);
             return;
         }
-        Connection connection = new Connection(server, connecting.channel());
-        connection.channel.pipeline().addLast(connection);
+        UpstreamConnection connection =
+                new UpstreamConnection(loop, upstream, connecting.channel());
+        connecting.channel().pipeline().addLast(connection);
         exchange.write(connection);
     }
-
-    /** One request on its way to an upstream, up to its one end. */
-    final class Exchange {
-        private final BooleanSupplier mayBegin;
-        private final Listener listener;
-        private FullHttpRequest request;
-        private Channel channel;
-        private boolean written;
-        private boolean ended;
-
-        private Exchange(FullHttpRequest request, BooleanSupplier mayBegin, Listener listener) {
-            this.request = request;
-            this.mayBegin = mayBegin;
-            this.listener = listener;
-        }
-
-        private void write(Connection connection) {
-            if (!mayBegin.getAsBoolean()) {
-                channel = null;
-                connection.keep();
-                loop.execute(() -> end(Outcome.MOOT, null));
-                return;
-            }
-            channel = connection.channel;
-            connection.current = this;
-            channel.pipeline().get(StrictHttpResponseDecoder.class).expect();
-            FullHttpRequest message = request;
-            request = null;
-            channel.writeAndFlush(message)
-                    .addListener(
-                            f -> {
-                                written = f.isSuccess();
-                                if (!written) {
-                                    broken();
-                                }
-                            });
-        }
-
-        /**
-         * The connection is lost. Before the last byte was written the upstream can't have begun.
-         */
-        private void broken() {
-            channel.close();
-            boolean mayHaveRun = written;
-            // Never from within start(): a write can fail at once.
-            loop.execute(() -> end(mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED, null));
-        }
-
-        /**
-         * Stops waiting. The socket is closed before this returns: a further attempt is no second
-         * copy.
-         */
-        void abandon() {
-            ended = true;
-            release();
-            if (channel != null) {
-                channel.close();
-            }
-        }
-
-        private void end(Outcome outcome, FullHttpResponse answer) {
-            if (!ended) {
-                ended = true;
-                release();
-                listener.ended(outcome, answer);
-            }
-        }
-
-        private void release() {
-            if (request != null) {
-                request.release();
-                request = null;
-            }
-        }
-    }
-
-    /** A connection that is up. */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Server server;
-        private final InetSocketAddress addr;
-        private final long startedMs;
-        private final Channel channel;
-        private Exchange current;
-        private long idleSince;
-        private boolean isReset;
-
-        Connection(Server server, Channel channel) {
-            this.server = server;
-            this.addr = server.addr;
-            this.startedMs = server.startedMs;
-            this.channel = channel;
-        }
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            Exchange exchange = current;
-            if (exchange != null && answer.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                return; // The final answer follows; left to come later, it would be the next
-                // request's.
-            }
-            // An answer of no length ends with its connection. A reset is no such end: it may cut
-            // one short.
-            if (exchange == null
-                    || answer.decoderResult().isFailure()
-                    || isReset
-                    || !channel.isActive() && !exchange.written) {
-                channel.close();
-                return;
-            }
-            current = null;
-            answer.retain();
-            // Only when all that has come is read: more behind the answer, or the end, forbids to
-            // go on here.
-            loop.execute(
-                    () -> {
-                        keepOrClose(exchange, answer);
-                        exchange.end(outcome(answer), answer);
-                        answer.release();
-                    });
-        }
-
-        private void keepOrClose(Exchange exchange, FullHttpResponse answer) {
-            if (exchange.written && HttpUtil.isKeepAlive(answer)) {
-                keep();
-            } else {
-                channel.close();
-            }
-        }
-
-        /**
-         * Keeps the connection for the next request, unless it leads to a process that is no more.
-         */
-        private void keep() {
-            if (server.ready
-                    && channel.isActive()
-                    && server.addr.equals(addr)
-                    && server.startedMs == startedMs) {
-                idleSince = System.nanoTime();
-                server.idle.push(this);
-            } else {
-                channel.close();
-            }
-        }
-
-        private static Outcome outcome(FullHttpResponse answer) {
-            return switch (answer.status().code()) {
-                case 200 -> Outcome.OK;
-                case 503, 504 ->
-                        "1".equals(answer.headers().get(NOT_RUN)) ? Outcome.FULL : Outcome.ERROR;
-                default -> Outcome.ERROR;
-            };
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            server.idle.remove(this);
-            if (current != null) {
-                current.broken();
-                current = null;
-            }
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            isReset = true;
-            if (!(cause instanceof IOException || cause instanceof CodecException)) {
-                LOG.log(
-                        System.Logger.Level.ERROR,
-                        "closed an upstream's connection after a failure",
-                        cause);
-            }
-            channel.close();
-        }
-    }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
@@ -29,82 +29,98 @@
 import myrtleladder.loadbalancer.policy.Balancer.State;
 
 /**
- * Serves requests of its own, in memory, before the first client may come. Code that has never run
- * is loaded and interpreted at many times the CPU of a warm one; with part of a core, a balancer
- * that opened cold was seconds behind its clients, and the requests that timed out meanwhile came
- * back as more.
+ * The warm-up run: serves requests of its own, in memory, before the first client may connect. Code
+ * that has never run is loaded and interpreted at many times the CPU of warm code; with part of a
+ * core, a balancer that opened cold was seconds behind its clients, and the requests that timed out
+ * meanwhile came back as more.
+ *
+ * <p>All of it, a balancer with its upstreams and clients, runs on the caller's thread.
  */
 final class Warmup {
     private static final System.Logger LOG = System.getLogger(Warmup.class.getName());
+
+    /** Chosen: number of client connections. */
     private static final int CLIENTS = 16;
 
     /**
-     * One on each connection is enough for every class of the common path to be loaded and linked,
-     * and that is most of what a first request costs. What is left cold is compiled while it
-     * serves, for some milliseconds a request. Where many balancers share the traffic, that is
-     * cheaper than to be away longer; a few take it at full blast, and opened cold they fell
-     * behind.
+     * Chosen: fewest requests. One on each connection is enough for every class of the common path
+     * to be loaded and linked, which is most of what a first request costs; the rest is compiled
+     * while it serves, for some milliseconds a request. Where many balancers share the traffic,
+     * that is cheaper than to be away longer.
      */
-    private static final int FEWEST = CLIENTS;
+    private static final int MIN_REQUESTS = CLIENTS;
 
-    private static final int MOST = 100;
+    /** Chosen: most requests. The few balancers of a small group have full load at once. */
+    private static final int MAX_REQUESTS = 100;
 
-    /** So many requests are rehearsed by all balancers together, as far as the bounds allow. */
-    private static final int BY_ALL = 400;
+    /** Chosen: requests of all balancers of a group together, as far as the bounds allow. */
+    private static final int GROUP_REQUESTS = 400;
 
-    /** A restarted balancer is missed: rather open somewhat cold than late. */
-    private static final long LONGEST_MS = 6_000;
+    /** Chosen: longest run; a balancer that restarts should open cold rather than late. */
+    private static final long MAX_DURATION_MS = 6_000;
 
+    /** Chosen: number of upstreams. */
     private static final int UPSTREAMS = 4;
-    private static final int BODY = 1_000;
+
+    /** Chosen: size of a body in bytes, and number of distinct affinity keys. */
+    private static final int BODY_BYTES = 1_000;
+
+    private static final int TIME_LEFT_MS = 1_000;
+
     private final BalancerConfig config;
     private final ManualIoEventLoop loop;
     private final List<Channel> channels = new ArrayList<>();
-    private int left;
-    private int sent;
-    private int answered;
-    private int served;
+    private int requestsLeft;
+    private int requestsSent;
+    private int responsesSent;
+    private int requestsServed;
 
     private Warmup(BalancerConfig config, ManualIoEventLoop loop) {
         this.config = config;
         this.loop = loop;
-        int group = Math.max(1, config.facts().settings().groupSize());
-        this.left = Math.max(FEWEST, Math.min(MOST, BY_ALL / group));
+        int groupSize = Math.max(1, config.settings().balancer().groupSize());
+        this.requestsLeft =
+                Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, GROUP_REQUESTS / groupSize));
     }
 
     /**
-     * Runs until warm, or for the longest time allowed; a balancer that can't rehearse starts cold.
-     * Returns how many requests were served.
+     * Runs until warm, or for the longest time allowed; a failure is logged, and the balancer
+     * starts cold. Returns how many requests were served.
+     *
+     * @throws InterruptedException if the thread is interrupted
      */
     static int run(BalancerConfig config) throws InterruptedException {
         ManualIoEventLoop loop =
                 new ManualIoEventLoop(Thread.currentThread(), LocalIoHandler.newFactory());
         try {
-            Warmup rehearsal = new Warmup(config, loop);
+            Warmup warmup = new Warmup(config, loop);
             try {
-                rehearsal.play();
+                warmup.serveRequests();
             } finally {
-                rehearsal.close();
+                warmup.close();
             }
-            LOG.log(System.Logger.Level.INFO, "rehearsed with " + rehearsal.served + " requests");
-            return rehearsal.served;
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    "rehearsed with " + warmup.requestsServed + " requests");
+            return warmup.requestsServed;
         } catch (InterruptedException e) {
             throw e;
         } catch (Exception e) {
+            // Nothing of the warm-up run is needed to serve.
             LOG.log(System.Logger.Level.WARNING, "could not rehearse, so the start is cold", e);
             return 0;
         }
     }
 
     /**
-     * Ends what has a name of its own in this process. The loop itself is only let go of: told to
-     * end, it has that announced by a thread of the library, which the process would start for this
-     * alone.
+     * Closes the channels, whose local addresses are registered in this process. The loop itself is
+     * not shut down: that is announced by a thread of the library, which the process would start
+     * for this alone.
      */
     private void close() throws InterruptedException {
         List<ChannelFuture> closing = channels.stream().map(Channel::close).toList();
         while (!closing.stream().allMatch(ChannelFuture::isDone)) {
-            turn();
+            runLoopOnce();
         }
     }
 
@@ -112,80 +128,93 @@
      * One turn of the loop, on the caller's thread: on a thread of its own the loop was seen to
      * spin for good at a start, where only one thread runs at a time.
      */
-    private void turn() throws InterruptedException {
+    private void runLoopOnce() throws InterruptedException {
         if (loop.runNow() == 0) {
             Thread.sleep(1);
         }
     }
 
+    /** Waits for a channel to be bound or connected, and keeps it to be closed. */
     private void await(ChannelFuture future) throws Exception {
         channels.add(future.channel());
         while (!future.isDone()) {
-            turn();
+            runLoopOnce();
         }
         future.sync();
     }
 
-    private void play() throws Exception {
+    private void serveRequests() throws Exception {
         List<EndpointList.Endpoint> upstreams =
-                IntStream.range(0, UPSTREAMS).mapToObj(this::upstream).toList();
-        for (EndpointList.Endpoint u : upstreams) {
-            await(
-                    Transport.MEMORY
-                            .server(loop)
-                            .childHandler(
-                                    new ChannelInitializer<Channel>() {
-                                        @Override
-                                        protected void initChannel(Channel channel) {
-                                            channel.pipeline()
-                                                    .addLast(
-                                                            new HttpServerCodec(),
-                                                            new HttpObjectAggregator(
-                                                                    UpstreamConnectionPool
-                                                                            .MAX_BODY),
-                                                            new Upstream());
-                                        }
-                                    })
-                            .bind(Transport.MEMORY.address(u.addr())));
+                IntStream.range(0, UPSTREAMS).mapToObj(this::endpoint).toList();
+        for (EndpointList.Endpoint upstream : upstreams) {
+            bindUpstream(upstream.address());
         }
-        BalancerConfig rehearsed =
-                new BalancerConfig(
-                        config.listen(),
-                        config.discovery(),
-                        config.seed(),
-                        config.sockets(),
-                        config.memoryMb(),
-                        new EndpointList(0, true, upstreams),
-                        config.facts());
         await(
-                Main.follow(rehearsed, loop, Transport.MEMORY)
+                LoadBalancerBootstrap.create(warmupConfig(upstreams), loop, Transport.MEMORY)
                         .bind(Transport.MEMORY, config.listen()));
         for (int i = 0; i < CLIENTS; i++) {
-            await(
-                    Transport.MEMORY
-                            .client(loop)
-                            .handler(
-                                    new ChannelInitializer<Channel>() {
-                                        @Override
-                                        protected void initChannel(Channel channel) {
-                                            channel.pipeline()
-                                                    .addLast(
-                                                            new HttpClientCodec(),
-                                                            new HttpObjectAggregator(
-                                                                    UpstreamConnectionPool
-                                                                            .MAX_BODY),
-                                                            new Client());
-                                        }
-                                    })
-                            .connect(Transport.MEMORY.address(config.listen())));
+            connectClient();
         }
-        long begun = System.nanoTime();
-        while (left > 0 && System.nanoTime() - begun < TimeUnit.MILLISECONDS.toNanos(LONGEST_MS)) {
-            turn();
+        long startNanos = System.nanoTime();
+        long maxDurationNanos = TimeUnit.MILLISECONDS.toNanos(MAX_DURATION_MS);
+        while (requestsLeft > 0 && System.nanoTime() - startNanos < maxDurationNanos) {
+            runLoopOnce();
         }
     }
 
-    private EndpointList.Endpoint upstream(int number) {
+    private void bindUpstream(InetSocketAddress address) throws Exception {
+        await(
+                Transport.MEMORY
+                        .server(loop)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        newAggregator(),
+                                                        new UpstreamHandler());
+                                    }
+                                })
+                        .bind(Transport.MEMORY.address(address)));
+    }
+
+    private void connectClient() throws Exception {
+        await(
+                Transport.MEMORY
+                        .client(loop)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        newAggregator(),
+                                                        new ClientHandler());
+                                    }
+                                })
+                        .connect(Transport.MEMORY.address(config.listen())));
+    }
+
+    private static HttpObjectAggregator newAggregator() {
+        return new HttpObjectAggregator(UpstreamConnectionPool.MAX_BODY_BYTES);
+    }
+
+    /** The balancer's own configuration, with the upstreams of the warm-up run. */
+    private BalancerConfig warmupConfig(List<EndpointList.Endpoint> upstreams) {
+        return new BalancerConfig(
+                config.listen(),
+                config.discovery(),
+                config.seed(),
+                config.sockets(),
+                config.memoryMb(),
+                new EndpointList(0, true, upstreams),
+                config.settings());
+    }
+
+    private EndpointList.Endpoint endpoint(int number) {
         return new EndpointList.Endpoint(
                 "rehearsal-" + number,
                 new InetSocketAddress(config.listen().getAddress(), number + 1),
@@ -197,59 +226,64 @@
                 0);
     }
 
-    private static ByteBuf body() {
-        return Unpooled.wrappedBuffer(new byte[BODY]);
+    private static ByteBuf newBody() {
+        return Unpooled.wrappedBuffer(new byte[BODY_BYTES]);
     }
 
-    /** Stands for a server. */
-    private final class Upstream extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** An upstream that serves at once. */
+    private final class UpstreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer =
+            FullHttpResponse response =
                     new DefaultFullHttpResponse(
-                            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body());
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
-            answer.headers().set("X-Backend-Load", "cpu=0." + ++answered % 10 + ",rps=9,err_rps=0");
-            ctx.writeAndFlush(answer);
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, newBody());
+            String load = "cpu=0." + ++responsesSent % 10 + ",rps=9,err_rps=0";
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, BODY_BYTES)
+                    .set("X-Backend-Load", load);
+            ctx.writeAndFlush(response);
         }
     }
 
-    /** Stands for a client: one request at a time, over and over. */
-    private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** A client that sends one request after another. */
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             send(ctx);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            served += answer.status().code() == HttpResponseStatus.OK.code() ? 1 : 0;
-            left--;
-            if (left > 0) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (response.status().code() == HttpResponseStatus.OK.code()) {
+                requestsServed++;
+            }
+            requestsLeft--;
+            if (requestsLeft > 0) {
                 send(ctx);
             }
         }
 
         private void send(ChannelHandlerContext ctx) {
-            int number = sent++;
-            int c = number % config.facts().classes().size();
-            String name = config.facts().classes().get(c);
-            boolean get = config.facts().settings().classes().get(c).effect() == Effect.SAFE;
+            int number = requestsSent++;
+            int classIndex = number % config.settings().classes().size();
+            String className = config.settings().classes().get(classIndex);
+            Effect effect = config.settings().balancer().classes().get(classIndex).effect();
+            boolean isGet = effect == Effect.SAFE;
             FullHttpRequest request =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
-                            get ? HttpMethod.GET : HttpMethod.POST,
-                            "/" + name + "?key=k" + number % BODY,
-                            get ? Unpooled.EMPTY_BUFFER : body());
+                            isGet ? HttpMethod.GET : HttpMethod.POST,
+                            "/" + className + "?key=k" + number % BODY_BYTES,
+                            isGet ? Unpooled.EMPTY_BUFFER : newBody());
             request.headers()
                     .set("Host", "rehearsal")
                     .set("X-Correlation-Id", "rehearsal-" + number)
-                    .set("X-Service-Class", name)
-                    .set(BalancerRuntime.TIME_LEFT, 1_000)
+                    .set("X-Service-Class", className)
+                    .set(RequestDispatcher.TIME_LEFT_HEADER, TIME_LEFT_MS)
                     .set("Idempotency-Key", "rehearsal-" + number)
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-            if (!config.facts().tenants().isEmpty()) {
-                request.headers().set("X-Account", config.facts().tenants().get(0));
+            if (!config.settings().tenants().isEmpty()) {
+                request.headers().set("X-Account", config.settings().tenants().get(0));
             }
             ctx.writeAndFlush(request);
         }
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -10,6 +10,7 @@
 import myrtleladder.error.OperatorError.BadInput;
 import myrtleladder.loadbalancer.policy.Balancer.Effect;
 import myrtleladder.loadbalancer.policy.Balancer.Limits;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
 import myrtleladder.loadbalancer.policy.Balancer.Prices;
 import myrtleladder.loadbalancer.policy.Balancer.Ratings;
 import myrtleladder.loadbalancer.policy.Balancer.Reports;
@@ -19,9 +20,13 @@
 import myrtleladder.loadbalancer.policy.Balancer.Settings;
 import myrtleladder.loadbalancer.policy.Balancer.Tenant;
 
-/** Reads the settings that an instance is created with. Keys it does not know are skipped. */
+/**
+ * Reads the settings that an instance of the decision module is created with. Keys that it does not
+ * know are skipped, and a missing key has its default. All methods are safe for use by several
+ * threads.
+ */
 public final class SettingsReader {
-    /** The values of a load report, in the order of the fields of the module's record. */
+    /** Names of the values in a load report, in the order of the fields of {@link LoadReport}. */
     public static final List<String> REPORTED =
             List.of("cpu", "active", "waiting", "avg_ms", "rps", "err_rps");
 
@@ -29,7 +34,7 @@
             Map.of("free", Effect.SAFE, "guarded", Effect.KEYED, "single_shot", Effect.UNSAFE);
     private static final Map<String, Scope> SCOPES =
             Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL);
-    private static final Map<String, Reports> VIA =
+    private static final Map<String, Reports> REPORT_SOURCES =
             Map.of(
                     "piggyback",
                     Reports.IN_ANSWERS,
@@ -37,7 +42,7 @@
                     Reports.BY_PROBE,
                     "silent",
                     Reports.NONE);
-    private static final Map<String, Ratings> WEIGHTS =
+    private static final Map<String, Ratings> RATINGS =
             Map.of(
                     "silent",
                     Ratings.NONE,
@@ -51,11 +56,14 @@
     private SettingsReader() {}
 
     /**
-     * What was found: the settings for the module, and names. The wire gives classes, tenants,
-     * zones and kinds by their place in these lists, the sockets by name.
+     * The settings of the decision module, and names. The simulator's protocol gives classes,
+     * tenants, zones and kinds by their index in these lists, HTTP by name. Immutable.
+     *
+     * @param balancer settings of the decision module
+     * @param reportNames names of the values in the simulator's load reports
      */
     public record ParsedSettings(
-            Settings settings,
+            Settings balancer,
             List<String> reportNames,
             List<String> classes,
             List<String> tenants,
@@ -63,38 +71,49 @@
             List<String> kinds) {}
 
     /**
-     * One object of the settings, flat: numbers and bools as numbers, texts, and lists of objects.
+     * One JSON object of the settings, its fields by type: numbers, with booleans as 0 and 1;
+     * strings; objects; and lists of objects, where a scalar is an object with the one field {@code
+     * ""}.
      */
-    private static final class Node {
+    private static final class JsonObject {
         final Map<String, Double> numbers = new HashMap<>();
-        final Map<String, String> texts = new HashMap<>();
-        final Map<String, Node> objects = new HashMap<>();
-        final Map<String, List<Node>> lists = new HashMap<>();
+        final Map<String, String> strings = new HashMap<>();
+        final Map<String, JsonObject> objects = new HashMap<>();
+        final Map<String, List<JsonObject>> lists = new HashMap<>();
 
-        double number(String name, double otherwise) {
-            return numbers.getOrDefault(name, otherwise);
+        double number(String name, double defaultValue) {
+            return numbers.getOrDefault(name, defaultValue);
         }
 
-        long time(String name) {
-            return micros(number(name, 0));
+        /** A time in seconds, as microseconds; 0 if it is missing. */
+        long timeUs(String name) {
+            return toMicros(number(name, 0));
         }
 
+        /** False if it is missing. */
         boolean flag(String name) {
             return number(name, 0) != 0;
         }
 
-        Node object(String name) {
-            return objects.getOrDefault(name, new Node());
+        /** Empty if it is missing. */
+        JsonObject object(String name) {
+            return objects.getOrDefault(name, new JsonObject());
         }
 
-        List<Node> list(String name) {
+        /** Empty if it is missing. */
+        List<JsonObject> list(String name) {
             return lists.getOrDefault(name, List.of());
         }
 
-        <T> T choice(String name, Map<String, T> values, T otherwise) throws BadInput {
-            String text = texts.get(name);
+        /**
+         * The value that a string stands for.
+         *
+         * @throws BadInput if it stands for none
+         */
+        <T> T choice(String name, Map<String, T> values, T defaultValue) throws BadInput {
+            String text = strings.get(name);
             if (text == null) {
-                return otherwise;
+                return defaultValue;
             }
             if (!values.containsKey(text)) {
                 throw new BadInput("setting " + name + " has the unknown value " + text);
@@ -103,142 +122,164 @@
         }
     }
 
-    /** Reads one object of settings; the parser stands at its start. */
+    /**
+     * Reads one object of settings; the parser is at its start.
+     *
+     * @throws BadInput if a string is none of its choices
+     * @throws IOException if it is not JSON
+     */
     public static ParsedSettings read(JsonParser json) throws BadInput, IOException {
-        Node facts = node(json);
+        JsonObject root = readObject(json);
+        JsonObject report = root.object("report");
+        Settings settings =
+                new Settings(
+                        (int) root.number("az", 0),
+                        Math.max(1, root.list("localities").size()),
+                        (int) root.number("position", 0),
+                        (int) root.number("group-size", 1),
+                        requestClasses(root.list("classes")),
+                        tenants(root.list("parties")),
+                        root.number("over-share-worth", 1),
+                        "work".equals(root.strings.get("counted-by")),
+                        limits(root.object("ceilings")),
+                        rules(root.object("rules")),
+                        prices(root.object("prices")),
+                        report.choice("via", REPORT_SOURCES, Reports.NONE),
+                        root.choice("weights", RATINGS, Ratings.NONE),
+                        "on_request".equals(root.strings.get("discovery")),
+                        root.object("extra").flag("warm-keys"),
+                        root.timeUs("tick-s"));
+        return new ParsedSettings(
+                settings,
+                names(report.list("names"), ""),
+                names(root.list("classes"), "name"),
+                names(root.list("parties"), "name"),
+                names(root.list("localities"), ""),
+                names(root.list("kinds"), ""));
+    }
+
+    private static List<RequestClass> requestClasses(List<JsonObject> objects) throws BadInput {
         List<RequestClass> classes = new ArrayList<>();
-        for (Node c : facts.list("classes")) {
+        for (JsonObject object : objects) {
             classes.add(
                     new RequestClass(
-                            c.time("aim-s"),
-                            c.number("aim-stretch", 0),
-                            c.time("give-up-s"),
-                            c.number("worth", 1),
-                            c.number("late-worth", 0),
-                            c.choice("repeat", EFFECTS, Effect.UNSAFE),
-                            c.choice("dedup-scope", SCOPES, Scope.CELL),
-                            c.time("memory-span-s"),
-                            c.flag("stream")));
+                            object.timeUs("aim-s"),
+                            object.number("aim-stretch", 0),
+                            object.timeUs("give-up-s"),
+                            object.number("worth", 1),
+                            object.number("late-worth", 0),
+                            object.choice("repeat", EFFECTS, Effect.UNSAFE),
+                            object.choice("dedup-scope", SCOPES, Scope.CELL),
+                            object.timeUs("memory-span-s"),
+                            object.flag("stream")));
         }
+        return classes;
+    }
+
+    private static List<Tenant> tenants(List<JsonObject> objects) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Node t : facts.list("parties")) {
-            tenants.add(new Tenant(t.number("allowance-per-s", 0), t.number("share", 0)));
+        for (JsonObject object : objects) {
+            tenants.add(new Tenant(object.number("allowance-per-s", 0), object.number("share", 0)));
         }
-        Node report = facts.object("report");
-        Settings settings =
-                new Settings(
-                        (int) facts.number("az", 0),
-                        Math.max(1, facts.list("localities").size()),
-                        (int) facts.number("position", 0),
-                        (int) facts.number("group-size", 1),
-                        classes,
-                        tenants,
-                        facts.number("over-share-worth", 1),
-                        "work".equals(facts.texts.get("counted-by")),
-                        limits(facts.object("ceilings")),
-                        rules(facts.object("rules")),
-                        prices(facts.object("prices")),
-                        report.choice("via", VIA, Reports.NONE),
-                        facts.choice("weights", WEIGHTS, Ratings.NONE),
-                        "on_request".equals(facts.texts.get("discovery")),
-                        facts.object("extra").flag("warm-keys"),
-                        facts.time("tick-s"));
-        return new ParsedSettings(
-                settings,
-                names(report.list("names"), ""),
-                names(facts.list("classes"), "name"),
-                names(facts.list("parties"), "name"),
-                names(facts.list("localities"), ""),
-                names(facts.list("kinds"), ""));
+        return tenants;
     }
 
-    private static List<String> names(List<Node> nodes, String field) {
-        return nodes.stream().map(n -> n.texts.getOrDefault(field, "")).toList();
+    private static List<String> names(List<JsonObject> objects, String field) {
+        return objects.stream().map(object -> object.strings.getOrDefault(field, "")).toList();
     }
 
-    private static Limits limits(Node n) {
+    private static Limits limits(JsonObject object) {
         return new Limits(
-                (int) n.number("try-limit", 1),
-                n.flag("may-duplicate"),
-                n.flag("probes"),
-                n.flag("cancel"),
-                n.flag("peers"),
-                (int) n.number("max-open", 0),
-                n.flag("retry-after"),
-                n.time("max-retry-after-s"),
-                n.time("connect-timeout-s"),
-                n.time("conn-idle-s"),
-                (int) n.number("multiplex", 1));
+                (int) object.number("try-limit", 1),
+                object.flag("may-duplicate"),
+                object.flag("probes"),
+                object.flag("cancel"),
+                object.flag("peers"),
+                (int) object.number("max-open", 0),
+                object.flag("retry-after"),
+                object.timeUs("max-retry-after-s"),
+                object.timeUs("connect-timeout-s"),
+                object.timeUs("conn-idle-s"),
+                (int) object.number("multiplex", 1));
     }
 
-    private static RuleFigures rules(Node n) {
+    private static RuleFigures rules(JsonObject object) {
         return new RuleFigures(
-                n.time("answer-slack-s"),
-                n.time("ask-within-s"),
-                n.number("start-capacity", 1),
-                n.time("cold-s"),
-                n.time("drain-grace-s"),
-                n.number("fall-multiple", 1),
-                n.time("fall-s"));
+                object.timeUs("answer-slack-s"),
+                object.timeUs("ask-within-s"),
+                object.number("start-capacity", 1),
+                object.timeUs("cold-s"),
+                object.timeUs("drain-grace-s"),
+                object.number("fall-multiple", 1),
+                object.timeUs("fall-s"));
     }
 
-    private static Prices prices(Node n) {
+    private static Prices prices(JsonObject object) {
         return new Prices(
-                n.number("cross-zone", 0),
-                n.number("waste", 0),
-                n.number("probe", 0),
-                n.number("peer", 0),
-                n.number("late-fail", 0),
-                n.number("handshake", 0));
+                object.number("cross-zone", 0),
+                object.number("waste", 0),
+                object.number("probe", 0),
+                object.number("peer", 0),
+                object.number("late-fail", 0),
+                object.number("handshake", 0));
     }
 
-    private static Node node(JsonParser json) throws IOException {
-        Node node = new Node();
+    private static JsonObject readObject(JsonParser json) throws IOException {
+        JsonObject object = new JsonObject();
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
             JsonToken value = json.nextToken();
             if (value == JsonToken.START_ARRAY) {
-                node.lists.put(name, nodes(json));
+                object.lists.put(name, readList(json));
             } else {
-                value(node, name, json, value);
+                readValue(object, name, json, value);
             }
         }
-        return node;
+        return object;
     }
 
-    private static List<Node> nodes(JsonParser json) throws IOException {
-        List<Node> list = new ArrayList<>();
+    private static List<JsonObject> readList(JsonParser json) throws IOException {
+        List<JsonObject> list = new ArrayList<>();
         for (JsonToken t = json.nextToken();
                 t != null && t != JsonToken.END_ARRAY;
                 t = json.nextToken()) {
             if (t == JsonToken.START_OBJECT) {
-                list.add(node(json));
+                list.add(readObject(json));
             } else if (t == JsonToken.START_ARRAY) {
                 json.skipChildren();
             } else {
-                Node scalar = new Node();
-                value(scalar, "", json, t);
+                JsonObject scalar = new JsonObject();
+                readValue(scalar, "", json, t);
                 list.add(scalar);
             }
         }
         return list;
     }
 
-    private static void value(Node node, String name, JsonParser json, JsonToken value)
+    private static void readValue(JsonObject object, String name, JsonParser json, JsonToken value)
             throws IOException {
         switch (value) {
-            case START_OBJECT -> node.objects.put(name, node(json));
+            case START_OBJECT -> object.objects.put(name, readObject(json));
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
-                    node.numbers.put(name, json.getDoubleValue());
-            case VALUE_TRUE -> node.numbers.put(name, 1.0);
-            case VALUE_FALSE -> node.numbers.put(name, 0.0);
-            case VALUE_STRING -> node.texts.put(name, json.getText());
+                    object.numbers.put(name, json.getDoubleValue());
+            case VALUE_TRUE -> object.numbers.put(name, 1.0);
+            case VALUE_FALSE -> object.numbers.put(name, 0.0);
+            case VALUE_STRING -> object.strings.put(name, json.getText());
             default -> {}
         }
     }
 
     /** Microseconds of a time in seconds, rounded; 0 for one that is not a number. */
-    public static long micros(double seconds) {
+    public static long toMicros(double seconds) {
         return Math.round(seconds * 1e6);
     }
+
+    /**
+     * A load report of values that are in the order of {@link #REPORTED}; a missing one is NaN.
+     * Milliseconds become microseconds.
+     */
+    public static LoadReport toLoadReport(double[] values) {
+        return new LoadReport(
+                values[0], values[1], values[2], values[3] * 1_000, values[4], values[5]);
+    }
 }
--- a/src/main/java/myrtleladder/loadbalancer/settings/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/package-info.java
@@ -1,2 +1,5 @@
-/** The settings as the users write them, for both the simulator's wire and the sockets. */
+/**
+ * The settings of the decision module as users write them, for the server's configuration file and
+ * the simulator's protocol alike.
+ */
 package myrtleladder.loadbalancer.settings;
--- a/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -9,63 +9,77 @@
 import java.util.HexFormat;
 import myrtleladder.loadbalancer.policy.Balancer;
 
-/** Writes the actions of all instances into one reply. */
+/**
+ * Writes the actions of all instances as one line of decisions for each batch. Confined to the
+ * adapter's thread.
+ */
 final class DecisionWriter {
     private static final JsonFactory JSON = new JsonFactory();
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(1 << 14);
+
+    /** Chosen: room for most replies, in reply. */
+    private static final int INITIAL_REPLY_BYTES = 1 << 14;
+
+    /** Decimal places of a microsecond in a number of seconds. */
+    private static final int MICROSECOND_SCALE = 6;
+
+    private final ByteArrayOutputStream reply = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
     private JsonGenerator json;
 
+    /** Begins the reply to a batch; actions may be written from here on. */
     void begin() throws IOException {
-        bytes.reset();
-        json = JSON.createGenerator(bytes);
+        reply.reset();
+        json = JSON.createGenerator(reply);
         json.writeStartObject();
         json.writeArrayFieldStart("decisions");
     }
 
+    /** Ends the reply. Returns it with its line feed, valid until the next {@link #begin}. */
     ByteArrayOutputStream end() throws IOException {
         json.writeEndArray();
         json.writeEndObject();
         json.close();
-        bytes.write('\n');
-        return bytes;
+        reply.write('\n');
+        return reply;
     }
 
-    Balancer.Actions forInstance(int who) {
-        return new Writer(who);
+    /** The actions of one instance. */
+    Balancer.Actions forInstance(int instance) {
+        return new InstanceWriter(instance);
     }
 
-    void bug(int who, String text) {
-        new Writer(who).action("bug", () -> json.writeStringField("msg", text));
+    /** Writes that an instance has thrown an exception. */
+    void bug(int instance, String text) {
+        new InstanceWriter(instance).action("bug", () -> json.writeStringField("msg", text));
     }
 
-    /** Writes one field or more of an action. */
-    private interface Fields {
+    /** Writes the fields of one kind of action. */
+    private interface FieldsWriter {
         void write() throws IOException;
     }
 
-    /** The sink of one instance. */
-    private final class Writer implements Balancer.Actions {
-        private final int who;
+    /** Writes the actions of one instance. */
+    private final class InstanceWriter implements Balancer.Actions {
+        private final int instance;
 
-        Writer(int who) {
-            this.who = who;
+        InstanceWriter(int instance) {
+            this.instance = instance;
         }
 
-        private void action(String kind, Fields fields) {
+        private void action(String kind, FieldsWriter fields) {
             try {
                 json.writeStartObject();
                 json.writeStringField("kind", kind);
-                json.writeNumberField("who", who);
+                json.writeNumberField("who", instance);
                 fields.write();
                 json.writeEndObject();
             } catch (IOException e) {
-                throw new UncheckedIOException(e);
+                throw new UncheckedIOException(e); // never: the reply is in memory
             }
         }
 
-        private void seconds(String field, long micros) throws IOException {
+        private void seconds(String field, long durationUs) throws IOException {
             json.writeFieldName(field);
-            json.writeNumber(BigDecimal.valueOf(micros, 6).toPlainString());
+            json.writeNumber(BigDecimal.valueOf(durationUs, MICROSECOND_SCALE).toPlainString());
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
@@ -0,0 +1,202 @@
+package myrtleladder.loadbalancer.simulator;
+
+import java.io.PrintStream;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.settings.SettingsReader;
+
+/**
+ * Checks events of the simulator and hands each to its instance as a call of the decision module.
+ * Confined to the adapter's thread.
+ */
+final class EventDispatcher {
+    private static final Set<String> EVENT_KINDS =
+            Set.of(
+                    "create",
+                    "destroy",
+                    "sync",
+                    "work-item",
+                    "answer",
+                    "ping-result",
+                    "client-gone",
+                    "opened",
+                    "reminder",
+                    "whisper");
+    private static final Outcome[] OUTCOMES = Outcome.values();
+    private static final Map<String, ListKind> LIST_KINDS =
+            Map.of(
+                    "update",
+                    ListKind.CHANGES,
+                    "replace",
+                    ListKind.COMPLETE,
+                    "restored",
+                    ListKind.RESTORED,
+                    "unavailable",
+                    ListKind.UNAVAILABLE);
+
+    private final InstanceRegistry instances;
+    private final PrintStream err;
+
+    /** Names of the values in a load report, by instance. */
+    private final Map<Integer, List<String>> reportNames = new HashMap<>();
+
+    /** Notes on events that are skipped go to {@code err}, a line each. */
+    EventDispatcher(InstanceRegistry instances, PrintStream err) {
+        this.instances = instances;
+        this.err = err;
+    }
+
+    /**
+     * Dispatches one event at a time in microseconds; one of an unknown kind is skipped.
+     *
+     * @throws BadInput if a field is missing or malformed, or the instance does not exist
+     */
+    void dispatch(SimulatorEvent event, long nowUs) throws BadInput {
+        EventReader.require(event.kind != null, "kind");
+        if (!EVENT_KINDS.contains(event.kind)) {
+            err.println("skipped an event of unknown kind " + event.kind);
+            return;
+        }
+        int instance = integer(event.instance, "who");
+        switch (event.kind) {
+            case "create" -> create(event, instance, nowUs);
+            case "destroy" -> {
+                instances.destroy(instance);
+                reportNames.remove(instance);
+            }
+            case "sync" -> upstreams(event, instance, nowUs);
+            case "work-item" -> request(event, instance, nowUs);
+            case "answer" -> attemptEnd(event, instance, nowUs);
+            case "ping-result" -> probeResult(event, instance, nowUs);
+            case "client-gone" -> {
+                EventReader.require(event.requestId != null, "corr");
+                instances.deliver(instance, b -> b.clientGone(nowUs, event.requestId));
+            }
+            case "opened" -> {
+                EventReader.require(event.requestId != null, "corr");
+                int attempt = integer(event.attempt, "attempt");
+                instances.deliver(instance, b -> b.opened(nowUs, event.requestId, attempt));
+            }
+            case "reminder" -> {
+                EventReader.require(event.timerToken != null, "ctx");
+                instances.deliver(instance, b -> b.timer(nowUs, event.timerToken));
+            }
+            default -> peerMessage(event, instance, nowUs);
+        }
+    }
+
+    private void create(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+        EventReader.require(event.settings != null, "facts");
+        integer(event.seed, "init-seed");
+        reportNames.put(instance, event.settings.reportNames());
+        instances.create(instance, nowUs, event.seedBits, event.settings.balancer());
+    }
+
+    private void upstreams(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+        ListKind kind = event.listForm == null ? null : LIST_KINDS.get(event.listForm);
+        EventReader.require(kind != null, "form");
+        EventReader.require(event.upstreams != null || kind == ListKind.UNAVAILABLE, "elements");
+        List<Upstream> upstreams = event.upstreams == null ? List.of() : event.upstreams;
+        instances.deliver(instance, b -> b.upstreams(nowUs, kind, upstreams));
+    }
+
+    private void request(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+        EventReader.require(event.requestId != null, "corr");
+        EventReader.require(!Double.isNaN(event.timeLeftS), "time-budget-s");
+        int classIndex = integer(event.classIndex, "lane");
+        Request request =
+                new Request(
+                        event.requestId,
+                        classIndex,
+                        Double.isNaN(event.tenant) ? 0 : (int) event.tenant,
+                        event.affinityKey,
+                        Double.isNaN(event.expectedWorkS)
+                                ? 0
+                                : SettingsReader.toMicros(event.expectedWorkS),
+                        SettingsReader.toMicros(event.timeLeftS),
+                        event.isWrite,
+                        event.isRetry);
+        instances.deliver(instance, b -> b.request(nowUs, request));
+    }
+
+    private void attemptEnd(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+        EventReader.require(event.requestId != null, "corr");
+        EventReader.require(event.upstream != null, "upstream");
+        EventReader.require(event.isConcluded != null, "last");
+        AttemptEnd end =
+                new AttemptEnd(
+                        event.requestId,
+                        integer(event.attempt, "attempt"),
+                        event.upstream,
+                        outcome(event),
+                        tookUs(event),
+                        event.isConcluded,
+                        loadReport(event, instance));
+        instances.deliver(instance, b -> b.outcome(nowUs, end));
+    }
+
+    private void probeResult(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+        EventReader.require(event.upstream != null, "upstream");
+        Outcome outcome = outcome(event);
+        LoadReport load = loadReport(event, instance);
+        instances.deliver(instance, b -> b.probed(nowUs, event.upstream, outcome, load));
+    }
+
+    private void peerMessage(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+        int peer = integer(event.peer, "from");
+        EventReader.require(event.peerMessage != null, "body");
+        byte[] message;
+        try {
+            message = HexFormat.of().parseHex(event.peerMessage);
+        } catch (IllegalArgumentException e) {
+            throw new BadInput("field body is not hex digits");
+        }
+        instances.deliver(instance, b -> b.peerMessage(nowUs, peer, message));
+    }
+
+    private static long tookUs(SimulatorEvent event) throws BadInput {
+        EventReader.require(!Double.isNaN(event.tookS), "took-s");
+        return SettingsReader.toMicros(event.tookS);
+    }
+
+    private static Outcome outcome(SimulatorEvent event) throws BadInput {
+        int ordinal = integer(event.outcome, "ending");
+        if (ordinal < 0 || ordinal >= OUTCOMES.length) {
+            throw new BadInput("field ending has no outcome " + ordinal);
+        }
+        return OUTCOMES[ordinal];
+    }
+
+    /** Null without a report, or where the settings of the instance are not known. */
+    private LoadReport loadReport(SimulatorEvent event, int instance) {
+        List<String> names = reportNames.get(instance);
+        if (event.loadValues == null || names == null) {
+            return null;
+        }
+        double[] values = new double[SettingsReader.REPORTED.size()];
+        Arrays.fill(values, Double.NaN);
+        for (int i = 0; i < names.size() && i < event.loadValues.length; i++) {
+            int index = SettingsReader.REPORTED.indexOf(names.get(i));
+            if (index >= 0) {
+                values[index] = event.loadValues[i];
+            }
+        }
+        return SettingsReader.toLoadReport(values);
+    }
+
+    private static int integer(double value, String field) throws BadInput {
+        EventReader.require(!Double.isNaN(value), field);
+        return (int) value;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
@@ -0,0 +1,195 @@
+package myrtleladder.loadbalancer.simulator;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.settings.SettingsReader;
+
+/** Reads events from JSON. Fields that it does not know, and fields that are null, are skipped. */
+final class EventReader {
+    /** Chosen: most values of a load report that are read; the settings name no more. */
+    private static final int MAX_LOAD_VALUES = 8;
+
+    private static final Map<String, State> STATES =
+            Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
+
+    private EventReader() {}
+
+    /**
+     * Reads one event; the parser is at the start of its object.
+     *
+     * @throws BadInput if a field is malformed
+     * @throws IOException if it is not JSON
+     */
+    static SimulatorEvent read(JsonParser json) throws BadInput, IOException {
+        SimulatorEvent event = new SimulatorEvent();
+        while (json.nextToken() == JsonToken.FIELD_NAME) {
+            String name = json.currentName();
+            JsonToken value = json.nextToken();
+            if (value == JsonToken.VALUE_NULL) {
+                continue;
+            }
+            boolean isKnown =
+                    readText(event, name, json)
+                            || readFlag(event, name, value)
+                            || readNumber(event, name, json)
+                            || readNested(event, name, json, value);
+            if (!isKnown) {
+                json.skipChildren();
+            }
+        }
+        return event;
+    }
+
+    private static boolean readText(SimulatorEvent event, String name, JsonParser json)
+            throws IOException {
+        switch (name) {
+            case "kind" -> event.kind = json.getText();
+            case "corr" -> event.requestId = json.getText();
+            case "upstream" -> event.upstream = json.getText();
+            case "entity" -> event.affinityKey = json.getText();
+            case "ctx" -> event.timerToken = json.getText();
+            case "form" -> event.listForm = json.getText();
+            case "body" -> event.peerMessage = json.getText();
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private static boolean readFlag(SimulatorEvent event, String name, JsonToken value) {
+        boolean isTrue = value == JsonToken.VALUE_TRUE;
+        switch (name) {
+            case "last" -> event.isConcluded = isTrue;
+            case "is-write" -> event.isWrite = isTrue;
+            case "is-retry" -> event.isRetry = isTrue;
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private static boolean readNumber(SimulatorEvent event, String name, JsonParser json)
+            throws BadInput, IOException {
+        switch (name) {
+            case "who" -> event.instance = number(json, name);
+            case "attempt" -> event.attempt = number(json, name);
+            case "ending" -> event.outcome = number(json, name);
+            case "took-s" -> event.tookS = number(json, name);
+            case "effort-s" -> event.expectedWorkS = number(json, name);
+            case "time-budget-s" -> event.timeLeftS = number(json, name);
+            case "lane" -> event.classIndex = number(json, name);
+            case "party" -> event.tenant = number(json, name);
+            case "from" -> event.peer = number(json, name);
+            case "init-seed" -> readSeed(event, name, json);
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private static void readSeed(SimulatorEvent event, String name, JsonParser json)
+            throws BadInput, IOException {
+        event.seed = number(json, name);
+        event.seedBits =
+                json.currentToken() == JsonToken.VALUE_NUMBER_INT
+                        ? json.getBigIntegerValue().longValue()
+                        : (long) event.seed;
+    }
+
+    private static boolean readNested(
+            SimulatorEvent event, String name, JsonParser json, JsonToken value)
+            throws BadInput, IOException {
+        if (name.equals("facts") && value == JsonToken.START_OBJECT) {
+            event.settings = SettingsReader.read(json);
+        } else if (name.equals("feedback") && value == JsonToken.START_ARRAY) {
+            event.loadValues = loadValues(json);
+        } else if (name.equals("elements") && value == JsonToken.START_ARRAY) {
+            event.upstreams = upstreams(json);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private static double number(JsonParser json, String name) throws BadInput, IOException {
+        if (!json.currentToken().isNumeric()) {
+            throw new BadInput("field " + name + " is not a number");
+        }
+        return json.getDoubleValue();
+    }
+
+    /** A value that is no number is NaN. */
+    private static double[] loadValues(JsonParser json) throws IOException {
+        double[] values = new double[MAX_LOAD_VALUES];
+        int count = 0;
+        for (JsonToken t = json.nextToken();
+                t != null && t != JsonToken.END_ARRAY;
+                t = json.nextToken()) {
+            if (count < values.length) {
+                values[count++] = t.isNumeric() ? json.getDoubleValue() : Double.NaN;
+            }
+            json.skipChildren();
+        }
+        return Arrays.copyOf(values, count);
+    }
+
+    private static List<Upstream> upstreams(JsonParser json) throws BadInput, IOException {
+        List<Upstream> upstreams = new ArrayList<>();
+        while (json.nextToken() == JsonToken.START_OBJECT) {
+            upstreams.add(upstream(json));
+        }
+        return upstreams;
+    }
+
+    private static Upstream upstream(JsonParser json) throws BadInput, IOException {
+        String id = null;
+        int zone = 0;
+        int kind = 0;
+        int cell = 0;
+        State state = null;
+        double rating = 1;
+        double startedS = 0;
+        while (json.nextToken() == JsonToken.FIELD_NAME) {
+            String name = json.currentName();
+            if (json.nextToken() == JsonToken.VALUE_NULL) {
+                continue;
+            }
+            switch (name) {
+                case "upstream" -> id = json.getText();
+                case "failure-domain" -> zone = (int) number(json, name);
+                case "type" -> kind = (int) number(json, name);
+                case "block" -> cell = (int) number(json, name);
+                case "readiness" -> state = STATES.get(json.getText());
+                case "rating" -> rating = number(json, name);
+                case "launched-s" -> startedS = number(json, name);
+                default -> json.skipChildren();
+            }
+        }
+        require(id != null, "upstream (in elements)");
+        require(state != null, "readiness (in elements)");
+        long startedUs = SettingsReader.toMicros(startedS);
+        return new Upstream(id, zone, kind, cell, state, rating, startedUs);
+    }
+
+    /**
+     * Checks a field.
+     *
+     * @throws BadInput with the name of the field, unless it is present and valid
+     */
+    static void require(boolean isValid, String field) throws BadInput {
+        if (!isValid) {
+            throw new BadInput("field " + field + " is missing or not understood");
+        }
+    }
+}
--- a/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -7,43 +7,55 @@
 import myrtleladder.loadbalancer.policy.Balance;
 import myrtleladder.loadbalancer.policy.Balancer;
 
-/** Keeps one module for each instance and hands it its events; they share nothing. */
+/**
+ * The instances of the decision module, by their numbers; they share nothing. What one throws is
+ * written as a decision {@code bug} and goes no further. Confined to the adapter's thread.
+ */
 final class InstanceRegistry {
     private final Map<Integer, Balancer> instances = new HashMap<>();
-    private final DecisionWriter replies;
+    private final DecisionWriter decisions;
 
-    InstanceRegistry(DecisionWriter replies) {
-        this.replies = replies;
+    InstanceRegistry(DecisionWriter decisions) {
+        this.decisions = decisions;
     }
 
-    void create(int who, long now, long seed, Balancer.Settings settings) {
-        guarded(
-                who,
+    /** Creates and starts an instance, in place of one that has the number already. */
+    void create(int instance, long nowUs, long seed, Balancer.Settings settings) {
+        runReporting(
+                instance,
                 () -> {
-                    Balancer balancer = new Balance(settings, seed, replies.forInstance(who));
-                    instances.put(who, balancer);
-                    balancer.start(now);
+                    Balancer balancer =
+                            new Balance(settings, seed, decisions.forInstance(instance));
+                    instances.put(instance, balancer);
+                    balancer.start(nowUs);
                 });
     }
 
-    void destroy(int who) {
-        instances.remove(who);
+    /** Removes an instance, if it exists. */
+    void destroy(int instance) {
+        instances.remove(instance);
     }
 
-    void tell(int who, Consumer<Balancer> event) throws BadInput {
-        Balancer balancer = instances.get(who);
+    /**
+     * Hands an event to an instance.
+     *
+     * @throws BadInput if it does not exist
+     */
+    void deliver(int instance, Consumer<Balancer> event) throws BadInput {
+        Balancer balancer = instances.get(instance);
         if (balancer == null) {
-            throw new BadInput("an event for instance " + who + ", which does not exist");
+            throw new BadInput("an event for instance " + instance + ", which does not exist");
         }
-        guarded(who, () -> event.accept(balancer));
+        runReporting(instance, () -> event.accept(balancer));
     }
 
-    private void guarded(int who, Runnable event) {
+    private void runReporting(int instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
-            StackTraceElement[] where = e.getStackTrace();
-            replies.bug(who, e + (where.length > 0 ? " at " + where[0] : ""));
+            // The simulator counts bugs; the other instances go on.
+            StackTraceElement[] trace = e.getStackTrace();
+            decisions.bug(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -80,7 +80,7 @@
         start(list(0, true), discovery);
         Client leaver = client().write(look(FOR_EVER));
         RawSockets.next(discovery.requests);
-        while (node.status().get().open() == 0) {
+        while (node.status().get().openRequests() == 0) {
             Thread.onSpinWait();
         }
         Client other = client();
@@ -205,7 +205,7 @@
     }
 
     private void awaitIdle() throws Exception {
-        while (node.status().get().open() > 0) {
+        while (node.status().get().openRequests() > 0) {
             Thread.onSpinWait();
         }
         // The session is idle a task after its answer, and a socket is closed a turn after its
--- a/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
@@ -149,8 +149,8 @@
                 Files.writeString(folder.resolve("config.json"), Golden.read("node/config.json"));
         BalancerConfig config = BalancerConfig.read(file);
         StringBuilder lines = new StringBuilder();
-        for (EndpointList.Endpoint entry : config.known().entries()) {
-            lines.append(Golden.values(entry.toModule(config.facts()))).append('\n');
+        for (EndpointList.Endpoint entry : config.known().endpoints()) {
+            lines.append(Golden.values(entry.toModule(config.settings()))).append('\n');
         }
         Golden.assertMatches("node/list-values.txt", lines.toString());
     }
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -119,7 +119,7 @@
 
     /** Starts a balancer that knows a list and follows discovery. */
     void start(String known, Server discovery) throws Exception {
-        node = Main.serve(config(known, discovery), group.next(), Transport.TCP);
+        node = LoadBalancerBootstrap.bind(config(known, discovery), group.next(), Transport.TCP);
         node.open();
     }
 
@@ -254,11 +254,11 @@
         group.next()
                 .submit(
                         () ->
-                                node.sending()
-                                        .restrain(
+                                node.trafficControl()
+                                        .setAdmission(
                                                 new TrafficControl.AttemptAdmission() {
                                                     @Override
-                                                    public boolean maySend(String id) {
+                                                    public boolean canSend(String id) {
                                                         if (id.equals("s-" + upstream.addr())
                                                                 && !still.asked) {
                                                             still.asked = true;
@@ -268,8 +268,10 @@
                                                     }
 
                                                     @Override
-                                                    public void ended(
-                                                            String id, boolean served, long took) {}
+                                                    public void attemptEnded(
+                                                            String id,
+                                                            boolean isServed,
+                                                            long tookUs) {}
                                                 }))
                 .get();
         return still;
@@ -298,7 +300,7 @@
         RawSockets.beginChunks(discovery.accepted.get(0));
         RawSockets.chunk(discovery.accepted.get(0), list(42, false, all.toArray(String[]::new)));
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
-        while (group.next().submit(() -> node.sending().listed()).get().stream()
+        while (group.next().submit(() -> node.trafficControl().listedEndpoints()).get().stream()
                 .noneMatch(l -> l.id().equals(marker))) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("the list has not arrived");
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerServerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerServerTest.java
@@ -806,9 +806,9 @@
     })
     void aPlannedStopLeavesMoreRoomWhereOthersServe(
             long deadline, int group, long accepts, long answers) {
-        Main.Stop stop = Main.Stop.of(deadline, group);
-        assertEquals(accepts, stop.keepAccepting());
-        assertEquals(answers, stop.lastAnswer());
+        ShutdownSchedule schedule = ShutdownSchedule.of(deadline, group);
+        assertEquals(accepts, schedule.acceptMs());
+        assertEquals(answers, schedule.lastResponseMs());
     }
 
     @Test
