--- a/src/main/java/myrtleladder/testbed/Main.java
+++ b/src/main/java/myrtleladder/testbed/Main.java
@@ -10,9 +10,9 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import myrtleladder.error.OperatorError.BadOption;
-import myrtleladder.testbed.experiment.Build;
 import myrtleladder.testbed.experiment.Experiment;
-import myrtleladder.testbed.experiment.Play;
+import myrtleladder.testbed.experiment.ExperimentRun;
+import myrtleladder.testbed.experiment.ProgramBuild;
 import myrtleladder.testbed.experiment.Verdict;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -77,9 +77,9 @@
                                     + name);
             boolean terminal = System.console() != null;
             Verdict verdict =
-                    Play.run(
+                    ExperimentRun.run(
                             experiment,
-                            Build.in(build),
+                            ProgramBuild.in(build),
                             folder,
                             p -> {
                                 if (terminal) {
--- a/src/main/java/myrtleladder/testbed/checker/Checker.java
+++ b/src/main/java/myrtleladder/testbed/checker/Checker.java
@@ -52,11 +52,11 @@
 
     private static final class Upstream {
         final long startedAt;
-        final ColdWindow pushed;
+        final SlowStartWindow pushed;
         final Map<String, Long> toldToLeave = new HashMap<>();
         boolean overrun;
 
-        Upstream(long startedAt, ColdWindow pushed) {
+        Upstream(long startedAt, SlowStartWindow pushed) {
             this.startedAt = startedAt;
             this.pushed = pushed;
         }
@@ -127,7 +127,7 @@
      * warm.
      */
     public void started(long now, String upstream, double capacity) {
-        upstreams.put(upstream, new Upstream(now, new ColdWindow(rules, capacity, now)));
+        upstreams.put(upstream, new Upstream(now, new SlowStartWindow(rules, capacity, now)));
     }
 
     /** Discovery has told a balancer that an upstream drains or is gone; the first time counts. */
--- a/src/main/java/myrtleladder/testbed/checker/ColdWindow.java
+++ b/src/main/java/myrtleladder/testbed/checker/SlowStartWindow.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /** What a cold upstream was sent within the window of the rule, against what it can bear. */
-public final class ColdWindow {
+public final class SlowStartWindow {
     private final Rules rules;
     private final double capacity;
     private final long startedAt;
@@ -16,7 +16,7 @@
     /**
      * For an upstream that starts now and does {@code capacity} of work in a microsecond when warm.
      */
-    public ColdWindow(Rules rules, double capacity, long now) {
+    public SlowStartWindow(Rules rules, double capacity, long now) {
         this.rules = rules;
         this.capacity = capacity;
         this.startedAt = now;
--- a/src/main/java/myrtleladder/testbed/experiment/Experiment.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Experiment.java
@@ -8,7 +8,7 @@
 import myrtleladder.testbed.checker.Checker.Repeat;
 import myrtleladder.testbed.checker.Rules;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.testbed.fake.UpstreamProfile;
 import myrtleladder.toml.TomlFile;
 
 /**
@@ -113,7 +113,7 @@
         }
         try {
             kind();
-            Timeline.plan(this);
+            FaultTimeline.plan(this);
         } catch (IllegalArgumentException e) {
             throw new BadFile(file, 0, "", e.getMessage());
         }
@@ -149,13 +149,13 @@
     }
 
     /** The machines of the upstreams. */
-    public UpstreamKind kind() {
+    public UpstreamProfile kind() {
         UpstreamPart u =
                 upstream == null
                         ? new UpstreamPart(null, null, null, null, null, null, null)
                         : upstream;
         long report = (long) (or(u.reportMs(), 900) * MS);
-        return new UpstreamKind(
+        return new UpstreamProfile(
                 (int) or(u.cores(), 2),
                 or(u.speed(), 1),
                 (int) or(u.queue(), 40),
--- a/src/main/java/myrtleladder/testbed/experiment/Play.java
+++ b/src/main/java/myrtleladder/testbed/experiment/ExperimentRun.java
@@ -5,21 +5,21 @@
 import java.nio.file.Path;
 import java.util.function.Consumer;
 import myrtleladder.error.OperatorError;
-import myrtleladder.testbed.fake.Clients;
-import myrtleladder.testbed.fake.Traffic;
+import myrtleladder.testbed.fake.FakeClients;
+import myrtleladder.testbed.fake.TrafficProfile;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.process.BalancerFleet;
 
 /** Plays an experiment once with one build, and leaves its record and report in a folder. */
-public final class Play {
+public final class ExperimentRun {
     private static final double TRY_SHARE = 0.65;
     private static final double BACKOFF_MS = 100;
     private static final int KEYS = 500;
     private static final long WARM_UP_MICROS = 4_000_000;
     private static final double SKEW = 0.8;
 
-    private Play() {}
+    private ExperimentRun() {}
 
     /**
      * Returns what came of it; the folder has the record, the report, and each balancer's log. The
@@ -27,24 +27,27 @@
      * listener} hears twice a second how far the play has come.
      */
     public static Verdict run(
-            Experiment experiment, Build build, Path folder, Consumer<Fleet.Progress> listener)
+            Experiment experiment,
+            ProgramBuild build,
+            Path folder,
+            Consumer<BalancerFleet.Progress> listener)
             throws IOException, OperatorError, InterruptedException {
         Files.createDirectories(folder);
-        Plan plan = Timeline.plan(experiment);
+        FaultPlan plan = FaultTimeline.plan(experiment);
         var t = experiment.traffic();
-        Traffic traffic =
-                new Traffic(
+        TrafficProfile traffic =
+                new TrafficProfile(
                         t.perSecond(),
                         experiment.theClasses(),
                         t.keys() == null ? KEYS : t.keys(),
                         t.skew() == null ? SKEW : t.skew());
-        Clients.Retries retries =
-                new Clients.Retries(
+        FakeClients.Retries retries =
+                new FakeClients.Retries(
                         t.retries() == null ? 2 : t.retries(),
                         TRY_SHARE,
                         (long) (1e3 * (t.backoffMs() == null ? BACKOFF_MS : t.backoffMs())));
-        Fleet.Layout layout =
-                new Fleet.Layout(
+        BalancerFleet.Layout layout =
+                new BalancerFleet.Layout(
                         experiment.balancers(),
                         experiment.upstreams(),
                         experiment.kind(),
@@ -57,12 +60,12 @@
                         build.command(),
                         build.home(),
                         folder.toAbsolutePath());
-        Fleet.Result result;
-        try (Fleet fleet = new Fleet(layout)) {
+        BalancerFleet.Result result;
+        try (BalancerFleet fleet = new BalancerFleet(layout)) {
             result = fleet.play(experiment.micros(), plan, listener);
         }
         Verdict verdict = Verdict.of(experiment, result);
-        PlayRecord.write(folder.resolve("record.jsonl"), experiment, plan, result);
+        RunRecord.write(folder.resolve("record.jsonl"), experiment, plan, result);
         Report.write(folder.resolve("report.html"), experiment, plan, result, verdict);
         return verdict;
     }
--- a/src/main/java/myrtleladder/testbed/experiment/Timeline.java
+++ b/src/main/java/myrtleladder/testbed/experiment/FaultTimeline.java
@@ -8,22 +8,22 @@
 import java.util.stream.IntStream;
 import myrtleladder.testbed.experiment.Experiment.FaultPart;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
 
 /**
  * Turns the timeline of an experiment into a plan: groups as {@code b0..b13} become their members.
  */
-final class Timeline {
+final class FaultTimeline {
     private static final Pattern GROUP = Pattern.compile("([bu])(\\d+)(?:\\.\\.\\1(\\d+))?");
     private static final Set<String> OF_PROCESSES =
             Set.of("kill", "restart", "pause", "resume", "drain");
     private static final Set<String> OF_LINKS = Set.of("cut", "slow", "heal", "reset");
 
-    private Timeline() {}
+    private FaultTimeline() {}
 
-    static Plan plan(Experiment experiment) {
-        List<Plan.Step> steps = new ArrayList<>();
+    static FaultPlan plan(Experiment experiment) {
+        List<FaultPlan.Step> steps = new ArrayList<>();
         List<FaultPart> parts = experiment.faults() == null ? List.of() : experiment.faults();
         for (int i = 0; i < parts.size(); i++) {
             FaultPart part = parts.get(i);
@@ -35,12 +35,12 @@
             List<Fault> faults = faults(part, where, experiment);
             for (int n = 0; n < faults.size(); n++) {
                 steps.add(
-                        new Plan.Step(
+                        new FaultPlan.Step(
                                 (long) (part.atS() * 1e6 + n * part.everyMs() * 1e3),
                                 faults.get(n)));
             }
         }
-        return new Plan(steps);
+        return new FaultPlan(steps);
     }
 
     private static List<Fault> faults(FaultPart part, String where, Experiment experiment) {
--- a/src/main/java/myrtleladder/testbed/experiment/Build.java
+++ b/src/main/java/myrtleladder/testbed/experiment/ProgramBuild.java
@@ -12,10 +12,10 @@
 import myrtleladder.error.OperatorError.NoBuild;
 
 /** A build of the program: its folder, and the command that starts one balancer there. */
-public record Build(Path home, List<String> command) {
+public record ProgramBuild(Path home, List<String> command) {
 
     /** The build in a folder, started as the platform would: by {@code run} of its deploy file. */
-    public static Build in(Path home) throws OperatorError {
+    public static ProgramBuild in(Path home) throws OperatorError {
         Path deploy = home.resolve("deploy/balancer.toml");
         JsonNode run;
         try {
@@ -36,6 +36,6 @@
         if (!Files.exists(jar)) {
             throw new NoBuild(jar, "is missing");
         }
-        return new Build(home.toAbsolutePath(), List.of("/bin/sh", "-c", run.asText()));
+        return new ProgramBuild(home.toAbsolutePath(), List.of("/bin/sh", "-c", run.asText()));
     }
 }
--- a/src/main/java/myrtleladder/testbed/experiment/Report.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Report.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.ToDoubleBiFunction;
-import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.FakeClients.Outcome;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.fault.FaultPlan;
+import myrtleladder.testbed.process.BalancerFleet;
 import myrtleladder.testbed.process.ProcessSample;
 import myrtleladder.testbed.process.UpstreamSample;
 import org.HdrHistogram.Histogram;
@@ -48,18 +48,22 @@
     };
     private static final double[] PERCENTILES = {50, 99};
 
-    private final Plan plan;
-    private final Fleet.Result result;
+    private final FaultPlan plan;
+    private final BalancerFleet.Result result;
     private final int cores;
 
-    private Report(Plan plan, Fleet.Result result, int cores) {
+    private Report(FaultPlan plan, BalancerFleet.Result result, int cores) {
         this.cores = cores;
         this.plan = plan;
         this.result = result;
     }
 
     static void write(
-            Path file, Experiment experiment, Plan plan, Fleet.Result result, Verdict verdict)
+            Path file,
+            Experiment experiment,
+            FaultPlan plan,
+            BalancerFleet.Result result,
+            Verdict verdict)
             throws IOException {
         Report report = new Report(plan, result, experiment.kind().cores());
         StringBuilder page =
--- a/src/main/java/myrtleladder/testbed/experiment/PlayRecord.java
+++ b/src/main/java/myrtleladder/testbed/experiment/RunRecord.java
@@ -8,26 +8,26 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.fault.FaultPlan;
+import myrtleladder.testbed.process.BalancerFleet;
 
 /**
  * The record of a play, one JSON object a line: the experiment, faults, requests, samples, broken
  * rules.
  */
-final class PlayRecord {
+final class RunRecord {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
-    private PlayRecord() {}
+    private RunRecord() {}
 
-    static void write(Path file, Experiment experiment, Plan plan, Fleet.Result result)
+    static void write(Path file, Experiment experiment, FaultPlan plan, BalancerFleet.Result result)
             throws IOException {
         try (Writer out = Files.newBufferedWriter(file)) {
             line(out, Map.of("experiment", experiment));
-            for (Plan.Step step : plan.steps()) {
+            for (FaultPlan.Step step : plan.steps()) {
                 line(out, Map.of("fault", step.fault().toString(), "at", step.at()));
             }
-            for (Fleet.Ended e : result.ended()) {
+            for (BalancerFleet.Ended e : result.ended()) {
                 Map<String, Object> fields = new LinkedHashMap<>();
                 fields.put("at", e.arrival().at());
                 fields.put("class", experiment.classes().get(e.arrival().classIndex()).name());
--- a/src/main/java/myrtleladder/testbed/experiment/Verdict.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Verdict.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.FakeClients.Outcome;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.process.BalancerFleet;
 
 /**
  * What came of one play, in figures.
@@ -29,11 +29,11 @@
 
     private static final double P99 = 0.99;
 
-    static Verdict of(Experiment experiment, Fleet.Result result) {
+    static Verdict of(Experiment experiment, BalancerFleet.Result result) {
         List<RequestClass> classes = experiment.theClasses();
         double asked = 0;
         double served = 0;
-        for (Fleet.Ended e : result.ended()) {
+        for (BalancerFleet.Ended e : result.ended()) {
             double worth = classes.get(e.arrival().classIndex()).worth();
             asked += worth;
             served += e.outcome() == Outcome.SERVED ? worth : 0;
--- a/src/main/java/myrtleladder/testbed/fake/Clients.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeClients.java
@@ -30,22 +30,22 @@
 import java.util.concurrent.TimeUnit;
 import myrtleladder.testbed.checker.Checker;
 import myrtleladder.testbed.checker.Checker.Repeat;
-import myrtleladder.testbed.fake.Traffic.Arrival;
+import myrtleladder.testbed.fake.TrafficProfile.Arrival;
 
 /**
  * The clients, in an open loop: each request goes out at its time, whatever became of those before.
  * They keep their connections, open more when all are busy, and try again by themselves. All on the
  * lab's event loop.
  */
-public final class Clients {
+public final class FakeClients {
     private static final int MAX_BODY = 64 * 1024;
     private static final long CHECK_MICROS = 100_000;
     private static final int CONNECT_MS = 1_000;
 
     private final EventLoop loop;
-    private final LabClock clock;
+    private final TestbedClock clock;
     private final Checker checker;
-    private final Front front;
+    private final FakeFrontend front;
     private final List<RequestClass> classes;
     private final Retries retries;
     private final long slack;
@@ -87,11 +87,11 @@
      * Clients that follow the front; {@code slack} is how long beyond its time they look for an
      * answer.
      */
-    public Clients(
+    public FakeClients(
             EventLoop loop,
-            LabClock clock,
+            TestbedClock clock,
             Checker checker,
-            Front front,
+            FakeFrontend front,
             List<RequestClass> classes,
             Retries retries,
             long slack,
--- a/src/main/java/myrtleladder/testbed/fake/DiscoveryServer.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeDiscoveryServer.java
@@ -44,12 +44,12 @@
  * Each balancer has an address of its own to call, so it is known who was told what. All of it
  * lives on the lab's event loop.
  */
-public final class DiscoveryServer {
+public final class FakeDiscoveryServer {
     private static final JsonFactory JSON = new JsonFactory();
     private static final long EMPTY_LINE_S = 2;
 
     private final EventLoop loop;
-    private final LabClock clock;
+    private final TestbedClock clock;
     private final Checker checker;
     private final long callMicros;
     private final long longestWait;
@@ -67,8 +67,12 @@
      * A call takes {@code callMicros} of its time; one that would wait beyond the longest is turned
      * away.
      */
-    public DiscoveryServer(
-            EventLoop loop, LabClock clock, Checker checker, long callMicros, long longestWait) {
+    public FakeDiscoveryServer(
+            EventLoop loop,
+            TestbedClock clock,
+            Checker checker,
+            long callMicros,
+            long longestWait) {
         this.loop = loop;
         this.clock = clock;
         this.checker = checker;
--- a/src/main/java/myrtleladder/testbed/fake/Front.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeFrontend.java
@@ -10,7 +10,7 @@
  * Deals out new connections among the balancers that it holds for well, in turn. It takes one in
  * when its health was seen good, and notices only after some time that one is gone.
  */
-public final class Front {
+public final class FakeFrontend {
     private final long notice;
     private final Map<String, Balancer> balancers = new LinkedHashMap<>();
     private int turn;
@@ -18,7 +18,7 @@
     /**
      * A front that keeps dealing connections to a balancer until its health was bad for so long.
      */
-    public Front(long noticeMicros) {
+    public FakeFrontend(long noticeMicros) {
         this.notice = noticeMicros;
     }
 
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamServer.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeUpstreamServer.java
@@ -37,13 +37,13 @@
  * An upstream on sockets. Each balancer has an address of its own to come to, so it is known who
  * sent what. All of it lives on the lab's event loop.
  */
-public final class UpstreamServer {
+public final class FakeUpstreamServer {
     private static final int MAX_BODY = 64 * 1024;
 
     private final String id;
-    private final UpstreamKind kind;
+    private final UpstreamProfile kind;
     private final EventLoop loop;
-    private final LabClock clock;
+    private final TestbedClock clock;
     private final Checker checker;
     private final ToDoubleFunction<String> workOf;
     private final UpstreamModel model;
@@ -59,13 +59,13 @@
      * One of some age; {@code workOf} tells what a request costs by its id, NaN for one nobody
      * sent.
      */
-    public UpstreamServer(
+    public FakeUpstreamServer(
             String id,
-            UpstreamKind kind,
+            UpstreamProfile kind,
             long age,
             long seed,
             EventLoop loop,
-            LabClock clock,
+            TestbedClock clock,
             Checker checker,
             ToDoubleFunction<String> workOf) {
         long startedAt = clock.micros() - age;
@@ -145,7 +145,7 @@
     /** The process dies: connections are reset, new ones refused. On the lab's event loop only. */
     public void stop() {
         listening.forEach(Channel::close);
-        List.copyOf(connections).forEach(UpstreamServer::reset);
+        List.copyOf(connections).forEach(FakeUpstreamServer::reset);
         open.clear();
     }
 
--- a/src/main/java/myrtleladder/testbed/fake/LabClock.java
+++ b/src/main/java/myrtleladder/testbed/fake/TestbedClock.java
@@ -1,7 +1,7 @@
 package myrtleladder.testbed.fake;
 
 /** The one clock of a run: microseconds since it was made, by the machine's steady clock. */
-public final class LabClock {
+public final class TestbedClock {
     private final long origin = System.nanoTime();
     private final long unixMillis = System.currentTimeMillis();
 
--- a/src/main/java/myrtleladder/testbed/fake/Traffic.java
+++ b/src/main/java/myrtleladder/testbed/fake/TrafficProfile.java
@@ -13,7 +13,7 @@
  * @param keys how many things requests are about
  * @param skew the nth key is asked for in proportion to n to the minus this
  */
-public record Traffic(double perSecond, List<RequestClass> classes, int keys, double skew) {
+public record TrafficProfile(double perSecond, List<RequestClass> classes, int keys, double skew) {
 
     /**
      * A first try at its time; {@code work} is what it costs an upstream, in microseconds at speed
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import myrtleladder.testbed.checker.ColdWindow;
+import myrtleladder.testbed.checker.SlowStartWindow;
 
 /**
  * An upstream without its sockets: requests come in, answers and the time of the next event go out.
@@ -33,7 +33,7 @@
         void fall();
     }
 
-    private final UpstreamKind kind;
+    private final UpstreamProfile kind;
     private final Out out;
     private final SplittableRandom random;
     private final long startedAt;
@@ -48,7 +48,7 @@
                     return size() > kind.keyRoom();
                 }
             };
-    private final ColdWindow pushed;
+    private final SlowStartWindow pushed;
     private final Deque<Report> reports = new ArrayDeque<>();
     private double slower = 1;
     private boolean draining;
@@ -62,13 +62,13 @@
     private String told;
 
     /** An upstream that starts now, cold. */
-    public UpstreamModel(UpstreamKind kind, long seed, long now, Out out) {
+    public UpstreamModel(UpstreamProfile kind, long seed, long now, Out out) {
         this.kind = kind;
         this.random = new SplittableRandom(seed);
         this.startedAt = now;
         this.periodBegan = now;
         this.out = out;
-        this.pushed = new ColdWindow(kind.rules(), kind.capacity(), now);
+        this.pushed = new SlowStartWindow(kind.rules(), kind.capacity(), now);
     }
 
     private static final class Job {
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamKind.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamProfile.java
@@ -18,7 +18,7 @@
  * @param errorChance chance that a request which has run is answered with an error
  * @param rules when it is cold, and when it falls over
  */
-public record UpstreamKind(
+public record UpstreamProfile(
         int cores,
         double speed,
         int queue,
@@ -32,7 +32,7 @@
         Rules rules) {
 
     /** Refuses values that mean nothing, by name. */
-    public UpstreamKind {
+    public UpstreamProfile {
         require(cores > 0, "cores");
         require(speed > 0, "speed");
         require(queue >= 0, "queue");
--- a/src/main/java/myrtleladder/testbed/fault/Plan.java
+++ b/src/main/java/myrtleladder/testbed/fault/FaultPlan.java
@@ -7,9 +7,9 @@
 import java.util.function.Predicate;
 
 /** Faults with the times, in microseconds from the start, at which they set in. */
-public record Plan(List<Step> steps) {
+public record FaultPlan(List<Step> steps) {
     /** No faults at all. */
-    public static final Plan QUIET = new Plan(List.of());
+    public static final FaultPlan QUIET = new FaultPlan(List.of());
 
     private static final long LONGEST_STEP = 3_600_000_000L;
     private static final long WORST_DRIFT = 200;
@@ -18,7 +18,7 @@
     public record Step(long at, Fault fault) {}
 
     /** Keeps the steps in the order of their times; those of one time stay as they were given. */
-    public Plan {
+    public FaultPlan {
         steps = steps.stream().sorted(Comparator.comparingLong(Step::at)).toList();
     }
 
@@ -26,13 +26,13 @@
      * Draws a plan whose faults all lie before {@code until}: processes killed, started, paused and
      * let go, links cut one way or both, lossy, slow and healed, clocks stepped and set off.
      */
-    public static Plan draw(long seed, List<String> processes, int steps, long until) {
+    public static FaultPlan draw(long seed, List<String> processes, int steps, long until) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Step> drawn = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             drawn.add(new Step(random.nextLong(until), fault(random, processes)));
         }
-        return new Plan(drawn);
+        return new FaultPlan(drawn);
     }
 
     private static Fault fault(SplittableRandom random, List<String> processes) {
@@ -66,7 +66,7 @@
      * and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002, section 3). {@code
      * fails} has to give the same answer for the same plan each time.
      */
-    public Plan shrink(Predicate<Plan> fails) {
+    public FaultPlan shrink(Predicate<FaultPlan> fails) {
         List<Step> left = steps;
         int parts = 2;
         while (!left.isEmpty()) {
@@ -75,7 +75,7 @@
             for (int from = 0; from < left.size() && smaller == null; from += size) {
                 List<Step> without = new ArrayList<>(left.subList(0, from));
                 without.addAll(left.subList(Math.min(left.size(), from + size), left.size()));
-                smaller = fails.test(new Plan(without)) ? without : null;
+                smaller = fails.test(new FaultPlan(without)) ? without : null;
             }
             if (smaller != null) {
                 left = smaller;
@@ -86,7 +86,7 @@
                 parts = Math.min(left.size(), 2 * parts);
             }
         }
-        return new Plan(left);
+        return new FaultPlan(left);
     }
 
     /** One step a line, with its time in seconds. */
--- a/src/main/java/myrtleladder/testbed/fault/Links.java
+++ b/src/main/java/myrtleladder/testbed/fault/LinkFaults.java
@@ -9,7 +9,7 @@
  * a stream of its own: what one link does hangs on its own messages alone, and two runs of a seed
  * agree on it.
  */
-public final class Links {
+public final class LinkFaults {
     private final long seed;
     private final LinkFault usual;
     private final Map<Direction, LinkFault> faults = new HashMap<>();
@@ -21,7 +21,7 @@
     private record Direction(String from, String to) {}
 
     /** Links that all behave as {@code usual} until a fault is set. */
-    public Links(long seed, LinkFault usual) {
+    public LinkFaults(long seed, LinkFault usual) {
         this.seed = seed;
         this.usual = usual;
     }
--- a/src/main/java/myrtleladder/testbed/process/Fleet.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
@@ -26,27 +26,27 @@
 import myrtleladder.testbed.checker.Checker;
 import myrtleladder.testbed.checker.Rules;
 import myrtleladder.testbed.checker.Violation;
-import myrtleladder.testbed.fake.Clients;
-import myrtleladder.testbed.fake.DiscoveryServer;
-import myrtleladder.testbed.fake.DiscoveryServer.Entry;
-import myrtleladder.testbed.fake.DiscoveryServer.State;
-import myrtleladder.testbed.fake.Front;
-import myrtleladder.testbed.fake.LabClock;
-import myrtleladder.testbed.fake.Traffic;
-import myrtleladder.testbed.fake.Traffic.Arrival;
-import myrtleladder.testbed.fake.UpstreamKind;
-import myrtleladder.testbed.fake.UpstreamServer;
+import myrtleladder.testbed.fake.FakeClients;
+import myrtleladder.testbed.fake.FakeDiscoveryServer;
+import myrtleladder.testbed.fake.FakeDiscoveryServer.Entry;
+import myrtleladder.testbed.fake.FakeDiscoveryServer.State;
+import myrtleladder.testbed.fake.FakeFrontend;
+import myrtleladder.testbed.fake.FakeUpstreamServer;
+import myrtleladder.testbed.fake.TestbedClock;
+import myrtleladder.testbed.fake.TrafficProfile;
+import myrtleladder.testbed.fake.TrafficProfile.Arrival;
+import myrtleladder.testbed.fake.UpstreamProfile;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.proxy.Relay;
+import myrtleladder.testbed.proxy.FaultProxy;
 
 /**
  * Balancers as processes, and all that surrounds them, on the loopback of this machine. Each way
  * from a balancer to an upstream goes through a relay, so that it can fail alone. Closing ends
  * every process.
  */
-public final class Fleet implements AutoCloseable {
+public final class BalancerFleet implements AutoCloseable {
     private static final long CALL_MICROS = 20_000;
     private static final long LONGEST_CALL_WAIT = 1_000_000;
     private static final long NOTICE_MICROS = 1_000_000;
@@ -57,14 +57,14 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final LabClock clock = new LabClock();
+    private final TestbedClock clock = new TestbedClock();
     private final Checker checker;
-    private final Relay relay;
-    private final Front front = new Front(NOTICE_MICROS);
-    private final DiscoveryServer discovery;
-    private final Clients clients;
+    private final FaultProxy relay;
+    private final FakeFrontend front = new FakeFrontend(NOTICE_MICROS);
+    private final FakeDiscoveryServer discovery;
+    private final FakeClients clients;
     private final Map<String, BalancerProcess> balancers = new LinkedHashMap<>();
-    private final Map<String, UpstreamServer> upstreams = new LinkedHashMap<>();
+    private final Map<String, FakeUpstreamServer> upstreams = new LinkedHashMap<>();
     private final List<Ended> ended = new ArrayList<>();
     private final List<ProcessSample> processes = new ArrayList<>();
     private final List<UpstreamSample> loads = new ArrayList<>();
@@ -90,10 +90,10 @@
     public record Layout(
             int balancers,
             int upstreams,
-            UpstreamKind kind,
+            UpstreamProfile kind,
             Rules rules,
-            Traffic traffic,
-            Clients.Retries retries,
+            TrafficProfile traffic,
+            FakeClients.Retries retries,
             LinkFault links,
             long seed,
             long warmUp,
@@ -103,7 +103,7 @@
 
     /** What became of one first try; times are microseconds. */
     public record Ended(
-            Arrival arrival, Clients.Outcome outcome, long took, int tries, long sentLate) {}
+            Arrival arrival, FakeClients.Outcome outcome, long took, int tries, long sentLate) {}
 
     /** How far a play has come: its time in microseconds, requests ended, rules broken. */
     public record Progress(long at, int ended, int violations) {}
@@ -117,7 +117,7 @@
             List<ProcessSample> processes,
             List<UpstreamSample> loads) {
         /** Part of the first tries that ended so. */
-        public double part(Clients.Outcome outcome) {
+        public double part(FakeClients.Outcome outcome) {
             return ended.stream().filter(e -> e.outcome() == outcome).count()
                     / (double) ended.size();
         }
@@ -130,13 +130,14 @@
     }
 
     /** Sets all up, and starts the processes. */
-    public Fleet(Layout layout) throws IOException, OperatorError, InterruptedException {
+    public BalancerFleet(Layout layout) throws IOException, OperatorError, InterruptedException {
         this.layout = layout;
         this.checker = new Checker(layout.rules());
-        this.relay = new Relay(layout.seed(), layout.links());
-        this.discovery = new DiscoveryServer(loop, clock, checker, CALL_MICROS, LONGEST_CALL_WAIT);
+        this.relay = new FaultProxy(layout.seed(), layout.links());
+        this.discovery =
+                new FakeDiscoveryServer(loop, clock, checker, CALL_MICROS, LONGEST_CALL_WAIT);
         this.clients =
-                new Clients(
+                new FakeClients(
                         loop,
                         clock,
                         checker,
@@ -183,10 +184,10 @@
      * it.
      */
     private Entry upstream(String id, long age, List<String> names) {
-        UpstreamServer server =
+        FakeUpstreamServer server =
                 loop.submit(
                                 () ->
-                                        new UpstreamServer(
+                                        new FakeUpstreamServer(
                                                 id,
                                                 layout.kind(),
                                                 age,
@@ -275,12 +276,12 @@
     }
 
     /** Plays the traffic for so long, under a plan, up to the end of the last request. */
-    public Result play(long micros, Plan plan) throws InterruptedException {
+    public Result play(long micros, FaultPlan plan) throws InterruptedException {
         return play(micros, plan, progress -> {});
     }
 
     /** The same, and tells twice a second how far it has come. */
-    public Result play(long micros, Plan plan, Consumer<Progress> listener)
+    public Result play(long micros, FaultPlan plan, Consumer<Progress> listener)
             throws InterruptedException {
         if (layout.warmUp() > 0) {
             List<Arrival> before =
@@ -304,7 +305,7 @@
         List<Arrival> arrivals = layout.traffic().draw(layout.seed(), micros);
         long from = clock.micros();
         loop.execute(() -> clients.play(arrivals, from));
-        for (Plan.Step step : plan.steps()) {
+        for (FaultPlan.Step step : plan.steps()) {
             hand.schedule(
                     byHand(() -> bring(step.fault())),
                     from + step.at() - clock.micros(),
@@ -321,7 +322,7 @@
                             checker.expire(clock.micros());
                             long connections =
                                     upstreams.values().stream()
-                                            .mapToLong(UpstreamServer::accepted)
+                                            .mapToLong(FakeUpstreamServer::accepted)
                                             .sum();
                             List<Violation> found = checker.violations();
                             return new Result(
@@ -436,7 +437,7 @@
         relay.close();
         loop.submit(
                         () -> {
-                            upstreams.values().forEach(UpstreamServer::stop);
+                            upstreams.values().forEach(FakeUpstreamServer::stop);
                             discovery.stop();
                         })
                 .syncUninterruptibly();
--- a/src/main/java/myrtleladder/testbed/proxy/DatagramLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/DatagramProxy.java
@@ -11,19 +11,20 @@
 import java.net.InetSocketAddress;
 import java.net.PortUnreachableException;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.testbed.fault.Links;
+import myrtleladder.testbed.fault.LinkFaults;
 
 /** One pair of processes over UDP, both ways. Whoever is not the target was told this address. */
-final class DatagramLink extends SimpleChannelInboundHandler<DatagramPacket> {
+final class DatagramProxy extends SimpleChannelInboundHandler<DatagramPacket> {
     private final EventLoop loop;
-    private final Links links;
+    private final LinkFaults links;
     private final String from;
     private final String to;
     private final InetSocketAddress target;
     private Channel channel;
     private InetSocketAddress sender;
 
-    DatagramLink(EventLoop loop, Links links, String from, String to, InetSocketAddress target) {
+    DatagramProxy(
+            EventLoop loop, LinkFaults links, String from, String to, InetSocketAddress target) {
         this.loop = loop;
         this.links = links;
         this.from = from;
--- a/src/main/java/myrtleladder/testbed/proxy/Relay.java
+++ b/src/main/java/myrtleladder/testbed/proxy/FaultProxy.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Links;
+import myrtleladder.testbed.fault.LinkFaults;
 
 /**
  * Carries what processes send to each other, and brings link faults about on the way. A process is
@@ -20,17 +20,17 @@
  * <p>All of it lives on one event loop, which owns the links. Faults of processes are not its
  * affair.
  */
-public final class Relay implements AutoCloseable {
+public final class FaultProxy implements AutoCloseable {
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Links links;
-    private final List<StreamLink> streams = new ArrayList<>();
-    private final List<DatagramLink> datagrams = new ArrayList<>();
+    private final LinkFaults links;
+    private final List<StreamProxy> streams = new ArrayList<>();
+    private final List<DatagramProxy> datagrams = new ArrayList<>();
 
     /** A relay whose links behave as {@code usual} until a fault is put on them. */
-    public Relay(long seed, LinkFault usual) {
-        this.links = new Links(seed, usual);
+    public FaultProxy(long seed, LinkFault usual) {
+        this.links = new LinkFaults(seed, usual);
     }
 
     /**
@@ -38,7 +38,7 @@
      * instead.
      */
     public InetSocketAddress stream(String from, String to, InetSocketAddress target) {
-        StreamLink link = new StreamLink(loop, links, from, to, target);
+        StreamProxy link = new StreamProxy(loop, links, from, to, target);
         loop.submit(() -> streams.add(link)).syncUninterruptibly();
         return link.bind();
     }
@@ -49,7 +49,7 @@
      * direction of the link.
      */
     public InetSocketAddress datagrams(String from, String to, InetSocketAddress target) {
-        DatagramLink link = new DatagramLink(loop, links, from, to, target);
+        DatagramProxy link = new DatagramProxy(loop, links, from, to, target);
         loop.submit(() -> datagrams.add(link)).syncUninterruptibly();
         return link.bind();
     }
@@ -60,15 +60,15 @@
                         () -> {
                             if (fault instanceof Fault.Link f) {
                                 links.set(f.from(), f.to(), f.fault());
-                                between(f.from(), f.to()).forEach(StreamLink::go);
+                                between(f.from(), f.to()).forEach(StreamProxy::go);
                             } else if (fault instanceof Fault.Heal f) {
                                 links.heal(f.from(), f.to());
-                                between(f.from(), f.to()).forEach(StreamLink::go);
+                                between(f.from(), f.to()).forEach(StreamProxy::go);
                             } else if (fault instanceof Fault.HealAll) {
                                 links.healAll();
-                                streams.forEach(StreamLink::go);
+                                streams.forEach(StreamProxy::go);
                             } else if (fault instanceof Fault.Reset f) {
-                                between(f.one(), f.other()).forEach(StreamLink::reset);
+                                between(f.one(), f.other()).forEach(StreamProxy::reset);
                             } else {
                                 throw new IllegalArgumentException(
                                         "not a fault of a link: " + fault);
@@ -77,7 +77,7 @@
                 .syncUninterruptibly();
     }
 
-    private List<StreamLink> between(String one, String other) {
+    private List<StreamProxy> between(String one, String other) {
         return streams.stream().filter(s -> s.between(one, other)).toList();
     }
 
@@ -86,8 +86,8 @@
     public void close() {
         loop.submit(
                         () -> {
-                            streams.forEach(StreamLink::close);
-                            datagrams.forEach(DatagramLink::close);
+                            streams.forEach(StreamProxy::close);
+                            datagrams.forEach(DatagramProxy::close);
                         })
                 .syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/main/java/myrtleladder/testbed/proxy/StreamLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
@@ -21,14 +21,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.testbed.fault.Links;
+import myrtleladder.testbed.fault.LinkFaults;
 
 /**
  * One pair of processes over TCP: connections that the first opens to the second. Bytes keep their
  * order, as TCP has it: a lost piece is late by a retransmission; behind a cut all waits until the
  * cut is healed. An end of a connection waits its turn like bytes, so a cut hides it too.
  */
-final class StreamLink {
+final class StreamProxy {
     /** What a lost piece costs: the least retransmission time of common kernels. */
     private static final long RETRANSMIT_MICROS = 200_000;
 
@@ -36,14 +36,15 @@
     private static final int WINDOW = 256 * 1024;
 
     private final EventLoop loop;
-    private final Links links;
+    private final LinkFaults links;
     private final String from;
     private final String to;
     private final InetSocketAddress target;
     private final Set<Side> sides = new LinkedHashSet<>();
     private Channel listening;
 
-    StreamLink(EventLoop loop, Links links, String from, String to, InetSocketAddress target) {
+    StreamProxy(
+            EventLoop loop, LinkFaults links, String from, String to, InetSocketAddress target) {
         this.loop = loop;
         this.links = links;
         this.from = from;
--- a/src/main/java/myrtleladder/testbed/simulation/History.java
+++ b/src/main/java/myrtleladder/testbed/simulation/EventHistory.java
@@ -12,7 +12,7 @@
  * What happened in a world: the last lines in full, and a digest of all. Two runs of one seed have
  * the same digest, or something in them hangs on more than the seed.
  */
-public final class History {
+public final class EventHistory {
     private static final int KEPT = 2_000;
     private final Deque<String> last = new ArrayDeque<>();
     private final CRC32C digest = new CRC32C();
--- a/src/main/java/myrtleladder/testbed/simulation/Core.java
+++ b/src/main/java/myrtleladder/testbed/simulation/ProtocolCore.java
@@ -5,7 +5,7 @@
  * Actions} from within them. It keeps no time and draws no chance of its own. Times are
  * microseconds of its steady clock.
  */
-public interface Core {
+public interface ProtocolCore {
     /** The process has just started. */
     void started(long now);
 
@@ -20,7 +20,7 @@
         /** Sends a message that may be late, lost, doubled or overtaken. */
         void send(String to, byte[] message);
 
-        /** Asks for {@link Core#due} after a delay by the steady clock of this process. */
+        /** Asks for {@link ProtocolCore#due} after a delay by the steady clock of this process. */
         void timer(String token, long delay);
 
         /** What the wall clock of this process shows; it may jump. */
@@ -36,6 +36,6 @@
      */
     interface Maker {
         /** A core for one life of the process, with a seed of its own. */
-        Core make(String name, long seed, Actions actions);
+        ProtocolCore make(String name, long seed, Actions actions);
     }
 }
--- a/src/main/java/myrtleladder/testbed/simulation/Explorer.java
+++ b/src/main/java/myrtleladder/testbed/simulation/ScheduleExplorer.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 import java.util.Optional;
-import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.fault.FaultPlan;
 
 /**
  * Plays one scenario under many drawn plans; tells of the first that fails, and how to see it
  * again.
  */
-public final class Explorer {
-    private Explorer() {}
+public final class ScheduleExplorer {
+    private ScheduleExplorer() {}
 
     /** Something that is played under a plan and says what went wrong, if anything. */
     public interface Scenario {
         /** Has to say the same each time for the same seed and plan. */
-        Optional<String> play(long seed, Plan plan);
+        Optional<String> play(long seed, FaultPlan plan);
     }
 
     /** A failure: its seed, the plan as shrunk, and what went wrong under that. */
-    public record Finding(long seed, Plan plan, String fault) {
+    public record Finding(long seed, FaultPlan plan, String fault) {
         @Override
         public String toString() {
             return fault + "\n  with seed " + seed + " and the plan" + plan;
@@ -37,10 +37,10 @@
             long until,
             Scenario scenario) {
         for (long seed = firstSeed; seed < firstSeed + plays; seed++) {
-            Plan plan = Plan.draw(seed, processes, steps, until);
+            FaultPlan plan = FaultPlan.draw(seed, processes, steps, until);
             if (scenario.play(seed, plan).isPresent()) {
                 long its = seed;
-                Plan least = plan.shrink(p -> scenario.play(its, p).isPresent());
+                FaultPlan least = plan.shrink(p -> scenario.play(its, p).isPresent());
                 return Optional.of(
                         new Finding(seed, least, scenario.play(seed, least).orElseThrow()));
             }
--- a/src/main/java/myrtleladder/testbed/simulation/World.java
+++ b/src/main/java/myrtleladder/testbed/simulation/SimulatedNetwork.java
@@ -9,21 +9,21 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Links;
-import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.fault.LinkFaults;
 
 /**
  * Processes, their clocks and the network between them, in virtual time. All that happens follows
  * from the seed, the processes and the plan: events of one moment come in the order in which they
  * were brought about.
  */
-public final class World {
+public final class SimulatedNetwork {
     private static final double MILLION = 1e6;
 
     private final long seed;
-    private final Links links;
-    private final History history = new History();
+    private final LinkFaults links;
+    private final EventHistory history = new EventHistory();
     private final Map<String, Process> processes = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -36,15 +36,15 @@
     private long handled;
 
     /** A world whose links behave as {@code usual} until a fault is put on them. */
-    public World(long seed, LinkFault usual) {
+    public SimulatedNetwork(long seed, LinkFault usual) {
         this.seed = seed;
-        this.links = new Links(seed, usual);
+        this.links = new LinkFaults(seed, usual);
     }
 
     private record Event(long at, long number, Runnable what) {}
 
     /** Adds a process and starts it now. */
-    public void add(String name, Core.Maker maker) {
+    public void add(String name, ProtocolCore.Maker maker) {
         Process process = new Process(name, maker);
         if (processes.putIfAbsent(name, process) != null) {
             throw new IllegalArgumentException("there is a process " + name + " already");
@@ -53,7 +53,7 @@
     }
 
     /** Brings about each step of a plan at its time, counted from now. */
-    public void follow(Plan plan) {
+    public void follow(FaultPlan plan) {
         plan.steps().forEach(step -> at(now + step.at(), () -> bring(step.fault())));
     }
 
@@ -106,7 +106,7 @@
     }
 
     /** What has happened so far. */
-    public History history() {
+    public EventHistory history() {
         return history;
     }
 
@@ -128,11 +128,11 @@
     }
 
     /** One process over all its lives. */
-    private final class Process implements Core.Actions {
+    private final class Process implements ProtocolCore.Actions {
         private final String name;
-        private final Core.Maker maker;
+        private final ProtocolCore.Maker maker;
         private final Deque<LongConsumer> waiting = new ArrayDeque<>();
-        private Core core;
+        private ProtocolCore core;
         private int life;
         private boolean paused;
         private long wallOffset;
@@ -140,7 +140,7 @@
         private long rateSince;
         private long steadyThen;
 
-        Process(String name, Core.Maker maker) {
+        Process(String name, ProtocolCore.Maker maker) {
             this.name = name;
             this.maker = maker;
         }
--- a/src/test/java/myrtleladder/cluster/PointFaults.java
+++ b/src/test/java/myrtleladder/cluster/PointFaults.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.testbed.fault.Fault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.simulation.Core;
-import myrtleladder.testbed.simulation.World;
+import myrtleladder.testbed.fault.FaultPlan;
+import myrtleladder.testbed.simulation.ProtocolCore;
+import myrtleladder.testbed.simulation.SimulatedNetwork;
 
 /** Faults at numbered points of processes in virtual time, one after the other, whoever passes. */
 public final class PointFaults<P extends Enum<P>> {
@@ -62,16 +62,16 @@
 
     /** One life's steps and messages, with what goes wrong with them. */
     public final class Post {
-        private final World world;
+        private final SimulatedNetwork world;
         private final String process;
-        private final Core.Actions actions;
+        private final ProtocolCore.Actions actions;
         private final List<Runnable> held = new ArrayList<>();
         private final Map<String, Runnable> late = new HashMap<>();
         private Kind next;
         private boolean standing;
 
         /** That of a process of a world. */
-        public Post(World world, String process, Core.Actions actions) {
+        public Post(SimulatedNetwork world, String process, ProtocolCore.Actions actions) {
             this.world = world;
             this.process = process;
             this.actions = actions;
@@ -87,7 +87,8 @@
                     standing = false;
                     world.bring(new Fault.Pause(process));
                     world.follow(
-                            new Plan(List.of(new Plan.Step(STAND, new Fault.Resume(process)))));
+                            new FaultPlan(
+                                    List.of(new FaultPlan.Step(STAND, new Fault.Resume(process)))));
                 }
             } catch (Crashed e) {
                 world.bring(new Fault.Kill(process));
@@ -135,7 +136,9 @@
             passes.clear();
             sprung++;
             if (at.kind() == Kind.RESTART) {
-                world.follow(new Plan(List.of(new Plan.Step(SECOND, new Fault.Restart(process)))));
+                world.follow(
+                        new FaultPlan(
+                                List.of(new FaultPlan.Step(SECOND, new Fault.Restart(process)))));
             }
             if (at.kind() == Kind.RESTART || at.kind() == Kind.CRASH) {
                 throw new Crashed();
--- a/src/test/java/myrtleladder/consensus/AgreementTest.java
+++ b/src/test/java/myrtleladder/consensus/AgreementTest.java
@@ -20,8 +20,8 @@
 import myrtleladder.cluster.PointFaults.At;
 import myrtleladder.cluster.PointFaults.Kind;
 import myrtleladder.testbed.fault.Fault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.simulation.Explorer;
+import myrtleladder.testbed.fault.FaultPlan;
+import myrtleladder.testbed.simulation.ScheduleExplorer;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -73,11 +73,12 @@
     /**
      * The wall clock stays as it is: tokens grow by it when nobody is left who knows the last one.
      */
-    private static Optional<String> play(long seed, Plan plan, AgreeSettings settings, int count) {
+    private static Optional<String> play(
+            long seed, FaultPlan plan, AgreeSettings settings, int count) {
         VirtualAgreement fleet = new VirtualAgreement(seed, settings).with(count);
         fleet.run(8 * SECOND);
         fleet.world.follow(
-                new Plan(
+                new FaultPlan(
                         plan.steps().stream()
                                 .filter(s -> !(s.fault() instanceof Fault.StepClock))
                                 .toList()));
@@ -85,9 +86,9 @@
         return end(fleet);
     }
 
-    private static Optional<Explorer.Finding> explore(long first, int plays, String who) {
+    private static Optional<ScheduleExplorer.Finding> explore(long first, int plays, String who) {
         int count = who.equals("three of six") ? 6 : 5;
-        return Explorer.explore(
+        return ScheduleExplorer.explore(
                 first,
                 plays,
                 names(count),
--- a/src/test/java/myrtleladder/consensus/VirtualAgreement.java
+++ b/src/test/java/myrtleladder/consensus/VirtualAgreement.java
@@ -22,8 +22,8 @@
 import myrtleladder.gossip.Meta;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.simulation.Core;
-import myrtleladder.testbed.simulation.World;
+import myrtleladder.testbed.simulation.ProtocolCore;
+import myrtleladder.testbed.simulation.SimulatedNetwork;
 
 /**
  * Processes with a membership and an agreement each, in virtual time, that propose all the while;
@@ -35,7 +35,7 @@
     private static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
     private static final long WORK = 1_500_000;
 
-    final World world;
+    final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
     final PointFaults<Point> faults = new PointFaults<>();
@@ -55,7 +55,7 @@
     UnaryOperator<Message> says = UnaryOperator.identity();
 
     VirtualAgreement(long seed, AgreeSettings settings) {
-        this.world = new World(seed, LAN);
+        this.world = new SimulatedNetwork(seed, LAN);
         this.settings = settings;
         this.lives = new SplittableRandom(seed);
     }
@@ -122,7 +122,7 @@
     }
 
     /** One life with all that it holds. */
-    final class Node implements Core, Agreement.Out, Membership.Out {
+    final class Node implements ProtocolCore, Agreement.Out, Membership.Out {
         final Life me;
         final Agreement agreement;
         final Chain machine = new Chain();
--- a/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.simulation.Explorer;
+import myrtleladder.testbed.simulation.ScheduleExplorer;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -129,7 +129,7 @@
     @Test
     void drawnFaultsByTheThousand() {
         int plays = Integer.getInteger("plays", 10_000);
-        Optional<Explorer.Finding> found = MembershipTest.explore(plays);
+        Optional<ScheduleExplorer.Finding> found = MembershipTest.explore(plays);
         System.out.println(
                 "drawn | " + plays + " | " + (found.isEmpty() ? "held" : found.get()) + " |");
         assertTrue(found.isEmpty());
--- a/src/test/java/myrtleladder/gossip/MembershipTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipTest.java
@@ -15,9 +15,9 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.simulation.Explorer;
+import myrtleladder.testbed.simulation.ScheduleExplorer;
 import org.junit.jupiter.api.Test;
 
 /** Members in virtual time, with faults between them: they find out who is there, and agree. */
@@ -34,7 +34,7 @@
 
     /** How a scenario of drawn faults ends: 30 s of them, then 40 s to settle. */
     private static Optional<String> play(
-            long seed, Plan plan, UnaryOperator<byte[]> hears, UnaryOperator<byte[]> says) {
+            long seed, FaultPlan plan, UnaryOperator<byte[]> hears, UnaryOperator<byte[]> says) {
         VirtualFleet fleet = new VirtualFleet(seed, LAN, FLEET, SEEDS, hears, says);
         List<String> names = names(7);
         names.forEach(fleet::add);
@@ -47,19 +47,19 @@
                 : Optional.ofNullable(fleet.disagreement());
     }
 
-    private static Optional<Explorer.Finding> explore(
+    private static Optional<ScheduleExplorer.Finding> explore(
             int plays, UnaryOperator<byte[]> hears, UnaryOperator<byte[]> says) {
-        return Explorer.explore(
+        return ScheduleExplorer.explore(
                 1, plays, names(7), 25, 30 * SECOND, (seed, plan) -> play(seed, plan, hears, says));
     }
 
-    static Optional<Explorer.Finding> explore(int plays) {
+    static Optional<ScheduleExplorer.Finding> explore(int plays) {
         return explore(plays, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
     @Test
     void afterTheLastFaultAllAgreeAndNoIncarnationGoesBack() {
-        Optional<Explorer.Finding> found = explore(120);
+        Optional<ScheduleExplorer.Finding> found = explore(120);
         assertTrue(found.isEmpty(), () -> found.orElseThrow().toString());
     }
 
--- a/src/test/java/myrtleladder/gossip/VirtualFleet.java
+++ b/src/test/java/myrtleladder/gossip/VirtualFleet.java
@@ -9,17 +9,17 @@
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.simulation.Core;
-import myrtleladder.testbed.simulation.World;
+import myrtleladder.testbed.simulation.ProtocolCore;
+import myrtleladder.testbed.simulation.SimulatedNetwork;
 
 /** Memberships as processes of the virtual world; addresses are names. */
 public final class VirtualFleet {
     static final long SECOND = 1_000_000;
     static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
 
-    final World world;
+    final SimulatedNetwork world;
     final Map<String, Membership> members = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
     final List<Said> events = new ArrayList<>();
@@ -46,7 +46,7 @@
             List<String> seeds,
             UnaryOperator<byte[]> hears,
             UnaryOperator<byte[]> says) {
-        this.world = new World(seed, links);
+        this.world = new SimulatedNetwork(seed, links);
         this.settings = settings;
         this.seeds = seeds;
         this.hears = hears;
@@ -130,11 +130,11 @@
         return null;
     }
 
-    void follow(Plan plan) {
+    void follow(FaultPlan plan) {
         world.follow(plan);
     }
 
-    private final class Hosted implements Core, Membership.Out {
+    private final class Hosted implements ProtocolCore, Membership.Out {
         private final String process;
         private final Actions actions;
         private final Map<String, Claim> last = new LinkedHashMap<>();
--- a/src/test/java/myrtleladder/loadbalancer/admin/AgreementOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/AgreementOfProcessesTest.java
@@ -12,8 +12,8 @@
 import java.util.function.Predicate;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.process.Fleet;
-import myrtleladder.testbed.proxy.Relay;
+import myrtleladder.testbed.process.BalancerFleet;
+import myrtleladder.testbed.proxy.FaultProxy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -112,7 +112,7 @@
                 });
     }
 
-    private void throughCuts(Relay relay, long epoch) throws Exception {
+    private void throughCuts(FaultProxy relay, long epoch) throws Exception {
         // It hears the others and is not heard, then the reverse.
         String cut = leader();
         without(cut).forEach(n -> relay.bring(new Fault.Link(cut, n, LinkFault.CUT)));
@@ -137,7 +137,7 @@
         assertEquals(epoch, epoch("b0"), "somebody began anew");
     }
 
-    private void throughLossAndSlowness(Fleet fleet, Relay relay) throws Exception {
+    private void throughLossAndSlowness(BalancerFleet fleet, FaultProxy relay) throws Exception {
         for (String from : ALL) {
             without(from).forEach(to -> relay.bring(new Fault.Link(from, to, LOSSY)));
         }
--- a/src/test/java/myrtleladder/loadbalancer/admin/FleetOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FleetOfProcessesTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.process.BalancerFleet;
 import myrtleladder.testbed.process.BalancerProcess;
-import myrtleladder.testbed.process.Fleet;
-import myrtleladder.testbed.proxy.Relay;
+import myrtleladder.testbed.proxy.FaultProxy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -43,7 +43,7 @@
                 });
     }
 
-    private static void killAndRestart(Processes all, Fleet fleet) throws Exception {
+    private static void killAndRestart(Processes all, BalancerFleet fleet) throws Exception {
         long life = claim(all.look("b0"), "b4").get("life").asLong();
         fleet.bring(new Fault.Kill("b4"));
         all.await("a kill", List.of("b0", "b1", "b2", "b3"), is("b4", "DEAD"));
@@ -54,7 +54,7 @@
                 is("b4", "ALIVE").and(l -> claim(l, "b4").get("life").asLong() != life));
     }
 
-    private static void pauseAndResume(Processes all, Fleet fleet) throws Exception {
+    private static void pauseAndResume(Processes all, BalancerFleet fleet) throws Exception {
         long incarnation = claim(all.look("b0"), "b3").get("incarnation").asLong();
         fleet.bring(new Fault.Pause("b3"));
         all.await("a pause", List.of("b0", "b1", "b2", "b4"), is("b3", "DEAD"));
@@ -66,7 +66,7 @@
                         .and(l -> claim(l, "b3").get("incarnation").asLong() > incarnation));
     }
 
-    private static void cutAndHeal(Processes all, Relay relay) throws Exception {
+    private static void cutAndHeal(Processes all, FaultProxy relay) throws Exception {
         ALL.stream()
                 .filter(n -> !n.equals("b2"))
                 .forEach(n -> relay.bring(new Fault.Link("b2", n, LinkFault.CUT)));
--- a/src/test/java/myrtleladder/loadbalancer/admin/Processes.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/Processes.java
@@ -26,15 +26,15 @@
 import java.util.function.Predicate;
 import myrtleladder.testbed.checker.Checker.Repeat;
 import myrtleladder.testbed.checker.Rules;
-import myrtleladder.testbed.fake.Clients;
+import myrtleladder.testbed.fake.FakeClients;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fake.Traffic;
-import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.testbed.fake.TrafficProfile;
+import myrtleladder.testbed.fake.UpstreamProfile;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
+import myrtleladder.testbed.process.BalancerFleet;
 import myrtleladder.testbed.process.BalancerProcess;
-import myrtleladder.testbed.process.Fleet;
-import myrtleladder.testbed.proxy.Relay;
+import myrtleladder.testbed.proxy.FaultProxy;
 
 /**
  * Processes of the program that are one fleet, with relays between them, and what each of them
@@ -97,22 +97,22 @@
 
     /** What is done with a fleet that runs. */
     interface Body {
-        void with(Fleet fleet, Relay relay) throws Exception;
+        void with(BalancerFleet fleet, FaultProxy relay) throws Exception;
     }
 
     /** Starts all with a relay between each two of them, and ends them after. */
-    void run(Fleet.Layout layout, Body body) throws Exception {
-        try (Relay relay = new Relay(5, LinkFault.NONE)) {
+    void run(BalancerFleet.Layout layout, Body body) throws Exception {
+        try (FaultProxy relay = new FaultProxy(5, LinkFault.NONE)) {
             for (String name : udp.keySet()) {
                 configure(name, name.equals("twin") ? ALL.get(0) : name, relay);
             }
-            try (Fleet fleet = new Fleet(layout)) {
+            try (BalancerFleet fleet = new BalancerFleet(layout)) {
                 body.with(fleet, relay);
             }
         }
     }
 
-    private void configure(String file, String name, Relay relay) throws IOException {
+    private void configure(String file, String name, FaultProxy relay) throws IOException {
         StringBuilder via = new StringBuilder();
         for (Map.Entry<String, InetSocketAddress> other : udp.entrySet()) {
             if (!other.getKey().equals(file)) {
@@ -161,25 +161,25 @@
         return command;
     }
 
-    Fleet.Layout layout() {
+    BalancerFleet.Layout layout() {
         return layout(2, 1);
     }
 
     /** The same with some upstreams and so many requests a second. */
-    Fleet.Layout layout(int upstreams, double perSecond) {
+    BalancerFleet.Layout layout(int upstreams, double perSecond) {
         Rules rules = new Rules(500 * MS, 2 * SECOND, 0.3, 4 * SECOND, 2.5, SECOND);
-        UpstreamKind kind =
-                new UpstreamKind(
+        UpstreamProfile kind =
+                new UpstreamProfile(
                         2, 1, 40, 200, 5 * SECOND, 100, 0.4, SECOND / 2, SECOND / 10, 0, rules);
         RequestClass look =
                 new RequestClass("look", Repeat.FREE, 1, 8 * MS, 600 * MS, 1_500 * MS, 1, 0);
-        return new Fleet.Layout(
+        return new BalancerFleet.Layout(
                 ALL.size(),
                 upstreams,
                 kind,
                 rules,
-                new Traffic(perSecond, List.of(look), 10, 0),
-                new Clients.Retries(0, 1, 0),
+                new TrafficProfile(perSecond, List.of(look), 10, 0),
+                new FakeClients.Retries(0, 1, 0),
                 LinkFault.NONE,
                 7,
                 0,
@@ -302,7 +302,7 @@
         return look -> claim(look, name).path("state").asText().equals(state);
     }
 
-    static void cut(Relay relay, List<String> some, List<String> others) {
+    static void cut(FaultProxy relay, List<String> some, List<String> others) {
         some.forEach(
                 a ->
                         others.forEach(
--- a/src/test/java/myrtleladder/loadbalancer/admin/ServeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ServeTest.java
@@ -15,14 +15,14 @@
 import java.util.List;
 import myrtleladder.testbed.checker.Checker.Repeat;
 import myrtleladder.testbed.checker.Rules;
-import myrtleladder.testbed.fake.Clients;
-import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.FakeClients;
+import myrtleladder.testbed.fake.FakeClients.Outcome;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fake.Traffic;
-import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.testbed.fake.TrafficProfile;
+import myrtleladder.testbed.fake.UpstreamProfile;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.process.BalancerFleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -46,8 +46,8 @@
                         folder.resolve("ours.toml"),
                         "[log]\nformat = \"json\"\n[admin]\nlisten = \"127.0.0.1:0\"\n");
         Rules rules = new Rules(500 * MS, 2 * SECOND, 0.3, 4 * SECOND, 2.5, SECOND);
-        try (Fleet fleet = fleet(rules, serveCommand(ours))) {
-            Fleet.Result result = fleet.play(2 * SECOND, Plan.QUIET);
+        try (BalancerFleet fleet = fleet(rules, serveCommand(ours))) {
+            BalancerFleet.Result result = fleet.play(2 * SECOND, FaultPlan.QUIET);
             List<JsonNode> log = logOf("b0");
             String at =
                     log.stream()
@@ -86,12 +86,12 @@
                 ours.toString());
     }
 
-    private Fleet fleet(Rules rules, List<String> command) throws Exception {
-        UpstreamKind kind =
-                new UpstreamKind(
+    private BalancerFleet fleet(Rules rules, List<String> command) throws Exception {
+        UpstreamProfile kind =
+                new UpstreamProfile(
                         2, 1, 40, 200, 5 * SECOND, 100, 0.4, SECOND / 2, SECOND / 10, 0, rules);
-        Traffic traffic =
-                new Traffic(
+        TrafficProfile traffic =
+                new TrafficProfile(
                         60,
                         List.of(
                                 new RequestClass(
@@ -105,14 +105,14 @@
                                         0)),
                         300,
                         0.8);
-        return new Fleet(
-                new Fleet.Layout(
+        return new BalancerFleet(
+                new BalancerFleet.Layout(
                         1,
                         3,
                         kind,
                         rules,
                         traffic,
-                        new Clients.Retries(2, 0.65, 100 * MS),
+                        new FakeClients.Retries(2, 0.65, 100 * MS),
                         LinkFault.NONE,
                         5,
                         0,
--- a/src/test/java/myrtleladder/loadbalancer/admin/SubsystemsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/SubsystemsTest.java
@@ -15,7 +15,7 @@
         "myrtleladder.loadbalancer.policy.Balance,decisions",
         "myrtleladder.gossip.Membership,fleet.member",
         "myrtleladder.testbed.Main,lab",
-        "myrtleladder.testbed.process.Fleet,lab.play",
+        "myrtleladder.testbed.process.BalancerFleet,lab.play",
         "io.netty.channel.Channel,io.netty.channel.Channel"
     })
     void aLoggerIsShownUnderItsSubsystem(String logger, String subsystem) {
--- a/src/test/java/myrtleladder/loadbalancer/admin/WorkOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/WorkOfProcessesTest.java
@@ -21,10 +21,10 @@
 import myrtleladder.error.OperatorError.UnknownMachine;
 import myrtleladder.testbed.checker.Violation;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.process.Fleet;
-import myrtleladder.testbed.proxy.Relay;
+import myrtleladder.testbed.process.BalancerFleet;
+import myrtleladder.testbed.proxy.FaultProxy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -57,14 +57,14 @@
 
     /** Does the work on whatever has a permit, by what any process says, until all is over. */
     private final class Worker {
-        final Fleet fleet;
+        final BalancerFleet fleet;
         final Map<String, String> going = new HashMap<>();
         final Set<String> done = new TreeSet<>();
 
         /** Long past what it takes; a play that hangs says what for. */
         final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(100);
 
-        Worker(Fleet fleet) {
+        Worker(BalancerFleet fleet) {
             this.fleet = fleet;
         }
 
@@ -121,7 +121,12 @@
      * Work goes on while a process fails, until it is voted out, and until it is taken in again.
      */
     private void outAndBack(
-            Fleet fleet, Worker worker, String who, String asked, Fault fails, Fault returns)
+            BalancerFleet fleet,
+            Worker worker,
+            String who,
+            String asked,
+            Fault fails,
+            Fault returns)
             throws Exception {
         fleet.bring(fails);
         while (all.look(asked, "agreement").at("/view/lives").has(who)) {
@@ -140,12 +145,12 @@
                 all.layout(MACHINES, 250),
                 (fleet, relay) -> {
                     awaitReadyForWork();
-                    AtomicReference<Fleet.Result> result = new AtomicReference<>();
+                    AtomicReference<BalancerFleet.Result> result = new AtomicReference<>();
                     CompletableFuture<Void> play =
                             CompletableFuture.runAsync(
                                     () -> {
                                         try {
-                                            result.set(fleet.play(60 * SECOND, Plan.QUIET));
+                                            result.set(fleet.play(60 * SECOND, FaultPlan.QUIET));
                                         } catch (InterruptedException e) {
                                             throw new IllegalStateException(e);
                                         }
@@ -201,7 +206,8 @@
     }
 
     /** Cuts a process off until the others vote it out: it grants nothing meanwhile. */
-    private void cutOff(Relay relay, Worker worker, String cut, String asked) throws Exception {
+    private void cutOff(FaultProxy relay, Worker worker, String cut, String asked)
+            throws Exception {
         Processes.cut(relay, List.of(cut), ALL.stream().filter(n -> !n.equals(cut)).toList());
         all.await(
                 "it knows that it is cut off",
@@ -217,7 +223,7 @@
         relay.bring(new Fault.HealAll());
     }
 
-    private static void bringLossToAllLinks(Relay relay) {
+    private static void bringLossToAllLinks(FaultProxy relay) {
         ALL.forEach(
                 a ->
                         ALL.stream()
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -25,8 +25,8 @@
 import myrtleladder.gossip.Meta;
 import myrtleladder.gossip.Settings;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.simulation.Core;
-import myrtleladder.testbed.simulation.World;
+import myrtleladder.testbed.simulation.ProtocolCore;
+import myrtleladder.testbed.simulation.SimulatedNetwork;
 
 /**
  * Processes with a membership, an agreement and work on machines each, in virtual time, whose
@@ -38,7 +38,7 @@
     private static final LinkFault LAN = new LinkFault(false, 200, 300, 0.01, 0.01, 0);
     private static final int MACHINES = 6;
 
-    final World world;
+    final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final Map<String, Integer> lines = new TreeMap<>();
     final Map<String, String> firsts = new TreeMap<>();
@@ -47,7 +47,7 @@
     private final int members;
 
     RecordedFleet(long seed, int members) {
-        this.world = new World(seed, LAN);
+        this.world = new SimulatedNetwork(seed, LAN);
         this.lives = new SplittableRandom(seed);
         this.members = members;
         for (String name : names(members)) {
@@ -109,7 +109,7 @@
     }
 
     /** One life of a process. */
-    final class Node implements Core, Agreement.Out, Membership.Out, Work.Out {
+    final class Node implements ProtocolCore, Agreement.Out, Membership.Out, Work.Out {
         final Agreement agreement;
         final Agenda agenda = new Agenda();
         final Work work;
--- a/src/test/java/myrtleladder/maintenance/RunCompatibilityTest.java
+++ b/src/test/java/myrtleladder/maintenance/RunCompatibilityTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import myrtleladder.cluster.GoldenFile;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -32,17 +32,17 @@
     private static RecordedFleet troubled(long seed) {
         RecordedFleet fleet = quiet(seed);
         fleet.world.follow(
-                new Plan(
+                new FaultPlan(
                         List.of(
-                                new Plan.Step(2 * SECOND, new Fault.Kill("m0")),
-                                new Plan.Step(4 * SECOND, new Fault.Pause("m1")),
-                                new Plan.Step(9 * SECOND, new Fault.Resume("m1")),
-                                new Plan.Step(10 * SECOND, new Fault.Restart("m0")),
-                                new Plan.Step(
+                                new FaultPlan.Step(2 * SECOND, new Fault.Kill("m0")),
+                                new FaultPlan.Step(4 * SECOND, new Fault.Pause("m1")),
+                                new FaultPlan.Step(9 * SECOND, new Fault.Resume("m1")),
+                                new FaultPlan.Step(10 * SECOND, new Fault.Restart("m0")),
+                                new FaultPlan.Step(
                                         12 * SECOND, new Fault.Link("m2", "m3", LinkFault.CUT)),
-                                new Plan.Step(12 * SECOND, new Fault.Drift("m4", 400)),
-                                new Plan.Step(18 * SECOND, new Fault.HealAll()),
-                                new Plan.Step(20 * SECOND, new Fault.Restart("m2")))));
+                                new FaultPlan.Step(12 * SECOND, new Fault.Drift("m4", 400)),
+                                new FaultPlan.Step(18 * SECOND, new Fault.HealAll()),
+                                new FaultPlan.Step(20 * SECOND, new Fault.Restart("m2")))));
         work(fleet, 35);
         return fleet;
     }
--- a/src/test/java/myrtleladder/maintenance/VirtualWork.java
+++ b/src/test/java/myrtleladder/maintenance/VirtualWork.java
@@ -23,8 +23,8 @@
 import myrtleladder.gossip.Membership;
 import myrtleladder.gossip.Meta;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.simulation.Core;
-import myrtleladder.testbed.simulation.World;
+import myrtleladder.testbed.simulation.ProtocolCore;
+import myrtleladder.testbed.simulation.SimulatedNetwork;
 
 /**
  * Processes that send to upstreams all the while and agree on work on these, in virtual time; and
@@ -38,7 +38,7 @@
     private static final long REQUESTS = 40_000;
     private static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
 
-    final World world;
+    final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
     final PointFaults<WorkPoint> faults = new PointFaults<>();
@@ -69,7 +69,7 @@
     private Token greatest = new Token(0, 0);
 
     VirtualWork(long seed, int members, int machines) {
-        this.world = new World(seed, LAN);
+        this.world = new SimulatedNetwork(seed, LAN);
         this.random = new SplittableRandom(seed);
         this.council = AgreeSettings.of("dhaka", names(members).subList(0, Math.min(5, members)));
         for (int i = 0; i < machines; i++) {
@@ -150,7 +150,7 @@
     }
 
     /** One life with all that it holds. */
-    final class Node implements Core, Agreement.Out, Membership.Out, Work.Out {
+    final class Node implements ProtocolCore, Agreement.Out, Membership.Out, Work.Out {
         final Life me;
         final Agreement agreement;
         final Agenda agenda;
@@ -425,7 +425,7 @@
         world.add(
                 name,
                 (p, seed, actions) ->
-                        new Core() {
+                        new ProtocolCore() {
                             @Override
                             public void started(long now) {
                                 actions.timer("now", delay);
--- a/src/test/java/myrtleladder/maintenance/WorkTest.java
+++ b/src/test/java/myrtleladder/maintenance/WorkTest.java
@@ -20,9 +20,9 @@
 import myrtleladder.consensus.Life;
 import myrtleladder.consensus.Token;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.simulation.Explorer;
+import myrtleladder.testbed.simulation.ScheduleExplorer;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -60,11 +60,11 @@
         assertEquals(0, fleet.starved);
     }
 
-    private static Optional<String> play(long seed, Plan plan) {
+    private static Optional<String> play(long seed, FaultPlan plan) {
         VirtualWork fleet = settled(seed, 5, 8);
         fleet.hand("m" + seed % 5, fleet.terms("patch", 8, 2));
         fleet.world.follow(
-                new Plan(
+                new FaultPlan(
                         plan.steps().stream()
                                 .filter(s -> !(s.fault() instanceof Fault.StepClock))
                                 .toList()));
@@ -78,7 +78,7 @@
 
     @Test
     void underDrawnFaultsNothingIsSentToAMachineThatIsOutAndAllComesToItsEnd() {
-        var found = Explorer.explore(1, 12, names(5), 20, 30 * SECOND, WorkTest::play);
+        var found = ScheduleExplorer.explore(1, 12, names(5), 20, 30 * SECOND, WorkTest::play);
         assertTrue(found.isEmpty(), () -> found.orElseThrow().toString());
     }
 
@@ -87,12 +87,12 @@
     void thousandsOfDrawnFaults() {
         long first = Long.getLong("first", 1_000);
         int plays = Integer.getInteger("plays", 2_000);
-        Optional<Explorer.Finding> found =
+        Optional<ScheduleExplorer.Finding> found =
                 LongStream.range(first, first + plays)
                         .parallel()
                         .mapToObj(
                                 seed ->
-                                        Explorer.explore(
+                                        ScheduleExplorer.explore(
                                                 seed, 1, names(5), 20, 30 * SECOND, WorkTest::play))
                         .flatMap(Optional::stream)
                         .findAny();
@@ -100,7 +100,7 @@
                 "work, drawn faults | "
                         + plays
                         + " | "
-                        + found.map(Explorer.Finding::toString).orElse("held")
+                        + found.map(ScheduleExplorer.Finding::toString).orElse("held")
                         + " |");
         assertTrue(found.isEmpty());
     }
--- a/src/test/java/myrtleladder/testbed/experiment/ExperimentCompatibilityTest.java
+++ b/src/test/java/myrtleladder/testbed/experiment/ExperimentCompatibilityTest.java
@@ -14,11 +14,11 @@
 import myrtleladder.testbed.checker.Checker.Repeat;
 import myrtleladder.testbed.checker.Rules;
 import myrtleladder.testbed.checker.Violation;
-import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.FakeClients.Outcome;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fake.Traffic.Arrival;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.process.Fleet;
+import myrtleladder.testbed.fake.TrafficProfile.Arrival;
+import myrtleladder.testbed.fault.FaultPlan;
+import myrtleladder.testbed.process.BalancerFleet;
 import myrtleladder.testbed.process.ProcessSample;
 import myrtleladder.testbed.process.UpstreamSample;
 import org.junit.jupiter.api.Test;
@@ -37,18 +37,18 @@
 
     @TempDir Path folder;
 
-    private static Fleet.Result result() {
-        List<Fleet.Ended> ended = new ArrayList<>();
+    private static BalancerFleet.Result result() {
+        List<BalancerFleet.Ended> ended = new ArrayList<>();
         for (Outcome outcome : Outcome.values()) {
             int n = ended.size();
             Arrival arrival = new Arrival(1_000_000L * n, n, n % 2, "k" + n, 40_000);
-            ended.add(new Fleet.Ended(arrival, outcome, 50_000 + n, 1 + n, 100));
+            ended.add(new BalancerFleet.Ended(arrival, outcome, 50_000 + n, 1 + n, 100));
         }
         List<Violation> violations = new ArrayList<>();
         for (Violation.Kind kind : Violation.Kind.values()) {
             violations.add(new Violation(kind, 7, "r" + kind.ordinal(), "<text>"));
         }
-        return new Fleet.Result(
+        return new BalancerFleet.Result(
                 ended,
                 violations,
                 12,
@@ -60,7 +60,7 @@
     private List<String> record() throws Exception {
         Experiment experiment = Experiment.read(ALL_KEYS);
         Path file = folder.resolve("record.jsonl");
-        PlayRecord.write(file, experiment, Timeline.plan(experiment), result());
+        RunRecord.write(file, experiment, FaultTimeline.plan(experiment), result());
         return Files.readAllLines(file);
     }
 
@@ -126,7 +126,7 @@
 
     @Test
     void eachKindOfFaultTakesItsPlaceInTheTimeline() throws Exception {
-        Plan plan = Timeline.plan(Experiment.read(ALL_KEYS));
+        FaultPlan plan = FaultTimeline.plan(Experiment.read(ALL_KEYS));
         assertEquals(
                 List.of(
                         1_000_000L,
@@ -141,7 +141,7 @@
                         8_000_000L,
                         9_000_000L,
                         10_000_000L),
-                plan.steps().stream().map(Plan.Step::at).toList());
+                plan.steps().stream().map(FaultPlan.Step::at).toList());
     }
 
     /** Lines of more than one key have them in no order, so they are compared as JSON. */
@@ -176,9 +176,9 @@
     void theReportHasTheSameHeadingsInTheSameOrder() throws Exception {
         Experiment experiment = Experiment.read(ALL_KEYS);
         Path file = folder.resolve("report.html");
-        Fleet.Result result = result();
+        BalancerFleet.Result result = result();
         Verdict verdict = Verdict.of(experiment, result);
-        Report.write(file, experiment, Timeline.plan(experiment), result, verdict);
+        Report.write(file, experiment, FaultTimeline.plan(experiment), result, verdict);
         String page = Files.readString(file).replaceAll("base64,[^\"'> ]*", "base64,");
         String golden = Files.readString(GOLDEN.resolve("report.html"));
         assertEquals(
--- a/src/test/java/myrtleladder/testbed/experiment/ExperimentTest.java
+++ b/src/test/java/myrtleladder/testbed/experiment/ExperimentTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.testbed.fault.Fault;
-import myrtleladder.testbed.fault.Plan;
+import myrtleladder.testbed.fault.FaultPlan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -86,14 +86,14 @@
 
     @Test
     void groupsBecomeTheirMembersOneAfterTheOther() throws Exception {
-        Plan plan = Timeline.plan(Experiment.read(file(GOOD)));
+        FaultPlan plan = FaultTimeline.plan(Experiment.read(file(GOOD)));
         assertEquals(
                 List.of(
                         new Fault.Kill("b1"),
                         new Fault.Kill("b2"),
                         new Fault.Kill("b3"),
                         new Fault.Kill("u0")),
-                plan.steps().subList(0, 4).stream().map(Plan.Step::fault).toList());
+                plan.steps().subList(0, 4).stream().map(FaultPlan.Step::fault).toList());
         assertEquals(1_030_000, plan.steps().get(3).at());
         assertEquals(8, plan.steps().size());
     }
--- a/src/test/java/myrtleladder/testbed/fake/UpstreamModelTest.java
+++ b/src/test/java/myrtleladder/testbed/fake/UpstreamModelTest.java
@@ -28,7 +28,7 @@
     private long now;
     private UpstreamModel model;
 
-    private void start(UpstreamKind kind) {
+    private void start(UpstreamProfile kind) {
         model =
                 new UpstreamModel(
                         kind,
@@ -47,8 +47,8 @@
                         });
     }
 
-    private static UpstreamKind kind(int queue, double keySaving) {
-        return new UpstreamKind(
+    private static UpstreamProfile kind(int queue, double keySaving) {
+        return new UpstreamProfile(
                 2, 0.5, queue, 9, 5 * SECOND, 2, keySaving, SECOND, SECOND / 2, 0, RULES);
     }
 
--- a/src/test/java/myrtleladder/testbed/process/FleetTest.java
+++ b/src/test/java/myrtleladder/testbed/process/BalancerFleetTest.java
@@ -10,14 +10,14 @@
 import myrtleladder.testbed.checker.Rules;
 import myrtleladder.testbed.checker.Violation;
 import myrtleladder.testbed.checker.Violation.Kind;
-import myrtleladder.testbed.fake.Clients;
-import myrtleladder.testbed.fake.Clients.Outcome;
+import myrtleladder.testbed.fake.FakeClients;
+import myrtleladder.testbed.fake.FakeClients.Outcome;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fake.Traffic;
-import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.testbed.fake.TrafficProfile;
+import myrtleladder.testbed.fake.UpstreamProfile;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -28,13 +28,13 @@
  * Several processes of the program with faults between them and under traffic: no rule is broken.
  */
 @Timeout(120)
-class FleetTest {
+class BalancerFleetTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
     private static final Rules RULES =
             new Rules(500 * MS, 2 * SECOND, 0.3, 4 * SECOND, 2.5, SECOND);
-    private static final UpstreamKind KIND =
-            new UpstreamKind(
+    private static final UpstreamProfile KIND =
+            new UpstreamProfile(
                     2, 1, 40, 200, 5 * SECOND, 100, 0.4, SECOND / 2, SECOND / 10, 0, RULES);
     private static final List<RequestClass> CLASSES =
             List.of(
@@ -53,15 +53,15 @@
 
     @TempDir Path folder;
 
-    private Fleet.Layout layout(
+    private BalancerFleet.Layout layout(
             int balancers, int upstreams, double perSecond, List<String> command) {
-        return new Fleet.Layout(
+        return new BalancerFleet.Layout(
                 balancers,
                 upstreams,
                 KIND,
                 RULES,
-                new Traffic(perSecond, CLASSES, 300, 0.8),
-                new Clients.Retries(2, 0.65, 100 * MS),
+                new TrafficProfile(perSecond, CLASSES, 300, 0.8),
+                new FakeClients.Retries(2, 0.65, 100 * MS),
                 LinkFault.NONE,
                 11,
                 0,
@@ -88,19 +88,19 @@
      */
     @Test
     void noRuleIsBrokenWhileProcessesAndLinksFail() throws Exception {
-        Plan plan =
-                new Plan(
+        FaultPlan plan =
+                new FaultPlan(
                         List.of(
-                                new Plan.Step(SECOND, new Fault.Kill("b0")),
-                                new Plan.Step(1_100 * MS, new Fault.Drain("u0")),
-                                new Plan.Step(1_500 * MS, new Fault.Restart("b0")),
-                                new Plan.Step(
+                                new FaultPlan.Step(SECOND, new Fault.Kill("b0")),
+                                new FaultPlan.Step(1_100 * MS, new Fault.Drain("u0")),
+                                new FaultPlan.Step(1_500 * MS, new Fault.Restart("b0")),
+                                new FaultPlan.Step(
                                         2 * SECOND, new Fault.Link("b1", "u1", LinkFault.CUT)),
-                                new Plan.Step(2_200 * MS, new Fault.Kill("u2")),
-                                new Plan.Step(2_400 * MS, new Fault.Reset("b1", "u3")),
-                                new Plan.Step(3_500 * MS, new Fault.HealAll())));
-        try (Fleet fleet = new Fleet(layout(2, 5, 150, program()))) {
-            Fleet.Result result = fleet.play(5 * SECOND, plan);
+                                new FaultPlan.Step(2_200 * MS, new Fault.Kill("u2")),
+                                new FaultPlan.Step(2_400 * MS, new Fault.Reset("b1", "u3")),
+                                new FaultPlan.Step(3_500 * MS, new Fault.HealAll())));
+        try (BalancerFleet fleet = new BalancerFleet(layout(2, 5, 150, program()))) {
+            BalancerFleet.Result result = fleet.play(5 * SECOND, plan);
             assertEquals(List.of(), result.violations());
             assertTrue(result.ended().size() > 600, "ended: " + result.ended().size());
             assertTrue(
@@ -123,15 +123,18 @@
         List<String> command = new ArrayList<>(program());
         command.subList(command.size() - 2, command.size()).clear();
         command.addAll(List.of(BrokenBalancer.class.getName(), kind.name()));
-        Plan plan =
+        FaultPlan plan =
                 switch (kind) {
                     case AFTER_DRAIN ->
-                            new Plan(List.of(new Plan.Step(100 * MS, new Fault.Drain("u0"))));
+                            new FaultPlan(
+                                    List.of(new FaultPlan.Step(100 * MS, new Fault.Drain("u0"))));
                     case COLD_OVERRUN ->
-                            new Plan(List.of(new Plan.Step(100 * MS, new Fault.Restart("u0"))));
-                    default -> Plan.QUIET;
+                            new FaultPlan(
+                                    List.of(new FaultPlan.Step(100 * MS, new Fault.Restart("u0"))));
+                    default -> FaultPlan.QUIET;
                 };
-        try (Fleet fleet = new Fleet(layout(1, 3, kind == Kind.COLD_OVERRUN ? 300 : 60, command))) {
+        try (BalancerFleet fleet =
+                new BalancerFleet(layout(1, 3, kind == Kind.COLD_OVERRUN ? 300 : 60, command))) {
             fleet.out("u0", kind == Kind.OUT); // it takes no part in any work, and sends there
             List<Violation> found =
                     fleet.play(kind == Kind.AFTER_DRAIN ? 4 * SECOND : 2 * SECOND, plan)
--- a/src/test/java/myrtleladder/testbed/process/EndsTest.java
+++ b/src/test/java/myrtleladder/testbed/process/EndsTest.java
@@ -14,12 +14,12 @@
 import myrtleladder.error.OperatorError.EndedAtStart;
 import myrtleladder.testbed.checker.Checker.Repeat;
 import myrtleladder.testbed.checker.Rules;
-import myrtleladder.testbed.fake.Clients;
+import myrtleladder.testbed.fake.FakeClients;
 import myrtleladder.testbed.fake.RequestClass;
-import myrtleladder.testbed.fake.Traffic;
-import myrtleladder.testbed.fake.UpstreamKind;
+import myrtleladder.testbed.fake.TrafficProfile;
+import myrtleladder.testbed.fake.UpstreamProfile;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -39,20 +39,20 @@
 
     @TempDir Path folder;
 
-    private Fleet.Layout layout(String shell) {
+    private BalancerFleet.Layout layout(String shell) {
         Rules rules = new Rules(SECOND / 2, 2 * SECOND, 0.3, 4 * SECOND, 2.5, SECOND);
-        UpstreamKind kind =
-                new UpstreamKind(
+        UpstreamProfile kind =
+                new UpstreamProfile(
                         2, 1, 40, 200, 5 * SECOND, 100, 0.4, SECOND / 2, SECOND / 10, 0, rules);
         RequestClass look =
                 new RequestClass("look", Repeat.FREE, 1, 8_000, SECOND, 2 * SECOND, 1, 0);
-        return new Fleet.Layout(
+        return new BalancerFleet.Layout(
                 2,
                 2,
                 kind,
                 rules,
-                new Traffic(10, List.of(look), 10, 0),
-                new Clients.Retries(0, 1, 0),
+                new TrafficProfile(10, List.of(look), 10, 0),
+                new FakeClients.Retries(0, 1, 0),
                 LinkFault.NONE,
                 1,
                 0,
@@ -75,7 +75,8 @@
     void aBalancerThatEndsAtItsStartIsToldWithWhereItsLogIs() {
         EndedAtStart e =
                 assertThrows(
-                        EndedAtStart.class, () -> new Fleet(layout("echo port taken; exit 1")));
+                        EndedAtStart.class,
+                        () -> new BalancerFleet(layout("echo port taken; exit 1")));
         assertTrue(e.what().contains(folder.toString()), e.getMessage());
     }
 
@@ -86,9 +87,10 @@
     void aBalancerBehindAShellThatIgnoresTheSignalEndsWithTheFleet() throws Exception {
         Set<ProcessHandle> before = started();
         Set<ProcessHandle> during;
-        try (Fleet fleet = new Fleet(layout("trap '' TERM; " + BALANCER + "; true"))) {
+        try (BalancerFleet fleet =
+                new BalancerFleet(layout("trap '' TERM; " + BALANCER + "; true"))) {
             during = started();
-            assertEquals(List.of(), fleet.play(SECOND, Plan.QUIET).violations());
+            assertEquals(List.of(), fleet.play(SECOND, FaultPlan.QUIET).violations());
         }
         during.removeAll(before);
         assertEquals(4, during.size(), "two shells with a child each: " + during);
--- a/src/test/java/myrtleladder/testbed/proxy/RelayTest.java
+++ b/src/test/java/myrtleladder/testbed/proxy/FaultProxyTest.java
@@ -26,17 +26,17 @@
  * alone.
  */
 @Timeout(60)
-class RelayTest {
+class FaultProxyTest {
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final int PATIENCE_MS = 20_000;
 
     private interface Body {
-        void run(Relay relay, Socket near, Socket far) throws Exception;
+        void run(FaultProxy relay, Socket near, Socket far) throws Exception;
     }
 
     /** Connects a to b through a relay and hands over both ends. */
     private static void connected(LinkFault usual, Body body) throws Exception {
-        try (Relay relay = new Relay(3, usual);
+        try (FaultProxy relay = new FaultProxy(3, usual);
                 ServerSocket server = new ServerSocket(0, 8, HERE)) {
             InetSocketAddress target = (InetSocketAddress) server.getLocalSocketAddress();
             InetSocketAddress way = relay.stream("a", "b", target);
@@ -135,7 +135,7 @@
      */
     @Test
     void whatConnectsBehindACutGoesOnOnceItIsHealed() throws Exception {
-        try (Relay relay = new Relay(3, LinkFault.NONE);
+        try (FaultProxy relay = new FaultProxy(3, LinkFault.NONE);
                 ServerSocket server = new ServerSocket(0, 8, HERE)) {
             InetSocketAddress target = (InetSocketAddress) server.getLocalSocketAddress();
             InetSocketAddress way = relay.stream("a", "b", target);
@@ -198,7 +198,7 @@
 
     private static TreeMap<Integer, Integer> arrivals(long seed) throws Exception {
         TreeMap<Integer, Integer> seen = new TreeMap<>();
-        try (Relay relay = new Relay(seed, LinkFault.NONE);
+        try (FaultProxy relay = new FaultProxy(seed, LinkFault.NONE);
                 DatagramSocket a = new DatagramSocket(0, HERE);
                 DatagramSocket b = new DatagramSocket(0, HERE)) {
             InetSocketAddress way =
--- a/src/test/java/myrtleladder/testbed/simulation/WorldTest.java
+++ b/src/test/java/myrtleladder/testbed/simulation/SimulatedNetworkTest.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 import java.util.TreeSet;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -22,7 +22,7 @@
  * The virtual world: it repeats itself to the last event, and finds what a core gets wrong under
  * faults.
  */
-class WorldTest {
+class SimulatedNetworkTest {
     private static final long SECOND = 1_000_000;
     private static final long BEAT = SECOND / 10;
     private static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
@@ -32,7 +32,7 @@
      * Beats to all others, and keeps when it last heard of each and what its clocks showed at each
      * beat.
      */
-    private static final class Beater implements Core {
+    private static final class Beater implements ProtocolCore {
         final Map<String, Long> heardAt = new HashMap<>();
         final List<Long> beats = new ArrayList<>();
         long wall;
@@ -80,8 +80,8 @@
 
     private final Map<String, Beater> beaters = new HashMap<>();
 
-    private World world(long seed) {
-        World world = new World(seed, LAN);
+    private SimulatedNetwork world(long seed) {
+        SimulatedNetwork world = new SimulatedNetwork(seed, LAN);
         for (String n : NAMES) {
             world.add(
                     n,
@@ -93,8 +93,8 @@
         return world;
     }
 
-    private long digest(long seed, Plan plan) {
-        World world = world(seed);
+    private long digest(long seed, FaultPlan plan) {
+        SimulatedNetwork world = world(seed);
         world.follow(plan);
         world.run(20 * SECOND);
         return world.history().digest();
@@ -103,7 +103,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, -4})
     void aSeedRepeatsItselfToTheLastEvent(long seed) {
-        Plan plan = Plan.draw(seed, NAMES, 30, 15 * SECOND);
+        FaultPlan plan = FaultPlan.draw(seed, NAMES, 30, 15 * SECOND);
         assertEquals(digest(seed, plan), digest(seed, plan), "seed " + seed);
         assertNotEquals(digest(seed, plan), digest(seed + 1, plan), "seed " + seed);
     }
@@ -111,9 +111,9 @@
     /** Two who each take the other for dead both hold the duty; few faults are enough for that. */
     @Test
     void theExplorerFindsASplitDutyAndShrinksItsPlan() {
-        Explorer.Scenario scenario =
+        ScheduleExplorer.Scenario scenario =
                 (seed, plan) -> {
-                    World world = world(seed);
+                    SimulatedNetwork world = world(seed);
                     world.follow(plan);
                     for (long t = 0; t < 20 * SECOND; t += BEAT) {
                         world.run(t);
@@ -131,8 +131,8 @@
                     }
                     return Optional.empty();
                 };
-        assertEquals(Optional.empty(), scenario.play(1, Plan.QUIET));
-        var found = Explorer.explore(1, 50, NAMES, 12, 15 * SECOND, scenario).orElseThrow();
+        assertEquals(Optional.empty(), scenario.play(1, FaultPlan.QUIET));
+        var found = ScheduleExplorer.explore(1, 50, NAMES, 12, 15 * SECOND, scenario).orElseThrow();
         assertTrue(found.plan().steps().size() <= 2, found.toString());
         assertTrue(found.toString().contains("seed " + found.seed()), found.toString());
         assertEquals(Optional.of(found.fault()), scenario.play(found.seed(), found.plan()));
@@ -140,7 +140,7 @@
 
     @Test
     void aLinkThatIsCutOneWayGoesOnTheOtherWayUntilItIsHealed() {
-        World world = world(5);
+        SimulatedNetwork world = world(5);
         world.run(SECOND);
         world.bring(new Fault.Link("a", "b", LinkFault.CUT));
         world.run(3 * SECOND);
@@ -153,7 +153,7 @@
 
     @Test
     void whatWaitsForAPausedProcessComesAtOnceWhenItGoesOn() {
-        World world = world(6);
+        SimulatedNetwork world = world(6);
         world.run(SECOND);
         Beater a = beaters.get("a");
         world.bring(new Fault.Pause("a"));
@@ -167,7 +167,7 @@
 
     @Test
     void timersOfALifeEndWithIt() {
-        World world = world(7);
+        SimulatedNetwork world = world(7);
         world.run(SECOND);
         Beater before = beaters.get("a");
         int beats = before.beats.size();
@@ -181,7 +181,7 @@
 
     @Test
     void aStepMovesTheWallClockAloneAndADriftTheSteadyOne() {
-        World world = world(8);
+        SimulatedNetwork world = world(8);
         world.run(SECOND);
         world.bring(new Fault.StepClock("a", -3_600 * SECOND));
         world.bring(new Fault.Drift("b", 100_000));
