--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -118,7 +118,7 @@
     }
 
     /** Notes that the first event has come, so the prompt is read. */
-    void promptRead() {
+    void markPromptRead() {
         isPromptRead = true;
     }
 
@@ -169,13 +169,13 @@
     @Override
     public void onResponseHead(ResponseHead responseHead) {
         state = State.RECEIVING_RESPONSE;
-        upstream().byteReceived(scheduler.now());
+        upstream().recordByteReceived(scheduler.now());
         listener.onResponseHead(this, responseHead);
     }
 
     @Override
     public void onResponseBody(byte[] bytes) {
-        upstream().byteReceived(scheduler.now());
+        upstream().recordByteReceived(scheduler.now());
         if (state != State.ENDED) {
             listener.onResponseBody(this, bytes);
         }
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
@@ -26,7 +26,7 @@
     /** Weight of the time in which a prefix is read anew, which delays others; measured. */
     private static final double REREAD_COST_FACTOR = 3;
 
-    /** Delay by each request that waits for a place in the batch; chosen. */
+    /** Delay by each request that waits for a slot in the batch; chosen. */
     private static final double DELAY_PER_QUEUED_REQUEST_MS = 40;
 
     /** Bound of the error rate's effect on the expected time; chosen. */
@@ -99,7 +99,7 @@
     }
 
     /** Whether the shared prefix takes so long to read that others should know where it is. */
-    boolean isWorthAnnouncing(PromptSegments prompt) {
+    boolean shouldAnnounce(PromptSegments prompt) {
         return prompt.sharedTokens() * prefillTime.msPerToken() > TIE_MARGIN_MS;
     }
 
@@ -133,7 +133,7 @@
         return highest;
     }
 
-    /** Upstreams without an ordinal come last: their place in the order is not settled yet. */
+    /** Upstreams without an ordinal come last: the control plane assigns their ordinals later. */
     private static boolean hasHigherAffinity(Upstream upstream, Upstream other, long prefixHash) {
         if (upstream.hasOrdinal() != other.hasOrdinal()) {
             return upstream.hasOrdinal();
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -156,7 +156,7 @@
                         client.head().method(),
                         client.head().target(),
                         upstreamHeaders(upstream, prefillMs, nowMs));
-        if (dataPlane.picker().isWorthAnnouncing(prompt)) {
+        if (dataPlane.picker().shouldAnnounce(prompt)) {
             dataPlane.fleetLoads().promptSent(prompt, upstream, nowMs);
         }
         current = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
@@ -226,7 +226,7 @@
         if (isRejection(head)) {
             attemptRejected(attempt, head);
         } else if (!isResponseToThisRequest(head)) {
-            count(Event.FOREIGN_ANSWER);
+            count(Event.FOREIGN_RESPONSE);
             attempt.cancel();
             attemptFailed(attempt);
         } else if (state != State.STREAMING_RESPONSE) {
@@ -278,7 +278,7 @@
             response.splitEvents(bytes, (event, id) -> eventReceived(attempt, event, id));
             return;
         }
-        boolean fits = response.buffer(bytes);
+        boolean fits = response.bufferBody(bytes);
         if (!fits) {
             attempt.cancel();
             attemptFailed(attempt);
@@ -314,7 +314,7 @@
         }
         double unexplainedMs = Math.max(0, timeToFirstEventMs - attempt.explainedMs());
         attempt.upstream().recordExtraDelay(unexplainedMs, nowMs);
-        attempt.promptRead();
+        attempt.markPromptRead();
         attempt.upstream().prefixCache().recordSent(prompt, nowMs);
     }
 
@@ -375,7 +375,7 @@
         current = null;
         mayHaveRun = true;
         attempt.upstream().requestFailed(dataPlane.nowMs());
-        count(Event.BROKEN);
+        count(Event.ATTEMPT_FAILED);
         if (shouldRetryFailure()) {
             tryNextUpstream();
         } else {
--- a/src/main/java/myrtleladder/dataplane/RequestCounters.java
+++ b/src/main/java/myrtleladder/dataplane/RequestCounters.java
@@ -21,9 +21,9 @@
         /** An upstream rejected an attempt without running it. */
         REJECTED("rejected"),
         /** A response was not that of the attempt. */
-        FOREIGN_ANSWER("foreign_answer"),
+        FOREIGN_RESPONSE("foreign_answer"),
         /** An attempt failed after it was sent. */
-        BROKEN("broken"),
+        ATTEMPT_FAILED("broken"),
         /** A request was retried since its upstream was unresponsive. */
         UNRESPONSIVE("silent");
 
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -49,7 +49,9 @@
         acceptsRequests = false;
     }
 
-    /** Takes a client's request; exactly one final response follows unless the client leaves. */
+    /**
+     * Takes a client's request; exactly one final response follows unless the client disconnects.
+     */
     void handle(ServerExchange client) {
         count(Event.REQUEST);
         Configuration configuration = dataPlane.configuration();
--- a/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
+++ b/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
@@ -113,7 +113,7 @@
     }
 
     /** Buffers a part of a body; false if it became too long. */
-    boolean buffer(byte[] bytes) {
+    boolean bufferBody(byte[] bytes) {
         if (buffer == null) {
             buffer = new ByteArrayOutputStream(Math.max(32, bytes.length));
         }
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -57,7 +57,7 @@
         return key;
     }
 
-    /** Whether its place in the rendezvous order of prefixes is settled. */
+    /** Whether the control plane has assigned an ordinal, which fixes its affinity. */
     boolean hasOrdinal() {
         return record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
     }
@@ -158,7 +158,7 @@
         return inFlightAtLastRefresh;
     }
 
-    void byteReceived(long nowMs) {
+    void recordByteReceived(long nowMs) {
         lastByteAtMs = nowMs;
     }
 
--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -104,8 +104,8 @@
     }
 
     /** Whether the shared prefix of a prompt is long enough to announce where it is cached. */
-    boolean isWorthAnnouncing(PromptSegments prompt) {
-        return modelPolicy.isWorthAnnouncing(prompt);
+    boolean shouldAnnounce(PromptSegments prompt) {
+        return modelPolicy.shouldAnnounce(prompt);
     }
 
     private List<Upstream> candidates(Service service, Set<Upstream> tried, long nowMs) {
