--- a/src/main/java/myrtleladder/testbed/checker/Checker.java
+++ b/src/main/java/myrtleladder/testbed/checker/Checker.java
@@ -24,7 +24,7 @@
     }
 
     private final Rules rules;
-    private final Map<String, Life> lives = new HashMap<>();
+    private final Map<String, Incarnation> incarnations = new HashMap<>();
     private final Map<String, Upstream> upstreams = new HashMap<>();
     private final Set<String> out = new HashSet<>();
     private final List<Violation> violations = new ArrayList<>();
@@ -34,7 +34,7 @@
         this.rules = rules;
     }
 
-    private static final class Life {
+    private static final class Incarnation {
         final Repeat repeat;
         final long memory;
         final long deadline;
@@ -43,7 +43,7 @@
         boolean taken;
         boolean done;
 
-        Life(Repeat repeat, long memory, long deadline) {
+        Incarnation(Repeat repeat, long memory, long deadline) {
             this.repeat = repeat;
             this.memory = memory;
             this.deadline = deadline;
@@ -53,7 +53,7 @@
     private static final class Upstream {
         final long startedAt;
         final SlowStartWindow pushed;
-        final Map<String, Long> toldToLeave = new HashMap<>();
+        final Map<String, Long> notifiedOfDrain = new HashMap<>();
         boolean overrun;
 
         Upstream(long startedAt, SlowStartWindow pushed) {
@@ -70,31 +70,31 @@
      * one.
      */
     public void sent(String id, Repeat repeat, long memory, long deadline) {
-        lives.put(id, new Life(repeat, memory, deadline));
+        incarnations.put(id, new Incarnation(repeat, memory, deadline));
     }
 
     /** Its last byte is written to a connection that the balancer's machine accepted. */
     public void taken(String id) {
-        lives.get(id).taken = true;
+        incarnations.get(id).taken = true;
     }
 
     /** The whole of an answer has come; {@code made} is its body, or null if it was not a 200. */
     public void answered(long now, String id, String made) {
-        Life life = lives.get(id);
-        if (life.done) {
+        Incarnation incarnation = incarnations.get(id);
+        if (incarnation.done) {
             broken(Kind.DOUBLE, now, id, "answered a second time");
             return;
         }
-        life.done = true;
-        if (made != null && !life.made.contains(made)) {
+        incarnation.done = true;
+        if (made != null && !incarnation.made.contains(made)) {
             broken(Kind.SPOILT, now, id, "served with what no upstream made for it");
         }
-        if (now > life.deadline + rules.answerSlack()) {
+        if (now > incarnation.deadline + rules.answerSlack()) {
             broken(
                     Kind.LOST,
                     now,
                     id,
-                    "answered " + (now - life.deadline) / 1_000 + " ms after its time");
+                    "answered " + (now - incarnation.deadline) / 1_000 + " ms after its time");
         }
     }
 
@@ -103,12 +103,12 @@
      * loss: an answer that was begun and could not be finished, or an idle connection that closed
      * as the request came.
      */
-    public void cutOff(long now, String id, boolean excused) {
-        Life life = lives.get(id);
-        if (!life.done && life.taken && !excused) {
+    public void partitioned(long now, String id, boolean excused) {
+        Incarnation incarnation = incarnations.get(id);
+        if (!incarnation.done && incarnation.taken && !excused) {
             broken(Kind.LOST, now, id, "its connection was ended with no answer");
         }
-        life.done = true;
+        incarnation.done = true;
     }
 
     /**
@@ -116,7 +116,7 @@
      * more.
      */
     public void left(String id) {
-        lives.get(id).done = true;
+        incarnations.get(id).done = true;
     }
 
     // ---- What upstreams see
@@ -131,8 +131,8 @@
     }
 
     /** Discovery has told a balancer that an upstream drains or is gone; the first time counts. */
-    public void toldToLeave(long now, String balancer, String upstream) {
-        upstreams.get(upstream).toldToLeave.putIfAbsent(balancer, now);
+    public void notifiedOfDrain(long now, String balancer, String upstream) {
+        upstreams.get(upstream).notifiedOfDrain.putIfAbsent(balancer, now);
     }
 
     /** Work on an upstream's machine begins, or has ended. */
@@ -147,8 +147,8 @@
     /** The first byte of an attempt has come to an upstream. */
     public void attempt(long now, String balancer, String upstream, String id, double work) {
         Upstream up = upstreams.get(upstream);
-        Long told = up.toldToLeave.get(balancer);
-        if (told != null && now > told + rules.drainGrace()) {
+        Long notified = up.notifiedOfDrain.get(balancer);
+        if (notified != null && now > notified + rules.drainGrace()) {
             broken(
                     Kind.AFTER_DRAIN,
                     now,
@@ -158,7 +158,7 @@
                             + " to "
                             + upstream
                             + " "
-                            + (now - told) / 1_000
+                            + (now - notified) / 1_000
                             + " ms after it was told");
         }
         if (out.contains(upstream)) {
@@ -168,24 +168,24 @@
                     id,
                     "sent by " + balancer + " to " + upstream + ", on which work goes on");
         }
-        Life life = lives.get(id);
-        if (life == null) {
+        Incarnation incarnation = incarnations.get(id);
+        if (incarnation == null) {
             broken(Kind.FOREIGN, now, id, "came to " + upstream + ", but no client sent it");
             return;
         }
-        checkRepeat(now, upstream, id, life);
-        life.mayHaveRun.add(now);
-        checkCold(now, upstream, up, work);
+        checkRepeat(now, upstream, id, incarnation);
+        incarnation.mayHaveRun.add(now);
+        checkSlowStart(now, upstream, up, work);
     }
 
-    private void checkRepeat(long now, String upstream, String id, Life life) {
-        if (life.mayHaveRun.isEmpty() || life.repeat == Repeat.FREE) {
+    private void checkRepeat(long now, String upstream, String id, Incarnation incarnation) {
+        if (incarnation.mayHaveRun.isEmpty() || incarnation.repeat == Repeat.FREE) {
             return;
         }
-        long since = now - life.mayHaveRun.get(0);
-        if (life.repeat == Repeat.SINGLE) {
+        long since = now - incarnation.mayHaveRun.get(0);
+        if (incarnation.repeat == Repeat.SINGLE) {
             broken(Kind.DOUBLE, now, id, "sent again to " + upstream + " though it may have run");
-        } else if (since > life.memory) {
+        } else if (since > incarnation.memory) {
             broken(
                     Kind.DOUBLE,
                     now,
@@ -198,7 +198,7 @@
         }
     }
 
-    private void checkCold(long now, String upstream, Upstream up, double work) {
+    private void checkSlowStart(long now, String upstream, Upstream up, double work) {
         double part = up.pushed.add(now, work);
         if (part > 1 && !up.overrun) {
             up.overrun = true;
@@ -216,17 +216,17 @@
 
     /** An upstream has proved that an attempt never ran: it turned it away unseen. */
     public void neverRan(String id, long attemptAt) {
-        Life life = lives.get(id);
-        if (life != null) {
-            life.mayHaveRun.remove(attemptAt);
+        Incarnation incarnation = incarnations.get(id);
+        if (incarnation != null) {
+            incarnation.mayHaveRun.remove(attemptAt);
         }
     }
 
     /** An upstream has made this body for a request. */
     public void made(String id, String body) {
-        Life life = lives.get(id);
-        if (life != null) {
-            life.made.add(body);
+        Incarnation incarnation = incarnations.get(id);
+        if (incarnation != null) {
+            incarnation.made.add(body);
         }
     }
 
@@ -235,19 +235,21 @@
 
     /** Finds all that has been owed for too long. */
     public void expire(long now) {
-        lives.keySet().forEach(id -> overdue(now, id));
+        incarnations.keySet().forEach(id -> overdue(now, id));
     }
 
     /** Finds whether this one has been owed for too long. */
     public void overdue(long now, String id) {
-        Life life = lives.get(id);
-        if (life.taken && !life.done && now > life.deadline + rules.answerSlack()) {
-            life.done = true;
+        Incarnation incarnation = incarnations.get(id);
+        if (incarnation.taken
+                && !incarnation.done
+                && now > incarnation.deadline + rules.answerSlack()) {
+            incarnation.done = true;
             broken(
                     Kind.LOST,
                     now,
                     id,
-                    "no answer by " + (now - life.deadline) / 1_000 + " ms after its time");
+                    "no answer by " + (now - incarnation.deadline) / 1_000 + " ms after its time");
         }
     }
 
--- a/src/main/java/myrtleladder/testbed/checker/SlowStartWindow.java
+++ b/src/main/java/myrtleladder/testbed/checker/SlowStartWindow.java
@@ -29,9 +29,9 @@
         while (sent.peek().at() <= now - rules.fallTime()) {
             total -= sent.poll().work();
         }
-        double warmth = rules.warmth(now - startedAt);
-        return warmth >= 1
+        double slowStartFactor = rules.slowStartFactor(now - startedAt);
+        return slowStartFactor >= 1
                 ? 0
-                : total / (rules.fallMultiple() * warmth * capacity * rules.fallTime());
+                : total / (rules.fallMultiple() * slowStartFactor * capacity * rules.fallTime());
     }
 }
--- a/src/main/java/myrtleladder/testbed/fake/FakeClients.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeClients.java
@@ -45,7 +45,7 @@
     private final EventLoop loop;
     private final TestbedClock clock;
     private final Checker checker;
-    private final FakeFrontend front;
+    private final FakeFrontend frontend;
     private final List<RequestClass> classes;
     private final Retries retries;
     private final long slack;
@@ -63,7 +63,7 @@
      * @param tryShare part of the class's give-up time that one try gets
      * @param backoff mean wait before the next, doubled each time; a Retry-After goes before it
      */
-    public record Retries(int most, double tryShare, long backoff) {}
+    public record Retries(int most, double attemptShare, long backoff) {}
 
     /** What became of one first try and its retries. */
     public enum Outcome {
@@ -80,7 +80,7 @@
     /** Is told of each end, once; on the lab's event loop. */
     public interface Listener {
         /** {@code sentLate} is how long after its planned time the first try left the lab. */
-        void ended(Arrival arrival, Outcome outcome, long took, int tries, long sentLate);
+        void ended(Arrival arrival, Outcome outcome, long took, int attempts, long sentLate);
     }
 
     /**
@@ -91,7 +91,7 @@
             EventLoop loop,
             TestbedClock clock,
             Checker checker,
-            FakeFrontend front,
+            FakeFrontend frontend,
             List<RequestClass> classes,
             Retries retries,
             long slack,
@@ -100,7 +100,7 @@
         this.loop = loop;
         this.clock = clock;
         this.checker = checker;
-        this.front = front;
+        this.frontend = frontend;
         this.classes = classes;
         this.retries = retries;
         this.slack = slack;
@@ -118,13 +118,13 @@
      */
     public void watchHealth() {
         long phase = 0;
-        for (Map.Entry<String, InetSocketAddress> balancer : front.all().entrySet()) {
+        for (Map.Entry<String, InetSocketAddress> balancer : frontend.all().entrySet()) {
             loop.scheduleWithFixedDelay(
                     () -> checkHealth(balancer.getKey(), balancer.getValue()),
                     phase,
                     CHECK_MICROS,
                     TimeUnit.MICROSECONDS);
-            phase += CHECK_MICROS / front.all().size();
+            phase += CHECK_MICROS / frontend.all().size();
         }
     }
 
@@ -184,7 +184,7 @@
                             }
                         })
                 .closeFuture()
-                .addListener(f -> front.checked(clock.micros(), name, good[0]));
+                .addListener(f -> frontend.checked(clock.micros(), name, good[0]));
     }
 
     private Channel connect(
@@ -216,8 +216,8 @@
         private final long begun = clock.micros();
         private final long late;
         private final long giveUp;
-        private int tries;
-        private Try current;
+        private int attempts;
+        private Attempt current;
 
         Story(Arrival arrival, long late) {
             this.arrival = arrival;
@@ -227,8 +227,8 @@
         }
 
         void send() {
-            tries++;
-            current = new Try(this, arrival.number() + "-" + tries);
+            attempts++;
+            current = new Attempt(this, arrival.number() + "-" + attempts);
             current.go(true);
         }
 
@@ -242,17 +242,17 @@
                                     (retries.backoff()
                                             * Math.pow(2, tries - 1)
                                             * (0.5 + random.nextDouble()));
-            if (again && tries <= retries.most() && now + wait < giveUp) {
+            if (again && attempts <= retries.most() && now + wait < giveUp) {
                 loop.schedule(this::send, wait, TimeUnit.MICROSECONDS);
                 return;
             }
             unfinished--;
-            listener.ended(arrival, outcome, now - begun + late, tries, late);
+            listener.ended(arrival, outcome, now - begun + late, attempts, late);
         }
     }
 
     /** One request with an id of its own. */
-    private final class Try {
+    private final class Attempt {
         private final Story story;
         private final String id;
         private final long deadline;
@@ -260,10 +260,10 @@
         private ScheduledFuture<?> atEnd;
         private boolean over;
 
-        Try(Story story, String id) {
+        Attempt(Story story, String id) {
             this.story = story;
             this.id = id;
-            long patience = (long) (retries.tryShare() * story.cls.giveUp());
+            long patience = (long) (retries.attemptShare() * story.cls.giveUp());
             this.deadline = Math.min(story.giveUp, clock.micros() + patience);
         }
 
@@ -282,14 +282,14 @@
                                 TimeUnit.MICROSECONDS);
             }
             Connection kept = first ? idle.poll() : null;
-            String balancer = kept == null ? front.next() : null;
+            String balancer = kept == null ? frontend.next() : null;
             if (kept != null) {
                 kept.write(this);
             } else if (balancer == null) {
                 end(Outcome.FAILED, 0);
             } else {
                 connection = new Connection(this, balancer);
-                connection.channel = connect(front.all().get(balancer), connection);
+                connection.channel = connect(frontend.all().get(balancer), connection);
                 connection.channel.closeFuture().addListener(f -> connection.closed());
             }
         }
@@ -372,16 +372,16 @@
     /** A client's connection; it carries one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final String balancer;
-        private final int life;
+        private final int incarnation;
         private Channel channel;
-        private Try current;
+        private Attempt current;
         private boolean connected;
         private int answers;
 
-        Connection(Try first, String balancer) {
+        Connection(Attempt first, String balancer) {
             this.current = first;
             this.balancer = balancer;
-            this.life = front.life(balancer);
+            this.incarnation = frontend.incarnation(balancer);
         }
 
         @Override
@@ -392,7 +392,7 @@
             }
         }
 
-        void write(Try t) {
+        void write(Attempt t) {
             current = t;
             t.connection = this;
             channel.writeAndFlush(t.message())
@@ -406,7 +406,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            Try t = current;
+            Attempt t = current;
             current = null;
             answers++;
             if (HttpUtil.isKeepAlive(answer) && t != null) {
@@ -422,9 +422,9 @@
         void closed() {
             idle.remove(this);
             if (current != null) {
-                Try t = current;
+                Attempt t = current;
                 current = null;
-                boolean killed = front.killed(balancer, life);
+                boolean killed = frontend.killed(balancer, incarnation);
                 t.cutOff(answers > 0 && !killed, !connected || killed);
             }
         }
--- a/src/main/java/myrtleladder/testbed/fake/FakeFrontend.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeFrontend.java
@@ -25,7 +25,7 @@
     private static final class Balancer {
         final InetSocketAddress address;
         boolean in;
-        int life;
+        int incarnation;
         boolean dying;
         long badSince = Long.MAX_VALUE;
 
@@ -67,18 +67,18 @@
     public void isDead(String name) {
         Balancer b = balancers.get(name);
         b.dying = false;
-        b.life++;
+        b.incarnation++;
     }
 
     /** Which life of a balancer a new connection belongs to. */
-    public int life(String name) {
-        return balancers.get(name).life;
+    public int incarnation(String name) {
+        return balancers.get(name).incarnation;
     }
 
     /** Whether whoever answered in that life has been killed. */
-    public boolean killed(String name, int life) {
+    public boolean killed(String name, int incarnation) {
         Balancer b = balancers.get(name);
-        return b.dying || b.life != life;
+        return b.dying || b.incarnation != incarnation;
     }
 
     /** Whether all have been taken in. */
--- a/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
@@ -60,7 +60,7 @@
     private final TestbedClock clock = new TestbedClock();
     private final Checker checker;
     private final FaultProxy relay;
-    private final FakeFrontend front = new FakeFrontend(NOTICE_MICROS);
+    private final FakeFrontend frontend = new FakeFrontend(NOTICE_MICROS);
     private final FakeDiscoveryServer discovery;
     private final FakeClients clients;
     private final Map<String, BalancerProcess> balancers = new LinkedHashMap<>();
@@ -141,7 +141,7 @@
                         loop,
                         clock,
                         checker,
-                        front,
+                        frontend,
                         layout.traffic().classes(),
                         layout.retries(),
                         layout.rules().answerSlack() + 1_000,
@@ -165,10 +165,10 @@
             loop.execute(clients::watchHealth);
             await(
                     () ->
-                            front.complete()
+                            frontend.complete()
                                     || !balancers.values().stream()
                                             .allMatch(BalancerProcess::alive));
-            up = loop.submit(front::complete).syncUninterruptibly().getNow();
+            up = loop.submit(frontend::complete).syncUninterruptibly().getNow();
         } finally {
             if (!up) {
                 close();
@@ -251,7 +251,7 @@
                         config,
                         layout.folder().resolve(name + ".log"));
         balancers.put(name, process);
-        front.add(name, listen);
+        frontend.add(name, listen);
         process.start();
     }
 
@@ -407,9 +407,9 @@
     }
 
     private void kill(String balancer) throws InterruptedException {
-        loop.submit(() -> front.dies(balancer)).syncUninterruptibly();
+        loop.submit(() -> frontend.dies(balancer)).syncUninterruptibly();
         balancers.get(balancer).kill();
-        loop.submit(() -> front.isDead(balancer)).syncUninterruptibly();
+        loop.submit(() -> frontend.isDead(balancer)).syncUninterruptibly();
     }
 
     private void toUpstream(Fault fault) {
--- a/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
@@ -87,7 +87,7 @@
         near.pipeline().addLast(there);
         sides.add(there);
         sides.add(back);
-        there.connectWhenNotCut();
+        there.connectUnlessPartitioned();
     }
 
     boolean between(String one, String other) {
@@ -112,7 +112,7 @@
     private final class Side extends ChannelInboundHandlerAdapter {
         private final String sender;
         private final String receiver;
-        private final Deque<Piece> onItsWay = new ArrayDeque<>();
+        private final Deque<Chunk> onItsWay = new ArrayDeque<>();
         private SocketChannel channel;
         private Side other;
         private long lastDue;
@@ -129,9 +129,9 @@
         }
 
         /** Bytes, or the end of the connection where {@code bytes} is null. */
-        private record Piece(ByteBuf bytes, long due) {}
+        private record Chunk(ByteBuf bytes, long due) {}
 
-        void connectWhenNotCut() {
+        void connectUnlessPartitioned() {
             if (connecting || links.cut(sender, receiver) || links.cut(receiver, sender)) {
                 return;
             }
@@ -178,17 +178,17 @@
             }
         }
 
-        private void put(ByteBuf piece) {
+        private void put(ByteBuf chunk) {
             long now = System.nanoTime() / 1_000;
-            int size = piece == null ? 0 : piece.readableBytes();
+            int size = chunk == null ? 0 : chunk.readableBytes();
             long[] arrivals =
                     links.cut(sender, receiver)
                             ? new long[] {0}
                             : links.arrivals(now, sender, receiver, size);
             long delay = arrivals.length == 0 ? RETRANSMIT_MICROS : arrivals[0];
             lastDue = Math.max(lastDue, now + delay);
-            onItsWay.add(new Piece(piece, lastDue));
-            bytes += piece == null ? 0 : piece.readableBytes();
+            onItsWay.add(new Chunk(chunk, lastDue));
+            bytes += chunk == null ? 0 : chunk.readableBytes();
             channel.config().setAutoRead(bytes < WINDOW);
             go();
         }
@@ -200,7 +200,7 @@
                 // connecting
             }
             if (other.channel == null) {
-                connectWhenNotCut();
+                connectUnlessPartitioned();
                 return;
             }
             if (broken && !links.cut(sender, receiver)) {
@@ -217,12 +217,12 @@
                     comeAgain(wait);
                     break;
                 }
-                Piece piece = onItsWay.poll();
-                if (piece.bytes() == null) {
+                Chunk chunk = onItsWay.poll();
+                if (chunk.bytes() == null) {
                     end();
                 } else {
-                    bytes -= piece.bytes().readableBytes();
-                    other.channel.write(piece.bytes());
+                    bytes -= chunk.bytes().readableBytes();
+                    other.channel.write(chunk.bytes());
                     wrote = true;
                 }
             }
--- a/src/main/java/myrtleladder/testbed/simulation/SimulatedNetwork.java
+++ b/src/main/java/myrtleladder/testbed/simulation/SimulatedNetwork.java
@@ -133,7 +133,7 @@
         private final ProtocolCore.Maker maker;
         private final Deque<LongConsumer> waiting = new ArrayDeque<>();
         private ProtocolCore core;
-        private int life;
+        private int incarnation;
         private boolean paused;
         private long wallOffset;
         private double rate = 1;
@@ -146,10 +146,10 @@
         }
 
         void start() {
-            life++;
+            incarnation++;
             paused = false;
             history.add(now, name, () -> "starts");
-            core = maker.make(name, seed * 31 + name.hashCode() * 17L + life, this);
+            core = maker.make(name, seed * 31 + name.hashCode() * 17L + incarnation, this);
             core.started(steady());
         }
 
@@ -162,7 +162,7 @@
         /** A process that stood still finds all that waited, in the order in which it came. */
         void resume() {
             paused = false;
-            int its = life;
+            int its = incarnation;
             List<LongConsumer> late = new ArrayList<>(waiting);
             waiting.clear();
             for (LongConsumer event : late) {
@@ -183,7 +183,7 @@
 
         /** An event of an earlier life is none of this one's. */
         private void handle(int its, LongConsumer event) {
-            if (core == null || its != life) {
+            if (core == null || its != incarnation) {
                 return;
             }
             if (paused) {
@@ -196,7 +196,7 @@
         /** The network hands a message to whoever runs under the name when it comes. */
         private void deliver(String from, byte[] message) {
             handle(
-                    life,
+                    incarnation,
                     t -> {
                         history.add(
                                 now, name, () -> "hears " + message.length + " bytes of " + from);
@@ -221,7 +221,7 @@
 
         @Override
         public void timer(String token, long delay) {
-            int its = life;
+            int its = incarnation;
             at(
                     now + Math.max(0, Math.round(delay / rate)),
                     () -> handle(its, t -> core.due(t, token)));
