--- a/src/main/java/myrtleladder/testbed/checker/Rules.java
+++ b/src/main/java/myrtleladder/testbed/checker/Rules.java
@@ -22,7 +22,7 @@
         long fallTime) {
 
     /** What part of its capacity an upstream has at an age; it rises evenly. */
-    public double warmth(long age) {
+    public double slowStartFactor(long age) {
         return age >= coldTime
                 ? 1
                 : startCapacity + (1 - startCapacity) * Math.max(0, age) / coldTime;
--- a/src/main/java/myrtleladder/testbed/fake/FakeClients.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeClients.java
@@ -240,7 +240,7 @@
                             ? (long) (retryAfter * 1e6)
                             : (long)
                                     (retries.backoff()
-                                            * Math.pow(2, tries - 1)
+                                            * Math.pow(2, attempts - 1)
                                             * (0.5 + random.nextDouble()));
             if (again && attempts <= retries.most() && now + wait < giveUp) {
                 loop.schedule(this::send, wait, TimeUnit.MICROSECONDS);
@@ -354,7 +354,7 @@
             if (reused) {
                 go(false);
             } else {
-                checker.cutOff(clock.micros(), id, excused);
+                checker.partitioned(clock.micros(), id, excused);
                 end(Outcome.FAILED, 0);
             }
         }
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
@@ -167,7 +167,7 @@
                     job.work
                             * (1 - saved)
                             * slower
-                            / (kind.speed() * kind.rules().warmth(now - startedAt));
+                            / (kind.speed() * kind.rules().slowStartFactor(now - startedAt));
             job.done = now + Math.max(1, Math.round(took));
             busy += took;
             spent += took;
--- a/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
+++ b/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
@@ -51,7 +51,7 @@
                 }
                 case AFTER_DRAIN -> {
                     sent(Repeat.FREE);
-                    checker.toldToLeave(8 * SECOND, "b", "u");
+                    checker.notifiedOfDrain(8 * SECOND, "b", "u");
                     attempt(wrong ? 10 * SECOND + 1 : 10 * SECOND);
                 }
                 case OUT -> {
@@ -128,7 +128,7 @@
             switch (random.nextInt(4)) {
                 case 0 -> checker.answered(now + SECOND, id, "body" + i);
                 case 1 -> checker.answered(now + SECOND / 2, id, null);
-                case 2 -> checker.cutOff(now + SECOND / 3, id, true);
+                case 2 -> checker.partitioned(now + SECOND / 3, id, true);
                 default -> checker.left(id);
             }
             checker.expire(now);
