--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -14,8 +14,8 @@
 import myrtleladder.configuration.Service;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.InFlightRequests;
-import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
--- a/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
@@ -12,8 +12,8 @@
 import myrtleladder.configuration.Service;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.FleetLoads;
-import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.Test;
 
