--- a/src/main/java/myrtleladder/controlplane/DiskThread.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
@@ -13,17 +13,17 @@
  * Saves on a thread of its own, since a disk may take seconds. What waits while one save is under
  * way is written at once, as the newest state includes it.
  */
-public final class DiskThread implements Storage {
-    private static final Logger LOG = LogManager.getLogger(DiskThread.class);
+public final class AsyncStateWriter implements Storage {
+    private static final Logger LOG = LogManager.getLogger(AsyncStateWriter.class);
 
     private final EventLoop loop;
-    private final GenerationStore store;
+    private final StateStore store;
     private final Object lock = new Object();
     private StoredState waiting;
     private List<Consumer<Boolean>> waitingFor = new ArrayList<>();
 
     /** Creates a saver; it works from {@link #start} on. */
-    public DiskThread(EventLoop loop, GenerationStore store) {
+    public AsyncStateWriter(EventLoop loop, StateStore store) {
         this.loop = loop;
         this.store = store;
     }
--- a/src/main/java/myrtleladder/controlplane/BalancerDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
@@ -10,7 +10,7 @@
 import myrtleladder.protocol.PollRequest;
 
 /** The balancers that live: those that poll, and those that their monitors on the ring hear. */
-final class BalancerDirectory {
+final class BalancerRegistry {
     private static final long ALIVE = 3_500;
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
--- a/src/main/java/myrtleladder/controlplane/ConfigurationOrders.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -23,8 +23,8 @@
  * The operator's orders, carried out one after the other by the primary: each is checked against
  * the committed document and acknowledged once the replicas have it.
  */
-final class ConfigurationOrders {
-    private static final Logger LOG = LogManager.getLogger(ConfigurationOrders.class);
+final class ConfigurationRequestHandler {
+    private static final Logger LOG = LogManager.getLogger(ConfigurationRequestHandler.class);
     private static final long HOLD = 900;
 
     private final Scheduler scheduler;
@@ -44,7 +44,7 @@
         void committed(Configuration configuration, boolean first);
     }
 
-    ConfigurationOrders(Scheduler scheduler, Listener listener) {
+    ConfigurationRequestHandler(Scheduler scheduler, Listener listener) {
         this.scheduler = scheduler;
         this.listener = listener;
     }
@@ -71,14 +71,14 @@
         leading = false;
         working = false;
         while (!orders.isEmpty()) {
-            CallerAnswers.redirect(orders.poll().exchange(), replica);
+            HttpResponses.redirect(orders.poll().exchange(), replica);
         }
     }
 
     /** Gives up orders that have waited for too long and takes the next one. */
     void time(long now) {
         while (!orders.isEmpty() && now - orders.peek().since() > HOLD) {
-            CallerAnswers.unclear(orders.poll().exchange());
+            HttpResponses.unclear(orders.poll().exchange());
         }
         work();
     }
@@ -86,7 +86,7 @@
     /** Takes an order or a read of the operator. */
     void take(ServerExchange exchange) {
         if (!leading) {
-            CallerAnswers.redirect(exchange, replica);
+            HttpResponses.redirect(exchange, replica);
             return;
         }
         orders.add(new Order(exchange, digest(exchange), scheduler.now()));
@@ -118,7 +118,7 @@
         replica.confirm(
                 confirmed -> {
                     if (!confirmed) {
-                        CallerAnswers.unclear(order.exchange());
+                        HttpResponses.unclear(order.exchange());
                         worked();
                     } else {
                         carryOut(order);
@@ -140,19 +140,19 @@
             return;
         }
         if (!method.equals("PUT") && !method.equals("PATCH")) {
-            CallerAnswers.empty(exchange, 405);
+            HttpResponses.empty(exchange, 405);
             worked();
             return;
         }
         if (committed.orders.contains(order.digest())) {
-            CallerAnswers.document(exchange, 200, acknowledged());
+            HttpResponses.document(exchange, 200, acknowledged());
             worked();
             return;
         }
         String match = exchange.head().headers().get("If-Match");
         if (match != null
                 && !match.replace("\"", "").trim().equals(Long.toString(committed.generation))) {
-            CallerAnswers.refuse(
+            HttpResponses.refuse(
                     exchange,
                     412,
                     ResultCode.STALE_MATCH.label()
@@ -170,7 +170,7 @@
                             : current.changedBy(exchange.body());
             submit(order, next);
         } catch (ConfigurationException e) {
-            CallerAnswers.refuse(exchange, 400, e.getMessage());
+            HttpResponses.refuse(exchange, 400, e.getMessage());
             worked();
         }
     }
@@ -187,9 +187,9 @@
                                 "generation {} is committed in epoch {}",
                                 committed.generation,
                                 replica.epoch());
-                        CallerAnswers.document(order.exchange(), 200, acknowledged());
+                        HttpResponses.document(order.exchange(), 200, acknowledged());
                     } else {
-                        CallerAnswers.unclear(order.exchange());
+                        HttpResponses.unclear(order.exchange());
                     }
                     worked();
                 });
@@ -214,9 +214,9 @@
 
     private void respondWithDocument(ServerExchange exchange) {
         if (committed.generation == 0) {
-            CallerAnswers.empty(exchange, 404);
+            HttpResponses.empty(exchange, 404);
         } else {
-            CallerAnswers.document(exchange, 200, Compression.inflate(committed.document));
+            HttpResponses.document(exchange, 200, Compression.inflate(committed.document));
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -55,7 +55,7 @@
 
     private static int rehearse() {
         try {
-            return Rehearsal.run() ? 0 : 1;
+            return Warmup.run() ? 0 : 1;
         } catch (IOException | InterruptedException e) {
             System.err.println(e);
             return 1;
@@ -82,10 +82,10 @@
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
         int sound = 0;
-        for (GenerationStore.Generation generation :
-                new GenerationStore(Path.of(words.get(1))).generations()) {
+        for (StateStore.Generation generation :
+                new StateStore(Path.of(words.get(1))).generations()) {
             try {
-                StoredState state = GenerationStore.read(generation.file());
+                StoredState state = StateStore.read(generation.file());
                 sound++;
                 System.out.println(
                         generation.file()
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -37,12 +37,12 @@
     private final long heartbeatMs;
     private final Map<String, String> regionOfZone;
     private final InstanceRegistry registry = new InstanceRegistry();
-    private final BalancerDirectory balancers = new BalancerDirectory();
-    private final FleetView fleet = new FleetView();
-    private final QuotaBank bank;
-    private final InstanceSharing sharing;
-    private final ConfigurationOrders orders;
-    private final PollDistribution polls;
+    private final BalancerRegistry balancers = new BalancerRegistry();
+    private final FleetLoadExchange fleet = new FleetLoadExchange();
+    private final QuotaAllocator bank;
+    private final InstanceReplicator sharing;
+    private final ConfigurationRequestHandler orders;
+    private final PollRequestHandler polls;
     private Replica replica;
     private boolean leading;
     private long leadingSince;
@@ -58,13 +58,13 @@
             double quotaSlack,
             Map<String, String> regionOfZone) {
         this.regionOfZone = regionOfZone;
-        this.bank = new QuotaBank(quotaOverage, quotaSlack);
-        this.sharing = new InstanceSharing(scheduler, peers);
+        this.bank = new QuotaAllocator(quotaOverage, quotaSlack);
+        this.sharing = new InstanceReplicator(scheduler, peers);
         this.scheduler = scheduler;
         this.heartbeatMs = heartbeatMs;
-        this.orders = new ConfigurationOrders(scheduler, this::committed);
+        this.orders = new ConfigurationRequestHandler(scheduler, this::committed);
         this.polls =
-                new PollDistribution(
+                new PollRequestHandler(
                         scheduler,
                         registry,
                         balancers,
@@ -181,9 +181,9 @@
         } else if (path.equals("/upgrade")) {
             upgrade(exchange);
         } else if (path.equals("/status")) {
-            CallerAnswers.document(exchange, 200, Json.write(status()));
+            HttpResponses.document(exchange, 200, Json.write(status()));
         } else {
-            CallerAnswers.empty(exchange, 404);
+            HttpResponses.empty(exchange, 404);
         }
     }
 
@@ -206,10 +206,10 @@
     /** Only the primary hears the balancers, so it alone can tell what is under way. */
     private void upgrade(ServerExchange exchange) {
         if (!leading || !replica.recentlyConfirmed()) {
-            CallerAnswers.redirect(exchange, replica);
+            HttpResponses.redirect(exchange, replica);
             return;
         }
-        CallerAnswers.document(
+        HttpResponses.document(
                 exchange,
                 200,
                 Json.write(
@@ -223,7 +223,7 @@
 
     private void instance(ServerExchange exchange, String id) {
         if (!leading || !replica.recentlyConfirmed()) {
-            CallerAnswers.redirect(exchange, replica);
+            HttpResponses.redirect(exchange, replica);
             return;
         }
         InstanceRecord record;
@@ -233,9 +233,9 @@
             record = known == null ? InstanceRecord.departed(id) : known.at(Stage.GONE);
         } else {
             try {
-                record = InstanceReader.read(id, Json.readObject(exchange.body()));
+                record = InstanceHeartbeatParser.read(id, Json.readObject(exchange.body()));
             } catch (SystemException e) {
-                CallerAnswers.refuse(exchange, 400, e.getMessage());
+                HttpResponses.refuse(exchange, 400, e.getMessage());
                 return;
             }
         }
@@ -250,9 +250,9 @@
                     registry.get(id),
                     safe -> {
                         if (safe) {
-                            CallerAnswers.acknowledge(exchange);
+                            HttpResponses.acknowledge(exchange);
                         } else {
-                            CallerAnswers.unclear(exchange);
+                            HttpResponses.unclear(exchange);
                         }
                     });
             return;
@@ -260,7 +260,7 @@
         if (news) {
             sharing.share(registry.get(id));
         }
-        CallerAnswers.acknowledge(exchange);
+        HttpResponses.acknowledge(exchange);
     }
 
     /**
--- a/src/main/java/myrtleladder/controlplane/FleetView.java
+++ b/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
@@ -4,8 +4,8 @@
 import myrtleladder.protocol.LoadReport;
 
 /** What balancers tell each other by way of the primary: what is under way, and what is kept. */
-final class FleetView {
-    private final LoadBoard loads = new LoadBoard();
+final class FleetLoadExchange {
+    private final LoadTable loads = new LoadTable();
     private final PromptDirectory prompts = new PromptDirectory();
 
     /** This node has become primary. */
--- a/src/main/java/myrtleladder/controlplane/CallerAnswers.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -8,11 +8,11 @@
 import myrtleladder.replication.Replica;
 
 /** The answers that callers of the control address get in like cases. */
-final class CallerAnswers {
+final class HttpResponses {
     private static final byte[] NO_BYTES = {};
     private static final String RETRY_AFTER = "0.2";
 
-    private CallerAnswers() {}
+    private HttpResponses() {}
 
     /** Names the primary, or says that there is no clear answer if none is known. */
     static void redirect(ServerExchange exchange, Replica replica) {
--- a/src/main/java/myrtleladder/controlplane/InstanceReader.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -8,8 +8,8 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 
 /** Reads the body of an upstream's heartbeat. */
-final class InstanceReader {
-    private InstanceReader() {}
+final class InstanceHeartbeatParser {
+    private InstanceHeartbeatParser() {}
 
     static InstanceRecord read(String id, Map<String, Object> tree) {
         String state = text(tree, "state");
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -85,11 +85,11 @@
 
     /** Gives ordinals to instances that have none, as far as that is due; those that got one. */
     List<InstanceRecord> assignOrdinals(long now) {
-        List<OrdinalAssignment.Holder> holders = new ArrayList<>();
+        List<OrdinalAssigner.Holder> holders = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            holders.add(new OrdinalAssignment.Holder(entry.record, entry.knownSince));
+            holders.add(new OrdinalAssigner.Holder(entry.record, entry.knownSince));
         }
-        List<InstanceRecord> assigned = OrdinalAssignment.assign(holders, now);
+        List<InstanceRecord> assigned = OrdinalAssigner.assign(holders, now);
         for (InstanceRecord record : assigned) {
             Entry entry = entries.get(record.id);
             entry.record = record;
--- a/src/main/java/myrtleladder/controlplane/InstanceSharing.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -19,7 +19,7 @@
  * handed over in memory. A departure that is acknowledged has to outlast what an acknowledged
  * change outlasts, so each replica of the view has it on its disk first.
  */
-final class InstanceSharing {
+final class InstanceReplicator {
     private static final long SHARE = 500;
 
     private final Peers peers;
@@ -27,7 +27,7 @@
     private Replica replica;
     private boolean leading;
 
-    InstanceSharing(Scheduler scheduler, Peers peers) {
+    InstanceReplicator(Scheduler scheduler, Peers peers) {
         this.peers = peers;
         this.handoff = new HintedHandoff(scheduler, peers);
     }
--- a/src/main/java/myrtleladder/controlplane/LoadBoard.java
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -12,7 +12,7 @@
  * replaces the one before and counts for a short time, so nothing is counted twice and nothing
  * stays of a balancer that died.
  */
-final class LoadBoard {
+final class LoadTable {
     /** How long a report counts: a few polls. */
     static final long FRESH = 1_500;
 
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -37,7 +37,7 @@
             throws InterruptedException, ReflectiveOperationException {
         EventLoop loop = new EventLoop();
         Path folder = Path.of(settings.dataFolder());
-        Replica replica = begin(settings, loop, new GenerationStore(folder));
+        Replica replica = begin(settings, loop, new StateStore(folder));
         CountDownLatch ended = new CountDownLatch(1);
         Signals.on(
                 "TERM", () -> loop.execute(() -> leave(settings.bounds(), loop, replica, ended)));
@@ -60,9 +60,9 @@
     }
 
     /** Puts the parts of a node together and begins to serve on a loop that is started here. */
-    static Replica begin(NodeSettings settings, EventLoop loop, GenerationStore store) {
+    static Replica begin(NodeSettings settings, EventLoop loop, StateStore store) {
         StoredState onDisk = store.load();
-        DiskThread disk = new DiskThread(loop, store);
+        AsyncStateWriter disk = new AsyncStateWriter(loop, store);
         disk.start();
         loop.start();
         PeerClient peers = new PeerClient(loop);
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssignment.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -15,10 +15,10 @@
  * leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until the
  * instance has left.
  */
-final class OrdinalAssignment {
+final class OrdinalAssigner {
     private static final long WAIT_FOR_PREDECESSOR = 5_000;
 
-    private OrdinalAssignment() {}
+    private OrdinalAssigner() {}
 
     /** An instance and when it was first heard of. */
     record Holder(InstanceRecord record, long knownSince) {}
@@ -32,7 +32,7 @@
 
     /** The records that get an ordinal now, with it. */
     static List<InstanceRecord> assign(List<Holder> holders, long now) {
-        if (holders.stream().noneMatch(OrdinalAssignment::waits)) {
+        if (holders.stream().noneMatch(OrdinalAssigner::waits)) {
             return List.of();
         }
         Map<String, Set<Integer>> held = heldByService(holders);
--- a/src/main/java/myrtleladder/controlplane/PollDistribution.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -19,7 +19,7 @@
  * The long polls of balancers: the primary answers each with what is newer than what the balancer
  * has, the configuration and the upstreams each by a version of their own.
  */
-final class PollDistribution {
+final class PollRequestHandler {
     private static final long SHORTEST_HOLD = 150;
     private static final long LONGEST_HOLD = 450;
     private static final long HOLD_FOR_EACH = 4; // bounds the polls of all to 250 a second
@@ -27,28 +27,28 @@
 
     private final Scheduler scheduler;
     private final InstanceRegistry registry;
-    private final BalancerDirectory balancers;
+    private final BalancerRegistry balancers;
     private final Supplier<Snapshot> committed;
     private final BooleanSupplier settled;
-    private final FleetView fleet;
-    private final List<HeldPoll> polls = new ArrayList<>();
+    private final FleetLoadExchange fleet;
+    private final List<LongPoll> polls = new ArrayList<>();
     private Replica replica;
     private boolean leading;
 
     /** A poll that waits for news. */
-    private record HeldPoll(PollRequest poll, Consumer<Message> answer, long since) {}
+    private record LongPoll(PollRequest poll, Consumer<Message> answer, long since) {}
 
     /**
      * Creates the distribution; {@code settled} tells whether each upstream that lives has had the
      * time to be heard here.
      */
-    PollDistribution(
+    PollRequestHandler(
             Scheduler scheduler,
             InstanceRegistry registry,
-            BalancerDirectory balancers,
+            BalancerRegistry balancers,
             Supplier<Snapshot> committed,
             BooleanSupplier settled,
-            FleetView fleet) {
+            FleetLoadExchange fleet) {
         this.scheduler = scheduler;
         this.registry = registry;
         this.balancers = balancers;
@@ -71,7 +71,7 @@
     /** This node is primary no more: all that is held hears who is. */
     void follow() {
         leading = false;
-        List<HeldPoll> held = new ArrayList<>(polls);
+        List<LongPoll> held = new ArrayList<>(polls);
         polls.clear();
         held.forEach(p -> p.answer().accept(notPrimary()));
     }
@@ -79,7 +79,7 @@
     /** Answers the polls that were held for long enough. */
     void time(long now) {
         long hold = hold();
-        List<HeldPoll> due = polls.stream().filter(p -> now - p.since() >= hold).toList();
+        List<LongPoll> due = polls.stream().filter(p -> now - p.since() >= hold).toList();
         polls.removeAll(due);
         due.forEach(p -> p.answer().accept(reply(p.poll())));
     }
@@ -113,7 +113,7 @@
         if (poll.immediate || poll.leaving || hasNews(poll)) {
             answer.accept(reply(poll));
         } else {
-            polls.add(new HeldPoll(poll, answer, scheduler.now()));
+            polls.add(new LongPoll(poll, answer, scheduler.now()));
         }
     }
 
@@ -129,7 +129,7 @@
         if (!leading || replica.state() != Replica.State.PRIMARY) {
             return;
         }
-        List<HeldPoll> due = polls.stream().filter(p -> hasNews(p.poll())).toList();
+        List<LongPoll> due = polls.stream().filter(p -> hasNews(p.poll())).toList();
         polls.removeAll(due);
         due.forEach(p -> p.answer().accept(reply(p.poll())));
     }
--- a/src/main/java/myrtleladder/controlplane/QuotaBank.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
@@ -12,7 +12,7 @@
  * requests count. A request may leave a debt, so that large ones are not passed over for small
  * ones.
  */
-final class QuotaBank {
+final class QuotaAllocator {
     private static final double OVERAGE_USED = 0.5;
     private static final double SLACK_USED = 0.25;
     private static final double FIRST_LEVEL = 0.1;
@@ -36,7 +36,7 @@
         }
     }
 
-    QuotaBank(double overage, double slack) {
+    QuotaAllocator(double overage, double slack) {
         this.overage = overage;
         this.slack = slack;
     }
--- a/src/main/java/myrtleladder/controlplane/GenerationStore.java
+++ b/src/main/java/myrtleladder/controlplane/StateStore.java
@@ -29,8 +29,8 @@
  * and only then removes what is older than the one before. A file that was written in part is set
  * aside at the start; what it held was never acknowledged. No file is changed once written.
  */
-public final class GenerationStore {
-    private static final Logger LOG = LogManager.getLogger(GenerationStore.class);
+public final class StateStore {
+    private static final Logger LOG = LogManager.getLogger(StateStore.class);
     private static final String PREFIX = "state-";
     private static final String SUFFIX = ".table";
     private static final String DAMAGED = ".damaged";
@@ -44,12 +44,12 @@
     private long newest;
 
     /** Creates a store in a folder, which is made if it is missing. */
-    public GenerationStore(Path folder) {
+    public StateStore(Path folder) {
         this.folder = folder;
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
-            throw new StoreException(ResultCode.DISK_WRITE, "can't make " + folder, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "can't make " + folder, e);
         }
     }
 
@@ -68,7 +68,7 @@
                         }
                     });
         } catch (IOException e) {
-            throw new StoreException(ResultCode.DISK_DAMAGED, "can't list " + folder, e);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "can't list " + folder, e);
         }
         found.sort(Comparator.comparingLong(Generation::number).reversed());
         return found;
@@ -94,7 +94,7 @@
             if (state == null) {
                 try {
                     state = read(generation.file());
-                } catch (StoreException e) {
+                } catch (StorageException e) {
                     LOG.warn("{} is set aside: {}", generation.file(), e.getMessage());
                     setAside(generation.file());
                 }
@@ -123,12 +123,12 @@
                                     Serializer.INTEGER,
                                     Serializer.BYTE_ARRAY));
         } catch (IOException | DBException e) {
-            throw new StoreException(ResultCode.DISK_DAMAGED, file + " can't be read: " + e, e);
+            throw new StorageException(ResultCode.DISK_DAMAGED, file + " can't be read: " + e, e);
         }
         if (MessageCodec.decode(bytes) instanceof StoredState state) {
             return state;
         }
-        throw new StoreException(ResultCode.DISK_DAMAGED, file + " holds something else", null);
+        throw new StorageException(ResultCode.DISK_DAMAGED, file + " holds something else", null);
     }
 
     /** The table as the library made it: what {@link #table} cut off was zero. */
@@ -141,11 +141,11 @@
     private static byte[] withoutChecksum(byte[] file) {
         int length = file.length - Long.BYTES;
         if (length <= 0) {
-            throw new StoreException(ResultCode.DISK_DAMAGED, "the file is cut short", null);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "the file is cut short", null);
         }
         byte[] table = Arrays.copyOf(file, length);
         if (checksum(table) != ByteBuffer.wrap(file).getLong(length)) {
-            throw new StoreException(ResultCode.DISK_DAMAGED, "the checksum does not match", null);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "the checksum does not match", null);
         }
         return table;
     }
@@ -153,22 +153,22 @@
     private static byte[] join(SortedTableMap<Integer, byte[]> table) {
         byte[] head = table.get(0);
         if (head == null || head.length != HEADER) {
-            throw new StoreException(ResultCode.DISK_DAMAGED, "there is no header", null);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "there is no header", null);
         }
         ByteBuffer header = ByteBuffer.wrap(head);
         if (header.getInt(0) != FORMAT) {
-            throw new StoreException(ResultCode.DISK_FORMAT, "format " + header.getInt(0), null);
+            throw new StorageException(ResultCode.DISK_FORMAT, "format " + header.getInt(0), null);
         }
         int length = header.getInt(4);
         if (length < 0 || length > table.size() * (long) CHUNK) {
-            throw new StoreException(ResultCode.DISK_DAMAGED, "a length of " + length, null);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "a length of " + length, null);
         }
         byte[] bytes = new byte[length];
         for (int i = 0; i * CHUNK < length; i++) {
             byte[] chunk = table.get(i + 1);
             int wanted = Math.min(CHUNK, length - i * CHUNK);
             if (chunk == null || chunk.length != wanted) {
-                throw new StoreException(
+                throw new StorageException(
                         ResultCode.DISK_DAMAGED, "part " + i + " is missing", null);
             }
             System.arraycopy(chunk, 0, bytes, i * CHUNK, wanted);
@@ -195,7 +195,7 @@
             channel.force(true);
         } catch (DBException | IOException e) {
             remove(file);
-            throw new StoreException(ResultCode.DISK_WRITE, "can't write " + file + ": " + e, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "can't write " + file + ": " + e, e);
         }
         for (Generation generation : generations()) {
             if (generation.number() < newest - 1) {
--- a/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
@@ -17,7 +17,7 @@
     private UpgradeStatus() {}
 
     /** The upstreams of a service in a zone. */
-    static final class ZoneStatus {
+    static final class ZoneUpgradeStatus {
         final String service;
         final String zone;
         final String region;
@@ -27,7 +27,7 @@
         int withoutOrdinal;
         int underWay;
 
-        private ZoneStatus(String service, String zone, String region) {
+        private ZoneUpgradeStatus(String service, String zone, String region) {
             this.service = service;
             this.zone = zone;
             this.region = region;
@@ -65,20 +65,20 @@
     }
 
     /** The status of each zone; {@code underWay} counts requests by incarnation. */
-    static List<ZoneStatus> of(
+    static List<ZoneUpgradeStatus> of(
             Collection<InstanceRecord> records,
             Map<String, Integer> underWay,
             Map<String, String> regionOfZone) {
-        Map<List<String>, ZoneStatus> zones = new TreeMap<>(UpgradeStatus::compare);
+        Map<List<String>, ZoneUpgradeStatus> zones = new TreeMap<>(UpgradeStatus::compare);
         for (InstanceRecord record : records) {
             if (record.service.isEmpty()) {
                 continue; // only its departure is known
             }
-            ZoneStatus status =
+            ZoneUpgradeStatus status =
                     zones.computeIfAbsent(
                             List.of(record.service, record.zone),
                             key ->
-                                    new ZoneStatus(
+                                    new ZoneUpgradeStatus(
                                             record.service,
                                             record.zone,
                                             regionOfZone.getOrDefault(record.zone, "")));
@@ -93,11 +93,11 @@
     }
 
     /** The document that operators read. */
-    static Map<String, Object> document(List<ZoneStatus> zones) {
+    static Map<String, Object> document(List<ZoneUpgradeStatus> zones) {
         List<Object> list = new ArrayList<>();
         zones.forEach(zone -> list.add(zone.tree()));
         Map<String, Object> document = new LinkedHashMap<>();
-        document.put("settled", zones.stream().allMatch(ZoneStatus::settled));
+        document.put("settled", zones.stream().allMatch(ZoneUpgradeStatus::settled));
         document.put("zones", list);
         return document;
     }
--- a/src/main/java/myrtleladder/controlplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -28,7 +28,7 @@
  * classes a start needs; they are kept in an archive from which they load at a fraction of the
  * processor time.
  */
-final class Rehearsal {
+final class Warmup {
     private static final long LONGEST = 10_000;
     private static final long STEP = 700;
     private static final String HOST = "127.0.0.1";
@@ -60,19 +60,19 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new StoreException(myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new StorageException(myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
     /** Serves and ends; whether all of it was served. */
     static boolean run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rehearsal");
-        Rehearsal rehearsal = new Rehearsal();
-        rehearsal.begin(new GenerationStore(folder));
+        Warmup rehearsal = new Warmup();
+        rehearsal.begin(new StateStore(folder));
         return rehearsal.done.await(LONGEST, TimeUnit.MILLISECONDS);
     }
 
-    private void begin(GenerationStore store) {
+    private void begin(StateStore store) {
         Address self = new Address(HOST, control);
         NodeSettings settings =
                 new NodeSettings(
@@ -98,7 +98,7 @@
         loop.execute(() -> loop.schedule(STEP, () -> callAll(store)));
     }
 
-    private void callAll(GenerationStore store) {
+    private void callAll(StateStore store) {
         call("PUT", "/config", "0", DOCUMENT);
         call("PUT", "/instances/i", "", HEARTBEAT);
         loop.schedule(
--- a/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
@@ -50,7 +50,7 @@
     private ControlPlane plane;
 
     /** A call at the control address and its answer. */
-    private static final class Call extends WholeAnswerCall {
+    private static final class Call extends FakeServerExchange {
         private int status;
         private Headers headers;
         private String answer;
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -51,7 +51,7 @@
     private Replica replica;
 
     /** A call at the control address and its answer. */
-    private static final class Call extends WholeAnswerCall {
+    private static final class Call extends FakeServerExchange {
         int status;
         Headers headers;
         String answer;
--- a/src/test/java/myrtleladder/controlplane/WholeAnswerCall.java
+++ b/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
@@ -5,12 +5,12 @@
 import myrtleladder.io.ServerExchange;
 
 /** A scripted call of somebody who waits for one whole answer and stays until it comes. */
-public abstract class WholeAnswerCall implements ServerExchange {
+public abstract class FakeServerExchange implements ServerExchange {
     private final RequestHead head;
     private final byte[] body;
 
     /** Creates a call. */
-    protected WholeAnswerCall(RequestHead head, byte[] body) {
+    protected FakeServerExchange(RequestHead head, byte[] body) {
         this.head = head;
         this.body = body;
     }
--- a/src/test/java/myrtleladder/controlplane/LoadBoardTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadTableTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 
 /** Sums of what all balancers have under way. */
-class LoadBoardTest {
+class LoadTableTest {
     private static final int UPSTREAM = 7;
     private static final long START = 10_000;
 
-    private final LoadBoard board = new LoadBoard();
+    private final LoadTable board = new LoadTable();
 
     @BeforeEach
     void lead() {
-        board.lead(START - LoadBoard.FIRST_SUMS);
+        board.lead(START - LoadTable.FIRST_SUMS);
     }
 
     private static LoadReport report(String balancer, long process, long sequence, int requests) {
@@ -86,9 +86,9 @@
         board.take(report("a", 1, 1, 2), START);
         board.take(report("b", 1, 1, 3), START + 1_000);
         assertTold(5, "c", START + 1_000);
-        assertTold(3, "c", START + LoadBoard.FRESH + 1);
+        assertTold(3, "c", START + LoadTable.FRESH + 1);
         board.forget("b");
-        assertTold(0, "c", START + LoadBoard.FRESH + 1);
+        assertTold(0, "c", START + LoadTable.FRESH + 1);
     }
 
     @Test
@@ -102,8 +102,8 @@
         board.take(report("a", 1, 1, 2), START);
         board.lead(START);
         board.take(report("b", 1, 1, 3), START + 10);
-        assertFalse(told("c", START + LoadBoard.FIRST_SUMS - 1).known);
-        assertTold(3, "c", START + LoadBoard.FIRST_SUMS);
+        assertFalse(told("c", START + LoadTable.FIRST_SUMS - 1).known);
+        assertTold(3, "c", START + LoadTable.FIRST_SUMS);
     }
 
     @Test
--- a/src/test/java/myrtleladder/controlplane/OrdinalAssignmentTest.java
+++ b/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who takes over whose place among the instances of a service. */
-class OrdinalAssignmentTest {
+class OrdinalAssignerTest {
     private static final long WAIT = 5_000;
     private static final long TICK = 100;
 
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -71,7 +71,7 @@
 
     @Test
     void whatABalancerKnowsFromAnotherEpochDoesNotCount() {
-        FleetView view = new FleetView();
+        FleetLoadExchange view = new FleetLoadExchange();
         view.lead(0);
         LoadReport report = new LoadReport();
         report.balancer = "a";
--- a/src/test/java/myrtleladder/controlplane/QuotaBankTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The quotas of all balancers together. */
-class QuotaBankTest {
+class QuotaAllocatorTest {
     private static Configuration configuration(int rate, int burst) {
         String text =
                 "{\"generation\":1,\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\"],"
@@ -26,7 +26,7 @@
 
     @Test
     void overAnyWindowNoMoreIsGrantedThanTheRuleAllows() {
-        QuotaBank bank = new QuotaBank(0.1, 190_000);
+        QuotaAllocator bank = new QuotaAllocator(0.1, 190_000);
         bank.use(configuration(70_000, 112_000), true, 0);
         double granted = 0;
         for (long now = 0; now < 8_000; now += 10) {
@@ -40,7 +40,7 @@
 
     @Test
     void aLargeRequestIsNotPassedOverForSmallOnes() {
-        QuotaBank bank = new QuotaBank(0, 0);
+        QuotaAllocator bank = new QuotaAllocator(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
         assertEquals(5_000, bank.grant(QuotaRequest.of("t", 5_000), 0).units, 1_000);
         QuotaResponse empty = bank.grant(QuotaRequest.of("t", 1), 100);
@@ -51,7 +51,7 @@
 
     @Test
     void aChangedQuotaKeepsItsLevelAndAnotherPrimaryBeginsLow() {
-        QuotaBank bank = new QuotaBank(0, 0);
+        QuotaAllocator bank = new QuotaAllocator(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
         bank.grant(QuotaRequest.of("t", 3_000), 0);
         bank.use(configuration(1_000, 9_000), false, 0);
@@ -64,7 +64,7 @@
 
     @Test
     void whatAllBalancersGetAheadFitsIntoThePartOfTheSlack() {
-        QuotaBank bank = new QuotaBank(0.1, 190_000);
+        QuotaAllocator bank = new QuotaAllocator(0.1, 190_000);
         bank.balancers(56);
         bank.use(configuration(446_000, 446_000), true, 0);
         double ahead = 0;
@@ -77,7 +77,7 @@
 
     @Test
     void unitsThatAreGivenBackCanBeGrantedAgain() {
-        QuotaBank bank = new QuotaBank(0, 0);
+        QuotaAllocator bank = new QuotaAllocator(0, 0);
         bank.use(configuration(1_000, 1_000), true, 0);
         bank.grant(QuotaRequest.of("t", 1_000), 0);
         assertEquals(0, bank.grant(QuotaRequest.of("t", 400), 0).units);
@@ -87,7 +87,7 @@
 
     @Test
     void aTenantWithoutLimitIsAlwaysGranted() {
-        QuotaBank bank = new QuotaBank(0, 0);
+        QuotaAllocator bank = new QuotaAllocator(0, 0);
         bank.use(configuration(1, 1), true, 0);
         assertEquals(1e9, bank.grant(QuotaRequest.of("free", 1e9), 0).units);
     }
--- a/src/test/java/myrtleladder/controlplane/GenerationStoreCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
@@ -28,16 +28,16 @@
  * program has written. A node that is upgraded starts from the files of the version before it; so
  * the names, the table, the checksum and the message in the files may not change.
  */
-class GenerationStoreCompatibilityTest {
+class StateStoreCompatibilityTest {
     private static final Path GOLDEN = Path.of("src/test/resources/compatibility/state");
 
     @TempDir Path folder;
 
-    private GenerationStore copyOf(String node) throws IOException {
+    private StateStore copyOf(String node) throws IOException {
         for (Path file : files(GOLDEN.resolve(node))) {
             Files.copy(file, folder.resolve(file.getFileName()));
         }
-        return new GenerationStore(folder);
+        return new StateStore(folder);
     }
 
     private static List<Path> files(Path place) throws IOException {
@@ -72,7 +72,7 @@
     @ParameterizedTest
     @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
     void theNewestStateOfANodeIsRead(int node, long epoch, long generation) throws IOException {
-        GenerationStore store = copyOf("core-" + node);
+        StateStore store = copyOf("core-" + node);
         assertContents(node, epoch, store.load());
         assertEquals(name(generation), store.generations().get(0).file().getFileName().toString());
     }
@@ -114,12 +114,12 @@
     @ParameterizedTest
     @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
     void aNodeSavesOnAndLoadsAgain(int node, long epoch, long generation) throws IOException {
-        GenerationStore store = copyOf("core-" + node);
+        StateStore store = copyOf("core-" + node);
         store.save(store.load().withPromised(99));
         assertEquals(
                 List.of(name(generation), name(generation + 1)),
                 files(folder).stream().map(f -> f.getFileName().toString()).toList());
-        StoredState again = new GenerationStore(folder).load();
+        StoredState again = new StateStore(folder).load();
         assertEquals(99, again.promised);
         assertEquals(epoch, again.accepted.epoch);
     }
@@ -128,7 +128,7 @@
     @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
     void aDamagedFileIsSetAsideAndTheGenerationBeforeIsUsed(int node, long epoch, long generation)
             throws IOException {
-        GenerationStore store = copyOf("core-" + node);
+        StateStore store = copyOf("core-" + node);
         Path newest = folder.resolve(name(generation));
         byte[] bytes = Files.readAllBytes(newest);
         bytes[bytes.length / 2] ^= 1;
@@ -144,7 +144,7 @@
     @ValueSource(ints = {1, 2, 3})
     void aFreshSaveHasTheGoldenBytes(int node) throws IOException {
         Path golden = files(GOLDEN.resolve("core-" + node)).get(1);
-        new GenerationStore(folder).save(GenerationStore.read(golden));
+        new StateStore(folder).save(StateStore.read(golden));
         assertArrayEquals(Files.readAllBytes(golden), Files.readAllBytes(folder.resolve(name(1))));
     }
 
@@ -153,9 +153,9 @@
         Path golden = GOLDEN.resolve("large").resolve(name(1));
         byte[] document = new byte[20_000];
         new SplittableRandom(5).nextBytes(document);
-        StoredState state = GenerationStore.read(golden);
+        StoredState state = StateStore.read(golden);
         assertArrayEquals(document, state.snapshot.document);
-        new GenerationStore(folder).save(state);
+        new StateStore(folder).save(state);
         assertArrayEquals(Files.readAllBytes(golden), Files.readAllBytes(folder.resolve(name(1))));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/GenerationStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The state on the disk against torn, missing and damaged files. */
-class GenerationStoreTest {
+class StateStoreTest {
     @TempDir Path folder;
 
     private static StoredState state(long promised, int size) {
@@ -34,7 +34,7 @@
     }
 
     private void assertLoads(long promised, int size) {
-        StoredState loaded = new GenerationStore(folder).load();
+        StoredState loaded = new StateStore(folder).load();
         assertEquals(promised, loaded.promised);
         assertArrayEquals(state(promised, size).snapshot.document, loaded.snapshot.document);
         assertEquals(List.of("o1", "o2"), loaded.snapshot.orders);
@@ -42,12 +42,12 @@
     }
 
     private Path newest() {
-        return new GenerationStore(folder).generations().get(0).file();
+        return new StateStore(folder).generations().get(0).file();
     }
 
     @Test
     void aFileIsAsLongAsItsStateAndNotMuchMore() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+        StateStore store = new StateStore(folder);
         for (int size : new int[] {0, 1, 8_000, 60_000, 130_000, 1_100_000}) {
             store.save(state(5, size));
             long length = Files.size(newest());
@@ -60,14 +60,14 @@
     void aStateThatEndsWithZerosComesBackWhole() {
         StoredState zeros =
                 StoredState.of("s", 1, null, Snapshot.of(new byte[70_000], 1, List.of()));
-        new GenerationStore(folder).save(zeros);
-        StoredState loaded = new GenerationStore(folder).load();
+        new StateStore(folder).save(zeros);
+        StoredState loaded = new StateStore(folder).load();
         assertArrayEquals(new byte[70_000], loaded.snapshot.document);
     }
 
     @Test
     void theNewestStateComesBackAndOldFilesGo() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+        StateStore store = new StateStore(folder);
         assertNull(store.load());
         for (int i = 1; i <= 10; i++) {
             store.save(state(i, i * 20_000));
@@ -80,12 +80,12 @@
 
     @Test
     void aFileTornAnywhereIsSetAsideAndTheOneBeforeHolds() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+        StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
         byte[] whole = Files.readAllBytes(newest());
         Path file = newest();
-        Path other = new GenerationStore(folder).generations().get(1).file();
+        Path other = new StateStore(folder).generations().get(1).file();
         byte[] before = Files.readAllBytes(other);
         for (int cut = 0; cut < whole.length; cut += 4_096) {
             Files.write(file, Arrays.copyOf(whole, cut));
@@ -97,7 +97,7 @@
 
     @Test
     void missingPagesAreNoticed() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+        StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
         Path file = newest();
@@ -109,7 +109,7 @@
                 continue;
             }
             Files.write(file, torn);
-            long promised = new GenerationStore(folder).load().promised;
+            long promised = new StateStore(folder).load().promised;
             Path aside = file.resolveSibling(file.getFileName() + ".damaged");
             assertEquals(Files.exists(aside) ? 1 : 2, promised, "page at " + page);
             Files.deleteIfExists(aside);
@@ -118,7 +118,7 @@
 
     @Test
     void anOldFileWhoseRemovalWasLostDoesNotComeBack() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+        StateStore store = new StateStore(folder);
         store.save(state(1, 100));
         Path first = newest();
         byte[] bytes = Files.readAllBytes(first);
@@ -126,8 +126,8 @@
         store.save(state(3, 100));
         Files.write(first, bytes);
         assertLoads(3, 100);
-        new GenerationStore(folder).load();
-        GenerationStore again = new GenerationStore(folder);
+        new StateStore(folder).load();
+        StateStore again = new StateStore(folder);
         again.load();
         again.save(state(4, 100));
         assertLoads(4, 100);
@@ -135,10 +135,10 @@
 
     @Test
     void whatCannotBeWrittenIsToldByItsNumber() throws Exception {
-        GenerationStore store = new GenerationStore(folder.resolve("sub"));
+        StateStore store = new StateStore(folder.resolve("sub"));
         Files.delete(folder.resolve("sub"));
         Files.write(folder.resolve("sub"), new byte[] {1});
-        StoreException refused = assertThrows(StoreException.class, () -> store.save(state(1, 10)));
+        StorageException refused = assertThrows(StorageException.class, () -> store.save(state(1, 10)));
         assertEquals(ResultCode.DISK_WRITE, refused.code());
         assertTrue(refused.getMessage().startsWith("E300 DISK_WRITE"));
     }
--- a/src/test/java/myrtleladder/controlplane/model/OutsideCalls.java
+++ b/src/test/java/myrtleladder/controlplane/model/ExternalClient.java
@@ -6,33 +6,33 @@
 import myrtleladder.io.RequestHead;
 
 /** How a caller from outside reaches control nodes: it follows redirects and gives up in time. */
-final class OutsideCalls {
+final class ExternalClient {
     private static final long PATIENCE = 1_000;
     private static final int MOST_REDIRECTS = 2;
     private static final int REDIRECT = 307;
 
-    private final ControlModel model;
+    private final SimulatedCluster model;
     private final String caller;
 
-    OutsideCalls(ControlModel model, String caller) {
+    ExternalClient(SimulatedCluster model, String caller) {
         this.model = model;
         this.caller = caller;
     }
 
     /** Any node that the caller has on its list. */
-    ModelNode anyNode() {
-        List<ModelNode> nodes = model.listedNodes();
+    SimulatedNode anyNode() {
+        List<SimulatedNode> nodes = model.listedNodes();
         return nodes.get(model.random.nextInt(nodes.size()));
     }
 
     /** Calls a node; the answer is null if none came in time. */
     void call(
-            ModelNode node,
+            SimulatedNode node,
             String method,
             String path,
             long match,
             byte[] body,
-            Consumer<ModelAnswer> answered) {
+            Consumer<SimulatedResponse> answered) {
         Headers headers = new Headers();
         if (match >= 0) {
             headers.add("If-Match", Long.toString(match));
@@ -41,13 +41,13 @@
     }
 
     private void send(
-            ModelNode node,
+            SimulatedNode node,
             RequestHead head,
             byte[] body,
             int redirects,
-            Consumer<ModelAnswer> answered) {
+            Consumer<SimulatedResponse> answered) {
         boolean[] told = {false};
-        Consumer<ModelAnswer> once =
+        Consumer<SimulatedResponse> once =
                 answer -> {
                     if (!told[0]) {
                         told[0] = true;
@@ -68,12 +68,12 @@
     }
 
     private void follow(
-            ModelAnswer answer,
+            SimulatedResponse answer,
             RequestHead head,
             byte[] body,
             int redirects,
-            Consumer<ModelAnswer> answered) {
-        ModelNode next =
+            Consumer<SimulatedResponse> answered) {
+        SimulatedNode next =
                 answer != null && answer.status() == REDIRECT && redirects > 0
                         ? model.nodeAt(answer.location())
                         : null;
--- a/src/test/java/myrtleladder/controlplane/model/ProtocolPointsTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -14,7 +14,7 @@
  * Each point of the protocol in turn, before and after each send, arrival, sync and answer, is hit
  * by a loss of the node at which it lies.
  */
-class ProtocolPointsTest {
+class FaultPointTest {
     private static final long CATCH_UP = 4_000;
     private static final long WINDOW = 2_500;
     private static final long AWAY = 1_500;
@@ -55,7 +55,7 @@
         List<String> found =
                 IntStream.range(0, PAIRS)
                         .parallel()
-                        .mapToObj(ProtocolPointsTest::pair)
+                        .mapToObj(FaultPointTest::pair)
                         .filter(fault -> !fault.isEmpty())
                         .limit(SHOWN)
                         .toList();
@@ -100,7 +100,7 @@
 
     /** One run with losses at points that are counted from the beginning of the scene. */
     private static final class Play {
-        final ControlModel model;
+        final SimulatedCluster model;
         final Scene scene;
         final List<Hit> hits;
         final List<String> faults = new ArrayList<>();
@@ -109,7 +109,7 @@
         Play(Scene scene, int size, List<Hit> hits) {
             this.scene = scene;
             this.hits = hits;
-            this.model = new ControlModel(size, size, size >= 5 ? 2 : 1, CATCH_UP, null);
+            this.model = new SimulatedCluster(size, size, size >= 5 ? 2 : 1, CATCH_UP, null);
         }
 
         void run() {
@@ -133,11 +133,11 @@
 
         private void replace() {
             model.addMachine().start(false);
-            ModelNode leaves = model.listedNodes().get(0);
+            SimulatedNode leaves = model.listedNodes().get(0);
             model.clock.schedule(WINDOW / 2, () -> leaves.terminate(() -> model.remove(leaves)));
         }
 
-        private void point(ModelNode node) {
+        private void point(SimulatedNode node) {
             int point = seen++;
             for (Hit hit : hits) {
                 if (hit.point == point) {
@@ -146,7 +146,7 @@
             }
         }
 
-        private void strike(ModelNode node, Strike strike) {
+        private void strike(SimulatedNode node, Strike strike) {
             switch (strike) {
                 case KILL -> node.kill();
                 case WIPE -> node.wipe();
@@ -156,8 +156,8 @@
             }
         }
 
-        private void cut(ModelNode node) {
-            for (ModelNode other : model.listedNodes()) {
+        private void cut(SimulatedNode node) {
+            for (SimulatedNode other : model.listedNodes()) {
                 if (other != node) {
                     model.network.cut(node.address, other.address);
                 }
--- a/src/test/java/myrtleladder/controlplane/model/FivePointsTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultScenarioTest.java
@@ -11,27 +11,27 @@
 import org.junit.jupiter.api.Test;
 
 /** What operators of such systems meet, brought about one by one. */
-class FivePointsTest {
+class FaultScenarioTest {
     private static final long CATCH_UP = 4_000;
     private static final long ACKNOWLEDGED_WITHIN = 4_000;
     private static final long CONTACT = 3_000;
     private static final long RECOVERED_WITHIN = 12_000;
 
-    private static ControlModel started(long seed, int size, int tolerated) {
-        ControlModel model = new ControlModel(seed, size, tolerated, CATCH_UP, null);
+    private static SimulatedCluster started(long seed, int size, int tolerated) {
+        SimulatedCluster model = new SimulatedCluster(seed, size, tolerated, CATCH_UP, null);
         model.begin();
         model.clock.run(2_000);
         assertNotNull(model.leader());
         return model;
     }
 
-    private static void expectSound(ControlModel model, String what) {
+    private static void expectSound(SimulatedCluster model, String what) {
         model.expectAcknowledgement(RECOVERED_WITHIN, what);
         model.expectWhole(what);
         assertEquals(List.of(), model.history.faults(), what);
     }
 
-    private static List<ModelNode> nodes(ControlModel model) {
+    private static List<SimulatedNode> nodes(SimulatedCluster model) {
         return new ArrayList<>(model.listedNodes());
     }
 
@@ -41,9 +41,9 @@
     @Test
     void aLeaderThatIsCutOffShowsConfirmsAndRefusesNothingAndFollowsOnceItIsBack() {
         for (int size : new int[] {3, 4, 5, 8}) {
-            ControlModel model = started(size, size, size >= 5 ? 2 : 1);
-            ModelNode leader = model.leader();
-            for (ModelNode other : nodes(model)) {
+            SimulatedCluster model = started(size, size, size >= 5 ? 2 : 1);
+            SimulatedNode leader = model.leader();
+            for (SimulatedNode other : nodes(model)) {
                 if (other != leader) {
                     model.network.cut(leader.address, other.address);
                 }
@@ -62,16 +62,16 @@
     @Test
     void inHalvesTheSmallerOrNoSideDecides() {
         for (int size : new int[] {3, 4, 5, 8}) {
-            ControlModel model = started(size, size, size >= 5 ? 2 : 1);
-            List<ModelNode> all = nodes(model);
-            List<ModelNode> small = all.subList(0, size / 2);
-            for (ModelNode one : small) {
-                for (ModelNode other : all.subList(size / 2, size)) {
+            SimulatedCluster model = started(size, size, size >= 5 ? 2 : 1);
+            List<SimulatedNode> all = nodes(model);
+            List<SimulatedNode> small = all.subList(0, size / 2);
+            for (SimulatedNode one : small) {
+                for (SimulatedNode other : all.subList(size / 2, size)) {
                     model.network.cut(one.address, other.address);
                 }
             }
             model.clock.run(8_000);
-            for (ModelNode one : small) {
+            for (SimulatedNode one : small) {
                 assertFalse(one.leads(), one.toString());
             }
             model.mend();
@@ -83,9 +83,9 @@
     @Test
     void aLeaderThatHearsButIsNotHeardAndTheOtherWayRoundIsFollowedByAnother() {
         for (boolean hears : new boolean[] {true, false}) {
-            ControlModel model = started(11, 3, 1);
-            ModelNode leader = model.leader();
-            for (ModelNode other : nodes(model)) {
+            SimulatedCluster model = started(11, 3, 1);
+            SimulatedNode leader = model.leader();
+            for (SimulatedNode other : nodes(model)) {
                 if (other != leader && hears) {
                     model.network.cutOneWay(leader.address, other.address);
                 } else if (other != leader) {
@@ -107,10 +107,10 @@
     @Test
     void operatorsWhoRaceAndLoseAcknowledgementsAreNeverBothConfirmedNorRefusedWhatHolds() {
         for (long seed = 0; seed < 20; seed++) {
-            ControlModel model = started(seed, 3 + (int) (seed % 2), 1);
+            SimulatedCluster model = started(seed, 3 + (int) (seed % 2), 1);
             model.operators.forEach(o -> o.loses(0.7));
             for (int round = 0; round < 4; round++) {
-                ModelNode leader = model.leader();
+                SimulatedNode leader = model.leader();
                 model.awaitPromise(2_000);
                 if (leader != null) {
                     leader.kill();
@@ -125,9 +125,9 @@
     }
 
     /** The status that a node's answer to an order has, 0 without an answer. */
-    private static int statusOf(ControlModel model, ModelNode node, ModelOrder order) {
+    private static int statusOf(SimulatedCluster model, SimulatedNode node, OperatorChange order) {
         int[] status = {-1};
-        new OutsideCalls(model, "third")
+        new ExternalClient(model, "third")
                 .call(
                         node,
                         "PUT",
@@ -141,10 +141,10 @@
         return status[0];
     }
 
-    private static ModelOrder acknowledgedOrder(ControlModel model) {
+    private static OperatorChange acknowledgedOrder(SimulatedCluster model) {
         for (int i = 0; i < 200; i++) {
             long base = model.history.newest();
-            ModelOrder order = new ModelOrder("third-" + i, base, base + 1);
+            OperatorChange order = new OperatorChange("third-" + i, base, base + 1);
             model.history.ordered(order);
             if (statusOf(model, model.leader(), order) == 200) {
                 model.history.acknowledged(order, model.clock.now());
@@ -154,8 +154,8 @@
         throw new AssertionError("no order of a third operator is taken");
     }
 
-    private static void expectKnownEverywhere(ControlModel model, ModelOrder order, String when) {
-        for (ModelNode node : nodes(model)) {
+    private static void expectKnownEverywhere(SimulatedCluster model, OperatorChange order, String when) {
+        for (SimulatedNode node : nodes(model)) {
             assertEquals(200, statusOf(model, node, order), node.address + " " + when);
         }
     }
@@ -163,8 +163,8 @@
     @Test
     void anOrderIsKnownAtAnyNodeAfterANewViewLaterChangesAndARestartOfAll() {
         for (int size : new int[] {3, 8}) {
-            ControlModel model = started(size, size, size == 8 ? 2 : 1);
-            ModelOrder order = acknowledgedOrder(model);
+            SimulatedCluster model = started(size, size, size == 8 ? 2 : 1);
+            OperatorChange order = acknowledgedOrder(model);
             expectKnownEverywhere(model, order, "at once");
             model.leader().kill();
             model.clock.run(CONTACT);
@@ -175,12 +175,12 @@
                 model.awaitPromise(2_000);
             }
             expectKnownEverywhere(model, order, "after later changes");
-            nodes(model).forEach(ModelNode::powerOff);
+            nodes(model).forEach(SimulatedNode::powerOff);
             model.clock.run(500);
             model.mend();
             model.clock.run(CATCH_UP);
             expectKnownEverywhere(model, order, "after a restart of all");
-            ModelOrder other = new ModelOrder(order.name(), order.match() + 1, order.generation());
+            OperatorChange other = new OperatorChange(order.name(), order.match() + 1, order.generation());
             int status = statusOf(model, model.leader(), other);
             assertTrue(status == 412 || status == 400, "another If-Match: " + status);
             expectSound(model, "after a known order of " + size);
@@ -195,7 +195,7 @@
         for (int gone = 0; gone < 3; gone++) {
             for (int wiped = 0; wiped < 3; wiped++) {
                 for (long away : new long[] {50, 6_000}) {
-                    ControlModel model = started(gone * 3 + wiped, 3, 1);
+                    SimulatedCluster model = started(gone * 3 + wiped, 3, 1);
                     model.remove(nodes(model).get(gone));
                     model.clock.run(1_000);
                     model.addMachine().start(false);
@@ -217,8 +217,8 @@
     void onceALeaverIsGoneAnyOtherDiskMayBeLostAtOnce() {
         for (int leaver = 0; leaver < 3; leaver++) {
             for (long pause : new long[] {0, 100, 1_500, 3_000, 6_000}) {
-                ControlModel model = started(leaver * 10 + pause, 3, 1);
-                ModelNode leaves = nodes(model).get(leaver);
+                SimulatedCluster model = started(leaver * 10 + pause, 3, 1);
+                SimulatedNode leaves = nodes(model).get(leaver);
                 model.addMachine().start(false);
                 model.clock.run(CATCH_UP);
                 boolean[] ended = {false};
@@ -230,7 +230,7 @@
                 model.clock.run(2_000);
                 assertTrue(ended[0], "a successor stands, so nothing is to be waited for");
                 model.clock.run(pause);
-                ModelNode leader = model.leader();
+                SimulatedNode leader = model.leader();
                 assertNotNull(leader);
                 leader.wipe();
                 model.clock.run(CONTACT);
@@ -244,13 +244,13 @@
 
     @Test
     void aLeaverWithoutSuccessorHandsItsCopyOverAndEndsInTime() {
-        ControlModel model = started(3, 3, 1);
-        ModelNode leader = model.leader();
+        SimulatedCluster model = started(3, 3, 1);
+        SimulatedNode leader = model.leader();
         boolean[] ended = {false};
         leader.terminate(() -> ended[0] = true);
         model.clock.run(1_000);
         assertFalse(ended[0]);
-        ModelNode next = model.leader();
+        SimulatedNode next = model.leader();
         assertTrue(next != null && next != leader);
         assertFalse(next.replica().view().replicas.contains(leader.replica().self()));
         model.clock.run(4_000);
@@ -263,7 +263,7 @@
     @Test
     void allThatAreAskedToEndAtOnceEndInTimeAndComeBackWithAllThatHolds() {
         for (int size : new int[] {3, 4, 8}) {
-            ControlModel model = started(size, size, size == 8 ? 2 : 1);
+            SimulatedCluster model = started(size, size, size == 8 ? 2 : 1);
             int[] ended = {0};
             nodes(model).forEach(n -> n.terminate(() -> ended[0]++));
             model.clock.run(5_500);
@@ -276,14 +276,14 @@
 
     @Test
     void aLivingMemberThatWasDroppedIsAdmittedAgain() {
-        ControlModel model = started(5, 4, 1);
-        ModelNode leader = model.leader();
-        ModelNode other =
+        SimulatedCluster model = started(5, 4, 1);
+        SimulatedNode leader = model.leader();
+        SimulatedNode other =
                 nodes(model).stream()
                         .filter(n -> !leader.replica().view().replicas.contains(n.replica().self()))
                         .findFirst()
                         .orElseThrow();
-        for (ModelNode node : nodes(model)) {
+        for (SimulatedNode node : nodes(model)) {
             if (node != other) {
                 model.network.cut(node.address, other.address);
             }
@@ -300,8 +300,8 @@
     @Test
     void aJoinerThatDiesWhileItJoinsHoldsNobodyUp() {
         for (long after = 0; after < 700; after += 50) {
-            ControlModel model = started(after, 3, 1);
-            ModelNode joiner = model.addMachine();
+            SimulatedCluster model = started(after, 3, 1);
+            SimulatedNode joiner = model.addMachine();
             long epoch = model.leader().replica().epoch();
             joiner.start(false);
             model.clock.run(after);
@@ -316,8 +316,8 @@
 
     @Test
     void oneMachineThatFlapsCostsTheOthersNothing() {
-        ControlModel model = started(17, 4, 1);
-        ModelNode flaps = nodes(model).get(3);
+        SimulatedCluster model = started(17, 4, 1);
+        SimulatedNode flaps = nodes(model).get(3);
         for (int i = 0; i < 6; i++) {
             flaps.kill();
             model.clock.run(900 + i * 400);
@@ -335,8 +335,8 @@
     @Test
     void aMemberThatWasAwayForHundredsOfChangesIsWholeWithinTheCatchUpTime() {
         for (int away = 0; away < 3; away++) {
-            ControlModel model = started(away, 3, 1);
-            ModelNode node = nodes(model).get(away);
+            SimulatedCluster model = started(away, 3, 1);
+            SimulatedNode node = nodes(model).get(away);
             node.kill();
             for (int i = 0; i < 300; i++) {
                 model.awaitPromise(4_000);
@@ -344,7 +344,7 @@
             assertTrue(model.history.newest() > 200, "generation " + model.history.newest());
             model.mend();
             model.clock.run(CATCH_UP);
-            ModelNode leader = model.leader();
+            SimulatedNode leader = model.leader();
             leader.wipe();
             model.clock.run(CONTACT);
             model.expectAcknowledgement(ACKNOWLEDGED_WITHIN, "after the next loss");
@@ -356,16 +356,16 @@
 
     @Test
     void withOtherSeedsAndTheFirstOnesCutOffAMachineIsAdmitted() {
-        ControlModel model = started(23, 5, 2);
+        SimulatedCluster model = started(23, 5, 2);
         model.exchangeSeeds();
-        ModelNode first = nodes(model).get(0);
-        for (ModelNode other : nodes(model)) {
+        SimulatedNode first = nodes(model).get(0);
+        for (SimulatedNode other : nodes(model)) {
             if (other != first) {
                 model.network.cut(first.address, other.address);
             }
         }
         model.clock.run(CONTACT);
-        ModelNode added = model.addMachine();
+        SimulatedNode added = model.addMachine();
         added.start(false);
         model.clock.run(CATCH_UP);
         assertTrue(model.leader().group().contains(added.replica().self()));
--- a/src/test/java/myrtleladder/controlplane/model/Schedule.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
@@ -8,7 +8,7 @@
  * A drawn run: losses that overlap and follow each other as closely as the deployments allow, each
  * beginning once the machines of the one before have been back for the catch-up time.
  */
-final class Schedule {
+final class FaultSchedule {
     private static final long ACKNOWLEDGED_WITHIN = 4_000;
     private static final long RECOVERED_WITHIN = 12_000;
     private static final int[] SIZES = {3, 4, 3, 5, 8};
@@ -38,21 +38,21 @@
         SECOND_CUT
     }
 
-    private final ControlModel model;
+    private final SimulatedCluster model;
     private final SplittableRandom random;
     private final StringBuilder story = new StringBuilder();
     private long nextAfter;
 
-    private Schedule(long seed, Guard missing) {
+    private FaultSchedule(long seed, Safeguard missing) {
         this.random = new SplittableRandom(seed * 31 + 7);
         int size = SIZES[(int) (seed % SIZES.length)];
         int tolerated = size >= LEAST_FOR_TWO ? 2 : 1;
-        this.model = new ControlModel(seed, size, tolerated, 4_000, missing);
+        this.model = new SimulatedCluster(seed, size, tolerated, 4_000, missing);
     }
 
     /** What went wrong in the run of a seed. */
-    static List<String> faults(long seed, Guard missing) {
-        Schedule schedule = new Schedule(seed, missing);
+    static List<String> faults(long seed, Safeguard missing) {
+        FaultSchedule schedule = new FaultSchedule(seed, missing);
         schedule.play(2 + schedule.random.nextInt(2));
         List<String> faults = new ArrayList<>(schedule.model.history.faults());
         if (!faults.isEmpty()) {
@@ -83,16 +83,16 @@
         }
     }
 
-    private List<ModelNode> victims() {
-        List<ModelNode> nodes = new ArrayList<>(model.listedNodes());
-        List<ModelNode> victims = new ArrayList<>();
+    private List<SimulatedNode> victims() {
+        List<SimulatedNode> nodes = new ArrayList<>(model.listedNodes());
+        List<SimulatedNode> victims = new ArrayList<>();
         int count = 1 + random.nextInt(model.tolerated);
-        ModelNode leader = model.leader();
+        SimulatedNode leader = model.leader();
         if (leader != null && random.nextInt(3) == 0) {
             victims.add(leader);
         }
         while (victims.size() < count) {
-            ModelNode node = nodes.get(random.nextInt(nodes.size()));
+            SimulatedNode node = nodes.get(random.nextInt(nodes.size()));
             if (!victims.contains(node)) {
                 victims.add(node);
             }
@@ -101,12 +101,12 @@
     }
 
     private void strike(Loss loss) {
-        List<ModelNode> victims = victims();
+        List<SimulatedNode> victims = victims();
         story.append(victims.stream().map(v -> v.address).toList()).append(' ');
         switch (loss) {
-            case KILL -> during(victims, ModelNode::kill, 200 + random.nextInt(3_000));
-            case POWER_OFF -> during(victims, ModelNode::powerOff, 500 + random.nextInt(6_000));
-            case WIPE -> during(victims, ModelNode::wipe, 300 + random.nextInt(6_000));
+            case KILL -> during(victims, SimulatedNode::kill, 200 + random.nextInt(3_000));
+            case POWER_OFF -> during(victims, SimulatedNode::powerOff, 500 + random.nextInt(6_000));
+            case WIPE -> during(victims, SimulatedNode::wipe, 300 + random.nextInt(6_000));
             case WIPE_AND_POWER_OFF -> wipeAndPowerOff(victims);
             case FREEZE -> freeze(victims);
             case CUT -> cut(victims, false);
@@ -115,13 +115,13 @@
             case REPLACE -> replace(victims);
             case REPLACE_PLANNED -> replacePlanned(victims);
             case RESTART -> restart(victims);
-            case DISK_SLOW -> disks(victims, ModelDisk.Mode.SLOW);
-            case DISK_STALLED -> disks(victims, ModelDisk.Mode.STALLED);
-            case DISK_FULL -> disks(victims, ModelDisk.Mode.FULL);
+            case DISK_SLOW -> disks(victims, SimulatedDisk.Mode.SLOW);
+            case DISK_STALLED -> disks(victims, SimulatedDisk.Mode.STALLED);
+            case DISK_FULL -> disks(victims, SimulatedDisk.Mode.FULL);
             case KILL_ALL ->
-                    during(model.listedNodes(), ModelNode::kill, 300 + random.nextInt(700));
+                    during(model.listedNodes(), SimulatedNode::kill, 300 + random.nextInt(700));
             case POWER_OFF_ALL ->
-                    during(model.listedNodes(), ModelNode::powerOff, 300 + random.nextInt(1_000));
+                    during(model.listedNodes(), SimulatedNode::powerOff, 300 + random.nextInt(1_000));
             case HALVES -> halves();
             case SECOND_CUT -> secondCut(victims);
             default -> throw new IllegalStateException(loss.toString());
@@ -129,11 +129,11 @@
     }
 
     private interface Blow {
-        void strike(ModelNode node);
+        void strike(SimulatedNode node);
     }
 
     /** Strikes machines and mends all after a time; service has to go on meanwhile if it may. */
-    private void during(List<ModelNode> victims, Blow blow, long span) {
+    private void during(List<SimulatedNode> victims, Blow blow, long span) {
         new ArrayList<>(victims).forEach(blow::strike);
         boolean served = victims.size() <= model.tolerated;
         long settled = 3_000;
@@ -146,8 +146,8 @@
         model.mend();
     }
 
-    private void wipeAndPowerOff(List<ModelNode> victims) {
-        for (ModelNode node : model.listedNodes()) {
+    private void wipeAndPowerOff(List<SimulatedNode> victims) {
+        for (SimulatedNode node : model.listedNodes()) {
             if (victims.contains(node)) {
                 node.wipe();
             } else {
@@ -158,16 +158,16 @@
         model.mend();
     }
 
-    private void freeze(List<ModelNode> victims) {
+    private void freeze(List<SimulatedNode> victims) {
         long span = 300 + random.nextInt(9_000);
         victims.forEach(v -> v.freeze(span));
         model.clock.run(span + 10);
     }
 
-    private void cut(List<ModelNode> victims, boolean oneWay) {
+    private void cut(List<SimulatedNode> victims, boolean oneWay) {
         boolean out = random.nextBoolean();
-        for (ModelNode victim : victims) {
-            for (ModelNode other : model.listedNodes()) {
+        for (SimulatedNode victim : victims) {
+            for (SimulatedNode other : model.listedNodes()) {
                 if (victims.contains(other)) {
                     continue;
                 }
@@ -184,7 +184,7 @@
     }
 
     /** The machines are gone for good; empty ones come a second later at new addresses. */
-    private void replace(List<ModelNode> victims) {
+    private void replace(List<SimulatedNode> victims) {
         victims.forEach(model::remove);
         model.clock.run(1_000);
         victims.forEach(v -> model.addMachine().start(false));
@@ -194,14 +194,14 @@
      * The new machines come first; then the old ones are asked to end. Once those are gone, the
      * next loss may come as soon as the new ones have had their time.
      */
-    private void replacePlanned(List<ModelNode> victims) {
-        List<ModelNode> added = new ArrayList<>();
+    private void replacePlanned(List<SimulatedNode> victims) {
+        List<SimulatedNode> added = new ArrayList<>();
         victims.forEach(v -> added.add(model.addMachine()));
         added.forEach(a -> a.start(false));
         long whole = model.clock.now() + model.catchUpMs();
         model.clock.run(random.nextBoolean() ? 1_000 : model.catchUpMs() + random.nextInt(500));
         int[] left = {victims.size()};
-        for (ModelNode victim : victims) {
+        for (SimulatedNode victim : victims) {
             victim.terminate(
                     () -> {
                         model.remove(victim);
@@ -215,8 +215,8 @@
     }
 
     /** Asked to end and started again, with the disk as it was. */
-    private void restart(List<ModelNode> victims) {
-        for (ModelNode victim : victims) {
+    private void restart(List<SimulatedNode> victims) {
+        for (SimulatedNode victim : victims) {
             victim.terminate(
                     () ->
                             model.clock.schedule(
@@ -230,14 +230,14 @@
         model.clock.run(5_000);
     }
 
-    private void disks(List<ModelNode> victims, ModelDisk.Mode mode) {
+    private void disks(List<SimulatedNode> victims, SimulatedDisk.Mode mode) {
         during(victims, v -> v.disk().mode(mode), 1_000 + random.nextInt(8_000));
     }
 
     private void halves() {
-        List<ModelNode> nodes = model.listedNodes();
-        for (ModelNode one : nodes.subList(0, nodes.size() / 2)) {
-            for (ModelNode other : nodes.subList(nodes.size() / 2, nodes.size())) {
+        List<SimulatedNode> nodes = model.listedNodes();
+        for (SimulatedNode one : nodes.subList(0, nodes.size() / 2)) {
+            for (SimulatedNode other : nodes.subList(nodes.size() / 2, nodes.size())) {
                 model.network.cut(one.address, other.address);
             }
         }
@@ -246,12 +246,12 @@
     }
 
     /** More is cut off than may be lost at a time: nothing has to be served, nothing is lost. */
-    private void secondCut(List<ModelNode> victims) {
-        List<ModelNode> nodes = model.listedNodes();
-        victims.forEach(ModelNode::kill);
+    private void secondCut(List<SimulatedNode> victims) {
+        List<SimulatedNode> nodes = model.listedNodes();
+        victims.forEach(SimulatedNode::kill);
         model.clock.run(random.nextInt(1_500));
-        ModelNode other = nodes.get(random.nextInt(nodes.size()));
-        for (ModelNode node : nodes) {
+        SimulatedNode other = nodes.get(random.nextInt(nodes.size()));
+        for (SimulatedNode node : nodes) {
             if (node != other) {
                 model.network.cut(node.address, other.address);
             }
--- a/src/test/java/myrtleladder/controlplane/model/History.java
+++ b/src/test/java/myrtleladder/controlplane/model/HistoryChecker.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** What callers from outside have seen, and what of it contradicts a promise of the system. */
-final class History {
+final class HistoryChecker {
     private static final int MOST = 5;
 
     private final List<String> faults = new ArrayList<>();
@@ -53,12 +53,12 @@
     }
 
     /** An order was sent for the first time. */
-    void ordered(ModelOrder order) {
+    void ordered(OperatorChange order) {
         orderOfBody.put(order.name(), order.generation());
     }
 
     /** An operator has an acknowledgement in hands. */
-    void acknowledged(ModelOrder order, long now) {
+    void acknowledged(OperatorChange order, long now) {
         String other = acknowledged.putIfAbsent(order.generation(), order.name());
         if (other != null && !other.equals(order.name())) {
             fault("generation " + order.generation() + " acknowledged twice");
@@ -76,7 +76,7 @@
     }
 
     /** An operator has a clear refusal in hands. */
-    void refused(ModelOrder order, int status) {
+    void refused(OperatorChange order, int status) {
         refused.add(order.name());
         if (inForce.contains(order.name())) {
             fault(order + " is in force and refused with " + status);
--- a/src/test/java/myrtleladder/controlplane/model/Forger.java
+++ b/src/test/java/myrtleladder/controlplane/model/MessageForger.java
@@ -15,17 +15,17 @@
 import myrtleladder.protocol.View;
 
 /** Takes a guard out of the protocol by forging what the network carries. */
-final class Forger {
-    private final Guard missing;
-    private final ControlModel model;
+final class MessageForger {
+    private final Safeguard missing;
+    private final SimulatedCluster model;
 
-    Forger(Guard missing, ControlModel model) {
+    MessageForger(Safeguard missing, SimulatedCluster model) {
         this.missing = missing;
         this.model = model;
     }
 
     /** An answer that the network gives in place of the node that is called, null for none. */
-    Message answerInstead(ModelNode caller, String to, Message message) {
+    Message answerInstead(SimulatedNode caller, String to, Message message) {
         if (missing == null) {
             return null;
         }
@@ -67,14 +67,14 @@
     }
 
     /** Whether a member belongs to the group before a change of the group alone. */
-    private static boolean dropped(ModelNode caller, Member called) {
+    private static boolean dropped(SimulatedNode caller, Member called) {
         View view = caller.replica().view();
         return view != null
                 && !caller.address.equals(called.address)
                 && (!view.group.contains(called) || !view.settled());
     }
 
-    private Member memberAt(ModelNode caller, String to, Message message) {
+    private Member memberAt(SimulatedNode caller, String to, Message message) {
         View view =
                 message instanceof AcceptViewRequest accept ? accept.view : caller.replica().view();
         if (view == null) {
@@ -91,19 +91,19 @@
     }
 
     /** A message as the receiving node takes it. */
-    Message received(ModelNode node, Message message) {
-        if (missing == Guard.EPOCH_IN_EACH_MESSAGE) {
+    Message received(SimulatedNode node, Message message) {
+        if (missing == Safeguard.EPOCH_IN_EACH_MESSAGE) {
             raise(node, message);
-        } else if (missing == Guard.DIGEST_OF_AN_ORDER) {
+        } else if (missing == Safeguard.DIGEST_OF_AN_ORDER) {
             forgetOrders(message);
-        } else if (missing == Guard.DURABLE_DEPARTURE
+        } else if (missing == Safeguard.DURABLE_DEPARTURE
                 && message instanceof ShareInstancesRequest share) {
             share.durably = false;
         }
         return message;
     }
 
-    private static void raise(ModelNode node, Message message) {
+    private static void raise(SimulatedNode node, Message message) {
         long promised = node.replica().epoch();
         View accepted = node.replica().view();
         if (message instanceof ReplicateRequest replicate && accepted != null) {
--- a/src/test/java/myrtleladder/controlplane/model/ModelOrder.java
+++ b/src/test/java/myrtleladder/controlplane/model/OperatorChange.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** An order of an operator: a whole configuration whose one service has the order's name. */
-record ModelOrder(String name, long match, long generation) {
+record OperatorChange(String name, long match, long generation) {
     private static final String SERVICE = "{\"name\":\"";
 
     byte[] body() {
--- a/src/test/java/myrtleladder/controlplane/model/ControlModelTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/RandomFaultScheduleTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Drawn schedules of losses as close to each other as the deployments allow. */
-class ControlModelTest {
+class RandomFaultScheduleTest {
     private static final int SHOWN = 5;
 
     @Test
@@ -25,14 +25,14 @@
     static List<String> found(long from, long to) {
         return LongStream.range(from, to)
                 .parallel()
-                .mapToObj(ControlModelTest::faults)
+                .mapToObj(RandomFaultScheduleTest::faults)
                 .filter(faults -> !faults.isEmpty())
                 .limit(SHOWN)
                 .toList();
     }
 
     private static String faults(long seed) {
-        List<String> faults = Schedule.faults(seed, null);
+        List<String> faults = FaultSchedule.faults(seed, null);
         return faults.isEmpty() ? "" : seed + ": " + faults;
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/Guard.java
+++ b/src/test/java/myrtleladder/controlplane/model/Safeguard.java
@@ -5,7 +5,7 @@
  * Each is taken out at the edges of the code under test: in what the disk, the network or the
  * process's start does.
  */
-enum Guard {
+enum Safeguard {
     /** An answer waits until the disk has synced. */
     SYNC_BEFORE_ANSWER,
     /** A view is told only once its replicas have the state. */
--- a/src/test/java/myrtleladder/controlplane/model/GuardsOfTheModelTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/SafeguardRemovalTest.java
@@ -9,16 +9,16 @@
 /**
  * Without any one of its guards the protocol fails in some drawn schedule, so the model notices.
  */
-class GuardsOfTheModelTest {
+class SafeguardRemovalTest {
     private static final long MOST = 3_000;
 
     @ParameterizedTest
-    @EnumSource(Guard.class)
-    void aScheduleFailsWithoutThisGuard(Guard missing) {
+    @EnumSource(Safeguard.class)
+    void aScheduleFailsWithoutThisGuard(Safeguard missing) {
         boolean noticed =
                 LongStream.range(0, MOST)
                         .parallel()
-                        .anyMatch(seed -> !Schedule.faults(seed, missing).isEmpty());
+                        .anyMatch(seed -> !FaultSchedule.faults(seed, missing).isEmpty());
         assertTrue(noticed, "nothing fails without " + missing);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/ModelBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -14,13 +14,13 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /** A balancer as the control plane sees it: it polls, and never goes back. */
-final class ModelBalancer {
+final class SimulatedBalancer {
     private static final long TIMEOUT = 750;
     private static final long PAUSE = 50;
     private static final int UPSTREAM = 7;
     private static final int REQUESTS = 5;
 
-    private final ControlModel model;
+    private final SimulatedCluster model;
     private final String name;
     private String target = "";
     private long epoch;
@@ -32,7 +32,7 @@
     private long fleetEpoch;
     private long promptRevision;
 
-    ModelBalancer(ControlModel model, String name) {
+    SimulatedBalancer(SimulatedCluster model, String name) {
         this.model = model;
         this.name = name;
     }
@@ -43,7 +43,7 @@
     }
 
     void poll() {
-        List<ModelNode> nodes = model.listedNodes();
+        List<SimulatedNode> nodes = model.listedNodes();
         if (target.isEmpty()) {
             target = nodes.get(model.random.nextInt(nodes.size())).address;
         }
@@ -57,7 +57,7 @@
         poll.load = report();
         long sentAt = model.clock.now();
         newestAtAsk = model.history.newest();
-        ModelNode.OneAnswer once = new ModelNode.OneAnswer(reply -> answered(sentAt, reply));
+        SimulatedNode.OneAnswer once = new SimulatedNode.OneAnswer(reply -> answered(sentAt, reply));
         model.clock.schedule(TIMEOUT, () -> once.accept(null));
         byte[] bytes = MessageCodec.encode(poll);
         String to = target;
@@ -113,15 +113,15 @@
         revision = reply.revision;
         if (reply.generation > generation && reply.document.length > 0) {
             byte[] document = Compression.inflate(reply.document);
-            model.history.shown(ModelOrder.nameIn(document), reply.generation, name);
+            model.history.shown(OperatorChange.nameIn(document), reply.generation, name);
             generation = reply.generation;
         }
-        if (sentAt > model.history.lastAcknowledgedAt() + ControlModel.STALE_POLL_MS) {
+        if (sentAt > model.history.lastAcknowledgedAt() + SimulatedCluster.STALE_POLL_MS) {
             model.history.notOlder(generation, newestAtAsk, "poll of " + name);
         }
         for (InstanceRecord record : reply.instances) {
             if (record.stage == Stage.READY) {
-                model.history.shownReady(record.id, sentAt, ControlModel.STALE_POLL_MS, name);
+                model.history.shownReady(record.id, sentAt, SimulatedCluster.STALE_POLL_MS, name);
             }
         }
     }
--- a/src/test/java/myrtleladder/controlplane/model/ControlModel.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
@@ -12,9 +12,9 @@
 
 /**
  * The control side on one manual clock: nodes that run the code under test, with disks and links,
- * and everybody who calls them. What the callers have seen is judged by a {@link History}.
+ * and everybody who calls them. What the callers have seen is judged by a {@link HistoryChecker}.
  */
-final class ControlModel {
+final class SimulatedCluster {
     /** How long an answer to a poll may lag behind an acknowledgement. */
     static final long STALE_POLL_MS = 800;
 
@@ -25,36 +25,36 @@
 
     final ManualScheduler clock = new ManualScheduler();
     final SplittableRandom random;
-    final ModelNetwork network;
-    final History history = new History();
+    final SimulatedNetwork network;
+    final HistoryChecker history = new HistoryChecker();
     final int tolerated;
-    final List<ModelOperator> operators = new ArrayList<>();
-    final List<ModelBalancer> balancers = new ArrayList<>();
-    private final Map<String, ModelNode> nodes = new LinkedHashMap<>();
-    private final List<ModelNode> listed = new ArrayList<>();
-    private final Guard missing;
-    private final Forger forger;
+    final List<SimulatedOperator> operators = new ArrayList<>();
+    final List<SimulatedBalancer> balancers = new ArrayList<>();
+    private final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
+    private final List<SimulatedNode> listed = new ArrayList<>();
+    private final Safeguard missing;
+    private final MessageForger forger;
     private final long catchUpMs;
     private List<Member> seeds = new ArrayList<>();
-    private Consumer<ModelNode> onPoint = node -> {};
+    private Consumer<SimulatedNode> onPoint = node -> {};
 
-    ControlModel(long seed, int size, int tolerated, long catchUpMs, Guard missing) {
+    SimulatedCluster(long seed, int size, int tolerated, long catchUpMs, Safeguard missing) {
         this.random = new SplittableRandom(seed);
-        this.network = new ModelNetwork(clock, random);
+        this.network = new SimulatedNetwork(clock, random);
         this.tolerated = tolerated;
         this.catchUpMs = catchUpMs;
         this.missing = missing;
-        this.forger = new Forger(missing, this);
+        this.forger = new MessageForger(missing, this);
         for (int i = 0; i < size; i++) {
-            ModelNode node = add();
+            SimulatedNode node = add();
             if (i < SEEDS) {
                 seeds.add(Member.of(node.address, node.control, ""));
             }
         }
     }
 
-    private ModelNode add() {
-        ModelNode node = new ModelNode(this, nodes.size());
+    private SimulatedNode add() {
+        SimulatedNode node = new SimulatedNode(this, nodes.size());
         nodes.put(node.address, node);
         listed.add(node);
         return node;
@@ -62,31 +62,31 @@
 
     /** Starts all nodes for the first time, then whoever calls them. */
     void begin() {
-        for (ModelNode node : listed) {
+        for (SimulatedNode node : listed) {
             clock.schedule(random.nextInt(300), () -> node.start(true));
         }
         clock.run(2_500);
         for (int i = 0; i < BALANCERS; i++) {
-            ModelBalancer balancer = new ModelBalancer(this, "e" + i);
+            SimulatedBalancer balancer = new SimulatedBalancer(this, "e" + i);
             balancers.add(balancer);
             balancer.poll();
         }
         for (String name : List.of("first", "second")) {
-            ModelOperator operator = new ModelOperator(this, name);
+            SimulatedOperator operator = new SimulatedOperator(this, name);
             operators.add(operator);
             operator.next();
         }
-        new ModelReader(this).read();
+        new SimulatedReader(this).read();
         for (int i = 0; i < UPSTREAMS; i++) {
-            new ModelUpstream(this, "u" + i).start();
+            new SimulatedUpstream(this, "u" + i).start();
         }
     }
 
-    boolean without(Guard guard) {
+    boolean without(Safeguard guard) {
         return missing == guard;
     }
 
-    Forger forger() {
+    MessageForger forger() {
         return forger;
     }
 
@@ -105,23 +105,23 @@
     /** The settings name other seeds from now on: processes that start read them. */
     void exchangeSeeds() {
         seeds = new ArrayList<>();
-        for (ModelNode node : listed.subList(Math.max(0, listed.size() - SEEDS), listed.size())) {
+        for (SimulatedNode node : listed.subList(Math.max(0, listed.size() - SEEDS), listed.size())) {
             seeds.add(Member.of(node.address, node.control, ""));
         }
     }
 
     /** The nodes of the platform's list. */
-    List<ModelNode> listedNodes() {
+    List<SimulatedNode> listedNodes() {
         return listed;
     }
 
     /** Another machine with an empty disk at a new address. */
-    ModelNode addMachine() {
+    SimulatedNode addMachine() {
         return add();
     }
 
     /** A machine is removed for good. */
-    void remove(ModelNode node) {
+    void remove(SimulatedNode node) {
         node.powerOff();
         listed.remove(node);
         if (isSeed(node.address)) {
@@ -129,8 +129,8 @@
         }
     }
 
-    ModelNode nodeAt(String location) {
-        for (ModelNode node : nodes.values()) {
+    SimulatedNode nodeAt(String location) {
+        for (SimulatedNode node : nodes.values()) {
             if (location.startsWith("http://" + node.control + "/")) {
                 return node;
             }
@@ -140,21 +140,21 @@
 
     /** Whether two machines reach each other and the second one answers. */
     boolean reaches(String from, String to) {
-        ModelNode peer = nodes.get(to);
+        SimulatedNode peer = nodes.get(to);
         return peer != null && peer.running();
     }
 
     void arrive(String to, byte[] bytes, String from, Consumer<Message> back) {
-        ModelNode node = nodes.get(to);
+        SimulatedNode node = nodes.get(to);
         if (node != null) {
             node.arrive(bytes, from, back);
         }
     }
 
     /** The node that leads, null if none does. */
-    ModelNode leader() {
-        ModelNode found = null;
-        for (ModelNode node : listed) {
+    SimulatedNode leader() {
+        SimulatedNode found = null;
+        for (SimulatedNode node : listed) {
             boolean later =
                     found == null || node.up() && node.replica().epoch() > found.replica().epoch();
             if (node.up() && node.leads() && later) {
@@ -165,18 +165,18 @@
     }
 
     /** Calls {@code task} at each point of the protocol: sends, arrivals, syncs and answers. */
-    void atPoints(Consumer<ModelNode> task) {
+    void atPoints(Consumer<SimulatedNode> task) {
         onPoint = task;
     }
 
-    void point(ModelNode node) {
+    void point(SimulatedNode node) {
         onPoint.accept(node);
     }
 
     /** Checks a document that was read; its generation. */
     long checkRead(byte[] document, long bound, String where) {
-        long generation = ModelOrder.generationIn(document);
-        history.shown(ModelOrder.nameIn(document), generation, where);
+        long generation = OperatorChange.generationIn(document);
+        history.shown(OperatorChange.nameIn(document), generation, where);
         history.notOlder(generation, bound, where);
         return generation;
     }
@@ -184,13 +184,13 @@
     /** Ends all troubles; nodes that are down start again. */
     void mend() {
         network.heal();
-        for (ModelNode node : listed) {
+        for (SimulatedNode node : listed) {
             node.thaw();
-            node.disk().mode(ModelDisk.Mode.SOUND);
+            node.disk().mode(SimulatedDisk.Mode.SOUND);
         }
         // they come back together or one after the other
         long spread = random.nextBoolean() ? 1 : RETURN_WITHIN;
-        for (ModelNode node : listed) {
+        for (SimulatedNode node : listed) {
             if (!node.up()) {
                 clock.schedule(random.nextLong(spread), () -> startAgain(node));
             }
@@ -198,7 +198,7 @@
         clock.run(spread);
     }
 
-    private void startAgain(ModelNode node) {
+    private void startAgain(SimulatedNode node) {
         if (!node.up() && listed.contains(node)) {
             node.start(false);
         }
@@ -228,12 +228,12 @@
 
     /** Whether all nodes are members of one settled view. */
     void expectWhole(String when) {
-        ModelNode leader = leader();
+        SimulatedNode leader = leader();
         if (leader == null) {
             history.fault("no primary " + when + ": " + listed);
             return;
         }
-        for (ModelNode node : listed) {
+        for (SimulatedNode node : listed) {
             if (!leader.group().contains(node.replica().self())) {
                 history.fault(node.address + " is no member " + when + ": " + leader);
             }
--- a/src/test/java/myrtleladder/controlplane/model/ModelDisk.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedDisk.java
@@ -12,7 +12,7 @@
  * A disk that syncs one state after the other. At a loss of power a state on its way is there whole
  * or not: one that is torn fails its checksum, and the one before it still stands.
  */
-final class ModelDisk {
+final class SimulatedDisk {
     private static final long SYNC = 5;
     private static final long SLOW_SYNC = 150;
 
@@ -35,7 +35,7 @@
 
     private record Save(byte[] bytes, BooleanSupplier processLives, Consumer<Boolean> done) {}
 
-    ModelDisk(ManualScheduler clock, SplittableRandom random, boolean answersBeforeSync) {
+    SimulatedDisk(ManualScheduler clock, SplittableRandom random, boolean answersBeforeSync) {
         this.clock = clock;
         this.random = random;
         this.answersBeforeSync = answersBeforeSync;
--- a/src/test/java/myrtleladder/controlplane/model/ModelCall.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedExchange.java
@@ -1,15 +1,15 @@
 package myrtleladder.controlplane.model;
 
 import java.util.function.Consumer;
-import myrtleladder.controlplane.WholeAnswerCall;
+import myrtleladder.controlplane.FakeServerExchange;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
 
 /** A call at a control address whose answer is handed over once, whole. */
-final class ModelCall extends WholeAnswerCall {
-    private final Consumer<ModelAnswer> answered;
+final class SimulatedExchange extends FakeServerExchange {
+    private final Consumer<SimulatedResponse> answered;
 
-    ModelCall(RequestHead head, byte[] body, Consumer<ModelAnswer> answered) {
+    SimulatedExchange(RequestHead head, byte[] body, Consumer<SimulatedResponse> answered) {
         super(head, body);
         this.answered = answered;
     }
@@ -17,7 +17,7 @@
     @Override
     public void respond(int status, Headers headers, byte[] bytes) {
         String location = headers.get("Location");
-        answered.accept(new ModelAnswer(status, location == null ? "" : location, bytes));
+        answered.accept(new SimulatedResponse(status, location == null ? "" : location, bytes));
     }
 
     @Override
--- a/src/test/java/myrtleladder/controlplane/model/ModelNetwork.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNetwork.java
@@ -6,7 +6,7 @@
 import myrtleladder.replication.ManualScheduler;
 
 /** Links between machines: delays, cuts in one or both directions, and links that are slow. */
-final class ModelNetwork {
+final class SimulatedNetwork {
     private static final int DELAY = 4;
     private static final int SLOW_DELAY = 1_500;
 
@@ -15,7 +15,7 @@
     private final Set<String> cuts = new HashSet<>();
     private final Set<String> slow = new HashSet<>();
 
-    ModelNetwork(ManualScheduler clock, SplittableRandom random) {
+    SimulatedNetwork(ManualScheduler clock, SplittableRandom random) {
         this.clock = clock;
         this.random = random;
     }
--- a/src/test/java/myrtleladder/controlplane/model/ModelNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
@@ -18,15 +18,15 @@
 import myrtleladder.replication.Storage;
 
 /** A control node's process, the code under test, on a machine with a disk and links. */
-final class ModelNode implements Peers, Storage, Replica.Listener {
+final class SimulatedNode implements Peers, Storage, Replica.Listener {
     private static final long HEARTBEAT_OF_UPSTREAMS = 1_200;
     private static final long LEAVES_WITHIN = 4_000;
     private static final long LAST_ANSWERS = 150;
 
     final String address;
     final String control;
-    private final ControlModel model;
-    private final ModelDisk disk;
+    private final SimulatedCluster model;
+    private final SimulatedDisk disk;
     private Replica replica;
     private ControlPlane plane;
     private int incarnation;
@@ -35,12 +35,12 @@
     private boolean powered = true;
     private long frozenUntil;
 
-    ModelNode(ControlModel model, int number) {
+    SimulatedNode(SimulatedCluster model, int number) {
         this.model = model;
         this.address = "n" + number + ":1";
         this.control = "c" + number + ":1";
         this.disk =
-                new ModelDisk(model.clock, model.random, model.without(Guard.SYNC_BEFORE_ANSWER));
+                new SimulatedDisk(model.clock, model.random, model.without(Safeguard.SYNC_BEFORE_ANSWER));
     }
 
     // ---- The process
@@ -55,7 +55,7 @@
         plane =
                 new ControlPlane(
                         timers, this, HEARTBEAT_OF_UPSTREAMS, 0.1, 1_000, Map.of("z", "r"));
-        boolean knowsItself = model.without(Guard.STORE_IDENTITY);
+        boolean knowsItself = model.without(Safeguard.STORE_IDENTITY);
         replica =
                 new Replica(
                         new ReplicaOptions(
@@ -87,7 +87,7 @@
         return replica;
     }
 
-    ModelDisk disk() {
+    SimulatedDisk disk() {
         return disk;
     }
 
@@ -136,7 +136,7 @@
                         ended.run();
                     }
                 };
-        if (model.without(Guard.LEAVE_BEFORE_THE_END)) {
+        if (model.without(Safeguard.LEAVE_BEFORE_THE_END)) {
             replica.resign("asked to end");
             model.clock.schedule(2 * LAST_ANSWERS, end);
         } else {
@@ -163,7 +163,7 @@
     }
 
     /** Timers that end with the process and wait while it is frozen. */
-    private record ProcessTimers(ModelNode node, int incarnation) implements Scheduler {
+    private record ProcessTimers(SimulatedNode node, int incarnation) implements Scheduler {
         @Override
         public long now() {
             return node.model.clock.now();
@@ -273,12 +273,12 @@
     }
 
     /** A caller from outside; nothing is answered without power. */
-    void handle(RequestHead head, byte[] body, Consumer<ModelAnswer> answer) {
+    void handle(RequestHead head, byte[] body, Consumer<SimulatedResponse> answer) {
         if (!powered) {
             return;
         }
         if (!up) {
-            answer.accept(new ModelAnswer(0, "", new byte[0]));
+            answer.accept(new SimulatedResponse(0, "", new byte[0]));
             return;
         }
         int mine = incarnation;
@@ -286,7 +286,7 @@
                 mine,
                 () ->
                         plane.handle(
-                                new ModelCall(
+                                new SimulatedExchange(
                                         head,
                                         body,
                                         reply -> {
--- a/src/test/java/myrtleladder/controlplane/model/ModelOperator.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedOperator.java
@@ -4,27 +4,27 @@
  * An operator: it sends one change after the other, each again and again, unchanged, until the
  * answer is clear.
  */
-final class ModelOperator {
+final class SimulatedOperator {
     private static final long PAUSE = 400;
     private static final long FIRST_RETRY = 60;
     private static final long MOST_RETRY = 400;
     private static final long GIVES_UP = 12_000;
     private static final byte[] NO_BYTES = {};
 
-    private final ControlModel model;
+    private final SimulatedCluster model;
     private final String name;
-    private final OutsideCalls calls;
+    private final ExternalClient calls;
     private long known;
     private int count;
-    private ModelOrder order;
+    private OperatorChange order;
     private long orderedAt;
     private long retry;
     private double lostAcknowledgements;
 
-    ModelOperator(ControlModel model, String name) {
+    SimulatedOperator(SimulatedCluster model, String name) {
         this.model = model;
         this.name = name;
-        this.calls = new OutsideCalls(model, name);
+        this.calls = new ExternalClient(model, name);
     }
 
     /** Which share of the acknowledgements is lost on the way. */
@@ -35,7 +35,7 @@
     /** Begins the next change. */
     void next() {
         long generation = known + 1 + model.random.nextInt(2);
-        order = new ModelOrder(name + "-" + count++, known, generation);
+        order = new OperatorChange(name + "-" + count++, known, generation);
         orderedAt = model.clock.now();
         retry = FIRST_RETRY;
         model.history.ordered(order);
@@ -46,7 +46,7 @@
     }
 
     private void send() {
-        ModelOrder sent = order;
+        OperatorChange sent = order;
         calls.call(
                 calls.anyNode(),
                 "PUT",
@@ -56,7 +56,7 @@
                 answer -> answered(sent, answer));
     }
 
-    private void answered(ModelOrder sent, ModelAnswer answer) {
+    private void answered(OperatorChange sent, SimulatedResponse answer) {
         boolean lost = model.random.nextDouble() < lostAcknowledgements;
         int status = answer == null || lost ? 0 : answer.status();
         if (status == 200) {
@@ -82,7 +82,7 @@
         }
     }
 
-    private void sendAgain(ModelOrder sent) {
+    private void sendAgain(OperatorChange sent) {
         if (sent == order) {
             send();
         }
--- a/src/test/java/myrtleladder/controlplane/model/ModelReader.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedReader.java
@@ -1,22 +1,22 @@
 package myrtleladder.controlplane.model;
 
 /** Somebody who reads the configuration at any node, cut off or not. */
-final class ModelReader {
+final class SimulatedReader {
     private static final long PAUSE = 350;
     private static final byte[] NO_BYTES = {};
 
-    private final ControlModel model;
-    private final OutsideCalls calls;
+    private final SimulatedCluster model;
+    private final ExternalClient calls;
 
-    ModelReader(ControlModel model) {
+    SimulatedReader(SimulatedCluster model) {
         this.model = model;
-        this.calls = new OutsideCalls(model, "reader");
+        this.calls = new ExternalClient(model, "reader");
     }
 
     void read() {
         model.clock.schedule(PAUSE + model.random.nextInt(100), this::read);
         long bound = model.history.newest();
-        ModelNode node = calls.anyNode();
+        SimulatedNode node = calls.anyNode();
         calls.call(
                 node,
                 "GET",
--- a/src/test/java/myrtleladder/controlplane/model/ModelUpstream.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedUpstream.java
@@ -5,24 +5,24 @@
 /**
  * An upstream that registers, lives for a while, leaves with an acknowledgement, and is followed.
  */
-final class ModelUpstream {
+final class SimulatedUpstream {
     private static final long HEARTBEAT = 1_200;
     private static final long RETRY = 100;
     private static final int LIVES_FOR = 3_000;
     private static final byte[] NO_BYTES = {};
 
-    private final ControlModel model;
+    private final SimulatedCluster model;
     private final String name;
-    private final OutsideCalls calls;
+    private final ExternalClient calls;
     private int incarnation;
     private int sequence;
     private long leavesAt;
     private boolean leavesUntold;
 
-    ModelUpstream(ControlModel model, String name) {
+    SimulatedUpstream(SimulatedCluster model, String name) {
         this.model = model;
         this.name = name;
-        this.calls = new OutsideCalls(model, name);
+        this.calls = new ExternalClient(model, name);
     }
 
     /** Starts the next incarnation. */
