--- a/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
@@ -9,81 +9,108 @@
 import myrtleladder.protocol.InFlightRequests;
 import myrtleladder.protocol.PollRequest;
 
-/** The balancers that live: those that poll, and those that their monitors on the ring hear. */
+/**
+ * The live balancers: those that poll, and those whose heartbeats their monitors on the ring
+ * receive.
+ *
+ * <p>Confined to the event loop.
+ */
 final class BalancerRegistry {
-    private static final long ALIVE = 3_500;
+    /** After this time without a sign of life a balancer is removed. Chosen. */
+    private static final long TIMEOUT_MS = 3_500;
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private long revision;
 
     private static final class Entry {
-        String address;
-        long heardAt;
-        int told;
-        List<InFlightRequests> underWay = List.of();
+        final String address;
+        long lastSeenMs;
+        int reportedCount;
+        List<InFlightRequests> inFlight = List.of();
+
+        Entry(String address) {
+            this.address = address;
+        }
     }
 
-    /** Takes a poll, with what the balancer hears of those that it monitors. */
-    void heard(PollRequest poll, long now) {
+    /** Records a poll, with the balancers that the polling one monitors and found alive. */
+    void recordPoll(PollRequest poll, long nowMs) {
         for (String name : poll.alive) {
             Entry monitored = entries.get(name);
             if (monitored != null) {
-                monitored.heardAt = now;
+                monitored.lastSeenMs = nowMs;
             }
         }
         if (poll.leaving) {
-            revision += entries.remove(poll.balancer) == null ? 0 : 1;
+            remove(poll.balancer);
             return;
         }
-        Entry entry = entries.get(poll.balancer);
-        if (entry == null || !entry.address.equals(poll.address)) {
-            entry = new Entry();
-            entry.address = poll.address;
-            entries.put(poll.balancer, entry);
+        Entry entry = entryAt(poll.balancer, poll.address);
+        entry.lastSeenMs = nowMs;
+        entry.reportedCount = poll.balancers;
+        entry.inFlight = poll.underWay;
+    }
+
+    private void remove(String balancer) {
+        if (entries.remove(balancer) != null) {
             revision++;
         }
-        entry.heardAt = now;
-        entry.told = poll.balancers;
-        entry.underWay = poll.underWay;
     }
 
-    /** What all balancers have under way at upstreams that leave, by incarnation. */
-    Map<String, Integer> underWay() {
+    /** The entry of a balancer, a new one if it is unknown or moved to another address. */
+    private Entry entryAt(String balancer, String address) {
+        Entry known = entries.get(balancer);
+        if (known != null && known.address.equals(address)) {
+            return known;
+        }
+        Entry created = new Entry(address);
+        entries.put(balancer, created);
+        revision++;
+        return created;
+    }
+
+    /** The requests of all balancers in flight at draining upstreams, by upstream incarnation. */
+    Map<String, Integer> inFlightRequests() {
         Map<String, Integer> sums = new HashMap<>();
         for (Entry entry : entries.values()) {
-            entry.underWay.forEach(u -> sums.merge(u.instance, u.requests, Integer::sum));
+            entry.inFlight.forEach(
+                    inFlight -> sums.merge(inFlight.instance, inFlight.requests, Integer::sum));
         }
         return sums;
     }
 
-    /** Forgets balancers that nobody hears. */
-    void expire(long now) {
-        if (entries.values().removeIf(e -> now - e.heardAt > ALIVE)) {
+    /** Removes balancers without a sign of life. */
+    void expire(long nowMs) {
+        if (entries.values().removeIf(entry -> nowMs - entry.lastSeenMs > TIMEOUT_MS)) {
             revision++;
         }
     }
 
-    /** Counts the changes of who lives. */
+    /** Advances whenever a balancer comes, moves or goes. */
     long revision() {
         return revision;
     }
 
-    /** Who lives. */
-    List<BalancerAddress> members() {
-        List<BalancerAddress> members = new ArrayList<>();
-        entries.forEach((name, entry) -> members.add(BalancerAddress.of(name, entry.address)));
-        return members;
+    /** The live balancers with their addresses. */
+    List<BalancerAddress> addresses() {
+        List<BalancerAddress> addresses = new ArrayList<>();
+        entries.forEach((name, entry) -> addresses.add(BalancerAddress.of(name, entry.address)));
+        return addresses;
     }
 
     /**
-     * How many balancers there are: those heard of, or as many as they knew before this node heard
-     * them.
+     * The number of balancers, at least 1.
+     *
+     * @param isNewPrimary whether this node may not have heard of all yet; then what the balancers
+     *     themselves report counts if it is more
      */
-    int count(boolean recentlyPrimary) {
-        int told = 0;
-        for (Entry entry : entries.values()) {
-            told = Math.max(told, entry.told);
+    int count(boolean isNewPrimary) {
+        int count = Math.max(1, entries.size());
+        if (isNewPrimary) {
+            for (Entry entry : entries.values()) {
+                count = Math.max(count, entry.reportedCount);
+            }
         }
-        return Math.max(1, recentlyPrimary ? Math.max(entries.size(), told) : entries.size());
+        return count;
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -1,222 +1,170 @@
 package myrtleladder.controlplane;
 
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayDeque;
-import java.util.HexFormat;
 import java.util.Map;
 import myrtleladder.configuration.Compression;
-import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.ConfigurationDocument;
-import myrtleladder.configuration.ConfigurationException;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.ResultCode;
 import myrtleladder.io.Scheduler;
 import myrtleladder.io.ServerExchange;
-import myrtleladder.protocol.Snapshot;
 import myrtleladder.replication.Replica;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
 /**
- * The operator's orders, carried out one after the other by the primary: each is checked against
- * the committed document and acknowledged once the replicas have it.
+ * Handles {@code GET}, {@code PUT} and {@code PATCH /config} on the primary, one request at a time.
+ * The way of a change:
+ *
+ * <ol>
+ *   <li>it waits in the queue for its turn;
+ *   <li>a majority confirms that this node is still primary ({@link Replica#confirm});
+ *   <li>it is checked against the committed configuration ({@link ChangeValidation});
+ *   <li>all replicas of the view store it ({@link Replica#submit});
+ *   <li>it becomes the {@link CommittedConfiguration}, whose listener hands it to the balancers that
+ *       wait in a {@link LongPoll};
+ *   <li>it is acknowledged.
+ * </ol>
+ *
+ * <p>Where the outcome is not known the answer is 503, and the operator sends the same request
+ * again. Confined to the event loop.
  */
 final class ConfigurationRequestHandler {
     private static final Logger LOG = LogManager.getLogger(ConfigurationRequestHandler.class);
-    private static final long HOLD = 900;
+
+    /** The longest that a request waits for its turn before it is answered with 503. Chosen. */
+    private static final long QUEUE_TIMEOUT_MS = 900;
 
     private final Scheduler scheduler;
-    private final Listener listener;
-    private final ArrayDeque<Order> orders = new ArrayDeque<>();
+    private final CommittedConfiguration committed;
+    private final ArrayDeque<ConfigurationRequest> queue = new ArrayDeque<>();
     private Replica replica;
-    private Snapshot committed = new Snapshot();
-    private boolean leading;
-    private boolean working;
-
-    /** An order of the operator that waits for its turn. */
-    private record Order(ServerExchange exchange, String digest, long since) {}
-
-    /** Who hears of configurations that are committed. */
-    interface Listener {
-        /** A configuration holds; {@code first} says that none did before. */
-        void committed(Configuration configuration, boolean first);
-    }
+    private boolean isPrimary;
+    private boolean isProcessing;
 
-    ConfigurationRequestHandler(Scheduler scheduler, Listener listener) {
+    ConfigurationRequestHandler(Scheduler scheduler, CommittedConfiguration committed) {
         this.scheduler = scheduler;
-        this.listener = listener;
+        this.committed = committed;
     }
 
-    /** Gives the replica that keeps the document. */
+    /** Sets the replica that stores the configuration; has to precede all else. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** What is committed as far as this node knows. */
-    Snapshot committed() {
-        return committed;
+    /** This node became primary: it goes on from what its replica has. */
+    void becamePrimary() {
+        isPrimary = true;
+        isProcessing = false;
+        committed.recover(replica.snapshot());
     }
 
-    /** This node is primary, with what its replica has. */
-    void lead() {
-        leading = true;
-        working = false;
-        commit(false);
-    }
-
-    /** This node is primary no more: whoever waits asks the next one. */
-    void follow() {
-        leading = false;
-        working = false;
-        while (!orders.isEmpty()) {
-            HttpResponses.redirect(orders.poll().exchange(), replica);
+    /** This node is no longer primary: queued requests are sent to the next one. */
+    void lostPrimacy() {
+        isPrimary = false;
+        isProcessing = false;
+        while (!queue.isEmpty()) {
+            HttpResponses.redirectToPrimary(queue.poll().exchange(), replica);
         }
     }
 
-    /** Gives up orders that have waited for too long and takes the next one. */
-    void time(long now) {
-        while (!orders.isEmpty() && now - orders.peek().since() > HOLD) {
-            HttpResponses.unclear(orders.poll().exchange());
+    /** Answers requests that have waited too long and processes the next one. */
+    void tick(long nowMs) {
+        while (!queue.isEmpty() && nowMs - queue.peek().receivedAtMs() > QUEUE_TIMEOUT_MS) {
+            HttpResponses.unavailable(queue.poll().exchange());
         }
-        work();
+        processNext();
     }
 
-    /** Takes an order or a read of the operator. */
-    void take(ServerExchange exchange) {
-        if (!leading) {
-            HttpResponses.redirect(exchange, replica);
+    /** Accepts a request. */
+    void handle(ServerExchange exchange) {
+        if (!isPrimary) {
+            HttpResponses.redirectToPrimary(exchange, replica);
             return;
         }
-        orders.add(new Order(exchange, digest(exchange), scheduler.now()));
-        work();
-    }
-
-    private static String digest(ServerExchange exchange) {
-        try {
-            MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            String line =
-                    exchange.head().method()
-                            + " "
-                            + exchange.head().headers().get("If-Match")
-                            + "\n";
-            digest.update(line.getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(digest.digest(exchange.body()), 0, 16);
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each platform has SHA-256", e);
-        }
+        queue.add(ConfigurationRequest.of(exchange, scheduler.now()));
+        processNext();
     }
 
-    /** Takes the next order: first a majority confirms that this node still is primary. */
-    private void work() {
-        if (working || !leading || orders.isEmpty() || replica.busy()) {
+    private void processNext() {
+        if (isProcessing || !isPrimary || queue.isEmpty() || replica.busy()) {
             return;
         }
-        working = true;
-        Order order = orders.poll();
+        isProcessing = true;
+        ConfigurationRequest request = queue.poll();
         replica.confirm(
-                confirmed -> {
-                    if (!confirmed) {
-                        HttpResponses.unclear(order.exchange());
-                        worked();
+                isConfirmed -> {
+                    if (isConfirmed) {
+                        process(request);
                     } else {
-                        carryOut(order);
+                        HttpResponses.unavailable(request.exchange());
+                        finish();
                     }
                 });
     }
 
-    private void worked() {
-        working = false;
-        work();
+    private void finish() {
+        isProcessing = false;
+        processNext();
     }
 
-    private void carryOut(Order order) {
-        ServerExchange exchange = order.exchange();
-        String method = exchange.head().method();
-        if (method.equals("GET")) {
-            respondWithDocument(exchange);
-            worked();
-            return;
-        }
-        if (!method.equals("PUT") && !method.equals("PATCH")) {
-            HttpResponses.empty(exchange, 405);
-            worked();
-            return;
-        }
-        if (committed.orders.contains(order.digest())) {
-            HttpResponses.document(exchange, 200, acknowledged());
-            worked();
-            return;
+    /** Processes a request; a majority has confirmed since it arrived that this node is primary. */
+    private void process(ConfigurationRequest request) {
+        if (request.isRead()) {
+            respondWithDocument(request.exchange());
+            finish();
+        } else if (request.isReplacement() || request.isPatch()) {
+            processChange(request);
+        } else {
+            HttpResponses.empty(request.exchange(), HttpResponses.METHOD_NOT_ALLOWED);
+            finish();
         }
-        String match = exchange.head().headers().get("If-Match");
-        if (match != null
-                && !match.replace("\"", "").trim().equals(Long.toString(committed.generation))) {
-            HttpResponses.refuse(
-                    exchange,
-                    412,
-                    ResultCode.STALE_MATCH.label()
-                            + ": generation "
-                            + committed.generation
-                            + " is current");
-            worked();
-            return;
+    }
+
+    private void respondWithDocument(ServerExchange exchange) {
+        if (committed.isEmpty()) {
+            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+        } else {
+            HttpResponses.json(exchange, HttpResponses.OK, committed.documentBytes());
         }
-        try {
-            ConfigurationDocument current = document();
-            ConfigurationDocument next =
-                    method.equals("PUT")
-                            ? current.replacedBy(exchange.body())
-                            : current.changedBy(exchange.body());
-            submit(order, next);
-        } catch (ConfigurationException e) {
-            HttpResponses.refuse(exchange, 400, e.getMessage());
-            worked();
+    }
+
+    private void processChange(ConfigurationRequest request) {
+        ChangeValidation validation = ChangeValidation.of(request, committed);
+        if (validation instanceof ChangeValidation.Valid valid) {
+            replicate(request, valid.next());
+        } else if (validation instanceof ChangeValidation.Rejected rejected) {
+            HttpResponses.error(request.exchange(), rejected.status(), rejected.reason());
+            finish();
+        } else {
+            acknowledge(request);
+            finish();
         }
     }
 
-    private void submit(Order order, ConfigurationDocument next) {
+    private void replicate(ConfigurationRequest request, ConfigurationDocument next) {
         replica.submit(
                 Compression.deflate(next.bytes()),
                 next.generation(),
-                order.digest(),
-                taken -> {
-                    if (taken) {
-                        commit(true);
-                        LOG.info(
-                                "generation {} is committed in epoch {}",
-                                committed.generation,
-                                replica.epoch());
-                        HttpResponses.document(order.exchange(), 200, acknowledged());
+                request.digest(),
+                isCommitted -> {
+                    if (isCommitted) {
+                        commit(request);
                     } else {
-                        HttpResponses.unclear(order.exchange());
+                        HttpResponses.unavailable(request.exchange());
                     }
-                    worked();
+                    finish();
                 });
     }
 
-    private void commit(boolean byOrder) {
-        boolean first = byOrder && committed.generation == 0;
-        committed = replica.snapshot();
-        if (committed.generation > 0) {
-            listener.committed(document().configuration(), first);
-        }
+    private void commit(ConfigurationRequest request) {
+        committed.commit(replica.snapshot());
+        LOG.info(
+                "generation {} is committed in epoch {}", committed.generation(), replica.epoch());
+        acknowledge(request);
     }
 
-    private ConfigurationDocument document() {
-        return ConfigurationDocument.stored(
-                Compression.inflate(committed.document), committed.generation);
-    }
-
-    private byte[] acknowledged() {
-        return Json.write(Map.of("generation", committed.generation));
-    }
-
-    private void respondWithDocument(ServerExchange exchange) {
-        if (committed.generation == 0) {
-            HttpResponses.empty(exchange, 404);
-        } else {
-            HttpResponses.document(exchange, 200, Compression.inflate(committed.document));
-        }
+    private void acknowledge(ConfigurationRequest request) {
+        byte[] body = Json.write(Map.of("generation", committed.generation()));
+        HttpResponses.json(request.exchange(), HttpResponses.OK, body);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -82,13 +82,13 @@
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
         int sound = 0;
-        for (StateStore.Generation generation :
-                new StateStore(Path.of(words.get(1))).generations()) {
+        for (StateStore.StateFile file :
+                new StateStore(Path.of(words.get(1))).files()) {
             try {
-                StoredState state = StateStore.read(generation.file());
+                StoredState state = StateStore.read(file.path());
                 sound++;
                 System.out.println(
-                        generation.file()
+                        file.path()
                                 + ": store "
                                 + state.store
                                 + ", promised "
@@ -101,7 +101,7 @@
                                 + state.snapshot.orders.size()
                                 + " orders");
             } catch (SystemException e) {
-                System.out.println(generation.file() + ": " + e.getMessage());
+                System.out.println(file.path() + ": " + e.getMessage());
             }
         }
         return sound > 0 ? 0 : 1;
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -5,17 +5,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
 import myrtleladder.io.Scheduler;
 import myrtleladder.io.ServerExchange;
-import myrtleladder.io.SystemException;
-import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
-import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.QuotaRequest;
-import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
@@ -23,303 +18,232 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control plane on one node: the operator's orders, the heartbeats of upstreams and the polls
- * of balancers. Only the primary decides; the others name it.
+ * The control plane on one node. It puts the parts together, gives each request to the handler of
+ * its path or type, passes on changes of the role, and runs the periodic tasks. Only the primary
+ * decides; other nodes name the primary.
+ *
+ * <p>The state is owned by {@link CommittedConfiguration}, {@link InstanceRegistry}, {@link
+ * BalancerRegistry}, {@link FleetLoadExchange} and {@link QuotaAllocator}; the {@link Replica} owns
+ * the role. All calls come from the event loop.
  */
 public final class ControlPlane implements Replica.Listener {
     private static final Logger LOG = LogManager.getLogger(ControlPlane.class);
-    private static final long TICK = 100;
-    private static final long FROZEN = 400;
-    private static final long SAVE_PAUSE = 700;
-    private static final int SILENT_HEARTBEATS = 3;
+    private static final String INSTANCES_PATH = "/instances/";
+
+    /** The interval of the periodic tasks. Chosen. */
+    private static final long TICK_INTERVAL_MS = 100;
+
+    /** A longer time between two ticks means that the process was suspended. Chosen. */
+    private static final long SUSPENSION_THRESHOLD_MS = 400;
+
+    /** An instance that misses more heartbeats than this is lost. Chosen. */
+    private static final int MAX_MISSED_HEARTBEATS = 3;
 
     private final Scheduler scheduler;
-    private final long heartbeatMs;
-    private final Map<String, String> regionOfZone;
-    private final InstanceRegistry registry = new InstanceRegistry();
+    private final long heartbeatIntervalMs;
+    private final InstanceRegistry instances = new InstanceRegistry();
     private final BalancerRegistry balancers = new BalancerRegistry();
-    private final FleetLoadExchange fleet = new FleetLoadExchange();
-    private final QuotaAllocator bank;
-    private final InstanceReplicator sharing;
-    private final ConfigurationRequestHandler orders;
+    private final FleetLoadExchange fleetLoads = new FleetLoadExchange();
+    private final CommittedConfiguration configuration =
+            new CommittedConfiguration(this::configurationCommitted);
+    private final QuotaAllocator quotas;
+    private final InstanceReplicator replicator;
+    private final InstanceSaveScheduler saves;
+    private final ConfigurationRequestHandler configurationRequests;
+    private final InstanceRequestHandler instanceRequests;
+    private final UpgradeRequestHandler upgradeRequests;
+    private final StatusRequestHandler statusRequests;
     private final PollRequestHandler polls;
+    private final QuotaRequestHandler quotaRequests;
+    private final ShareInstancesRequestHandler shareInstancesRequests;
     private Replica replica;
-    private boolean leading;
-    private long leadingSince;
-    private long lastTick;
-    private boolean savePlanned;
+    private boolean isPrimary;
+    private long primarySinceMs;
+    private long lastTickMs;
 
-    /** Creates a control plane; {@link #attach} has to follow. */
+    /**
+     * Creates a control plane; {@link #attach} has to follow.
+     *
+     * @param heartbeatIntervalMs the interval at which upstreams send heartbeats
+     * @param quotaOverageShare by which share more than a tenant's rate may be granted
+     * @param quotaSlackUnits how many units beyond that may be granted at once
+     * @param regionByZone the regions of zones, as far as they are known
+     */
     public ControlPlane(
             Scheduler scheduler,
             Peers peers,
-            long heartbeatMs,
-            double quotaOverage,
-            double quotaSlack,
-            Map<String, String> regionOfZone) {
-        this.regionOfZone = regionOfZone;
-        this.bank = new QuotaAllocator(quotaOverage, quotaSlack);
-        this.sharing = new InstanceReplicator(scheduler, peers);
+            long heartbeatIntervalMs,
+            double quotaOverageShare,
+            double quotaSlackUnits,
+            Map<String, String> regionByZone) {
         this.scheduler = scheduler;
-        this.heartbeatMs = heartbeatMs;
-        this.orders = new ConfigurationRequestHandler(scheduler, this::committed);
-        this.polls =
-                new PollRequestHandler(
+        this.heartbeatIntervalMs = heartbeatIntervalMs;
+        quotas = new QuotaAllocator(quotaOverageShare, quotaSlackUnits);
+        replicator = new InstanceReplicator(scheduler, peers);
+        saves = new InstanceSaveScheduler(scheduler);
+        PollResponseBuilder pollResponses =
+                new PollResponseBuilder(
                         scheduler,
-                        registry,
+                        instances,
                         balancers,
-                        orders::committed,
-                        () -> settled(scheduler.now()),
-                        fleet);
-    }
-
-    private void committed(Configuration configuration, boolean first) {
-        bank.use(configuration, first, scheduler.now());
-        polls.answerNews();
-    }
-
-    /** Gives the replica that decides who is primary. */
+                        fleetLoads,
+                        configuration,
+                        () -> hasHeardAllInstances(scheduler.now()));
+        polls = new PollRequestHandler(scheduler, balancers, fleetLoads, pollResponses);
+        configurationRequests = new ConfigurationRequestHandler(scheduler, configuration);
+        instanceRequests =
+                new InstanceRequestHandler(
+                        scheduler, instances, replicator, saves, polls, this::isConfirmedPrimary);
+        upgradeRequests =
+                new UpgradeRequestHandler(
+                        instances, balancers, regionByZone, this::isConfirmedPrimary);
+        statusRequests = new StatusRequestHandler(configuration, instances, balancers);
+        quotaRequests =
+                new QuotaRequestHandler(scheduler, quotas, fleetLoads, this::isConfirmedPrimary);
+        shareInstancesRequests = new ShareInstancesRequestHandler(scheduler, instances, saves);
+    }
+
+    /** Sets the replica that decides who is primary, and starts the periodic tasks. */
     public void attach(Replica attached) {
         replica = attached;
-        orders.attach(attached);
+        replicator.attach(attached);
+        saves.attach(attached);
+        configurationRequests.attach(attached);
+        instanceRequests.attach(attached);
+        upgradeRequests.attach(attached);
+        statusRequests.attach(attached);
         polls.attach(attached);
-        sharing.attach(attached);
-        registry.inherit(attached.instancesAtStart(), scheduler.now());
-        scheduler.schedule(TICK, this::tick);
+        quotaRequests.attach(attached);
+        shareInstancesRequests.attach(attached);
+        instances.recover(attached.instancesAtStart(), scheduler.now());
+        scheduler.schedule(TICK_INTERVAL_MS, this::tick);
     }
 
-    /** The upstreams known here. */
+    /** The upstream instances that are known here. */
     public List<InstanceRecord> instances() {
-        return registry.all();
+        return instances.all();
+    }
+
+    /** Handles an HTTP request at the control address. */
+    public void handle(ServerExchange exchange) {
+        String path = exchange.head().path();
+        if (path.equals("/config")) {
+            configurationRequests.handle(exchange);
+        } else if (path.startsWith(INSTANCES_PATH)) {
+            instanceRequests.handle(exchange, path.substring(INSTANCES_PATH.length()));
+        } else if (path.equals("/upgrade")) {
+            upgradeRequests.handle(exchange);
+        } else if (path.equals("/status")) {
+            statusRequests.handle(exchange);
+        } else {
+            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+        }
+    }
+
+    /**
+     * Handles a message of another process of the fleet; {@code responder} gets the response, null
+     * if the message has none.
+     */
+    public void receive(Message message, Consumer<Message> responder) {
+        if (message instanceof PollRequest request) {
+            polls.handle(request, responder);
+        } else if (message instanceof QuotaRequest request) {
+            responder.accept(quotaRequests.handle(request));
+        } else if (message instanceof ShareInstancesRequest request) {
+            shareInstancesRequests.handle(request, responder);
+        } else if (!replica.receive(message, responder)) {
+            responder.accept(null);
+        }
     }
 
     @Override
     public void becamePrimary(Collection<InstanceRecord> inherited) {
-        if (!leading) {
-            leadingSince = scheduler.now();
-            bank.clear();
-            fleet.lead(leadingSince);
-        }
-        leading = true;
-        sharing.lead();
-        registry.inherit(inherited, scheduler.now());
-        orders.lead();
+        if (!isPrimary) {
+            primarySinceMs = scheduler.now();
+            quotas.clear();
+            fleetLoads.reset(primarySinceMs);
+        }
+        isPrimary = true;
+        replicator.becamePrimary();
+        instances.recover(inherited, scheduler.now());
+        configurationRequests.becamePrimary();
         LOG.info(
                 "primary of epoch {} with generation {} and {} upstreams",
                 replica.epoch(),
-                orders.committed().generation,
-                registry.all().size());
-        polls.lead();
-        orders.time(scheduler.now());
+                configuration.generation(),
+                instances.all().size());
+        polls.becamePrimary();
+        configurationRequests.tick(scheduler.now());
     }
 
     @Override
     public void lostPrimacy() {
-        leading = false;
-        sharing.follow();
-        orders.follow();
-        polls.follow();
+        isPrimary = false;
+        replicator.lostPrimacy();
+        configurationRequests.lostPrimacy();
+        polls.lostPrimacy();
     }
 
     @Override
     public void inherit(Collection<InstanceRecord> records) {
-        records.forEach(record -> registry.take(record, scheduler.now()));
-    }
-
-    private void tick() {
-        scheduler.schedule(TICK, this::tick);
-        long now = scheduler.now();
-        if (now - lastTick > FROZEN) {
-            registry.forgive(now);
-        }
-        lastTick = now;
-        balancers.expire(now);
-        bank.balancers(balancers.count(!settled(now)));
-        if (!leading) {
-            return;
-        }
-        if (settled(now)
-                && replica.recentlyConfirmed()
-                && registry.expire(now, SILENT_HEARTBEATS * heartbeatMs + heartbeatMs / 2)) {
-            polls.answerNews();
-        }
-        assignOrdinals(now);
-        polls.time(now);
-        orders.time(now);
-    }
-
-    private void assignOrdinals(long now) {
-        if (!replica.recentlyConfirmed()) {
-            return;
-        }
-        List<InstanceRecord> assigned = registry.assignOrdinals(now);
-        if (!assigned.isEmpty()) {
-            for (InstanceRecord record : assigned) {
-                LOG.info("{} in {} has ordinal {}", record.id, record.zone, record.ordinal);
-                sharing.share(record);
-            }
-            polls.answerNews();
-            saveSoon();
-        }
+        records.forEach(record -> instances.merge(record, scheduler.now()));
     }
 
-    /** Whether each upstream that lives has had the time to be heard by this primary. */
-    private boolean settled(long now) {
-        return now - leadingSince > SILENT_HEARTBEATS * heartbeatMs;
-    }
-
-    // ---- Callers from outside
-    // ------------------------------------------------------------------------
-
-    /** Takes a request at the control address. */
-    public void handle(ServerExchange exchange) {
-        String path = exchange.head().path();
-        if (path.equals("/config")) {
-            orders.take(exchange);
-        } else if (path.startsWith("/instances/")) {
-            instance(exchange, path.substring("/instances/".length()));
-        } else if (path.equals("/upgrade")) {
-            upgrade(exchange);
-        } else if (path.equals("/status")) {
-            HttpResponses.document(exchange, 200, Json.write(status()));
-        } else {
-            HttpResponses.empty(exchange, 404);
-        }
+    private void configurationCommitted(Configuration committed, boolean isFirst) {
+        quotas.configure(committed, isFirst, scheduler.now());
+        polls.sendUpdates();
     }
 
-    private Map<String, Object> status() {
-        return Map.of(
-                "state",
-                replica.state().name(),
-                "epoch",
-                replica.epoch(),
-                "generation",
-                orders.committed().generation,
-                "upstreams",
-                registry.all().size(),
-                "balancers",
-                balancers.count(false),
-                "view",
-                String.valueOf(replica.view()));
+    private boolean isConfirmedPrimary() {
+        return isPrimary && replica.recentlyConfirmed();
     }
 
-    /** Only the primary hears the balancers, so it alone can tell what is under way. */
-    private void upgrade(ServerExchange exchange) {
-        if (!leading || !replica.recentlyConfirmed()) {
-            HttpResponses.redirect(exchange, replica);
-            return;
-        }
-        HttpResponses.document(
-                exchange,
-                200,
-                Json.write(
-                        UpgradeStatus.document(
-                                UpgradeStatus.of(
-                                        registry.all(), balancers.underWay(), regionOfZone))));
+    /** Whether each live instance has had the time to send this primary a heartbeat. */
+    private boolean hasHeardAllInstances(long nowMs) {
+        return nowMs - primarySinceMs > MAX_MISSED_HEARTBEATS * heartbeatIntervalMs;
     }
 
-    // ---- Upstreams
-    // -----------------------------------------------------------------------------------
-
-    private void instance(ServerExchange exchange, String id) {
-        if (!leading || !replica.recentlyConfirmed()) {
-            HttpResponses.redirect(exchange, replica);
-            return;
-        }
-        InstanceRecord record;
-        if (exchange.head().method().equals("DELETE")) {
-            InstanceRecord known = registry.get(id);
-            // others may know what this node does not: the departure has to reach them too
-            record = known == null ? InstanceRecord.departed(id) : known.at(Stage.GONE);
-        } else {
-            try {
-                record = InstanceHeartbeatParser.read(id, Json.readObject(exchange.body()));
-            } catch (SystemException e) {
-                HttpResponses.refuse(exchange, 400, e.getMessage());
-                return;
-            }
-        }
-        boolean news = registry.take(record, scheduler.now());
-        if (news) {
-            polls.answerNews();
-            saveSoon();
-        }
-        boolean leaves = registry.get(id).leaving();
-        if (leaves) {
-            sharing.shareDurably(
-                    registry.get(id),
-                    safe -> {
-                        if (safe) {
-                            HttpResponses.acknowledge(exchange);
-                        } else {
-                            HttpResponses.unclear(exchange);
-                        }
-                    });
-            return;
-        }
-        if (news) {
-            sharing.share(registry.get(id));
+    private void tick() {
+        scheduler.schedule(TICK_INTERVAL_MS, this::tick);
+        long nowMs = scheduler.now();
+        boolean wasSuspended = nowMs - lastTickMs > SUSPENSION_THRESHOLD_MS;
+        lastTickMs = nowMs;
+        if (wasSuspended) {
+            instances.resetLastSeen(nowMs);
         }
-        HttpResponses.acknowledge(exchange);
-    }
-
-    /**
-     * Upstreams go to the disk a while after they changed; only a restart of all needs them from
-     * there.
-     */
-    private void saveSoon() {
-        if (!savePlanned) {
-            savePlanned = true;
-            scheduler.schedule(
-                    SAVE_PAUSE,
-                    () -> {
-                        savePlanned = false;
-                        replica.saveInstances();
-                    });
+        balancers.expire(nowMs);
+        quotas.setBalancerCount(balancers.count(!hasHeardAllInstances(nowMs)));
+        if (isPrimary) {
+            tickAsPrimary(nowMs);
         }
     }
 
-    // ---- Messages of the fleet
-    // -----------------------------------------------------------------------
-
-    /** Takes a message of another process of the fleet. */
-    public void receive(Message message, Consumer<Message> answer) {
-        if (message instanceof PollRequest poll) {
-            polls.take(poll, answer);
-        } else if (message instanceof QuotaRequest ask) {
-            answer.accept(grant(ask));
-        } else if (message instanceof ShareInstancesRequest shared) {
-            take(shared, answer);
-        } else if (!replica.receive(message, answer)) {
-            answer.accept(null);
+    private void tickAsPrimary(long nowMs) {
+        if (replica.recentlyConfirmed()) {
+            expireInstances(nowMs);
+            assignOrdinals(nowMs);
         }
+        polls.tick(nowMs);
+        configurationRequests.tick(nowMs);
     }
 
-    private QuotaResponse grant(QuotaRequest ask) {
-        if (!leading || !replica.recentlyConfirmed()) {
-            return QuotaResponse.of(false, 0, 0);
+    private void expireInstances(long nowMs) {
+        long timeoutMs = MAX_MISSED_HEARTBEATS * heartbeatIntervalMs + heartbeatIntervalMs / 2;
+        if (hasHeardAllInstances(nowMs) && instances.expire(nowMs, timeoutMs)) {
+            polls.sendUpdates();
         }
-        long now = scheduler.now();
-        QuotaResponse grant = bank.grant(ask, now);
-        fleet.take(ask.load, now);
-        grant.loads = fleet.tell(ask.load, replica.view().epoch, now);
-        return grant;
     }
 
-    private void take(ShareInstancesRequest shared, Consumer<Message> answer) {
-        if (shared.epoch < replica.epoch()) {
-            answer.accept(AcknowledgeResponse.of(false, replica.epoch(), replica.self()));
+    private void assignOrdinals(long nowMs) {
+        List<InstanceRecord> assigned = instances.assignOrdinals(nowMs);
+        if (assigned.isEmpty()) {
             return;
         }
-        inherit(shared.instances);
-        if (shared.durably) {
-            replica.saveInstancesNow(
-                    ok ->
-                            answer.accept(
-                                    AcknowledgeResponse.of(ok, replica.epoch(), replica.self())));
-        } else {
-            saveSoon();
-            answer.accept(AcknowledgeResponse.of(true, replica.epoch(), replica.self()));
+        for (InstanceRecord record : assigned) {
+            LOG.info("{} in {} has ordinal {}", record.id, record.zone, record.ordinal);
+            replicator.replicate(record);
         }
+        polls.sendUpdates();
+        saves.schedule();
     }
 }
--- a/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
+++ b/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
@@ -3,39 +3,45 @@
 import myrtleladder.protocol.FleetLoads;
 import myrtleladder.protocol.LoadReport;
 
-/** What balancers tell each other by way of the primary: what is under way, and what is kept. */
+/**
+ * What balancers learn of each other by way of the primary: the requests in flight at upstreams and
+ * the prompt prefixes that upstreams have cached. All of it is a hint that rests on no quorum.
+ *
+ * <p>Confined to the event loop.
+ */
 final class FleetLoadExchange {
     private final LoadTable loads = new LoadTable();
     private final PromptDirectory prompts = new PromptDirectory();
 
-    /** This node has become primary. */
-    void lead(long now) {
-        loads.lead(now);
+    /** Starts anew: this node became primary. */
+    void reset(long nowMs) {
+        loads.reset(nowMs);
         prompts.clear();
     }
 
-    /** Takes a balancer's report, null if it sent none. */
-    void take(LoadReport report, long now) {
+    /** Records a balancer's report; null if it sent none. */
+    void record(LoadReport report, long nowMs) {
         if (report != null) {
-            loads.take(report, now);
-            prompts.take(report.prompts);
+            loads.record(report, nowMs);
+            prompts.record(report.prompts);
         }
     }
 
-    /** A balancer has left. */
-    void forget(String balancer) {
-        loads.forget(balancer);
+    /** Forgets the load of a balancer that has left. */
+    void remove(String balancer) {
+        loads.remove(balancer);
     }
 
-    /** The answer to a balancer's report, null if it sent none. */
-    FleetLoads tell(LoadReport report, long epoch, long now) {
+    /** The response to a balancer's report; null if it sent none. */
+    FleetLoads responseTo(LoadReport report, long epoch, long nowMs) {
         if (report == null) {
             return null;
         }
-        FleetLoads answer = new FleetLoads();
-        answer.epoch = epoch;
-        loads.tell(answer, report.balancer, now);
-        prompts.tell(answer, report.epoch == epoch ? report.promptRevision : 0);
-        return answer;
+        FleetLoads response = new FleetLoads();
+        response.epoch = epoch;
+        loads.addLoadsOfOthers(response, report.balancer, nowMs);
+        boolean isSameEpoch = report.epoch == epoch;
+        prompts.addChangesSince(response, isSameEpoch ? report.promptRevision : 0);
+        return response;
     }
 }
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -13,79 +13,89 @@
 import myrtleladder.replication.Peers;
 
 /**
- * Records of upstreams for members that did not take them: they are kept here and handed over once
- * the member answers, so that each node has all departures before it could become primary.
+ * Keeps records of upstream instances for members that did not take them, and hands them over once
+ * the member answers (hinted handoff, as in Dynamo). So each node has all departures before it could
+ * become primary.
+ *
+ * <p>Invariant: while there are hints, an attempt is scheduled. Confined to the event loop.
  */
 final class HintedHandoff {
-    private static final long ANSWER = 500;
-    private static final long PAUSE = 400;
-    private static final int MOST = 2_000;
+    /** How long a member has to answer. Chosen. */
+    private static final long REQUEST_TIMEOUT_MS = 500;
+
+    /** The time between two attempts. Chosen. */
+    private static final long RETRY_INTERVAL_MS = 400;
+
+    /** The most hints for a member; further instances are dropped. Chosen: bounds the memory. */
+    private static final int MAX_HINTS_PER_MEMBER = 2_000;
 
     private final Scheduler scheduler;
     private final Peers peers;
     private final Map<Member, Map<String, InstanceRecord>> hints = new LinkedHashMap<>();
     private long epoch;
-    private boolean planned;
+    private boolean isScheduled;
 
     HintedHandoff(Scheduler scheduler, Peers peers) {
         this.scheduler = scheduler;
         this.peers = peers;
     }
 
-    /** Keeps a record for a member. */
-    void keep(Member member, InstanceRecord record, long ofEpoch) {
-        epoch = Math.max(epoch, ofEpoch);
-        Map<String, InstanceRecord> kept =
-                hints.computeIfAbsent(member, m -> new LinkedHashMap<>());
-        if (kept.size() < MOST || kept.containsKey(record.id)) {
-            kept.merge(record.id, record, InstanceRecord::later);
+    /** Keeps a record for a member; of several for an instance the latest. */
+    void addHint(Member member, InstanceRecord record, long epochOfRecord) {
+        epoch = Math.max(epoch, epochOfRecord);
+        Map<String, InstanceRecord> ofMember =
+                hints.computeIfAbsent(member, key -> new LinkedHashMap<>());
+        if (ofMember.size() < MAX_HINTS_PER_MEMBER || ofMember.containsKey(record.id)) {
+            ofMember.merge(record.id, record, InstanceRecord::later);
         }
-        plan();
+        scheduleAttempt();
     }
 
-    /** Forgets what is kept for others than these members: a new view has other ones. */
-    void retain(Collection<Member> members) {
+    /** Drops the hints for all but these members: a new view has others. */
+    void retainMembers(Collection<Member> members) {
         hints.keySet().retainAll(members);
     }
 
-    /** Forgets all: this node is not primary any more. */
+    /** Drops all hints: this node is no longer primary. */
     void clear() {
         hints.clear();
     }
 
-    /** How many records wait. */
-    int waiting() {
+    /** The number of records that wait. */
+    int hintCount() {
         return hints.values().stream().mapToInt(Map::size).sum();
     }
 
-    private void plan() {
-        if (!planned && !hints.isEmpty()) {
-            planned = true;
-            scheduler.schedule(PAUSE, this::handOver);
+    private void scheduleAttempt() {
+        if (!isScheduled && !hints.isEmpty()) {
+            isScheduled = true;
+            scheduler.schedule(RETRY_INTERVAL_MS, this::attempt);
         }
     }
 
-    private void handOver() {
-        planned = false;
+    private void attempt() {
+        isScheduled = false;
         for (Member member : new ArrayList<>(hints.keySet())) {
             List<InstanceRecord> records = new ArrayList<>(hints.get(member).values());
             peers.call(
                     member.address,
                     ShareInstancesRequest.of(epoch, records, false),
-                    ANSWER,
-                    answer -> {
-                        if (answer instanceof AcknowledgeResponse reply && reply.taken) {
-                            taken(member, records);
+                    REQUEST_TIMEOUT_MS,
+                    response -> {
+                        if (response instanceof AcknowledgeResponse acknowledgement
+                                && acknowledgement.taken) {
+                            removeHints(member, records);
                         }
                     });
         }
-        plan();
+        scheduleAttempt();
     }
 
-    private void taken(Member member, List<InstanceRecord> records) {
-        Map<String, InstanceRecord> kept = hints.get(member);
-        if (kept != null) {
-            records.forEach(r -> kept.remove(r.id, r));
+    /** Removes the records that a member took, unless a later one came meanwhile. */
+    private void removeHints(Member member, List<InstanceRecord> records) {
+        Map<String, InstanceRecord> ofMember = hints.get(member);
+        if (ofMember != null) {
+            records.forEach(record -> ofMember.remove(record.id, record));
             hints.values().removeIf(Map::isEmpty);
         }
     }
--- a/src/main/java/myrtleladder/controlplane/HttpResponses.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -7,49 +7,60 @@
 import myrtleladder.protocol.Member;
 import myrtleladder.replication.Replica;
 
-/** The answers that callers of the control address get in like cases. */
+/**
+ * The responses that all handlers of the control address share. Each method sends the one response
+ * that the exchange is owed.
+ */
 final class HttpResponses {
-    private static final byte[] NO_BYTES = {};
-    private static final String RETRY_AFTER = "0.2";
+    static final int OK = 200;
+    static final int TEMPORARY_REDIRECT = 307;
+    static final int BAD_REQUEST = 400;
+    static final int NOT_FOUND = 404;
+    static final int METHOD_NOT_ALLOWED = 405;
+    static final int PRECONDITION_FAILED = 412;
+    static final int SERVICE_UNAVAILABLE = 503;
+
+    private static final byte[] NO_BODY = {};
+
+    /** Seconds after which a caller may ask again, as the header has it. Chosen. */
+    private static final String RETRY_AFTER_S = "0.2";
 
     private HttpResponses() {}
 
-    /** Names the primary, or says that there is no clear answer if none is known. */
-    static void redirect(ServerExchange exchange, Replica replica) {
+    /** Redirects to the primary; 503 if none is known but this node itself. */
+    static void redirectToPrimary(ServerExchange exchange, Replica replica) {
         Member primary = replica.primary();
         if (primary == null || primary.equals(replica.self())) {
-            unclear(exchange);
+            unavailable(exchange);
             return;
         }
-        exchange.respond(
-                307,
-                new Headers()
-                        .add("Location", "http://" + primary.control + exchange.head().target()),
-                NO_BYTES);
+        String location = "http://" + primary.control + exchange.head().target();
+        exchange.respond(TEMPORARY_REDIRECT, new Headers().add("Location", location), NO_BODY);
     }
 
-    /** Nothing is said of what was asked; the caller asks again. */
-    static void unclear(ServerExchange exchange) {
-        exchange.respond(503, new Headers().add("Retry-After", RETRY_AFTER), NO_BYTES);
+    /** Leaves open whether the request took effect; the caller asks again. */
+    static void unavailable(ServerExchange exchange) {
+        exchange.respond(
+                SERVICE_UNAVAILABLE, new Headers().add("Retry-After", RETRY_AFTER_S), NO_BODY);
     }
 
-    /** Refuses with a reason. */
-    static void refuse(ServerExchange exchange, int status, String message) {
-        document(exchange, status, Json.write(Map.of("error", message)));
+    /** Refuses the request with a reason, as JSON. */
+    static void error(ServerExchange exchange, int status, String reason) {
+        json(exchange, status, Json.write(Map.of("error", reason)));
     }
 
-    /** Acknowledges with nothing to tell. */
+    /** Acknowledges the request with an empty JSON object. */
     static void acknowledge(ServerExchange exchange) {
-        document(exchange, 200, Json.write(Map.of()));
+        json(exchange, OK, Json.write(Map.of()));
     }
 
-    /** Answers with a JSON document. */
-    static void document(ServerExchange exchange, int status, byte[] document) {
+    /** Responds with a JSON document. */
+    static void json(ServerExchange exchange, int status, byte[] document) {
         exchange.respond(status, new Headers().add("Content-Type", "application/json"), document);
     }
 
-    /** Answers without a document. */
+    /** Responds without a body. */
     static void empty(ServerExchange exchange, int status) {
-        exchange.respond(status, new Headers(), NO_BYTES);
+        exchange.respond(status, new Headers(), NO_BODY);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -7,45 +7,52 @@
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 
-/** Reads the body of an upstream's heartbeat. */
+/** Parses the JSON body of an upstream's heartbeat. */
 final class InstanceHeartbeatParser {
+    private static final long DEFAULT_CAPACITY = 1;
+    private static final long DEFAULT_SEQUENCE = 0;
+
     private InstanceHeartbeatParser() {}
 
-    static InstanceRecord read(String id, Map<String, Object> tree) {
-        String state = text(tree, "state");
+    /**
+     * The record that a heartbeat describes.
+     *
+     * @param id the incarnation, from the path of the request
+     * @throws ConfigurationException if a field that is required is missing or no string
+     */
+    static InstanceRecord parse(String id, Map<String, Object> json) {
+        String state = requiredString(json, "state");
         return InstanceRecord.of(
                         id,
-                        text(tree, "backend"),
-                        text(tree, "address"),
-                        String.valueOf(tree.getOrDefault("zone", "")),
-                        (int) number(tree, "capacity", 1),
-                        String.valueOf(tree.getOrDefault("generation", "")),
+                        requiredString(json, "backend"),
+                        requiredString(json, "address"),
+                        String.valueOf(json.getOrDefault("zone", "")),
+                        (int) integer(json, "capacity", DEFAULT_CAPACITY),
+                        String.valueOf(json.getOrDefault("generation", "")),
                         state.equals("draining") ? Stage.DRAINING : Stage.READY,
-                        number(tree, "sequence", 0))
-                .withWeights(weights(tree));
+                        integer(json, "sequence", DEFAULT_SEQUENCE))
+                .withWeights(weightsVersion(json));
     }
 
     /** The version of the weights of the first model: an upstream serves one here. */
-    private static long weights(Map<String, Object> tree) {
-        boolean named =
-                tree.get("models") instanceof List<?> models
-                        && !models.isEmpty()
-                        && models.get(0) instanceof Map<?, ?>;
-        if (!named) {
-            return InstanceRecord.UNKNOWN_WEIGHTS;
+    private static long weightsVersion(Map<String, Object> json) {
+        if (json.get("models") instanceof List<?> models
+                && !models.isEmpty()
+                && models.get(0) instanceof Map<?, ?> first
+                && first.get("generation") instanceof Number version) {
+            return version.longValue();
         }
-        Object told = ((Map<?, ?>) ((List<?>) tree.get("models")).get(0)).get("generation");
-        return told instanceof Number number ? number.longValue() : InstanceRecord.UNKNOWN_WEIGHTS;
+        return InstanceRecord.UNKNOWN_WEIGHTS;
     }
 
-    private static String text(Map<String, Object> tree, String name) {
-        if (tree.get(name) instanceof String text && !text.isEmpty()) {
+    private static String requiredString(Map<String, Object> json, String name) {
+        if (json.get(name) instanceof String text && !text.isEmpty()) {
             return text;
         }
         throw new ConfigurationException(ResultCode.CONFIGURATION_FIELD, name + " is not a text");
     }
 
-    private static long number(Map<String, Object> tree, String name, long otherwise) {
-        return tree.get(name) instanceof Number number ? number.longValue() : otherwise;
+    private static long integer(Map<String, Object> json, String name, long defaultValue) {
+        return json.get(name) instanceof Number number ? number.longValue() : defaultValue;
     }
 }
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -9,111 +9,136 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 
 /**
- * The upstreams that heartbeats tell of. Each change has a revision; what is gone is kept for a
- * while.
+ * The upstream instances that this node knows of, by heartbeats and from other nodes.
+ *
+ * <p>Invariants: a record only ever advances ({@link InstanceRecord#later}), so that a departure
+ * holds against any late heartbeat; each change that balancers have to learn of has a revision of
+ * its own. Confined to the event loop.
  */
 final class InstanceRegistry {
-    private static final long KEEP_GONE = 60_000;
+    /** How long the record of an instance that is not ready outlasts its last sign. Chosen. */
+    private static final long RETENTION_MS = 60_000;
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private long revision;
 
     private static final class Entry {
+        final long firstSeenMs;
         InstanceRecord record;
         long revision;
-        long heardAt;
-        long knownSince;
+        long lastSeenMs;
+
+        Entry(long firstSeenMs) {
+            this.firstSeenMs = firstSeenMs;
+        }
     }
 
+    /** The revision of the latest change; 0 before the first. */
     long revision() {
         return revision;
     }
 
-    /** Takes a record; whether it tells something new. */
-    boolean take(InstanceRecord record, long now) {
-        Entry entry = entries.computeIfAbsent(record.id, id -> new Entry());
+    /** Merges a record into the one that is known; whether that changed anything. */
+    boolean merge(InstanceRecord record, long nowMs) {
+        Entry entry = entries.computeIfAbsent(record.id, id -> new Entry(nowMs));
         InstanceRecord before = entry.record;
-        entry.knownSince = before == null ? now : entry.knownSince;
-        InstanceRecord after = before == null ? record : InstanceRecord.later(before, record);
-        entry.heardAt = now;
-        entry.record = after;
-        if (after.differsFrom(before)) {
-            entry.revision = ++revision;
-            return true;
+        entry.lastSeenMs = nowMs;
+        entry.record = before == null ? record : InstanceRecord.later(before, record);
+        if (!entry.record.differsFrom(before)) {
+            return false;
         }
-        return false;
+        markChanged(entry);
+        return true;
+    }
+
+    private void markChanged(Entry entry) {
+        revision++;
+        entry.revision = revision;
     }
 
     /**
-     * Takes what other nodes knew; each counts as heard now, and none as lost: who said so may have
-     * been cut off.
+     * Merges the records of other nodes on becoming primary. Each instance counts as seen now and
+     * none as lost: the node that took it for lost may have been partitioned.
      */
-    void inherit(Collection<InstanceRecord> records, long now) {
-        records.forEach(r -> take(r.stage == Stage.LOST ? r.at(Stage.READY) : r, now));
+    void recover(Collection<InstanceRecord> records, long nowMs) {
+        for (InstanceRecord record : records) {
+            boolean isLost = record.stage == Stage.LOST;
+            merge(isLost ? record.at(Stage.READY) : record, nowMs);
+        }
         for (Entry entry : entries.values()) {
-            entry.heardAt = now;
+            entry.lastSeenMs = nowMs;
             if (entry.record.stage == Stage.LOST) {
                 entry.record = entry.record.at(Stage.READY);
-                entry.revision = ++revision;
+                markChanged(entry);
             }
         }
     }
 
-    /** Forgives the silence so far: this process stood still. */
-    void forgive(long now) {
-        entries.values().forEach(e -> e.heardAt = now);
+    /** Takes all instances for seen now: this process was suspended and could not hear them. */
+    void resetLastSeen(long nowMs) {
+        entries.values().forEach(entry -> entry.lastSeenMs = nowMs);
     }
 
+    /** The record of an instance, null if it is unknown. */
     InstanceRecord get(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.record;
     }
 
+    /** All records. */
     List<InstanceRecord> all() {
-        return since(0);
+        return changedSince(0);
     }
 
-    List<InstanceRecord> since(long known) {
+    /** The records that changed after a revision. */
+    List<InstanceRecord> changedSince(long knownRevision) {
         List<InstanceRecord> changed = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            if (entry.revision > known) {
+            if (entry.revision > knownRevision) {
                 changed.add(entry.record);
             }
         }
         return changed;
     }
 
-    /** Gives ordinals to instances that have none, as far as that is due; those that got one. */
-    List<InstanceRecord> assignOrdinals(long now) {
-        List<OrdinalAssigner.Holder> holders = new ArrayList<>();
+    /** Assigns the ordinals that are due; the records of the instances that got one. */
+    List<InstanceRecord> assignOrdinals(long nowMs) {
+        List<OrdinalAssigner.KnownInstance> known = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            holders.add(new OrdinalAssigner.Holder(entry.record, entry.knownSince));
+            known.add(new OrdinalAssigner.KnownInstance(entry.record, entry.firstSeenMs));
         }
-        List<InstanceRecord> assigned = OrdinalAssigner.assign(holders, now);
+        List<InstanceRecord> assigned = OrdinalAssigner.assign(known, nowMs);
         for (InstanceRecord record : assigned) {
             Entry entry = entries.get(record.id);
             entry.record = record;
-            entry.revision = ++revision;
+            markChanged(entry);
         }
         return assigned;
     }
 
-    /** Takes upstreams for lost that have been silent for too long; whether any was. */
-    boolean expire(long now, long longestSilence) {
-        boolean changed = false;
-        entries.values()
-                .removeIf(e -> !e.record.stage.equals(Stage.READY) && now - e.heardAt > KEEP_GONE);
+    /**
+     * Marks instances as lost, and draining ones as gone, that were not seen for the timeout;
+     * whether there was any. Forgets those that have been away for long.
+     */
+    boolean expire(long nowMs, long timeoutMs) {
+        entries.values().removeIf(entry -> isForgettable(entry, nowMs));
+        boolean hasChanged = false;
         for (Entry entry : entries.values()) {
-            boolean silent = now - entry.heardAt > longestSilence;
-            boolean lives =
-                    entry.record.stage == Stage.READY || entry.record.stage == Stage.DRAINING;
-            if (silent && lives) {
-                boolean leaves = entry.record.stage == Stage.DRAINING;
-                entry.record = entry.record.at(leaves ? Stage.GONE : Stage.LOST);
-                entry.revision = ++revision;
-                changed = true;
+            if (nowMs - entry.lastSeenMs > timeoutMs && isAlive(entry.record)) {
+                boolean isDraining = entry.record.stage == Stage.DRAINING;
+                entry.record = entry.record.at(isDraining ? Stage.GONE : Stage.LOST);
+                markChanged(entry);
+                hasChanged = true;
             }
         }
-        return changed;
+        return hasChanged;
+    }
+
+    private static boolean isForgettable(Entry entry, long nowMs) {
+        return entry.record.stage != Stage.READY && nowMs - entry.lastSeenMs > RETENTION_MS;
+    }
+
+    private static boolean isAlive(InstanceRecord record) {
+        return record.stage == Stage.READY || record.stage == Stage.DRAINING;
     }
 }
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -1,8 +1,6 @@
 package myrtleladder.controlplane;
 
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import java.util.function.Consumer;
 import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
@@ -15,115 +13,100 @@
 import myrtleladder.replication.Replica;
 
 /**
- * Hands records of upstreams from the primary to the other control nodes. What is only news is
- * handed over in memory. A departure that is acknowledged has to outlast what an acknowledged
- * change outlasts, so each replica of the view has it on its disk first.
+ * Sends records of upstream instances from the primary to the other control nodes. Heartbeats are
+ * kept in their memory only. A departure that is acknowledged has to survive what an acknowledged
+ * configuration change survives, so each replica of the view stores it on its disk first.
+ *
+ * <p>Members that do not take a record get it later by {@link HintedHandoff}. Confined to the event
+ * loop.
  */
 final class InstanceReplicator {
-    private static final long SHARE = 500;
+    /** How long a member has to answer. Chosen. */
+    private static final long REQUEST_TIMEOUT_MS = 500;
 
     private final Peers peers;
     private final HintedHandoff handoff;
     private Replica replica;
-    private boolean leading;
+    private boolean isPrimary;
 
     InstanceReplicator(Scheduler scheduler, Peers peers) {
         this.peers = peers;
         this.handoff = new HintedHandoff(scheduler, peers);
     }
 
-    /** Gives the replica that knows the members. */
+    /** Sets the replica that knows the view; has to precede all else. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** This node is primary of another view. */
-    void lead() {
-        leading = true;
-        handoff.retain(replica.view().group);
+    /** This node is primary of a new view, whose members alone get hints. */
+    void becamePrimary() {
+        isPrimary = true;
+        handoff.retainMembers(replica.view().group);
     }
 
-    /** This node is primary no more. */
-    void follow() {
-        leading = false;
+    /** This node is no longer primary: the next one sends the records. */
+    void lostPrimacy() {
+        isPrimary = false;
         handoff.clear();
     }
 
-    /** Gives a record to the other nodes. */
-    void share(InstanceRecord record) {
+    /** Sends a record to the other nodes. */
+    void replicate(InstanceRecord record) {
         View view = replica.view();
-        ShareInstancesRequest message =
+        ShareInstancesRequest request =
                 ShareInstancesRequest.of(view.epoch, List.of(record), false);
         for (Member member : view.group) {
             if (!member.equals(replica.self())) {
-                hand(member, message, taken -> {});
+                send(member, request, isTaken -> {});
             }
         }
     }
 
     /**
-     * Gives a record to the other nodes; told true once all replicas of the view have it on their
-     * disks, false if one of them does not say so.
+     * Sends a record to the other nodes and waits for the disks of the replicas.
+     *
+     * @param done called once: with true as soon as all replicas of the view have synced the record,
+     *     with false if one of them failed or did not answer
      */
-    void shareDurably(InstanceRecord record, Consumer<Boolean> done) {
+    void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
-        Durable durable = new Durable(view.replicas, done);
-        replica.saveInstancesNow(ok -> durable.answered(replica.self(), ok));
+        ReplicaAcknowledgements pending = new ReplicaAcknowledgements(view.replicas, done);
+        replica.saveInstancesNow(isSaved -> pending.record(replica.self(), isSaved));
         for (Member member : view.group) {
             if (!member.equals(replica.self())) {
-                boolean copy = view.replicas.contains(member);
-                hand(
+                boolean isReplica = view.replicas.contains(member);
+                send(
                         member,
-                        ShareInstancesRequest.of(view.epoch, List.of(record), copy),
-                        taken -> durable.answered(member, taken));
+                        ShareInstancesRequest.of(view.epoch, List.of(record), isReplica),
+                        isTaken -> pending.record(member, isTaken));
             }
         }
     }
 
-    private void hand(Member member, ShareInstancesRequest message, Consumer<Boolean> done) {
+    private void send(Member member, ShareInstancesRequest request, Consumer<Boolean> done) {
         peers.call(
                 member.address,
-                message,
-                SHARE,
-                answer -> {
-                    boolean taken = takenBy(member, answer);
-                    if (!taken && leading) {
-                        long epoch = replica.view().epoch;
-                        message.instances.forEach(r -> handoff.keep(member, r, epoch));
+                request,
+                REQUEST_TIMEOUT_MS,
+                response -> {
+                    boolean isTaken = isTakenBy(member, response);
+                    if (!isTaken && isPrimary) {
+                        addHints(member, request);
                     }
-                    done.accept(taken);
+                    done.accept(isTaken);
                 });
     }
 
-    /** Another node may answer at an address by now: its word is not the member's. */
-    private static boolean takenBy(Member member, Message answer) {
-        return answer instanceof AcknowledgeResponse reply
-                && reply.taken
-                && member.equals(reply.member);
+    private void addHints(Member member, ShareInstancesRequest request) {
+        long epoch = replica.view().epoch;
+        request.instances.forEach(record -> handoff.addHint(member, record, epoch));
     }
 
-    /** Counts the replicas that have a record on their disks. */
-    private static final class Durable {
-        private final Set<Member> missing;
-        private final Consumer<Boolean> done;
-        private boolean told;
-
-        Durable(List<Member> replicas, Consumer<Boolean> done) {
-            this.missing = new HashSet<>(replicas);
-            this.done = done;
-        }
-
-        void answered(Member member, boolean taken) {
-            if (told || !missing.contains(member)) {
-                return;
-            }
-            if (taken) {
-                missing.remove(member);
-            }
-            if (!taken || missing.isEmpty()) {
-                told = true;
-                done.accept(taken);
-            }
-        }
+    /** Another node may answer at the address by now: its answer does not count. */
+    private static boolean isTakenBy(Member member, Message response) {
+        return response instanceof AcknowledgeResponse acknowledgement
+                && acknowledgement.taken
+                && member.equals(acknowledgement.member);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/LoadTable.java
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -8,108 +8,126 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * What all balancers have under way at each upstream, summed up from their newest reports. A report
- * replaces the one before and counts for a short time, so nothing is counted twice and nothing
- * stays of a balancer that died.
+ * The requests and tokens that all balancers have in flight at each upstream, summed from the newest
+ * report of each balancer.
+ *
+ * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before and
+ * expires, so that nothing counts twice and nothing remains of a balancer that died. Confined to the
+ * event loop.
  */
 final class LoadTable {
-    /** How long a report counts: a few polls. */
-    static final long FRESH = 1_500;
+    /** How long a report counts. Derived: a poll's timeout and two waits of a poll. */
+    static final long REPORT_LIFETIME_MS = 1_500;
 
-    /** How long a new primary tells nothing: each balancer that lives has polled by then. */
-    static final long FIRST_SUMS = 900;
+    /**
+     * How long a new primary reports no sums. Derived: each live balancer has polled by then.
+     */
+    static final long WARM_UP_MS = 900;
 
-    private static final int MOST_TOLD = 200; // bounds the bytes of an answer in large fleets
+    /** The most upstreams in a response: bounds its bytes in large fleets. Chosen. */
+    private static final int MAX_LOADS_IN_RESPONSE = 200;
+
+    /** Reports by balancer, in the order in which they arrived. */
+    private final LinkedHashMap<String, ReceivedReport> reports = new LinkedHashMap<>();
 
-    private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
     private final Map<Integer, Sum> sums = new HashMap<>();
-    private long since;
+    private long resetAtMs;
 
-    private record Entry(LoadReport report, long heardAt) {}
+    private record ReceivedReport(LoadReport report, long receivedAtMs) {}
 
+    /** What all balancers together have in flight at an upstream. */
     private static final class Sum {
         private int requests;
         private int tokens;
 
-        private boolean idle() {
+        private boolean isIdle() {
             return requests <= 0 && tokens <= 0;
         }
     }
 
-    /** Begins anew: other nodes summed up until now. */
-    void lead(long now) {
-        entries.clear();
+    /** Starts anew: until now other nodes summed up. */
+    void reset(long nowMs) {
+        reports.clear();
         sums.clear();
-        since = now;
+        resetAtMs = nowMs;
     }
 
-    /** Takes a report unless a newer one of the same process is known. */
-    void take(LoadReport report, long now) {
-        Entry before = entries.get(report.balancer);
-        if (before != null && !replaces(report, before.report())) {
+    /** Records a report unless a newer one of the same process is known. */
+    void record(LoadReport report, long nowMs) {
+        ReceivedReport previous = reports.get(report.balancer);
+        if (previous != null && !replaces(report, previous.report())) {
             return;
         }
-        forget(report.balancer);
-        entries.put(report.balancer, new Entry(report, now));
-        report.loads.forEach(load -> add(load, 1));
+        remove(report.balancer);
+        reports.put(report.balancer, new ReceivedReport(report, nowMs));
+        report.loads.forEach(load -> addToSum(load, 1));
     }
 
-    private static boolean replaces(LoadReport report, LoadReport before) {
-        return report.process != before.process || report.sequence > before.sequence;
+    private static boolean replaces(LoadReport report, LoadReport previous) {
+        return report.process != previous.process || report.sequence > previous.sequence;
     }
 
-    /** Takes a balancer's report out of the sums. */
-    void forget(String balancer) {
-        Entry before = entries.remove(balancer);
-        if (before != null) {
-            before.report().loads.forEach(load -> add(load, -1));
+    /** Takes a balancer's report, if there is one, out of the sums. */
+    void remove(String balancer) {
+        ReceivedReport removed = reports.remove(balancer);
+        if (removed != null) {
+            removed.report().loads.forEach(load -> addToSum(load, -1));
         }
     }
 
-    private void add(UpstreamLoad load, int sign) {
-        Sum sum = sums.computeIfAbsent(load.upstream, u -> new Sum());
+    private void addToSum(UpstreamLoad load, int sign) {
+        Sum sum = sums.computeIfAbsent(load.upstream, upstream -> new Sum());
         sum.requests += sign * load.requests;
         sum.tokens += sign * load.tokens;
-        if (sum.idle()) {
+        if (sum.isIdle()) {
             sums.remove(load.upstream);
         }
     }
 
-    /** Adds to an answer the sums without what the asking balancer itself told, if known. */
-    void tell(FleetLoads told, String balancer, long now) {
-        if (now - since < FIRST_SUMS) {
+    /**
+     * Adds to a response what the other balancers have in flight, unless this node is primary for
+     * too short a time to know it.
+     */
+    void addLoadsOfOthers(FleetLoads response, String balancer, long nowMs) {
+        if (nowMs - resetAtMs < WARM_UP_MS) {
             return;
         }
-        expire(now);
-        told.known = true;
-        Map<Integer, UpstreamLoad> own = new HashMap<>();
-        Entry asking = entries.get(balancer);
-        if (asking != null) {
-            asking.report().loads.forEach(load -> own.put(load.upstream, load));
+        removeExpired(nowMs);
+        response.known = true;
+        Map<Integer, UpstreamLoad> own = loadsOf(balancer);
+        sums.forEach((upstream, sum) -> addDifference(response, upstream, sum, own.get(upstream)));
+        if (response.loads.size() > MAX_LOADS_IN_RESPONSE) {
+            response.loads.sort((a, b) -> Integer.compare(b.tokens, a.tokens));
+            response.loads.subList(MAX_LOADS_IN_RESPONSE, response.loads.size()).clear();
         }
-        sums.forEach((upstream, sum) -> addOthers(told, upstream, sum, own.get(upstream)));
-        if (told.loads.size() > MOST_TOLD) {
-            told.loads.sort((a, b) -> Integer.compare(b.tokens, a.tokens));
-            told.loads.subList(MOST_TOLD, told.loads.size()).clear();
+    }
+
+    private Map<Integer, UpstreamLoad> loadsOf(String balancer) {
+        Map<Integer, UpstreamLoad> loads = new HashMap<>();
+        ReceivedReport received = reports.get(balancer);
+        if (received != null) {
+            received.report().loads.forEach(load -> loads.put(load.upstream, load));
         }
+        return loads;
     }
 
-    private static void addOthers(FleetLoads told, int upstream, Sum sum, UpstreamLoad own) {
+    /** Adds a sum less the part of the balancer that is answered; {@code own} may be null. */
+    private static void addDifference(
+            FleetLoads response, int upstream, Sum sum, UpstreamLoad own) {
         int requests = sum.requests - (own == null ? 0 : own.requests);
         int tokens = sum.tokens - (own == null ? 0 : own.tokens);
         if (requests > 0 || tokens > 0) {
-            told.loads.add(UpstreamLoad.of(upstream, requests, tokens));
+            response.loads.add(UpstreamLoad.of(upstream, requests, tokens));
         }
     }
 
-    /** Reports stand in the order in which they came. */
-    private void expire(long now) {
-        while (!entries.isEmpty()) {
-            Map.Entry<String, Entry> oldest = entries.entrySet().iterator().next();
-            if (now - oldest.getValue().heardAt() <= FRESH) {
+    private void removeExpired(long nowMs) {
+        while (!reports.isEmpty()) {
+            Map.Entry<String, ReceivedReport> oldest = reports.entrySet().iterator().next();
+            if (nowMs - oldest.getValue().receivedAtMs() <= REPORT_LIFETIME_MS) {
                 return;
             }
-            forget(oldest.getKey());
+            remove(oldest.getKey());
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -1,43 +1,41 @@
 package myrtleladder.controlplane;
 
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.UUID;
 import java.util.concurrent.CountDownLatch;
 import myrtleladder.io.EventLoop;
-import myrtleladder.io.HttpServer;
-import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
-import myrtleladder.protocol.Member;
-import myrtleladder.protocol.StoredState;
 import myrtleladder.replication.Replica;
-import myrtleladder.replication.ReplicaOptions;
-import myrtleladder.rpc.MessageServer;
-import myrtleladder.rpc.PeerClient;
 import myrtleladder.signal.Signals;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The control plane's program. */
+/** The control plane's program: starts a node and lets it leave its group on SIGTERM. */
 public final class Main {
     private static final Logger LOG = LogManager.getLogger(Main.class);
-    private static final long LAST_ANSWERS = 150;
-    private static final long GRACE_MARGIN = 1_000;
+
+    /** How long the process outlasts its end, so that the last responses are sent. Chosen. */
+    private static final long LINGER_MS = 150;
+
+    /** What is left of the grace period for the end after the node has left. Chosen. */
+    private static final long GRACE_MARGIN_MS = 1_000;
 
     private Main() {}
 
-    /** Runs the program; see {@link ControlCommand} for its words. */
+    /** Runs the program; see {@link ControlCommand} for its verbs. */
     public static void main(String[] arguments) {
         System.exit(ControlCommand.run(arguments));
     }
 
-    /** Serves until SIGTERM. */
+    /**
+     * Serves until SIGTERM and ends the process.
+     *
+     * @throws ReflectiveOperationException if the platform has no signals
+     */
     static void serve(NodeSettings settings)
             throws InterruptedException, ReflectiveOperationException {
         EventLoop loop = new EventLoop();
-        Path folder = Path.of(settings.dataFolder());
-        Replica replica = begin(settings, loop, new StateStore(folder));
+        StateStore store = new StateStore(Path.of(settings.dataFolder()));
+        Replica replica = ControlNode.start(settings, loop, store);
         CountDownLatch ended = new CountDownLatch(1);
         Signals.on(
                 "TERM", () -> loop.execute(() -> leave(settings.bounds(), loop, replica, ended)));
@@ -55,62 +53,7 @@
             ended.countDown();
             return;
         }
-        long within = Math.min(bounds.catchUpMs(), bounds.graceMs() - GRACE_MARGIN);
-        replica.leave(within, released -> loop.schedule(LAST_ANSWERS, ended::countDown));
-    }
-
-    /** Puts the parts of a node together and begins to serve on a loop that is started here. */
-    static Replica begin(NodeSettings settings, EventLoop loop, StateStore store) {
-        StoredState onDisk = store.load();
-        AsyncStateWriter disk = new AsyncStateWriter(loop, store);
-        disk.start();
-        loop.start();
-        PeerClient peers = new PeerClient(loop);
-        NodeSettings.Bounds bounds = settings.bounds();
-        ControlPlane plane =
-                new ControlPlane(
-                        loop,
-                        peers,
-                        settings.heartbeatMs(),
-                        bounds.quotaOverage(),
-                        bounds.quotaSlack(),
-                        settings.regionOfZone());
-        Replica replica =
-                new Replica(
-                        options(settings),
-                        onDisk,
-                        UUID.randomUUID().toString(),
-                        loop,
-                        disk,
-                        peers,
-                        plane,
-                        plane::instances);
-        loop.execute(
-                () -> {
-                    plane.attach(replica);
-                    new MessageServer(loop, settings.ip(), settings.firstPort(), plane::receive);
-                    new HttpServer(
-                            loop,
-                            settings.control().host(),
-                            settings.control().port(),
-                            plane::handle);
-                    replica.start();
-                });
-        return replica;
-    }
-
-    private static ReplicaOptions options(NodeSettings settings) {
-        int port = settings.firstPort();
-        List<Member> seeds = new ArrayList<>();
-        for (Address seed : settings.seeds()) {
-            seeds.add(Member.of(seed.host() + ":" + port, seed.toString(), ""));
-        }
-        Member self = Member.of(settings.ip() + ":" + port, settings.control().toString(), "");
-        return new ReplicaOptions(
-                self,
-                settings.toleratedMachines(),
-                settings.bootstrap(),
-                seeds,
-                settings.bounds().catchUpMs());
+        long timeoutMs = Math.min(bounds.catchUpMs(), bounds.graceMs() - GRACE_MARGIN_MS);
+        replica.leave(timeoutMs, isReleased -> loop.schedule(LINGER_MS, ended::countDown));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -10,94 +10,117 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * Which ordinals instances get. A new instance waits a moment for one of its service and zone to
- * leave and takes over that one's ordinal, so that what was placed there has one successor; if none
- * leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until the
+ * Decides which ordinals instances get. A new instance waits a moment for one of its service and
+ * zone to leave and takes over that one's ordinal, so that what was placed there has one successor;
+ * if none leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until the
  * instance has left.
+ *
+ * <p>A function of its arguments, without state.
  */
 final class OrdinalAssigner {
-    private static final long WAIT_FOR_PREDECESSOR = 5_000;
+    /** How long a new instance waits for one of its zone to leave. Chosen. */
+    private static final long PREDECESSOR_WAIT_MS = 5_000;
+
+    private static final int FIRST_ORDINAL = InstanceRecord.UNASSIGNED + 1;
 
     private OrdinalAssigner() {}
 
-    /** An instance and when it was first heard of. */
-    record Holder(InstanceRecord record, long knownSince) {}
+    /**
+     * An instance that the registry knows.
+     *
+     * @param firstSeenMs when it was first heard of
+     */
+    record KnownInstance(InstanceRecord record, long firstSeenMs) {
+        private boolean needsOrdinal() {
+            return !record.leaving() && !hasOrdinal();
+        }
+
+        private boolean hasOrdinal() {
+            return record.ordinal != InstanceRecord.UNASSIGNED;
+        }
+    }
 
-    /** Service and zone. */
-    private record Group(String service, String zone) {
-        static Group of(InstanceRecord record) {
-            return new Group(record.service, record.zone);
+    /** The instances among which ordinals are handed on. */
+    private record ServiceInZone(String service, String zone) {
+        static ServiceInZone of(InstanceRecord record) {
+            return new ServiceInZone(record.service, record.zone);
         }
     }
 
-    /** The records that get an ordinal now, with it. */
-    static List<InstanceRecord> assign(List<Holder> holders, long now) {
-        if (holders.stream().noneMatch(OrdinalAssigner::waits)) {
+    /** The records that get an ordinal now, each with it. */
+    static List<InstanceRecord> assign(List<KnownInstance> instances, long nowMs) {
+        if (instances.stream().noneMatch(KnownInstance::needsOrdinal)) {
             return List.of();
         }
-        Map<String, Set<Integer>> held = heldByService(holders);
-        Map<Group, TreeSet<Integer>> vacant = vacantByGroup(holders, held);
+        Map<String, Set<Integer>> held = heldByService(instances);
+        Map<ServiceInZone, TreeSet<Integer>> vacant = vacantByZone(instances, held);
         List<InstanceRecord> assigned = new ArrayList<>();
-        for (Holder holder : holders) {
-            if (!waits(holder)) {
+        for (KnownInstance instance : instances) {
+            if (!instance.needsOrdinal()) {
                 continue;
             }
-            InstanceRecord record = holder.record();
-            Integer inherited = vacant.getOrDefault(Group.of(record), new TreeSet<>()).pollFirst();
-            boolean waitedEnough = now - holder.knownSince() >= WAIT_FOR_PREDECESSOR;
-            if (inherited == null && !waitedEnough) {
+            InstanceRecord record = instance.record();
+            Integer inherited =
+                    vacant.getOrDefault(ServiceInZone.of(record), new TreeSet<>()).pollFirst();
+            boolean hasWaited = nowMs - instance.firstSeenMs() >= PREDECESSOR_WAIT_MS;
+            if (inherited == null && !hasWaited) {
                 continue;
             }
-            Set<Integer> ofService = held.computeIfAbsent(record.service, s -> new HashSet<>());
-            int ordinal = inherited == null ? leastFree(ofService, record, vacant) : inherited;
-            ofService.add(ordinal);
+            Set<Integer> heldInService =
+                    held.computeIfAbsent(record.service, service -> new HashSet<>());
+            int ordinal =
+                    inherited == null
+                            ? leastFree(heldInService, vacantIn(record.service, vacant))
+                            : inherited;
+            heldInService.add(ordinal);
             assigned.add(record.withOrdinal(ordinal));
         }
         return assigned;
     }
 
-    private static boolean waits(Holder holder) {
-        InstanceRecord record = holder.record();
-        return !record.leaving() && record.ordinal == InstanceRecord.UNASSIGNED;
-    }
-
-    private static Map<String, Set<Integer>> heldByService(List<Holder> holders) {
+    private static Map<String, Set<Integer>> heldByService(List<KnownInstance> instances) {
         Map<String, Set<Integer>> held = new HashMap<>();
-        for (Holder holder : holders) {
-            InstanceRecord record = holder.record();
-            if (!record.leaving() && record.ordinal != InstanceRecord.UNASSIGNED) {
-                held.computeIfAbsent(record.service, s -> new HashSet<>()).add(record.ordinal);
+        for (KnownInstance instance : instances) {
+            InstanceRecord record = instance.record();
+            if (!record.leaving() && instance.hasOrdinal()) {
+                held.computeIfAbsent(record.service, service -> new HashSet<>())
+                        .add(record.ordinal);
             }
         }
         return held;
     }
 
     /** Ordinals of instances that leave or have left, as far as nobody has taken them over. */
-    private static Map<Group, TreeSet<Integer>> vacantByGroup(
-            List<Holder> holders, Map<String, Set<Integer>> held) {
-        Map<Group, TreeSet<Integer>> vacant = new HashMap<>();
-        for (Holder holder : holders) {
-            InstanceRecord record = holder.record();
-            boolean taken = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
-            if (record.leaving() && record.ordinal != InstanceRecord.UNASSIGNED && !taken) {
-                vacant.computeIfAbsent(Group.of(record), g -> new TreeSet<>()).add(record.ordinal);
+    private static Map<ServiceInZone, TreeSet<Integer>> vacantByZone(
+            List<KnownInstance> instances, Map<String, Set<Integer>> held) {
+        Map<ServiceInZone, TreeSet<Integer>> vacant = new HashMap<>();
+        for (KnownInstance instance : instances) {
+            InstanceRecord record = instance.record();
+            boolean isHeld = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
+            if (record.leaving() && instance.hasOrdinal() && !isHeld) {
+                vacant.computeIfAbsent(ServiceInZone.of(record), zone -> new TreeSet<>())
+                        .add(record.ordinal);
             }
         }
         return vacant;
     }
 
-    /** The least ordinal that nobody of the service holds and that waits for no successor. */
-    private static int leastFree(
-            Set<Integer> held, InstanceRecord record, Map<Group, TreeSet<Integer>> vacant) {
-        Set<Integer> awaited = new HashSet<>();
-        vacant.forEach(
-                (group, ordinals) -> {
-                    if (group.service().equals(record.service)) {
-                        awaited.addAll(ordinals);
+    private static Set<Integer> vacantIn(
+            String service, Map<ServiceInZone, TreeSet<Integer>> vacantByZone) {
+        Set<Integer> vacant = new HashSet<>();
+        vacantByZone.forEach(
+                (zone, ordinals) -> {
+                    if (zone.service().equals(service)) {
+                        vacant.addAll(ordinals);
                     }
                 });
-        int ordinal = InstanceRecord.UNASSIGNED + 1;
-        while (held.contains(ordinal) || awaited.contains(ordinal)) {
+        return vacant;
+    }
+
+    /** The least ordinal of a service that nobody holds and that waits for no successor. */
+    private static int leastFree(Set<Integer> held, Set<Integer> vacant) {
+        int ordinal = FIRST_ORDINAL;
+        while (held.contains(ordinal) || vacant.contains(ordinal)) {
             ordinal++;
         }
         return ordinal;
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -1,178 +1,111 @@
 package myrtleladder.controlplane;
 
 import java.util.ArrayList;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import java.util.function.Supplier;
 import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
-import myrtleladder.protocol.PollResponse;
-import myrtleladder.protocol.Snapshot;
 import myrtleladder.replication.Replica;
 
 /**
- * The long polls of balancers: the primary answers each with what is newer than what the balancer
- * has, the configuration and the upstreams each by a version of their own.
+ * Handles the long polls by which balancers learn of the configuration, the upstreams, the other
+ * balancers and their loads. A poll is answered at once if there is an update for the balancer, else
+ * as soon as there is one or its time is over.
+ *
+ * <p>Invariant: polls wait only while this node is primary. Confined to the event loop.
  */
 final class PollRequestHandler {
-    private static final long SHORTEST_HOLD = 150;
-    private static final long LONGEST_HOLD = 450;
-    private static final long HOLD_FOR_EACH = 4; // bounds the polls of all to 250 a second
-    private static final byte[] NO_BYTES = {};
+    /** The shortest that a poll without update waits. Measured, see docs/decisions.md. */
+    private static final long MIN_WAIT_MS = 150;
+
+    /** The longest that a poll without update waits. Measured, see docs/decisions.md. */
+    private static final long MAX_WAIT_MS = 450;
+
+    /** What each balancer adds to the wait: bounds the polls of all to 250 a second. Derived. */
+    private static final long WAIT_PER_BALANCER_MS = 4;
 
     private final Scheduler scheduler;
-    private final InstanceRegistry registry;
     private final BalancerRegistry balancers;
-    private final Supplier<Snapshot> committed;
-    private final BooleanSupplier settled;
-    private final FleetLoadExchange fleet;
-    private final List<LongPoll> polls = new ArrayList<>();
+    private final FleetLoadExchange fleetLoads;
+    private final PollResponseBuilder responses;
+    private final List<LongPoll> waiting = new ArrayList<>();
     private Replica replica;
-    private boolean leading;
+    private boolean isPrimary;
 
-    /** A poll that waits for news. */
-    private record LongPoll(PollRequest poll, Consumer<Message> answer, long since) {}
-
-    /**
-     * Creates the distribution; {@code settled} tells whether each upstream that lives has had the
-     * time to be heard here.
-     */
     PollRequestHandler(
             Scheduler scheduler,
-            InstanceRegistry registry,
             BalancerRegistry balancers,
-            Supplier<Snapshot> committed,
-            BooleanSupplier settled,
-            FleetLoadExchange fleet) {
+            FleetLoadExchange fleetLoads,
+            PollResponseBuilder responses) {
         this.scheduler = scheduler;
-        this.registry = registry;
         this.balancers = balancers;
-        this.committed = committed;
-        this.settled = settled;
-        this.fleet = fleet;
+        this.fleetLoads = fleetLoads;
+        this.responses = responses;
     }
 
-    /** Gives the replica that knows who is primary. */
+    /** Sets the replica that knows who is primary; has to precede all else. */
     void attach(Replica attached) {
         replica = attached;
+        responses.attach(attached);
     }
 
-    /** This node is primary. */
-    void lead() {
-        leading = true;
-        answerNews();
-    }
-
-    /** This node is primary no more: all that is held hears who is. */
-    void follow() {
-        leading = false;
-        List<LongPoll> held = new ArrayList<>(polls);
-        polls.clear();
-        held.forEach(p -> p.answer().accept(notPrimary()));
-    }
-
-    /** Answers the polls that were held for long enough. */
-    void time(long now) {
-        long hold = hold();
-        List<LongPoll> due = polls.stream().filter(p -> now - p.since() >= hold).toList();
-        polls.removeAll(due);
-        due.forEach(p -> p.answer().accept(reply(p.poll())));
+    /** This node became primary. */
+    void becamePrimary() {
+        isPrimary = true;
+        sendUpdates();
     }
 
-    /** Loads are the fresher the shorter polls are held; many balancers poll less often each. */
-    private long hold() {
-        long shared = HOLD_FOR_EACH * balancers.count(false);
-        return Math.max(SHORTEST_HOLD, Math.min(LONGEST_HOLD, shared));
+    /** This node is no longer primary: balancers that wait are told who is. */
+    void lostPrimacy() {
+        isPrimary = false;
+        List<LongPoll> abandoned = new ArrayList<>(waiting);
+        waiting.clear();
+        abandoned.forEach(poll -> poll.responder().accept(responses.notPrimary()));
     }
 
-    private Snapshot committed() {
-        return committed.get();
+    /** Answers the polls that have waited long enough. */
+    void tick(long nowMs) {
+        long waitMs = waitMs();
+        answer(waiting.stream().filter(poll -> nowMs - poll.receivedAtMs() >= waitMs).toList());
     }
 
-    private boolean settled() {
-        return settled.getAsBoolean();
+    /** Short waits keep the loads fresh; the more balancers, the less often each polls. */
+    private long waitMs() {
+        long sharedMs = WAIT_PER_BALANCER_MS * balancers.count(false);
+        return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, sharedMs));
     }
 
-    /** Takes a poll: it is answered at once if there is news, else when there is some. */
-    void take(PollRequest poll, Consumer<Message> answer) {
-        if (!leading || !replica.recentlyConfirmed()) {
-            answer.accept(notPrimary());
+    /** Accepts a poll. */
+    void handle(PollRequest request, Consumer<Message> responder) {
+        if (!isPrimary || !replica.recentlyConfirmed()) {
+            responder.accept(responses.notPrimary());
             return;
         }
-        balancers.heard(poll, scheduler.now());
-        if (poll.leaving) {
-            fleet.forget(poll.balancer);
+        long nowMs = scheduler.now();
+        balancers.recordPoll(request, nowMs);
+        if (request.leaving) {
+            fleetLoads.remove(request.balancer);
         } else {
-            fleet.take(poll.load, scheduler.now());
+            fleetLoads.record(request.load, nowMs);
         }
-        if (poll.immediate || poll.leaving || hasNews(poll)) {
-            answer.accept(reply(poll));
+        if (request.immediate || request.leaving || responses.hasUpdate(request)) {
+            responder.accept(responses.build(request));
         } else {
-            polls.add(new LongPoll(poll, answer, scheduler.now()));
+            waiting.add(new LongPoll(request, responder, nowMs));
         }
     }
 
-    private boolean hasNews(PollRequest poll) {
-        return poll.epoch != replica.view().epoch
-                || poll.generation < committed().generation
-                || poll.revision < registry.revision()
-                || !poll.complete && settled();
-    }
-
-    /** Answers the polls for which there is news. */
-    void answerNews() {
-        if (!leading || replica.state() != Replica.State.PRIMARY) {
+    /** Answers the waiting polls of all balancers for which there is an update. */
+    void sendUpdates() {
+        if (!isPrimary || replica.state() != Replica.State.PRIMARY) {
             return;
         }
-        List<LongPoll> due = polls.stream().filter(p -> hasNews(p.poll())).toList();
-        polls.removeAll(due);
-        due.forEach(p -> p.answer().accept(reply(p.poll())));
-    }
-
-    private PollResponse notPrimary() {
-        PollResponse reply = new PollResponse();
-        Member primary = replica.primary();
-        reply.primary = primary == null || primary.equals(replica.self()) ? "" : primary.address;
-        reply.epoch = replica.view() == null ? 0 : replica.view().epoch;
-        reply.members = addresses();
-        return reply;
-    }
-
-    private List<String> addresses() {
-        Set<String> addresses = new LinkedHashSet<>();
-        if (replica.view() != null) {
-            replica.view().group.forEach(m -> addresses.add(m.address));
-        }
-        return new ArrayList<>(addresses);
+        answer(waiting.stream().filter(poll -> responses.hasUpdate(poll.request())).toList());
     }
 
-    private PollResponse reply(PollRequest poll) {
-        if (!replica.recentlyConfirmed()) {
-            return notPrimary();
-        }
-        boolean young = !settled();
-        PollResponse reply = new PollResponse();
-        reply.valid = true;
-        reply.primary = replica.self().address;
-        reply.members = addresses();
-        reply.epoch = replica.view().epoch;
-        reply.generation = committed().generation;
-        reply.document = poll.generation < committed().generation ? committed().document : NO_BYTES;
-        reply.revision = registry.revision();
-        reply.complete = !young;
-        reply.whole = poll.epoch != reply.epoch || !poll.complete;
-        reply.instances = registry.since(reply.whole ? 0 : poll.revision);
-        reply.balancers = balancers.count(young);
-        reply.loads = fleet.tell(poll.load, reply.epoch, scheduler.now());
-        reply.memberRevision = balancers.revision();
-        if (reply.whole || poll.memberRevision != reply.memberRevision) {
-            reply.balancerList = balancers.members();
-        }
-        return reply;
+    private void answer(List<LongPoll> due) {
+        waiting.removeAll(due);
+        due.forEach(poll -> poll.responder().accept(responses.build(poll.request())));
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -0,0 +1,122 @@
+package myrtleladder.controlplane;
+
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.PollRequest;
+import myrtleladder.protocol.PollResponse;
+import myrtleladder.replication.Replica;
+
+/**
+ * Builds responses to polls: each holds what is newer than what the balancer has. Configuration,
+ * upstreams, balancers and prompts have a version of their own each; those of upstreams, balancers
+ * and prompts count within an epoch.
+ *
+ * <p>Reads the state that others own. Confined to the event loop.
+ */
+final class PollResponseBuilder {
+    private static final byte[] NO_DOCUMENT = {};
+
+    private final Scheduler scheduler;
+    private final InstanceRegistry instances;
+    private final BalancerRegistry balancers;
+    private final FleetLoadExchange fleetLoads;
+    private final CommittedConfiguration committed;
+    private final BooleanSupplier hasHeardAllInstances;
+    private Replica replica;
+
+    /**
+     * Creates a builder.
+     *
+     * @param hasHeardAllInstances whether each live upstream has had the time to send this primary
+     *     a heartbeat
+     */
+    PollResponseBuilder(
+            Scheduler scheduler,
+            InstanceRegistry instances,
+            BalancerRegistry balancers,
+            FleetLoadExchange fleetLoads,
+            CommittedConfiguration committed,
+            BooleanSupplier hasHeardAllInstances) {
+        this.scheduler = scheduler;
+        this.instances = instances;
+        this.balancers = balancers;
+        this.fleetLoads = fleetLoads;
+        this.committed = committed;
+        this.hasHeardAllInstances = hasHeardAllInstances;
+    }
+
+    /** Sets the replica that knows the view; has to precede all else. */
+    void attach(Replica attached) {
+        replica = attached;
+    }
+
+    /** Whether this node has something that the balancer does not have yet. */
+    boolean hasUpdate(PollRequest request) {
+        return request.epoch != replica.view().epoch
+                || request.generation < committed.generation()
+                || request.revision < instances.revision()
+                || !request.complete && hasHeardAllInstances.getAsBoolean();
+    }
+
+    /** The response to a poll; that of another node than the primary if that is in doubt. */
+    PollResponse build(PollRequest request) {
+        if (!replica.recentlyConfirmed()) {
+            return notPrimary();
+        }
+        PollResponse response = new PollResponse();
+        response.valid = true;
+        response.primary = replica.self().address;
+        response.members = memberAddresses();
+        response.epoch = replica.view().epoch;
+        addConfiguration(response, request);
+        addInstances(response, request);
+        response.loads = fleetLoads.responseTo(request.load, response.epoch, scheduler.now());
+        addBalancers(response, request);
+        return response;
+    }
+
+    private void addConfiguration(PollResponse response, PollRequest request) {
+        boolean isNewer = request.generation < committed.generation();
+        response.generation = committed.generation();
+        response.document = isNewer ? committed.compressedDocument() : NO_DOCUMENT;
+    }
+
+    private void addInstances(PollResponse response, PollRequest request) {
+        response.revision = instances.revision();
+        response.complete = hasHeardAllInstances.getAsBoolean();
+        response.whole = request.epoch != response.epoch || !request.complete;
+        response.instances = instances.changedSince(response.whole ? 0 : request.revision);
+    }
+
+    private void addBalancers(PollResponse response, PollRequest request) {
+        response.balancers = balancers.count(!response.complete);
+        response.memberRevision = balancers.revision();
+        if (response.whole || request.memberRevision != response.memberRevision) {
+            response.balancerList = balancers.addresses();
+        }
+    }
+
+    /** The response of a node that is not the primary: it names the one that it knows, if any. */
+    PollResponse notPrimary() {
+        PollResponse response = new PollResponse();
+        Member primary = replica.primary();
+        boolean isOther = primary != null && !primary.equals(replica.self());
+        response.primary = isOther ? primary.address : "";
+        response.epoch = replica.view() == null ? 0 : replica.view().epoch;
+        response.members = memberAddresses();
+        return response;
+    }
+
+    private List<String> memberAddresses() {
+        Set<String> addresses = new LinkedHashSet<>();
+        if (replica.view() != null) {
+            replica.view().group.forEach(member -> addresses.add(member.address));
+        }
+        return new ArrayList<>(addresses);
+    }
+}
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -9,55 +9,67 @@
 import myrtleladder.protocol.FleetLoads;
 
 /**
- * Which upstream keeps which shared beginning of prompts, as the balancers announced it: a log in
- * which each announcement has a revision, so that each balancer is told what is new to it. What is
- * announced again moves to the end and counts once.
+ * Which upstream has cached which shared prompt prefix, as the balancers announced it: a compacted
+ * log in which each announcement has a revision, so that each balancer gets what is new to it. What
+ * is announced again moves to the end of the log and counts once.
+ *
+ * <p>Invariant: both maps hold the same announcements. Confined to the event loop.
  */
 final class PromptDirectory {
-    private static final int MOST_KEPT = 8_192;
-    private static final int MOST_TOLD = 128; // bounds the bytes of an answer
+    /** The most announcements in the log; the oldest are dropped. Chosen: bounds the memory. */
+    private static final int MAX_ANNOUNCEMENTS = 8_192;
 
-    private final TreeMap<Long, CachedPrompt> byRevision = new TreeMap<>();
-    private final Map<Place, Long> revisions = new HashMap<>();
+    /** The most announcements in a response: bounds its bytes. Chosen. */
+    private static final int MAX_PROMPTS_IN_RESPONSE = 128;
+
+    private final TreeMap<Long, CachedPrompt> promptByRevision = new TreeMap<>();
+    private final Map<Location, Long> revisionByLocation = new HashMap<>();
     private long revision;
 
-    private record Place(long prompt, int upstream) {
-        static Place of(CachedPrompt kept) {
-            return new Place(kept.prompt, kept.upstream);
+    /** A prompt prefix at an upstream. */
+    private record Location(long prompt, int upstream) {
+        static Location of(CachedPrompt cached) {
+            return new Location(cached.prompt, cached.upstream);
         }
     }
 
-    /** Begins anew: the balancers keep what they were told by another primary. */
+    /** Starts anew: the balancers keep what they learned from another primary. */
     void clear() {
-        byRevision.clear();
-        revisions.clear();
+        promptByRevision.clear();
+        revisionByLocation.clear();
         revision = 0;
     }
 
-    /** Takes announcements. */
-    void take(List<CachedPrompt> announced) {
-        for (CachedPrompt kept : announced) {
-            Long before = revisions.put(Place.of(kept), ++revision);
-            if (before != null) {
-                byRevision.remove(before);
+    /** Records announcements. */
+    void record(List<CachedPrompt> announced) {
+        for (CachedPrompt cached : announced) {
+            revision++;
+            Long previous = revisionByLocation.put(Location.of(cached), revision);
+            if (previous != null) {
+                promptByRevision.remove(previous);
             }
-            byRevision.put(revision, kept);
+            promptByRevision.put(revision, cached);
         }
-        while (byRevision.size() > MOST_KEPT) {
-            revisions.remove(Place.of(byRevision.pollFirstEntry().getValue()));
+        while (promptByRevision.size() > MAX_ANNOUNCEMENTS) {
+            CachedPrompt oldest = promptByRevision.pollFirstEntry().getValue();
+            revisionByLocation.remove(Location.of(oldest));
         }
     }
 
-    /** Adds to an answer what came after a revision, the oldest first, and how far that goes. */
-    void tell(FleetLoads answer, long known) {
-        answer.promptRevision = Math.min(known, revision);
-        answer.prompts = new ArrayList<>();
-        for (Map.Entry<Long, CachedPrompt> entry : byRevision.tailMap(known, false).entrySet()) {
-            if (answer.prompts.size() == MOST_TOLD) {
+    /**
+     * Adds to a response the announcements after a revision, the oldest first, and the revision up
+     * to which the balancer has all with this response.
+     */
+    void addChangesSince(FleetLoads response, long knownRevision) {
+        response.promptRevision = Math.min(knownRevision, revision);
+        response.prompts = new ArrayList<>();
+        for (Map.Entry<Long, CachedPrompt> entry :
+                promptByRevision.tailMap(knownRevision, false).entrySet()) {
+            if (response.prompts.size() == MAX_PROMPTS_IN_RESPONSE) {
                 return;
             }
-            answer.prompts.add(entry.getValue());
-            answer.promptRevision = entry.getKey();
+            response.prompts.add(entry.getValue());
+            response.promptRevision = entry.getKey();
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
@@ -8,97 +8,107 @@
 import myrtleladder.protocol.QuotaResponse;
 
 /**
- * The quotas of all tenants, in one place: a bucket for each, from which balancers take what their
- * requests count. A request may leave a debt, so that large ones are not passed over for small
- * ones.
+ * The quotas of all tenants, kept by the primary: balancers take from a tenant's {@link TokenBucket}
+ * what their requests count.
+ *
+ * <p>Invariant: each tenant with a rate in the configuration in force has a bucket, all others are
+ * not limited. Confined to the event loop.
  */
 final class QuotaAllocator {
-    private static final double OVERAGE_USED = 0.5;
-    private static final double SLACK_USED = 0.25;
-    private static final double FIRST_LEVEL = 0.1;
-    private static final double FULL = 0.5;
-    private static final double SLACK_AHEAD = 0.25;
+    /** The part of the allowed overage by which a bucket's rate is raised. Chosen. */
+    private static final double USED_SHARE_OF_OVERAGE = 0.5;
 
-    private final double overage;
-    private final double slack;
-    private final Map<String, Bucket> buckets = new HashMap<>();
-    private int balancers = 1;
+    /** The part of the allowed slack that is added to a bucket's capacity. Chosen. */
+    private static final double USED_SHARE_OF_SLACK = 0.25;
 
-    private static final class Bucket {
-        double rate;
-        double most;
-        double level;
-        long filledAt;
+    /** How full a bucket starts if another primary may have granted from it before. Chosen. */
+    private static final double INITIAL_LEVEL_OF_NEW_PRIMARY = 0.1;
 
-        void fill(long now) {
-            level = Math.min(most, level + rate * (now - filledAt) / 1_000);
-            filledAt = now;
-        }
-    }
+    /** How full a bucket has to be for grants in advance. Chosen. */
+    private static final double MIN_LEVEL_FOR_ADVANCE = 0.5;
+
+    /** The part of the slack that all balancers together may hold in advance. Chosen. */
+    private static final double SHARE_OF_SLACK_IN_ADVANCE = 0.25;
 
-    QuotaAllocator(double overage, double slack) {
-        this.overage = overage;
-        this.slack = slack;
+    private final double overageShare;
+    private final double slackUnits;
+    private final Map<String, TokenBucket> bucketByTenant = new HashMap<>();
+    private int balancerCount = 1;
+
+    /**
+     * Creates an allocator without tenants.
+     *
+     * @param overageShare by which share more than the rate may be granted over any window
+     * @param slackUnits how many units beyond that may be granted at once
+     */
+    QuotaAllocator(double overageShare, double slackUnits) {
+        this.overageShare = overageShare;
+        this.slackUnits = slackUnits;
     }
 
     /** Forgets all levels: another node granted until now. */
     void clear() {
-        buckets.clear();
+        bucketByTenant.clear();
     }
 
-    /** Takes the quotas of a configuration; {@code full} says that nothing was granted before. */
-    void use(Configuration configuration, boolean full, long now) {
-        Map<String, Bucket> before = new HashMap<>(buckets);
-        buckets.clear();
+    /**
+     * Goes over to the quotas of a configuration; tenants that it keeps keep their levels.
+     *
+     * @param isFirst whether nothing was granted before, so that buckets start full
+     */
+    void configure(Configuration configuration, boolean isFirst, long nowMs) {
+        Map<String, TokenBucket> previous = new HashMap<>(bucketByTenant);
+        bucketByTenant.clear();
         for (Tenant tenant : configuration.tenants()) {
-            if (tenant.ratePerSecond() <= 0) {
-                continue;
-            }
-            Bucket bucket = new Bucket();
-            bucket.rate = tenant.ratePerSecond() * (1 + overage * OVERAGE_USED);
-            bucket.most = Math.max(tenant.burst(), 1) + slack * SLACK_USED;
-            Bucket known = before.get(tenant.name());
-            if (known != null) {
-                known.fill(now);
-                bucket.level = Math.min(bucket.most, known.level);
-            } else {
-                bucket.level = bucket.most * (full ? 1 : FIRST_LEVEL);
+            if (tenant.ratePerSecond() > 0) {
+                TokenBucket known = previous.get(tenant.name());
+                bucketByTenant.put(tenant.name(), bucketFor(tenant, known, isFirst, nowMs));
             }
-            bucket.filledAt = now;
-            buckets.put(tenant.name(), bucket);
         }
     }
 
-    /** How many balancers share what is granted ahead. */
-    void balancers(int count) {
-        balancers = Math.max(1, count);
+    /** The bucket of a tenant; {@code known} is the one before, null if there was none. */
+    private TokenBucket bucketFor(
+            Tenant tenant, TokenBucket known, boolean isFirst, long nowMs) {
+        double ratePerS = tenant.ratePerSecond() * (1 + overageShare * USED_SHARE_OF_OVERAGE);
+        double capacity = Math.max(tenant.burst(), 1) + slackUnits * USED_SHARE_OF_SLACK;
+        if (known == null) {
+            double level = capacity * (isFirst ? 1 : INITIAL_LEVEL_OF_NEW_PRIMARY);
+            return new TokenBucket(ratePerS, capacity, level, nowMs);
+        }
+        known.refill(nowMs);
+        return new TokenBucket(ratePerS, capacity, known.level(), nowMs);
+    }
+
+    /** Sets how many balancers share what is granted in advance. */
+    void setBalancerCount(int count) {
+        balancerCount = Math.max(1, count);
     }
 
     /**
-     * Grants what a balancer asks for, or tells when there may be some; a negative number of units
-     * is given back.
+     * Grants the units that a balancer requests, or responds with the time after which there may be
+     * some. A negative number of units is put back.
      */
-    QuotaResponse grant(QuotaRequest ask, long now) {
-        Bucket bucket = buckets.get(ask.tenant);
+    QuotaResponse grant(QuotaRequest request, long nowMs) {
+        TokenBucket bucket = bucketByTenant.get(request.tenant);
         if (bucket == null) {
-            return QuotaResponse.of(true, ask.units, 0);
+            return QuotaResponse.of(true, request.units, 0);
         }
-        bucket.fill(now);
-        if (ask.units < 0) {
-            bucket.level = Math.min(bucket.most, bucket.level - ask.units);
+        bucket.refill(nowMs);
+        if (request.units < 0) {
+            bucket.putBack(-request.units);
             return QuotaResponse.of(true, 0, 0);
         }
-        if (bucket.level <= 0) {
-            return QuotaResponse.of(
-                    true, 0, Math.max(1, Math.round(-bucket.level / bucket.rate * 1_000)));
+        if (bucket.level() <= 0) {
+            return QuotaResponse.of(true, 0, bucket.msUntilPositive());
         }
-        double ahead = bucket.level > FULL * bucket.most ? mostAhead() : 0;
-        bucket.level -= ask.units + ahead;
-        return QuotaResponse.of(true, ask.units + ahead, 0);
+        double advance = bucket.isAbove(MIN_LEVEL_FOR_ADVANCE) ? maxAdvance() : 0;
+        bucket.take(request.units + advance);
+        return QuotaResponse.of(true, request.units + advance, 0);
     }
 
-    /** What all balancers keep of a tenant together has to fit into the slack. */
-    private double mostAhead() {
-        return SLACK_AHEAD * slack / balancers;
+    /** The units that one balancer may hold of a tenant in advance. */
+    private double maxAdvance() {
+        return SHARE_OF_SLACK_IN_ADVANCE * slackUnits / balancerCount;
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
@@ -0,0 +1,54 @@
+package myrtleladder.controlplane;
+
+import java.util.function.BooleanSupplier;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
+import myrtleladder.replication.Replica;
+
+/**
+ * Handles the quota requests of balancers on the primary, and with them the load reports that they
+ * carry.
+ *
+ * <p>Confined to the event loop.
+ */
+final class QuotaRequestHandler {
+    private final Scheduler scheduler;
+    private final QuotaAllocator quotas;
+    private final FleetLoadExchange fleetLoads;
+    private final BooleanSupplier isConfirmedPrimary;
+    private Replica replica;
+
+    /**
+     * Creates a handler.
+     *
+     * @param isConfirmedPrimary whether a majority confirmed of late that this node is primary
+     */
+    QuotaRequestHandler(
+            Scheduler scheduler,
+            QuotaAllocator quotas,
+            FleetLoadExchange fleetLoads,
+            BooleanSupplier isConfirmedPrimary) {
+        this.scheduler = scheduler;
+        this.quotas = quotas;
+        this.fleetLoads = fleetLoads;
+        this.isConfirmedPrimary = isConfirmedPrimary;
+    }
+
+    /** Sets the replica that knows the epoch; has to precede all else. */
+    void attach(Replica attached) {
+        replica = attached;
+    }
+
+    /** The response to a request; it is marked as invalid unless this node is the primary. */
+    QuotaResponse handle(QuotaRequest request) {
+        if (!isConfirmedPrimary.getAsBoolean()) {
+            return QuotaResponse.of(false, 0, 0);
+        }
+        long nowMs = scheduler.now();
+        QuotaResponse response = quotas.grant(request, nowMs);
+        fleetLoads.record(request.load, nowMs);
+        response.loads = fleetLoads.responseTo(request.load, replica.view().epoch, nowMs);
+        return response;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -0,0 +1,53 @@
+package myrtleladder.controlplane;
+
+import java.util.function.Consumer;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.ShareInstancesRequest;
+import myrtleladder.replication.Replica;
+
+/**
+ * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A
+ * record that has to be durable is acknowledged once it is on the disk; a primary of a lower epoch
+ * is refused.
+ *
+ * <p>Confined to the event loop.
+ */
+final class ShareInstancesRequestHandler {
+    private final Scheduler scheduler;
+    private final InstanceRegistry instances;
+    private final InstanceSaveScheduler saves;
+    private Replica replica;
+
+    ShareInstancesRequestHandler(
+            Scheduler scheduler, InstanceRegistry instances, InstanceSaveScheduler saves) {
+        this.scheduler = scheduler;
+        this.instances = instances;
+        this.saves = saves;
+    }
+
+    /** Sets the replica that knows the epoch; has to precede all else. */
+    void attach(Replica attached) {
+        replica = attached;
+    }
+
+    /** Accepts a request. */
+    void handle(ShareInstancesRequest request, Consumer<Message> responder) {
+        if (request.epoch < replica.epoch()) {
+            responder.accept(acknowledgement(false));
+            return;
+        }
+        request.instances.forEach(record -> instances.merge(record, scheduler.now()));
+        if (request.durably) {
+            replica.saveInstancesNow(isSaved -> responder.accept(acknowledgement(isSaved)));
+        } else {
+            saves.schedule();
+            responder.accept(acknowledgement(true));
+        }
+    }
+
+    private AcknowledgeResponse acknowledgement(boolean isTaken) {
+        return AcknowledgeResponse.of(isTaken, replica.epoch(), replica.self());
+    }
+}
--- a/src/main/java/myrtleladder/controlplane/StateStore.java
+++ b/src/main/java/myrtleladder/controlplane/StateStore.java
@@ -7,43 +7,41 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import java.util.zip.CRC32C;
 import myrtleladder.io.ResultCode;
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.protocol.StoredState;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.mapdb.DBException;
-import org.mapdb.Serializer;
-import org.mapdb.SortedTableMap;
-import org.mapdb.volume.ByteArrayVol;
-import org.mapdb.volume.SingleByteArrayVol;
-import org.mapdb.volume.Volume;
 
 /**
- * The state on the disk: each save writes the whole as a new MapDB table with a checksum, syncs it,
- * and only then removes what is older than the one before. A file that was written in part is set
- * aside at the start; what it held was never acknowledged. No file is changed once written.
+ * The state of a node on its disk. Each save writes the whole state as a new {@link StateFileFormat}
+ * file, syncs it, and only then removes the files that are older than the one before.
+ *
+ * <p>Invariants: no file is changed once it is written; the newest file that can be read holds at
+ * least what was last acknowledged. A file that was written in part is set aside when the state is
+ * loaded; what it held was never acknowledged.
+ *
+ * <p>Not thread-safe: one thread at a time may use a store.
  */
 public final class StateStore {
     private static final Logger LOG = LogManager.getLogger(StateStore.class);
     private static final String PREFIX = "state-";
     private static final String SUFFIX = ".table";
-    private static final String DAMAGED = ".damaged";
-    private static final int FORMAT = 1;
-    private static final int CHUNK = 8 * 1_024;
-    private static final int HEADER = 8;
-    private static final long PAGE = 64 * 1_024;
-    private static final int NODE = 4;
+    private static final String DAMAGED_SUFFIX = ".damaged";
+    private static final String NAME_FORMAT = PREFIX + "%016d" + SUFFIX;
 
     private final Path folder;
-    private long newest;
+    private long newestNumber;
 
-    /** Creates a store in a folder, which is made if it is missing. */
+    /**
+     * Creates a store in a folder, which is made if it is missing.
+     *
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if it can't be made
+     */
     public StateStore(Path folder) {
         this.folder = folder;
         try {
@@ -53,28 +51,40 @@
         }
     }
 
-    /** A generation of the state in its file. */
-    public record Generation(long number, Path file) {}
+    /**
+     * A file of the folder, readable or not.
+     *
+     * @param number counts the saves; 0 if the name has none
+     */
+    public record StateFile(long number, Path path) {
+        private boolean isSetAside() {
+            return !path.toString().endsWith(SUFFIX);
+        }
+    }
 
-    /** What stands in the folder, the newest first. */
-    public List<Generation> generations() {
-        List<Generation> found = new ArrayList<>();
-        try (Stream<Path> files = Files.list(folder)) {
-            files.forEach(
-                    file -> {
-                        String name = file.getFileName().toString();
+    /**
+     * The files in the folder, the newest first, with those that were set aside.
+     *
+     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the folder can't be listed
+     */
+    public List<StateFile> files() {
+        List<StateFile> found = new ArrayList<>();
+        try (Stream<Path> paths = Files.list(folder)) {
+            paths.forEach(
+                    path -> {
+                        String name = path.getFileName().toString();
                         if (name.startsWith(PREFIX)) {
-                            found.add(new Generation(numberOf(name), file));
+                            found.add(new StateFile(numberIn(name), path));
                         }
                     });
         } catch (IOException e) {
             throw new StorageException(ResultCode.DISK_DAMAGED, "can't list " + folder, e);
         }
-        found.sort(Comparator.comparingLong(Generation::number).reversed());
+        found.sort(Comparator.comparingLong(StateFile::number).reversed());
         return found;
     }
 
-    private static long numberOf(String name) {
+    private static long numberIn(String name) {
         int end = name.indexOf('.');
         try {
             return Long.parseLong(name.substring(PREFIX.length(), end < 0 ? name.length() : end));
@@ -83,169 +93,92 @@
         }
     }
 
-    /** The newest whole state, null if there is none; files that are not whole are set aside. */
+    /** The newest complete state, null if there is none; newer, damaged files are set aside. */
     public StoredState load() {
-        StoredState state = null;
-        for (Generation generation : generations()) {
-            newest = Math.max(newest, generation.number());
-            if (!generation.file().toString().endsWith(SUFFIX)) {
-                continue;
-            }
-            if (state == null) {
-                try {
-                    state = read(generation.file());
-                } catch (StorageException e) {
-                    LOG.warn("{} is set aside: {}", generation.file(), e.getMessage());
-                    setAside(generation.file());
-                }
+        StoredState newest = null;
+        for (StateFile file : files()) {
+            newestNumber = Math.max(newestNumber, file.number());
+            if (newest == null && !file.isSetAside()) {
+                newest = readOrSetAside(file.path());
             }
         }
-        return state;
+        return newest;
     }
 
-    private static void setAside(Path file) {
+    /** The state in a file, null if it is damaged. */
+    private static StoredState readOrSetAside(Path path) {
         try {
-            Files.move(file, file.resolveSibling(file.getFileName() + DAMAGED));
-        } catch (IOException e) {
-            LOG.warn("{} can't be renamed: {}", file, e.toString());
+            return read(path);
+        } catch (StorageException e) {
+            LOG.warn("{} is set aside: {}", path, e.getMessage());
+            setAside(path);
+            return null;
         }
     }
 
-    /** Reads and checks one file. */
-    public static StoredState read(Path file) {
-        byte[] bytes;
+    private static void setAside(Path path) {
         try {
-            byte[] table = withoutChecksum(Files.readAllBytes(file));
-            bytes =
-                    join(
-                            SortedTableMap.open(
-                                    new SingleByteArrayVol(padded(table)),
-                                    Serializer.INTEGER,
-                                    Serializer.BYTE_ARRAY));
-        } catch (IOException | DBException e) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, file + " can't be read: " + e, e);
-        }
-        if (MessageCodec.decode(bytes) instanceof StoredState state) {
-            return state;
-        }
-        throw new StorageException(ResultCode.DISK_DAMAGED, file + " holds something else", null);
-    }
-
-    /** The table as the library made it: what {@link #table} cut off was zero. */
-    private static byte[] padded(byte[] table) {
-        long pages = table.length / PAGE + 2;
-        return Arrays.copyOf(table, (int) (pages * PAGE));
-    }
-
-    /** The library trusts what it reads; so the whole table is checked before it is opened. */
-    private static byte[] withoutChecksum(byte[] file) {
-        int length = file.length - Long.BYTES;
-        if (length <= 0) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "the file is cut short", null);
-        }
-        byte[] table = Arrays.copyOf(file, length);
-        if (checksum(table) != ByteBuffer.wrap(file).getLong(length)) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "the checksum does not match", null);
+            Files.move(path, path.resolveSibling(path.getFileName() + DAMAGED_SUFFIX));
+        } catch (IOException e) {
+            LOG.warn("{} can't be renamed: {}", path, e.toString());
         }
-        return table;
     }
 
-    private static byte[] join(SortedTableMap<Integer, byte[]> table) {
-        byte[] head = table.get(0);
-        if (head == null || head.length != HEADER) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "there is no header", null);
-        }
-        ByteBuffer header = ByteBuffer.wrap(head);
-        if (header.getInt(0) != FORMAT) {
-            throw new StorageException(ResultCode.DISK_FORMAT, "format " + header.getInt(0), null);
-        }
-        int length = header.getInt(4);
-        if (length < 0 || length > table.size() * (long) CHUNK) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "a length of " + length, null);
+    /**
+     * Reads and checks one file.
+     *
+     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} or {@link
+     *     ResultCode#DISK_FORMAT} if it can't be read
+     */
+    public static StoredState read(Path path) {
+        byte[] encoded;
+        try {
+            encoded = StateFileFormat.decode(Files.readAllBytes(path));
+        } catch (IOException | DBException e) {
+            throw new StorageException(ResultCode.DISK_DAMAGED, path + " can't be read: " + e, e);
         }
-        byte[] bytes = new byte[length];
-        for (int i = 0; i * CHUNK < length; i++) {
-            byte[] chunk = table.get(i + 1);
-            int wanted = Math.min(CHUNK, length - i * CHUNK);
-            if (chunk == null || chunk.length != wanted) {
-                throw new StorageException(
-                        ResultCode.DISK_DAMAGED, "part " + i + " is missing", null);
-            }
-            System.arraycopy(chunk, 0, bytes, i * CHUNK, wanted);
+        if (MessageCodec.decode(encoded) instanceof StoredState state) {
+            return state;
         }
-        return bytes;
-    }
-
-    private static long checksum(byte[] bytes) {
-        CRC32C crc = new CRC32C();
-        crc.update(bytes);
-        return crc.getValue();
+        throw StorageException.damaged(path + " holds something else");
     }
 
-    /** Writes and syncs a state as the next generation. */
+    /**
+     * Writes and syncs a state as the next file.
+     *
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if it is not on the disk
+     */
     public void save(StoredState state) {
-        Path file = folder.resolve(String.format("%s%016d%s", PREFIX, newest + 1, SUFFIX));
-        newest++;
+        newestNumber++;
+        Path path = folder.resolve(String.format(NAME_FORMAT, newestNumber));
         try (FileChannel channel =
-                FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes = ByteBuffer.wrap(table(MessageCodec.encode(state)));
+                FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
+            ByteBuffer bytes = ByteBuffer.wrap(StateFileFormat.encode(MessageCodec.encode(state)));
             while (bytes.hasRemaining()) {
                 channel.write(bytes);
             }
             channel.force(true);
         } catch (DBException | IOException e) {
-            remove(file);
-            throw new StorageException(ResultCode.DISK_WRITE, "can't write " + file + ": " + e, e);
-        }
-        for (Generation generation : generations()) {
-            if (generation.number() < newest - 1) {
-                remove(generation.file());
-            }
+            remove(path);
+            throw new StorageException(ResultCode.DISK_WRITE, "can't write " + path + ": " + e, e);
         }
+        removeOldFiles();
     }
 
-    /** The bytes of a table that holds the state, with their checksum behind them. */
-    private static byte[] table(byte[] bytes) {
-        ByteBuffer header = ByteBuffer.allocate(HEADER);
-        header.putInt(0, FORMAT);
-        header.putInt(4, bytes.length);
-        Volume volume = ByteArrayVol.FACTORY.makeVolume(null, false);
-        SortedTableMap.Sink<Integer, byte[]> sink =
-                SortedTableMap.create(volume, Serializer.INTEGER, Serializer.BYTE_ARRAY)
-                        .pageSize(PAGE)
-                        .nodeSize(NODE)
-                        .createFromSink();
-        sink.put(0, header.array());
-        for (int i = 0; i * CHUNK < bytes.length; i++) {
-            int end = Math.min(bytes.length, (i + 1) * CHUNK);
-            sink.put(i + 1, Arrays.copyOfRange(bytes, i * CHUNK, end));
-        }
-        sink.create();
-        byte[] made = new byte[(int) volume.length()];
-        for (int at = 0; at < made.length; at += (int) PAGE) {
-            // the volume does not read over the bounds of its parts, which whole pages keep within
-            volume.getData(at, made, at, (int) PAGE);
-        }
-        int length = usedLength(made);
-        byte[] whole = Arrays.copyOf(made, length + Long.BYTES);
-        ByteBuffer.wrap(whole).putLong(length, checksum(Arrays.copyOf(made, length)));
-        return whole;
-    }
-
-    /** The library's volume grows by a megabyte; what is not used of it need not be written. */
-    private static int usedLength(byte[] table) {
-        int length = table.length;
-        while (length > 1 && table[length - 1] == 0) {
-            length--;
+    /** Keeps the newest file and the one before it. */
+    private void removeOldFiles() {
+        for (StateFile file : files()) {
+            if (file.number() < newestNumber - 1) {
+                remove(file.path());
+            }
         }
-        return length;
     }
 
-    private static void remove(Path file) {
+    private static void remove(Path path) {
         try {
-            Files.deleteIfExists(file);
+            Files.deleteIfExists(path);
         } catch (IOException e) {
-            LOG.warn("{} can't be removed: {}", file, e.toString());
+            LOG.warn("{} can't be removed: {}", path, e.toString());
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/StorageException.java
+++ b/src/main/java/myrtleladder/controlplane/StorageException.java
@@ -3,12 +3,17 @@
 import myrtleladder.io.ResultCode;
 import myrtleladder.io.SystemException;
 
-/** The disk does not take or give back the state. */
+/** The state cannot be written to the disk or read from it. */
 public final class StorageException extends SystemException {
     private static final long serialVersionUID = 1;
 
-    /** Creates a failure with its cause, which may be null. */
+    /** Creates an exception; {@code cause} may be null. */
     public StorageException(ResultCode code, String message, Throwable cause) {
         super(code, message, cause);
     }
+
+    /** A file that cannot be read back as it was written. */
+    static StorageException damaged(String message) {
+        return new StorageException(ResultCode.DISK_DAMAGED, message, null);
+    }
 }
--- a/src/main/java/myrtleladder/controlplane/Warmup.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -13,10 +13,12 @@
 import myrtleladder.io.EventLoop;
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResultCode;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.CachedPrompt;
 import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.UpstreamLoad;
@@ -24,108 +26,135 @@
 import myrtleladder.rpc.PeerClient;
 
 /**
- * A control node that serves itself on the loopback for a moment. The build runs it to learn which
- * classes a start needs; they are kept in an archive from which they load at a fraction of the
- * processor time.
+ * A warm-up run: a control node on the loopback that sends itself one request of each kind and ends.
+ * The build runs it to record the classes that a start needs in an archive, from which they load at
+ * a fraction of the processor time.
+ *
+ * <p>The verb of the command line is {@code rehearse}.
  */
 final class Warmup {
-    private static final long LONGEST = 10_000;
-    private static final long STEP = 700;
+    /** After this time the run has failed. Chosen. */
+    private static final long TIMEOUT_MS = 10_000;
+
+    /** The time from one step to the next, and of a call. Chosen. */
+    private static final long STEP_MS = 700;
+
     private static final String HOST = "127.0.0.1";
+    private static final String NO_IF_MATCH = "";
+    private static final String NO_BODY = "";
+
+    /** The first configuration: of each kind of object one, with many of its fields. */
     private static final String DOCUMENT =
-            "{\"generation\":3,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
-                + "\"path_prefix\":\"/a/\",\"type\":\"streaming\",\"timeout_ms\":8000,"
-                + "\"traffic_split\":[{"
-                + "\"backend\":\"s\",\"weight\":1.5}],\"retries\":2,\"resumable\":true}],"
-                + "\"services\":[{\"name\":"
-                + "\"s\",\"engine\":{\"capacity\":64,\"kv_tokens\":1000,\"stride\":5}}],"
-                + "\"limits\":{\"idle_timeout_ms\":15000},\"tenants\":[{\"name\":\"t\","
-                + "\"api_keys\":[\"k\"],\"priority\":1,"
-                + "\"unit\":\"tokens\",\"plain_tokens\":200,\"rate_per_s\":100,\"burst\":100}]}";
-    private static final String CHANGE =
-            "{\"generation\":5,\"upsert\":{\"routes\":[{\"name\":\"q\","
-                    + "\"hostname\":\"h\",\"path_prefix\":\"/b/\",\"type\":\"idempotent\","
-                    + "\"timeout_ms\":800,"
-                    + "\"backend\":\"s\"}]},\"delete\":{\"routes\":[\"x\"]}}";
+            """
+            {"generation":3,
+             "routes":[{"name":"r","hostname":"h","path_prefix":"/a/","type":"streaming",
+               "timeout_ms":8000,"traffic_split":[{"backend":"s","weight":1.5}],"retries":2,
+               "resumable":true}],
+             "services":[{"name":"s",
+               "engine":{"capacity":64,"kv_tokens":1000,"stride":5}}],
+             "limits":{"idle_timeout_ms":15000},
+             "tenants":[{"name":"t","api_keys":["k"],"priority":1,"unit":"tokens",
+               "plain_tokens":200,"rate_per_s":100,"burst":100}]}""";
+
+    /** A change of the first configuration. */
+    private static final String PATCH =
+            """
+            {"generation":5,
+             "upsert":{"routes":[{"name":"q","hostname":"h","path_prefix":"/b/",
+               "type":"idempotent","timeout_ms":800,"backend":"s"}]},
+             "delete":{"routes":["x"]}}""";
+
+    /** A configuration that is refused: its number is too low. */
+    private static final String OUTDATED_DOCUMENT = "{\"generation\":2}";
+
     private static final String HEARTBEAT =
-            "{\"backend\":\"s\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\","
-                    + "\"generation\":\"v1\",\"capacity\":64,\"state\":\"ready\",\"sequence\":1}";
+            """
+            {"backend":"s","address":"127.0.0.1:9","zone":"z","generation":"v1","capacity":64,
+             "state":"ready","sequence":1}""";
 
     private final EventLoop loop = new EventLoop();
     private final CountDownLatch done = new CountDownLatch(1);
-    private final int control = freePort();
-    private final int internal = freePort();
+    private final int controlPort = freePort();
+    private final int internalPort = freePort();
+    private final StateStore store;
+
+    private Warmup(StateStore store) {
+        this.store = store;
+    }
 
     private static int freePort() {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new StorageException(myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new StorageException(ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
-    /** Serves and ends; whether all of it was served. */
+    /** Runs once; whether it came to its end in time. */
     static boolean run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rehearsal");
-        Warmup rehearsal = new Warmup();
-        rehearsal.begin(new StateStore(folder));
-        return rehearsal.done.await(LONGEST, TimeUnit.MILLISECONDS);
+        Warmup warmup = new Warmup(new StateStore(folder));
+        warmup.start();
+        return warmup.done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void begin(StateStore store) {
-        Address self = new Address(HOST, control);
-        NodeSettings settings =
-                new NodeSettings(
-                        "n",
-                        "r",
-                        HOST,
-                        "z",
-                        "",
-                        Map.of(),
-                        internal,
-                        List.of(self),
-                        true,
-                        200,
-                        "",
-                        null,
-                        null,
-                        self,
-                        0,
-                        new NodeSettings.Limits(256, 1_024),
-                        new NodeSettings.Bounds(
-                                2_000, 2_000, 8_000, 0.2, 10_000, 52, 3_000, 0.1, 100, 4_000));
-        Main.begin(settings, loop, store);
-        loop.execute(() -> loop.schedule(STEP, () -> callAll(store)));
+    private void start() {
+        ControlNode.start(settings(), loop, store);
+        loop.execute(() -> loop.schedule(STEP_MS, this::sendFirstRequests));
     }
 
-    private void callAll(StateStore store) {
-        call("PUT", "/config", "0", DOCUMENT);
-        call("PUT", "/instances/i", "", HEARTBEAT);
-        loop.schedule(
-                STEP,
-                () -> {
-                    call("PATCH", "/config", "3", CHANGE);
-                    call("PUT", "/config", "3", "{\"generation\":2}");
-                    call("GET", "/config", "", "");
-                    call("GET", "/status", "", "");
-                    call("DELETE", "/instances/i", "", "");
-                    PeerClient peers = new PeerClient(loop);
-                    PollRequest poll = new PollRequest();
-                    poll.load = report();
-                    peers.call(HOST + ":" + internal, poll, STEP, answer -> {});
-                    QuotaRequest ask = QuotaRequest.of("t", 1);
-                    ask.load = report();
-                    peers.call(HOST + ":" + internal, ask, STEP, answer -> {});
-                    loop.schedule(
-                            2 * STEP,
-                            () -> {
-                                store.load();
-                                done.countDown();
-                            });
-                });
+    /** Settings of a group of one member, in the order of the record's components. */
+    private NodeSettings settings() {
+        Address self = new Address(HOST, controlPort);
+        return new NodeSettings(
+                "n",
+                "r",
+                HOST,
+                "z",
+                "",
+                Map.of(),
+                internalPort,
+                List.of(self),
+                true,
+                200,
+                "",
+                null,
+                null,
+                self,
+                0,
+                new NodeSettings.Limits(256, 1_024),
+                new NodeSettings.Bounds(
+                        2_000, 2_000, 8_000, 0.2, 10_000, 52, 3_000, 0.1, 100, 4_000));
     }
 
-    private static LoadReport report() {
+    private void sendFirstRequests() {
+        send("PUT", "/config", "0", DOCUMENT);
+        send("PUT", "/instances/i", NO_IF_MATCH, HEARTBEAT);
+        loop.schedule(STEP_MS, this::sendLaterRequests);
+    }
+
+    private void sendLaterRequests() {
+        send("PATCH", "/config", "3", PATCH);
+        send("PUT", "/config", "3", OUTDATED_DOCUMENT);
+        send("GET", "/config", NO_IF_MATCH, NO_BODY);
+        send("GET", "/status", NO_IF_MATCH, NO_BODY);
+        send("DELETE", "/instances/i", NO_IF_MATCH, NO_BODY);
+        PeerClient peers = new PeerClient(loop);
+        PollRequest poll = new PollRequest();
+        poll.load = loadReport();
+        send(peers, poll);
+        QuotaRequest quota = QuotaRequest.of("t", 1);
+        quota.load = loadReport();
+        send(peers, quota);
+        loop.schedule(2 * STEP_MS, this::finish);
+    }
+
+    private void finish() {
+        store.load();
+        done.countDown();
+    }
+
+    private static LoadReport loadReport() {
         LoadReport report = new LoadReport();
         report.balancer = "e";
         report.sequence = 1;
@@ -134,15 +163,19 @@
         return report;
     }
 
-    private void call(String method, String path, String match, String body) {
+    private void send(PeerClient peers, Message message) {
+        peers.call(HOST + ":" + internalPort, message, STEP_MS, response -> {});
+    }
+
+    private void send(String method, String path, String ifMatch, String body) {
         Headers headers = new Headers().add("Host", "h").add("Content-Type", "application/json");
-        if (!match.isEmpty()) {
-            headers.add("If-Match", match);
+        if (!ifMatch.isEmpty()) {
+            headers.add("If-Match", ifMatch);
         }
         OneCall.send(
                 loop,
                 HOST,
-                control,
+                controlPort,
                 new RequestHead(method, path, headers),
                 body.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
+++ b/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
@@ -33,14 +33,14 @@
                             answer.accept(back[0] ? AcknowledgeResponse.of(true, 1, null) : null);
                         });
         Member away = Member.of("b:1", "b:2", "store");
-        handoff.keep(away, record("i", Stage.READY, 1), 1);
-        handoff.keep(away, record("i", Stage.DRAINING, 2), 1);
-        handoff.keep(away, record("j", Stage.GONE, 1), 1);
+        handoff.addHint(away, record("i", Stage.READY, 1), 1);
+        handoff.addHint(away, record("i", Stage.DRAINING, 2), 1);
+        handoff.addHint(away, record("j", Stage.GONE, 1), 1);
         clock.run(2_000);
-        assertEquals(2, handoff.waiting());
+        assertEquals(2, handoff.hintCount());
         back[0] = true;
         clock.run(1_000);
-        assertEquals(0, handoff.waiting());
+        assertEquals(0, handoff.hintCount());
         assertEquals(
                 List.of(Stage.DRAINING, Stage.GONE), taken.stream().map(r -> r.stage).toList());
     }
@@ -53,10 +53,10 @@
                 new HintedHandoff(clock, (to, message, timeout, answer) -> called.add(to));
         Member gone = Member.of("b:1", "b:2", "gone");
         Member stays = Member.of("c:1", "c:2", "stays");
-        handoff.keep(gone, record("i", Stage.READY, 1), 1);
-        handoff.keep(stays, record("i", Stage.READY, 1), 1);
-        handoff.retain(List.of(stays));
-        assertEquals(1, handoff.waiting());
+        handoff.addHint(gone, record("i", Stage.READY, 1), 1);
+        handoff.addHint(stays, record("i", Stage.READY, 1), 1);
+        handoff.retainMembers(List.of(stays));
+        assertEquals(1, handoff.hintCount());
         clock.run(1_000);
         assertEquals(List.of("c:1", "c:1"), called);
     }
--- a/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
@@ -18,8 +18,8 @@
     @Test
     void whoTakesOverHoldsNobodyForLostOnAnothersWord() {
         InstanceRegistry registry = new InstanceRegistry();
-        registry.take(record(Stage.READY, 3), 0);
-        registry.inherit(List.of(record(Stage.LOST, 20)), 1_000);
+        registry.merge(record(Stage.READY, 3), 0);
+        registry.recover(List.of(record(Stage.LOST, 20)), 1_000);
         assertEquals(Stage.READY, registry.get("i").stage);
         assertFalse(registry.expire(4_000, 4_000));
         assertTrue(registry.expire(6_000, 4_000));
@@ -29,21 +29,21 @@
     @Test
     void aDepartureHoldsAgainstAllThatComesLater() {
         InstanceRegistry registry = new InstanceRegistry();
-        registry.take(record(Stage.DRAINING, 3), 0);
-        assertFalse(registry.take(record(Stage.READY, 9), 1));
-        registry.inherit(List.of(record(Stage.GONE, 2)), 2);
-        registry.take(record(Stage.DRAINING, 12), 3);
+        registry.merge(record(Stage.DRAINING, 3), 0);
+        assertFalse(registry.merge(record(Stage.READY, 9), 1));
+        registry.recover(List.of(record(Stage.GONE, 2)), 2);
+        registry.merge(record(Stage.DRAINING, 12), 3);
         assertEquals(Stage.GONE, registry.get("i").stage);
     }
 
     @Test
     void onlyWhatChangedIsToldSinceARevision() {
         InstanceRegistry registry = new InstanceRegistry();
-        registry.take(record(Stage.READY, 1), 0);
+        registry.merge(record(Stage.READY, 1), 0);
         long seen = registry.revision();
-        assertFalse(registry.take(record(Stage.READY, 2), 1_000));
-        assertEquals(0, registry.since(seen).size());
-        registry.take(record(Stage.DRAINING, 3), 2_000);
-        assertEquals(1, registry.since(seen).size());
+        assertFalse(registry.merge(record(Stage.READY, 2), 1_000));
+        assertEquals(0, registry.changedSince(seen).size());
+        registry.merge(record(Stage.DRAINING, 3), 2_000);
+        assertEquals(1, registry.changedSince(seen).size());
     }
 }
--- a/src/test/java/myrtleladder/controlplane/LoadTableTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadTableTest.java
@@ -16,11 +16,11 @@
     private static final int UPSTREAM = 7;
     private static final long START = 10_000;
 
-    private final LoadTable board = new LoadTable();
+    private final LoadTable table = new LoadTable();
 
     @BeforeEach
     void lead() {
-        board.lead(START - LoadTable.FIRST_SUMS);
+        table.reset(START - LoadTable.WARM_UP_MS);
     }
 
     private static LoadReport report(String balancer, long process, long sequence, int requests) {
@@ -36,7 +36,7 @@
 
     private FleetLoads told(String balancer, long now) {
         FleetLoads told = new FleetLoads();
-        board.tell(told, balancer, now);
+        table.addLoadsOfOthers(told, balancer, now);
         return told;
     }
 
@@ -55,9 +55,9 @@
 
     @Test
     void eachBalancerIsToldWhatTheOthersHaveUnderWay() {
-        board.take(report("a", 1, 1, 2), START);
-        board.take(report("b", 1, 1, 3), START);
-        board.take(report("c", 1, 1, 0), START);
+        table.record(report("a", 1, 1, 2), START);
+        table.record(report("b", 1, 1, 3), START);
+        table.record(report("c", 1, 1, 0), START);
         assertTold(3, "a", START);
         assertTold(2, "b", START);
         assertTold(5, "c", START);
@@ -66,44 +66,44 @@
 
     @Test
     void aReportThatArrivesTwiceOrLateCountsOnce() {
-        board.take(report("a", 1, 2, 2), START);
-        board.take(report("a", 1, 2, 2), START);
-        board.take(report("a", 1, 1, 9), START);
+        table.record(report("a", 1, 2, 2), START);
+        table.record(report("a", 1, 2, 2), START);
+        table.record(report("a", 1, 1, 9), START);
         assertTold(2, "b", START);
-        board.take(report("a", 1, 3, 0), START);
+        table.record(report("a", 1, 3, 0), START);
         assertTold(0, "b", START);
     }
 
     @Test
     void aProcessThatStartedAgainReplacesTheOneBefore() {
-        board.take(report("a", 1, 50, 9), START);
-        board.take(report("a", 2, 1, 1), START);
+        table.record(report("a", 1, 50, 9), START);
+        table.record(report("a", 2, 1, 1), START);
         assertTold(1, "b", START);
     }
 
     @Test
     void aBalancerThatDiesOrLeavesTakesItsShareAlong() {
-        board.take(report("a", 1, 1, 2), START);
-        board.take(report("b", 1, 1, 3), START + 1_000);
+        table.record(report("a", 1, 1, 2), START);
+        table.record(report("b", 1, 1, 3), START + 1_000);
         assertTold(5, "c", START + 1_000);
-        assertTold(3, "c", START + LoadTable.FRESH + 1);
-        board.forget("b");
-        assertTold(0, "c", START + LoadTable.FRESH + 1);
+        assertTold(3, "c", START + LoadTable.REPORT_LIFETIME_MS + 1);
+        table.remove("b");
+        assertTold(0, "c", START + LoadTable.REPORT_LIFETIME_MS + 1);
     }
 
     @Test
     void aPrimaryThatThawsTellsNothingOfWhatItHeardBefore() {
-        board.take(report("a", 1, 1, 2), START);
+        table.record(report("a", 1, 1, 2), START);
         assertTold(0, "b", START + 60_000);
     }
 
     @Test
     void aNewPrimaryTellsNothingUntilAllHadTimeToReport() {
-        board.take(report("a", 1, 1, 2), START);
-        board.lead(START);
-        board.take(report("b", 1, 1, 3), START + 10);
-        assertFalse(told("c", START + LoadTable.FIRST_SUMS - 1).known);
-        assertTold(3, "c", START + LoadTable.FIRST_SUMS);
+        table.record(report("a", 1, 1, 2), START);
+        table.reset(START);
+        table.record(report("b", 1, 1, 3), START + 10);
+        assertFalse(told("c", START + LoadTable.WARM_UP_MS - 1).known);
+        assertTold(3, "c", START + LoadTable.WARM_UP_MS);
     }
 
     @Test
@@ -112,7 +112,7 @@
         for (int upstream = 1; upstream <= 5_000; upstream++) {
             report.loads.add(UpstreamLoad.of(upstream, 1, upstream));
         }
-        board.take(report, START);
+        table.record(report, START);
         FleetLoads told = told("b", START);
         assertEquals(200, told.loads.size());
         assertTrue(told.loads.stream().allMatch(load -> load.tokens > 4_800));
--- a/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
+++ b/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
@@ -24,7 +24,7 @@
     }
 
     private void heard(String id, String zone, Stage stage, long now) {
-        registry.take(record(id, zone, stage, now), now);
+        registry.merge(record(id, zone, stage, now), now);
     }
 
     private int ordinal(String id) {
@@ -64,7 +64,7 @@
     @Test
     void oneThatWasLostAndComesBackKeepsItsOrdinal() {
         settle("a1", "a2");
-        registry.take(record("a1", "a", Stage.LOST, 6_000), 6_000);
+        registry.merge(record("a1", "a", Stage.LOST, 6_000), 6_000);
         heard("a3", "a", Stage.READY, 6_000);
         registry.assignOrdinals(6_000 + WAIT);
         heard("a1", "a", Stage.READY, 20_000);
@@ -77,8 +77,8 @@
         heard("a1", "a", Stage.READY, 6_000);
         assertEquals(1, ordinal("a1"));
         InstanceRegistry next = new InstanceRegistry();
-        next.take(record("a1", "a", Stage.READY, 7_000), 7_000);
-        next.inherit(registry.all(), 7_100);
+        next.merge(record("a1", "a", Stage.READY, 7_000), 7_000);
+        next.recover(registry.all(), 7_100);
         assertEquals(1, next.get("a1").ordinal);
         next.expire(30_000, 4_000);
         assertEquals(1, next.get("a1").ordinal);
@@ -97,17 +97,17 @@
         List<InstanceRecord> old = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             old.add(record("old" + i, "zone" + i / 3, Stage.READY, 1));
-            registry.take(old.get(i), 0);
+            registry.merge(old.get(i), 0);
         }
         registry.assignOrdinals(WAIT);
         long now = WAIT;
         for (InstanceRecord leaving : old) {
             String next = leaving.id.replace("old", "new");
-            registry.take(record(next, leaving.zone, Stage.READY, 1), now);
+            registry.merge(record(next, leaving.zone, Stage.READY, 1), now);
             now = pass(registry, now, random.nextInt(2_000));
-            registry.take(record(leaving.id, leaving.zone, Stage.DRAINING, 9), now);
+            registry.merge(record(leaving.id, leaving.zone, Stage.DRAINING, 9), now);
             now = pass(registry, now, random.nextInt(2_000));
-            registry.take(record(leaving.id, leaving.zone, Stage.GONE, 10), now);
+            registry.merge(record(leaving.id, leaving.zone, Stage.GONE, 10), now);
         }
         pass(registry, now, WAIT);
         Set<Integer> ordinals = new HashSet<>();
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -16,7 +16,7 @@
 
     private FleetLoads told(long known) {
         FleetLoads answer = new FleetLoads();
-        directory.tell(answer, known);
+        directory.addChangesSince(answer, known);
         return answer;
     }
 
@@ -26,20 +26,20 @@
 
     @Test
     void eachIsToldOnceWhatIsNewToTheBalancer() {
-        directory.take(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
+        directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
         FleetLoads first = told(0);
         assertEquals(List.of(11L, 12L), prompts(first));
         assertEquals(List.of(), prompts(told(first.promptRevision)));
-        directory.take(List.of(CachedPrompt.of(13, 1)));
+        directory.record(List.of(CachedPrompt.of(13, 1)));
         assertEquals(List.of(13L), prompts(told(first.promptRevision)));
     }
 
     @Test
     void anAnnouncementThatArrivesAgainIsKeptOnce() {
-        directory.take(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
-        directory.take(List.of(CachedPrompt.of(11, 1)));
+        directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
+        directory.record(List.of(CachedPrompt.of(11, 1)));
         assertEquals(List.of(12L, 11L), prompts(told(0)));
-        directory.take(List.of(CachedPrompt.of(11, 3)));
+        directory.record(List.of(CachedPrompt.of(11, 3)));
         assertEquals(List.of(12L, 11L, 11L), prompts(told(0)));
     }
 
@@ -49,7 +49,7 @@
         for (int i = 0; i < 300; i++) {
             announced.add(CachedPrompt.of(i, 1));
         }
-        directory.take(announced);
+        directory.record(announced);
         List<Long> all = new ArrayList<>();
         long known = 0;
         for (int round = 0; round < 3; round++) {
@@ -64,25 +64,25 @@
     @Test
     void theOldestGiveWayAndMemoryIsBounded() {
         for (int i = 0; i < 20_000; i++) {
-            directory.take(List.of(CachedPrompt.of(i, 1)));
+            directory.record(List.of(CachedPrompt.of(i, 1)));
         }
         assertEquals(20_000 - 8_192, told(0).prompts.get(0).prompt);
     }
 
     @Test
     void whatABalancerKnowsFromAnotherEpochDoesNotCount() {
-        FleetLoadExchange view = new FleetLoadExchange();
-        view.lead(0);
+        FleetLoadExchange exchange = new FleetLoadExchange();
+        exchange.reset(0);
         LoadReport report = new LoadReport();
         report.balancer = "a";
         report.prompts.add(CachedPrompt.of(11, 1));
-        view.take(report, 10);
+        exchange.record(report, 10);
         LoadReport other = new LoadReport();
         other.balancer = "b";
         other.epoch = 4;
         other.promptRevision = 1;
-        assertEquals(List.of(11L), prompts(view.tell(other, 5, 20)));
+        assertEquals(List.of(11L), prompts(exchange.responseTo(other, 5, 20)));
         other.epoch = 5;
-        assertEquals(List.of(), prompts(view.tell(other, 5, 20)));
+        assertEquals(List.of(), prompts(exchange.responseTo(other, 5, 20)));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
@@ -26,11 +26,11 @@
 
     @Test
     void overAnyWindowNoMoreIsGrantedThanTheRuleAllows() {
-        QuotaAllocator bank = new QuotaAllocator(0.1, 190_000);
-        bank.use(configuration(70_000, 112_000), true, 0);
+        QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
+        quotas.configure(configuration(70_000, 112_000), true, 0);
         double granted = 0;
         for (long now = 0; now < 8_000; now += 10) {
-            QuotaResponse grant = bank.grant(QuotaRequest.of("t", 17_000), now);
+            QuotaResponse grant = quotas.grant(QuotaRequest.of("t", 17_000), now);
             granted += grant.units;
         }
         double allowed = (70_000 * 8 + 112_000) * 1.1 + 190_000;
@@ -40,36 +40,36 @@
 
     @Test
     void aLargeRequestIsNotPassedOverForSmallOnes() {
-        QuotaAllocator bank = new QuotaAllocator(0, 0);
-        bank.use(configuration(1_000, 1_000), true, 0);
-        assertEquals(5_000, bank.grant(QuotaRequest.of("t", 5_000), 0).units, 1_000);
-        QuotaResponse empty = bank.grant(QuotaRequest.of("t", 1), 100);
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1_000, 1_000), true, 0);
+        assertEquals(5_000, quotas.grant(QuotaRequest.of("t", 5_000), 0).units, 1_000);
+        QuotaResponse empty = quotas.grant(QuotaRequest.of("t", 1), 100);
         assertEquals(0, empty.units);
         assertTrue(empty.waitMs > 3_000, "waits " + empty.waitMs);
-        assertEquals(1, bank.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).units);
+        assertEquals(1, quotas.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).units);
     }
 
     @Test
     void aChangedQuotaKeepsItsLevelAndAnotherPrimaryBeginsLow() {
-        QuotaAllocator bank = new QuotaAllocator(0, 0);
-        bank.use(configuration(1_000, 1_000), true, 0);
-        bank.grant(QuotaRequest.of("t", 3_000), 0);
-        bank.use(configuration(1_000, 9_000), false, 0);
-        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).units);
-        bank.clear();
-        bank.use(configuration(1_000, 1_000), false, 0);
-        bank.grant(QuotaRequest.of("t", 400), 0);
-        assertEquals(0, bank.grant(QuotaRequest.of("t", 1), 0).units);
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1_000, 1_000), true, 0);
+        quotas.grant(QuotaRequest.of("t", 3_000), 0);
+        quotas.configure(configuration(1_000, 9_000), false, 0);
+        assertEquals(0, quotas.grant(QuotaRequest.of("t", 1), 0).units);
+        quotas.clear();
+        quotas.configure(configuration(1_000, 1_000), false, 0);
+        quotas.grant(QuotaRequest.of("t", 400), 0);
+        assertEquals(0, quotas.grant(QuotaRequest.of("t", 1), 0).units);
     }
 
     @Test
     void whatAllBalancersGetAheadFitsIntoThePartOfTheSlack() {
-        QuotaAllocator bank = new QuotaAllocator(0.1, 190_000);
-        bank.balancers(56);
-        bank.use(configuration(446_000, 446_000), true, 0);
+        QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
+        quotas.setBalancerCount(56);
+        quotas.configure(configuration(446_000, 446_000), true, 0);
         double ahead = 0;
         for (int balancer = 0; balancer < 56; balancer++) {
-            ahead += bank.grant(QuotaRequest.of("t", 1_000), 0).units - 1_000;
+            ahead += quotas.grant(QuotaRequest.of("t", 1_000), 0).units - 1_000;
         }
         assertTrue(ahead <= 0.25 * 190_000 + 1, "ahead " + ahead);
         assertTrue(ahead > 0, "nothing ahead");
@@ -77,18 +77,18 @@
 
     @Test
     void unitsThatAreGivenBackCanBeGrantedAgain() {
-        QuotaAllocator bank = new QuotaAllocator(0, 0);
-        bank.use(configuration(1_000, 1_000), true, 0);
-        bank.grant(QuotaRequest.of("t", 1_000), 0);
-        assertEquals(0, bank.grant(QuotaRequest.of("t", 400), 0).units);
-        bank.grant(QuotaRequest.of("t", -700), 0);
-        assertEquals(400, bank.grant(QuotaRequest.of("t", 400), 0).units);
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1_000, 1_000), true, 0);
+        quotas.grant(QuotaRequest.of("t", 1_000), 0);
+        assertEquals(0, quotas.grant(QuotaRequest.of("t", 400), 0).units);
+        quotas.grant(QuotaRequest.of("t", -700), 0);
+        assertEquals(400, quotas.grant(QuotaRequest.of("t", 400), 0).units);
     }
 
     @Test
     void aTenantWithoutLimitIsAlwaysGranted() {
-        QuotaAllocator bank = new QuotaAllocator(0, 0);
-        bank.use(configuration(1, 1), true, 0);
-        assertEquals(1e9, bank.grant(QuotaRequest.of("free", 1e9), 0).units);
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1, 1), true, 0);
+        assertEquals(1e9, quotas.grant(QuotaRequest.of("free", 1e9), 0).units);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
@@ -74,7 +74,7 @@
     void theNewestStateOfANodeIsRead(int node, long epoch, long generation) throws IOException {
         StateStore store = copyOf("core-" + node);
         assertContents(node, epoch, store.load());
-        assertEquals(name(generation), store.generations().get(0).file().getFileName().toString());
+        assertEquals(name(generation), store.files().get(0).path().getFileName().toString());
     }
 
     @ParameterizedTest
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -42,7 +42,7 @@
     }
 
     private Path newest() {
-        return new StateStore(folder).generations().get(0).file();
+        return new StateStore(folder).files().get(0).path();
     }
 
     @Test
@@ -85,7 +85,7 @@
         store.save(state(2, 30_000));
         byte[] whole = Files.readAllBytes(newest());
         Path file = newest();
-        Path other = new StateStore(folder).generations().get(1).file();
+        Path other = new StateStore(folder).files().get(1).path();
         byte[] before = Files.readAllBytes(other);
         for (int cut = 0; cut < whole.length; cut += 4_096) {
             Files.write(file, Arrays.copyOf(whole, cut));
