--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -138,7 +138,8 @@
         StateStore store = new StateStore(folder.resolve("sub"));
         Files.delete(folder.resolve("sub"));
         Files.write(folder.resolve("sub"), new byte[] {1});
-        StorageException refused = assertThrows(StorageException.class, () -> store.save(state(1, 10)));
+        StorageException refused =
+                assertThrows(StorageException.class, () -> store.save(state(1, 10)));
         assertEquals(ResultCode.DISK_WRITE, refused.code());
         assertTrue(refused.getMessage().startsWith("E300 DISK_WRITE"));
     }
--- a/src/test/java/myrtleladder/controlplane/model/FaultScenarioTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultScenarioTest.java
@@ -154,7 +154,8 @@
         throw new AssertionError("no order of a third operator is taken");
     }
 
-    private static void expectKnownEverywhere(SimulatedCluster model, OperatorChange order, String when) {
+    private static void expectKnownEverywhere(
+            SimulatedCluster model, OperatorChange order, String when) {
         for (SimulatedNode node : nodes(model)) {
             assertEquals(200, statusOf(model, node, order), node.address + " " + when);
         }
@@ -180,7 +181,8 @@
             model.mend();
             model.clock.run(CATCH_UP);
             expectKnownEverywhere(model, order, "after a restart of all");
-            OperatorChange other = new OperatorChange(order.name(), order.match() + 1, order.generation());
+            OperatorChange other =
+                    new OperatorChange(order.name(), order.match() + 1, order.generation());
             int status = statusOf(model, model.leader(), other);
             assertTrue(status == 412 || status == 400, "another If-Match: " + status);
             expectSound(model, "after a known order of " + size);
--- a/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
@@ -121,7 +121,10 @@
             case KILL_ALL ->
                     during(model.listedNodes(), SimulatedNode::kill, 300 + random.nextInt(700));
             case POWER_OFF_ALL ->
-                    during(model.listedNodes(), SimulatedNode::powerOff, 300 + random.nextInt(1_000));
+                    during(
+                            model.listedNodes(),
+                            SimulatedNode::powerOff,
+                            300 + random.nextInt(1_000));
             case HALVES -> halves();
             case SECOND_CUT -> secondCut(victims);
             default -> throw new IllegalStateException(loss.toString());
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -57,7 +57,8 @@
         poll.load = report();
         long sentAt = model.clock.now();
         newestAtAsk = model.history.newest();
-        SimulatedNode.OneAnswer once = new SimulatedNode.OneAnswer(reply -> answered(sentAt, reply));
+        SimulatedNode.OneAnswer once =
+                new SimulatedNode.OneAnswer(reply -> answered(sentAt, reply));
         model.clock.schedule(TIMEOUT, () -> once.accept(null));
         byte[] bytes = MessageCodec.encode(poll);
         String to = target;
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
@@ -105,7 +105,8 @@
     /** The settings name other seeds from now on: processes that start read them. */
     void exchangeSeeds() {
         seeds = new ArrayList<>();
-        for (SimulatedNode node : listed.subList(Math.max(0, listed.size() - SEEDS), listed.size())) {
+        for (SimulatedNode node :
+                listed.subList(Math.max(0, listed.size() - SEEDS), listed.size())) {
             seeds.add(Member.of(node.address, node.control, ""));
         }
     }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
@@ -40,7 +40,8 @@
         this.address = "n" + number + ":1";
         this.control = "c" + number + ":1";
         this.disk =
-                new SimulatedDisk(model.clock, model.random, model.without(Safeguard.SYNC_BEFORE_ANSWER));
+                new SimulatedDisk(
+                        model.clock, model.random, model.without(Safeguard.SYNC_BEFORE_ANSWER));
     }
 
     // ---- The process
