--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -28,9 +28,9 @@
 final class ControlProcesses implements AutoCloseable {
     private static final int INTERNAL_PORT = 7500;
     private static final int CONTROL_PORT = 8367;
-    private static final int SEEDS = 3;
-    private static final Duration CALL = Duration.ofMillis(1_000);
-    private static final long PATIENCE = 15_000;
+    private static final int SEED_COUNT = 3;
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(1_000);
+    private static final Duration TIMEOUT = Duration.ofMillis(15_000);
 
     private final HttpClient http =
             HttpClient.newBuilder()
@@ -55,10 +55,10 @@
         return folder.resolve(name);
     }
 
-    /** Starts a node; {@code bootstrap} belongs to the first start of all. */
-    void start(String name, boolean bootstrap) throws IOException {
+    /** Starts a node; {@code isBootstrap} belongs to the first start of all. */
+    void start(String name, boolean isBootstrap) throws IOException {
         StringBuilder seeds = new StringBuilder();
-        for (int i = 0; i < SEEDS; i++) {
+        for (int i = 0; i < SEED_COUNT; i++) {
             String separator = i == 0 ? "" : ",";
             seeds.append(separator).append('"').append(ip("n" + i)).append(":8367\"");
         }
@@ -66,7 +66,7 @@
                 "node_name = \"%s\"\nrole = \"control\"\nip = \"%s\"\nzone = \"z\"\n"
                                 .formatted(name, ip(name))
                         + "port_range = [%d,7515]\nseeds = [%s]\nbootstrap = %s\n"
-                                .formatted(INTERNAL_PORT, seeds, bootstrap)
+                                .formatted(INTERNAL_PORT, seeds, isBootstrap)
                         + "heartbeat_ms = 1200\ndata_dir = \"%s\"\n".formatted(disk(name))
                         + "[listen]\ncontrol = \"%s:%d\"\n".formatted(ip(name), CONTROL_PORT)
                         + "[fault_tolerance]\n"
@@ -110,8 +110,8 @@
         process.waitFor();
     }
 
-    /** Whether a node that was asked to end has done so within a time. */
-    boolean ended(String name, long withinMs) throws InterruptedException {
+    /** Whether a node that was asked to endNs has done so within a time. */
+    boolean hasEnded(String name, long withinMs) throws InterruptedException {
         return processes.get(name).waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
@@ -124,12 +124,12 @@
         }
     }
 
-    /** What a node answers to a call; status 0 if it does not. */
+    /** The response of a node to an HTTP request; null if there is none. */
     HttpResponse<String> call(String name, String method, String path, String match, String body)
             throws InterruptedException {
         HttpRequest.Builder request =
                 HttpRequest.newBuilder(URI.create("http://" + ip(name) + ":" + CONTROL_PORT + path))
-                        .timeout(CALL)
+                        .timeout(CALL_TIMEOUT)
                         .method(method, HttpRequest.BodyPublishers.ofString(body));
         if (!match.isEmpty()) {
             request.header("If-Match", match);
@@ -141,13 +141,13 @@
         }
     }
 
-    /** What a node answers to a message of the fleet; null if it does not. */
+    /** The response of a node to a message; null if there is none. */
     Message message(String name, Message message) throws InterruptedException {
         URI uri = URI.create("http://" + ip(name) + ":" + INTERNAL_PORT + "/message");
         byte[] bytes = MessageCodec.encode(message);
         HttpRequest request =
                 HttpRequest.newBuilder(uri)
-                        .timeout(CALL)
+                        .timeout(CALL_TIMEOUT)
                         .POST(HttpRequest.BodyPublishers.ofByteArray(bytes))
                         .build();
         try {
@@ -161,8 +161,8 @@
 
     /** Polls one node after the other until one answers as primary and knows the fleet's loads. */
     FleetLoads loads(LoadReport report) throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE * 1_000_000;
-        while (System.nanoTime() < end) {
+        long endNs = System.nanoTime() + TIMEOUT.toNanos();
+        while (System.nanoTime() < endNs) {
             for (String name : names()) {
                 PollRequest poll = new PollRequest();
                 poll.balancer = report.balancer;
@@ -182,16 +182,16 @@
     /** Sends a change to one node after the other until it is acknowledged. */
     void change(long match, long generation) throws InterruptedException {
         String body = "{\"generation\":" + generation + ",\"services\":[{\"name\":\"s\"}]}";
-        long end = System.nanoTime() + PATIENCE * 1_000_000;
+        long endNs = System.nanoTime() + TIMEOUT.toNanos();
         String last = "nothing";
-        while (System.nanoTime() < end) {
+        while (System.nanoTime() < endNs) {
             for (String name : names()) {
                 HttpResponse<String> answer =
                         call(name, "PUT", "/config", Long.toString(match), body);
                 if (answer != null && answer.statusCode() == 200) {
                     return;
                 }
-                last = name + " " + (answer == null ? "silent" : answer.statusCode());
+                last = name + " " + (answer == null ? "no response" : answer.statusCode());
             }
         }
         throw new AssertionError("generation " + generation + " is not acknowledged: " + last);
@@ -210,8 +210,8 @@
 
     /** Waits until a node follows as a member of the leader's view. */
     void awaitMember(String name) throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE * 1_000_000;
-        while (System.nanoTime() < end) {
+        long endNs = System.nanoTime() + TIMEOUT.toNanos();
+        while (System.nanoTime() < endNs) {
             String leader = leader();
             HttpResponse<String> answer =
                     leader.isEmpty() ? null : call(leader, "GET", "/status", "", "");
--- a/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The worst days with real processes, sockets and files. */
+/** Faults of real processes with real sockets and files. */
 class ControlProcessesTest {
     private static final int UPSTREAM = 9;
-    private static final List<String> FIRST = List.of("n0", "n1", "n2");
+    private static final List<String> SEEDS = List.of("n0", "n1", "n2");
 
     @TempDir Path folder;
 
     private ControlProcesses started() throws Exception {
         ControlProcesses processes = new ControlProcesses(folder);
         try {
-            for (String name : FIRST) {
+            for (String name : SEEDS) {
                 processes.start(name, true);
             }
             processes.change(0, 1);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aLeaderThatWasFrozenShowsNothingOldWhenItWakes() throws Exception {
+    void leaderThatWasSuspendedShowsNothingStaleWhenItResumes() throws Exception {
         try (ControlProcesses processes = started()) {
             String leader = processes.leader();
             processes.signal(leader, "STOP");
@@ -58,12 +58,12 @@
     }
 
     @Test
-    void afterAReplacementAndALeaversEndAnotherDiskMayBeLost() throws Exception {
+    void anyDiskMayBeLostAfterAReplacementAndALeaversEnd() throws Exception {
         try (ControlProcesses processes = started()) {
             processes.start("n3", false);
             processes.awaitMember("n3");
             processes.signal("n1", "TERM");
-            assertTrue(processes.ended("n1", 3_000), "a successor stands");
+            assertTrue(processes.hasEnded("n1", 3_000), "a successor stands");
             processes.kill("n1");
             String leader = processes.leader();
             processes.kill(leader);
@@ -85,30 +85,30 @@
     }
 
     @Test
-    void balancersAreToldOfEachOthersLoadsAlsoByTheNextLeader() throws Exception {
+    void balancersGetEachOthersLoadsAlsoFromTheNextLeader() throws Exception {
         try (ControlProcesses processes = started()) {
             processes.loads(report("a", 1, 5));
             processes.loads(report("a", 1, 5)); // sent again
-            FleetLoads told = processes.loads(report("b", 1, 2));
-            assertEquals(1, told.loads.size());
-            assertEquals(5, told.loads.get(0).requests);
-            assertEquals(1, told.prompts.size());
+            FleetLoads loads = processes.loads(report("b", 1, 2));
+            assertEquals(1, loads.loads.size());
+            assertEquals(5, loads.loads.get(0).requests);
+            assertEquals(1, loads.prompts.size());
 
             processes.kill(processes.leader());
             processes.loads(report("a", 2, 4));
             FleetLoads after = processes.loads(report("b", 2, 2));
-            assertTrue(after.epoch > told.epoch);
+            assertTrue(after.epoch > loads.epoch);
             assertEquals(1, after.loads.size());
             assertEquals(4, after.loads.get(0).requests);
         }
     }
 
     @Test
-    void aMemberThatMissedHundredsOfChangesIsWholeOnceItHasCaughtUp() throws Exception {
+    void memberThatMissedHundredsOfChangesCatchesUp() throws Exception {
         try (ControlProcesses processes = started()) {
             String leader = processes.leader();
             String away =
-                    FIRST.stream().filter(name -> !name.equals(leader)).findFirst().orElseThrow();
+                    SEEDS.stream().filter(name -> !name.equals(leader)).findFirst().orElseThrow();
             processes.kill(away);
             for (int generation = 1; generation < 300; generation++) {
                 processes.change(generation, generation + 1);
--- a/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
+++ b/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
@@ -4,12 +4,15 @@
 import myrtleladder.io.RequestHead;
 import myrtleladder.io.ServerExchange;
 
-/** A scripted call of somebody who waits for one whole answer and stays until it comes. */
+/**
+ * A request whose client expects one complete response and keeps its connection until it comes.
+ * Responses in pieces fail the test.
+ */
 public abstract class FakeServerExchange implements ServerExchange {
     private final RequestHead head;
     private final byte[] body;
 
-    /** Creates a call. */
+    /** Creates an exchange for a request. */
     protected FakeServerExchange(RequestHead head, byte[] body) {
         this.head = head;
         this.body = body;
@@ -37,21 +40,21 @@
 
     @Override
     public final void onGone(Runnable task) {
-        // callers here stay
+        // the connection stays
     }
 
     @Override
     public final void begin(int status, Headers headers) {
-        throw new AssertionError("no answer of the control plane comes in pieces");
+        throw new AssertionError("no response of the control plane comes in pieces");
     }
 
     @Override
     public final void write(byte[] bytes, int offset, int length) {
-        throw new AssertionError("no answer of the control plane comes in pieces");
+        throw new AssertionError("no response of the control plane comes in pieces");
     }
 
     @Override
     public final void end() {
-        throw new AssertionError("no answer of the control plane comes in pieces");
+        throw new AssertionError("no response of the control plane comes in pieces");
     }
 }
--- a/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
+++ b/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
@@ -12,25 +12,25 @@
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
-/** Records for a member that was away reach it when it is back. */
+/** Records for a member that was unresponsive reach it once it answers. */
 class HintedHandoffTest {
     private static InstanceRecord record(String id, Stage stage, long sequence) {
         return InstanceRecord.of(id, "s", "10.0.0.1:80", "z", 8, "v1", stage, sequence);
     }
 
     @Test
-    void theLatestOfEachUpstreamIsHandedOverOnceTheMemberAnswers() {
+    void latestRecordOfEachInstanceIsHandedOverOnceTheMemberAnswers() {
         ManualScheduler clock = new ManualScheduler();
-        boolean[] back = {false};
+        boolean[] isBack = {false};
         List<InstanceRecord> taken = new ArrayList<>();
         HintedHandoff handoff =
                 new HintedHandoff(
                         clock,
-                        (to, message, timeout, answer) -> {
-                            if (back[0]) {
+                        (to, message, timeoutMs, responder) -> {
+                            if (isBack[0]) {
                                 taken.addAll(((ShareInstancesRequest) message).instances);
                             }
-                            answer.accept(back[0] ? AcknowledgeResponse.of(true, 1, null) : null);
+                            responder.accept(isBack[0] ? AcknowledgeResponse.of(true, 1, null) : null);
                         });
         Member away = Member.of("b:1", "b:2", "store");
         handoff.addHint(away, record("i", Stage.READY, 1), 1);
@@ -38,7 +38,7 @@
         handoff.addHint(away, record("j", Stage.GONE, 1), 1);
         clock.run(2_000);
         assertEquals(2, handoff.hintCount());
-        back[0] = true;
+        isBack[0] = true;
         clock.run(1_000);
         assertEquals(0, handoff.hintCount());
         assertEquals(
@@ -46,11 +46,11 @@
     }
 
     @Test
-    void nothingIsKeptForAMemberThatIsNoMemberAnyMore() {
+    void hintsForFormerMembersAreDropped() {
         ManualScheduler clock = new ManualScheduler();
         List<String> called = new ArrayList<>();
         HintedHandoff handoff =
-                new HintedHandoff(clock, (to, message, timeout, answer) -> called.add(to));
+                new HintedHandoff(clock, (to, message, timeoutMs, responder) -> called.add(to));
         Member gone = Member.of("b:1", "b:2", "gone");
         Member stays = Member.of("c:1", "c:2", "stays");
         handoff.addHint(gone, record("i", Stage.READY, 1), 1);
--- a/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
@@ -9,14 +9,14 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** What heartbeats tell, in whichever order and from whomever it comes. */
+/** Heartbeats and records of other nodes in any order. */
 class InstanceRegistryTest {
     private static InstanceRecord record(Stage stage, long sequence) {
         return InstanceRecord.of("i", "s", "10.0.0.1:80", "z", 8, "v1", stage, sequence);
     }
 
     @Test
-    void whoTakesOverHoldsNobodyForLostOnAnothersWord() {
+    void newPrimaryTakesNoInstanceForLostBecauseAnotherNodeDid() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.READY, 3), 0);
         registry.recover(List.of(record(Stage.LOST, 20)), 1_000);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aDepartureHoldsAgainstAllThatComesLater() {
+    void departureHoldsAgainstAllLaterRecords() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.DRAINING, 3), 0);
         assertFalse(registry.merge(record(Stage.READY, 9), 1));
@@ -37,13 +37,13 @@
     }
 
     @Test
-    void onlyWhatChangedIsToldSinceARevision() {
+    void onlyChangedRecordsFollowARevision() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.READY, 1), 0);
-        long seen = registry.revision();
+        long knownRevision = registry.revision();
         assertFalse(registry.merge(record(Stage.READY, 2), 1_000));
-        assertEquals(0, registry.changedSince(seen).size());
+        assertEquals(0, registry.changedSince(knownRevision).size());
         registry.merge(record(Stage.DRAINING, 3), 2_000);
-        assertEquals(1, registry.changedSince(seen).size());
+        assertEquals(1, registry.changedSince(knownRevision).size());
     }
 }
--- a/src/test/java/myrtleladder/controlplane/LoadTableTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadTableTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Sums of what all balancers have under way. */
+/** Sums of the requests that all balancers have in flight. */
 class LoadTableTest {
     private static final int UPSTREAM = 7;
-    private static final long START = 10_000;
+    private static final long START_MS = 10_000;
 
     private final LoadTable table = new LoadTable();
 
     @BeforeEach
-    void lead() {
-        table.reset(START - LoadTable.WARM_UP_MS);
+    void resetBeforeWarmUp() {
+        table.reset(START_MS - LoadTable.WARM_UP_MS);
     }
 
     private static LoadReport report(String balancer, long process, long sequence, int requests) {
@@ -34,87 +34,87 @@
         return report;
     }
 
-    private FleetLoads told(String balancer, long now) {
-        FleetLoads told = new FleetLoads();
-        table.addLoadsOfOthers(told, balancer, now);
-        return told;
+    private FleetLoads loadsFor(String balancer, long nowMs) {
+        FleetLoads response = new FleetLoads();
+        table.addLoadsOfOthers(response, balancer, nowMs);
+        return response;
     }
 
-    private void assertTold(int requests, String balancer, long now) {
-        FleetLoads told = told(balancer, now);
-        assertTrue(told.known);
+    private void assertLoads(int requests, String balancer, long nowMs) {
+        FleetLoads response = loadsFor(balancer, nowMs);
+        assertTrue(response.known);
         if (requests == 0) {
-            assertEquals(List.of(), told.loads);
+            assertEquals(List.of(), response.loads);
             return;
         }
-        assertEquals(1, told.loads.size());
-        assertEquals(UPSTREAM, told.loads.get(0).upstream);
-        assertEquals(requests, told.loads.get(0).requests);
-        assertEquals(100 * requests, told.loads.get(0).tokens);
+        assertEquals(1, response.loads.size());
+        assertEquals(UPSTREAM, response.loads.get(0).upstream);
+        assertEquals(requests, response.loads.get(0).requests);
+        assertEquals(100 * requests, response.loads.get(0).tokens);
     }
 
     @Test
-    void eachBalancerIsToldWhatTheOthersHaveUnderWay() {
-        table.record(report("a", 1, 1, 2), START);
-        table.record(report("b", 1, 1, 3), START);
-        table.record(report("c", 1, 1, 0), START);
-        assertTold(3, "a", START);
-        assertTold(2, "b", START);
-        assertTold(5, "c", START);
-        assertTold(5, "unknown", START);
+    void balancerGetsTheLoadsOfTheOthers() {
+        table.record(report("a", 1, 1, 2), START_MS);
+        table.record(report("b", 1, 1, 3), START_MS);
+        table.record(report("c", 1, 1, 0), START_MS);
+        assertLoads(3, "a", START_MS);
+        assertLoads(2, "b", START_MS);
+        assertLoads(5, "c", START_MS);
+        assertLoads(5, "unknown", START_MS);
     }
 
     @Test
-    void aReportThatArrivesTwiceOrLateCountsOnce() {
-        table.record(report("a", 1, 2, 2), START);
-        table.record(report("a", 1, 2, 2), START);
-        table.record(report("a", 1, 1, 9), START);
-        assertTold(2, "b", START);
-        table.record(report("a", 1, 3, 0), START);
-        assertTold(0, "b", START);
+    void repeatedOrLateReportCountsOnce() {
+        table.record(report("a", 1, 2, 2), START_MS);
+        table.record(report("a", 1, 2, 2), START_MS);
+        table.record(report("a", 1, 1, 9), START_MS);
+        assertLoads(2, "b", START_MS);
+        table.record(report("a", 1, 3, 0), START_MS);
+        assertLoads(0, "b", START_MS);
     }
 
     @Test
-    void aProcessThatStartedAgainReplacesTheOneBefore() {
-        table.record(report("a", 1, 50, 9), START);
-        table.record(report("a", 2, 1, 1), START);
-        assertTold(1, "b", START);
+    void restartedProcessReplacesThePreviousOne() {
+        table.record(report("a", 1, 50, 9), START_MS);
+        table.record(report("a", 2, 1, 1), START_MS);
+        assertLoads(1, "b", START_MS);
     }
 
     @Test
-    void aBalancerThatDiesOrLeavesTakesItsShareAlong() {
-        table.record(report("a", 1, 1, 2), START);
-        table.record(report("b", 1, 1, 3), START + 1_000);
-        assertTold(5, "c", START + 1_000);
-        assertTold(3, "c", START + LoadTable.REPORT_LIFETIME_MS + 1);
+    void loadsOfABalancerThatDiesOrLeavesAreRemoved() {
+        table.record(report("a", 1, 1, 2), START_MS);
+        table.record(report("b", 1, 1, 3), START_MS + 1_000);
+        assertLoads(5, "c", START_MS + 1_000);
+        assertLoads(3, "c", START_MS + LoadTable.REPORT_LIFETIME_MS + 1);
         table.remove("b");
-        assertTold(0, "c", START + LoadTable.REPORT_LIFETIME_MS + 1);
+        assertLoads(0, "c", START_MS + LoadTable.REPORT_LIFETIME_MS + 1);
     }
 
     @Test
-    void aPrimaryThatThawsTellsNothingOfWhatItHeardBefore() {
-        table.record(report("a", 1, 1, 2), START);
-        assertTold(0, "b", START + 60_000);
+    void primaryThatWasSuspendedDropsOldReports() {
+        table.record(report("a", 1, 1, 2), START_MS);
+        assertLoads(0, "b", START_MS + 60_000);
     }
 
     @Test
-    void aNewPrimaryTellsNothingUntilAllHadTimeToReport() {
-        table.record(report("a", 1, 1, 2), START);
-        table.reset(START);
-        table.record(report("b", 1, 1, 3), START + 10);
-        assertFalse(told("c", START + LoadTable.WARM_UP_MS - 1).known);
-        assertTold(3, "c", START + LoadTable.WARM_UP_MS);
+    void newPrimaryReportsNoSumsUntilAllHadTimeToReport() {
+        table.record(report("a", 1, 1, 2), START_MS);
+        table.reset(START_MS);
+        table.record(report("b", 1, 1, 3), START_MS + 10);
+        assertFalse(loadsFor("c", START_MS + LoadTable.WARM_UP_MS - 1).known);
+        assertLoads(3, "c", START_MS + LoadTable.WARM_UP_MS);
     }
 
     @Test
-    void ofVeryManyUpstreamsTheBusiestAreTold() {
+    void responseHoldsTheBusiestOfVeryManyUpstreams() {
         LoadReport report = report("a", 1, 1, 0);
         for (int upstream = 1; upstream <= 5_000; upstream++) {
             report.loads.add(UpstreamLoad.of(upstream, 1, upstream));
         }
-        table.record(report, START);
-        FleetLoads told = told("b", START);
-        assertEquals(200, told.loads.size());
-        assertTrue(told.loads.stream().allMatch(load -> load.tokens > 4_800));
+        table.record(report, START_MS);
+        FleetLoads response = loadsFor("b", START_MS);
+        assertEquals(200, response.loads.size());
+        assertTrue(response.loads.stream().allMatch(load -> load.tokens > 4_800));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
+++ b/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
@@ -12,10 +12,10 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Who takes over whose place among the instances of a service. */
+/** Ordinals of the instances of a service as instances come, leave and are replaced. */
 class OrdinalAssignerTest {
-    private static final long WAIT = 5_000;
-    private static final long TICK = 100;
+    private static final long PREDECESSOR_WAIT_MS = 5_000;
+    private static final long TICK_INTERVAL_MS = 100;
 
     private final InstanceRegistry registry = new InstanceRegistry();
 
@@ -23,58 +23,58 @@
         return InstanceRecord.of(id, "s", "10.0.0.1:80", zone, 8, "v1", stage, sequence);
     }
 
-    private void heard(String id, String zone, Stage stage, long now) {
-        registry.merge(record(id, zone, stage, now), now);
+    private void heartbeat(String id, String zone, Stage stage, long nowMs) {
+        registry.merge(record(id, zone, stage, nowMs), nowMs);
     }
 
     private int ordinal(String id) {
         return registry.get(id).ordinal;
     }
 
-    private void settle(String... ids) {
+    private void assignFirstOrdinals(String... ids) {
         for (String id : ids) {
-            heard(id, id.substring(0, 1), Stage.READY, 0);
+            heartbeat(id, id.substring(0, 1), Stage.READY, 0);
         }
-        registry.assignOrdinals(WAIT);
+        registry.assignOrdinals(PREDECESSOR_WAIT_MS);
     }
 
     @Test
-    void firstInstancesGetOneOrdinalEachOnceTheyHaveWaited() {
-        heard("a1", "a", Stage.READY, 0);
-        heard("b1", "b", Stage.READY, 10);
-        assertTrue(registry.assignOrdinals(WAIT - 1).isEmpty());
-        registry.assignOrdinals(WAIT + 10);
+    void newInstancesGetAnOrdinalEachOnceTheyHaveWaited() {
+        heartbeat("a1", "a", Stage.READY, 0);
+        heartbeat("b1", "b", Stage.READY, 10);
+        assertTrue(registry.assignOrdinals(PREDECESSOR_WAIT_MS - 1).isEmpty());
+        registry.assignOrdinals(PREDECESSOR_WAIT_MS + 10);
         assertEquals(Set.of(1, 2), Set.of(ordinal("a1"), ordinal("b1")));
     }
 
     @Test
-    void aReplacementTakesOverFromTheOneOfItsZoneThatLeaves() {
-        settle("a1", "b1");
-        heard("b2", "b", Stage.READY, 6_000);
-        heard("a1", "a", Stage.DRAINING, 6_500);
+    void replacementTakesOverTheOrdinalOfALeavingInstanceOfItsZone() {
+        assignFirstOrdinals("a1", "b1");
+        heartbeat("b2", "b", Stage.READY, 6_000);
+        heartbeat("a1", "a", Stage.DRAINING, 6_500);
         assertTrue(registry.assignOrdinals(7_000).isEmpty(), "of another zone");
-        heard("b1", "b", Stage.DRAINING, 7_100);
+        heartbeat("b1", "b", Stage.DRAINING, 7_100);
         assertEquals(List.of("b2"), ids(registry.assignOrdinals(7_200)));
         assertEquals(ordinal("b1"), ordinal("b2"));
-        heard("a2", "a", Stage.READY, 8_000);
+        heartbeat("a2", "a", Stage.READY, 8_000);
         registry.assignOrdinals(8_100);
         assertEquals(ordinal("a1"), ordinal("a2"));
     }
 
     @Test
-    void oneThatWasLostAndComesBackKeepsItsOrdinal() {
-        settle("a1", "a2");
+    void lostInstanceThatReturnsKeepsItsOrdinal() {
+        assignFirstOrdinals("a1", "a2");
         registry.merge(record("a1", "a", Stage.LOST, 6_000), 6_000);
-        heard("a3", "a", Stage.READY, 6_000);
-        registry.assignOrdinals(6_000 + WAIT);
-        heard("a1", "a", Stage.READY, 20_000);
+        heartbeat("a3", "a", Stage.READY, 6_000);
+        registry.assignOrdinals(6_000 + PREDECESSOR_WAIT_MS);
+        heartbeat("a1", "a", Stage.READY, 20_000);
         assertEquals(3, Set.of(ordinal("a1"), ordinal("a2"), ordinal("a3")).size());
     }
 
     @Test
-    void heartbeatsAndRecordsOfOtherNodesDoNotTakeAnOrdinalAway() {
-        settle("a1");
-        heard("a1", "a", Stage.READY, 6_000);
+    void heartbeatsAndRecoveredRecordsKeepTheOrdinal() {
+        assignFirstOrdinals("a1");
+        heartbeat("a1", "a", Stage.READY, 6_000);
         assertEquals(1, ordinal("a1"));
         InstanceRegistry next = new InstanceRegistry();
         next.merge(record("a1", "a", Stage.READY, 7_000), 7_000);
@@ -84,9 +84,9 @@
         assertEquals(1, next.get("a1").ordinal);
     }
 
-    /** Drawn upgrades, zone by zone: nobody shares an ordinal, and none is left without. */
+    /** Random upgrades, zone by zone: no two instances share an ordinal, and each has one. */
     @Test
-    void anUpgradeOfEveryZoneLeavesTheSameOrdinals() {
+    void upgradeOfAllZonesLeavesTheSameOrdinals() {
         for (int seed = 0; seed < 200; seed++) {
             upgrade(new SplittableRandom(seed));
         }
@@ -99,17 +99,17 @@
             old.add(record("old" + i, "zone" + i / 3, Stage.READY, 1));
             registry.merge(old.get(i), 0);
         }
-        registry.assignOrdinals(WAIT);
-        long now = WAIT;
+        registry.assignOrdinals(PREDECESSOR_WAIT_MS);
+        long nowMs = PREDECESSOR_WAIT_MS;
         for (InstanceRecord leaving : old) {
             String next = leaving.id.replace("old", "new");
-            registry.merge(record(next, leaving.zone, Stage.READY, 1), now);
-            now = pass(registry, now, random.nextInt(2_000));
-            registry.merge(record(leaving.id, leaving.zone, Stage.DRAINING, 9), now);
-            now = pass(registry, now, random.nextInt(2_000));
-            registry.merge(record(leaving.id, leaving.zone, Stage.GONE, 10), now);
+            registry.merge(record(next, leaving.zone, Stage.READY, 1), nowMs);
+            nowMs = runTicks(registry, nowMs, random.nextInt(2_000));
+            registry.merge(record(leaving.id, leaving.zone, Stage.DRAINING, 9), nowMs);
+            nowMs = runTicks(registry, nowMs, random.nextInt(2_000));
+            registry.merge(record(leaving.id, leaving.zone, Stage.GONE, 10), nowMs);
         }
-        pass(registry, now, WAIT);
+        runTicks(registry, nowMs, PREDECESSOR_WAIT_MS);
         Set<Integer> ordinals = new HashSet<>();
         for (InstanceRecord record : registry.all()) {
             if (record.stage == Stage.READY) {
@@ -120,12 +120,12 @@
         assertEquals(Set.of(1, 2, 3, 4, 5, 6, 7, 8, 9), ordinals);
     }
 
-    private static long pass(InstanceRegistry registry, long from, long span) {
-        long now = from;
-        for (; now <= from + span; now += TICK) {
-            registry.assignOrdinals(now);
+    private static long runTicks(InstanceRegistry registry, long fromMs, long durationMs) {
+        long nowMs = fromMs;
+        for (; nowMs <= fromMs + durationMs; nowMs += TICK_INTERVAL_MS) {
+            registry.assignOrdinals(nowMs);
         }
-        return now;
+        return nowMs;
     }
 
     private static List<String> ids(List<InstanceRecord> records) {
--- /dev/null
+++ b/src/test/java/myrtleladder/controlplane/PollRequestBuilder.java
@@ -0,0 +1,49 @@
+package myrtleladder.controlplane;
+
+import java.util.List;
+import myrtleladder.protocol.InFlightRequests;
+import myrtleladder.protocol.PollRequest;
+
+/** Builds a poll of balancer {@code e}; by default of one that has nothing yet. */
+final class PollRequestBuilder {
+    private final PollRequest poll = new PollRequest();
+
+    PollRequestBuilder() {
+        poll.balancer = "e";
+        poll.address = "e:1";
+    }
+
+    PollRequestBuilder epoch(long epoch) {
+        poll.epoch = epoch;
+        return this;
+    }
+
+    PollRequestBuilder generation(long generation) {
+        poll.generation = generation;
+        return this;
+    }
+
+    PollRequestBuilder revision(long revision) {
+        poll.revision = revision;
+        return this;
+    }
+
+    PollRequestBuilder complete() {
+        poll.complete = true;
+        return this;
+    }
+
+    PollRequestBuilder immediate() {
+        poll.immediate = true;
+        return this;
+    }
+
+    PollRequestBuilder inFlight(InFlightRequests... requests) {
+        poll.underWay.addAll(List.of(requests));
+        return this;
+    }
+
+    PollRequest build() {
+        return poll;
+    }
+}
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -10,41 +10,41 @@
 import myrtleladder.protocol.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** What upstreams keep, as the balancers announced it. */
+/** Prompts that upstreams have cached, as the balancers announced them. */
 class PromptDirectoryTest {
     private final PromptDirectory directory = new PromptDirectory();
 
-    private FleetLoads told(long known) {
-        FleetLoads answer = new FleetLoads();
-        directory.addChangesSince(answer, known);
-        return answer;
+    private FleetLoads changesSince(long knownRevision) {
+        FleetLoads response = new FleetLoads();
+        directory.addChangesSince(response, knownRevision);
+        return response;
     }
 
-    private static List<Long> prompts(FleetLoads answer) {
-        return answer.prompts.stream().map(kept -> kept.prompt).toList();
+    private static List<Long> prompts(FleetLoads response) {
+        return response.prompts.stream().map(cached -> cached.prompt).toList();
     }
 
     @Test
-    void eachIsToldOnceWhatIsNewToTheBalancer() {
+    void balancerGetsEachAnnouncementOnce() {
         directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
-        FleetLoads first = told(0);
+        FleetLoads first = changesSince(0);
         assertEquals(List.of(11L, 12L), prompts(first));
-        assertEquals(List.of(), prompts(told(first.promptRevision)));
+        assertEquals(List.of(), prompts(changesSince(first.promptRevision)));
         directory.record(List.of(CachedPrompt.of(13, 1)));
-        assertEquals(List.of(13L), prompts(told(first.promptRevision)));
+        assertEquals(List.of(13L), prompts(changesSince(first.promptRevision)));
     }
 
     @Test
-    void anAnnouncementThatArrivesAgainIsKeptOnce() {
+    void repeatedAnnouncementIsKeptOnce() {
         directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
         directory.record(List.of(CachedPrompt.of(11, 1)));
-        assertEquals(List.of(12L, 11L), prompts(told(0)));
+        assertEquals(List.of(12L, 11L), prompts(changesSince(0)));
         directory.record(List.of(CachedPrompt.of(11, 3)));
-        assertEquals(List.of(12L, 11L, 11L), prompts(told(0)));
+        assertEquals(List.of(12L, 11L, 11L), prompts(changesSince(0)));
     }
 
     @Test
-    void longNewsAreToldInParts() {
+    void manyAnnouncementsAreSentInParts() {
         List<CachedPrompt> announced = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             announced.add(CachedPrompt.of(i, 1));
@@ -53,24 +53,24 @@
         List<Long> all = new ArrayList<>();
         long known = 0;
         for (int round = 0; round < 3; round++) {
-            FleetLoads part = told(known);
+            FleetLoads part = changesSince(known);
             assertTrue(part.prompts.size() <= 128);
             all.addAll(prompts(part));
             known = part.promptRevision;
         }
-        assertEquals(announced.stream().map(kept -> kept.prompt).toList(), all);
+        assertEquals(announced.stream().map(cached -> cached.prompt).toList(), all);
     }
 
     @Test
-    void theOldestGiveWayAndMemoryIsBounded() {
+    void oldestAnnouncementsAreDroppedToBoundMemory() {
         for (int i = 0; i < 20_000; i++) {
             directory.record(List.of(CachedPrompt.of(i, 1)));
         }
-        assertEquals(20_000 - 8_192, told(0).prompts.get(0).prompt);
+        assertEquals(20_000 - 8_192, changesSince(0).prompts.get(0).prompt);
     }
 
     @Test
-    void whatABalancerKnowsFromAnotherEpochDoesNotCount() {
+    void revisionOfAnotherEpochDoesNotCount() {
         FleetLoadExchange exchange = new FleetLoadExchange();
         exchange.reset(0);
         LoadReport report = new LoadReport();
--- a/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
 
-/** The quotas of all balancers together. */
+/** Quotas that all balancers share. */
 class QuotaAllocatorTest {
     private static Configuration configuration(int rate, int burst) {
         String text =
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void overAnyWindowNoMoreIsGrantedThanTheRuleAllows() {
+    void grantsOverTimeStayWithinRateBurstOverageAndSlack() {
         QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
         quotas.configure(configuration(70_000, 112_000), true, 0);
         double granted = 0;
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aLargeRequestIsNotPassedOverForSmallOnes() {
+    void largeRequestIsGrantedAndLeavesADebt() {
         QuotaAllocator quotas = new QuotaAllocator(0, 0);
         quotas.configure(configuration(1_000, 1_000), true, 0);
         assertEquals(5_000, quotas.grant(QuotaRequest.of("t", 5_000), 0).units, 1_000);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aChangedQuotaKeepsItsLevelAndAnotherPrimaryBeginsLow() {
+    void changedQuotaKeepsItsLevelAndNewPrimaryStartsLow() {
         QuotaAllocator quotas = new QuotaAllocator(0, 0);
         quotas.configure(configuration(1_000, 1_000), true, 0);
         quotas.grant(QuotaRequest.of("t", 3_000), 0);
@@ -63,20 +63,20 @@
     }
 
     @Test
-    void whatAllBalancersGetAheadFitsIntoThePartOfTheSlack() {
+    void advancesOfAllBalancersStayWithinTheirShareOfTheSlack() {
         QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
         quotas.setBalancerCount(56);
         quotas.configure(configuration(446_000, 446_000), true, 0);
-        double ahead = 0;
+        double advance = 0;
         for (int balancer = 0; balancer < 56; balancer++) {
-            ahead += quotas.grant(QuotaRequest.of("t", 1_000), 0).units - 1_000;
+            advance += quotas.grant(QuotaRequest.of("t", 1_000), 0).units - 1_000;
         }
-        assertTrue(ahead <= 0.25 * 190_000 + 1, "ahead " + ahead);
-        assertTrue(ahead > 0, "nothing ahead");
+        assertTrue(advance <= 0.25 * 190_000 + 1, "advance " + advance);
+        assertTrue(advance > 0, "no advance");
     }
 
     @Test
-    void unitsThatAreGivenBackCanBeGrantedAgain() {
+    void unitsThatArePutBackAreGrantedAgain() {
         QuotaAllocator quotas = new QuotaAllocator(0, 0);
         quotas.configure(configuration(1_000, 1_000), true, 0);
         quotas.grant(QuotaRequest.of("t", 1_000), 0);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aTenantWithoutLimitIsAlwaysGranted() {
+    void tenantWithoutRateIsNotLimited() {
         QuotaAllocator quotas = new QuotaAllocator(0, 0);
         quotas.configure(configuration(1, 1), true, 0);
         assertEquals(1e9, quotas.grant(QuotaRequest.of("free", 1e9), 0).units);
--- a/src/test/java/myrtleladder/controlplane/RefusalsApprovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/RefusalsApprovalTest.java
@@ -7,7 +7,7 @@
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
 
-/** The words in which operators are told what is wrong with a configuration. */
+/** The messages with which invalid configurations are rejected. */
 class RefusalsApprovalTest {
     private static final List<String> DOCUMENTS =
             List.of(
@@ -37,13 +37,13 @@
         ConfigurationDocument current =
                 ConfigurationDocument.stored("{\"generation\":7}".getBytes(), 7);
         for (String document : DOCUMENTS) {
-            String told = "taken";
+            String result = "taken";
             try {
                 current.replacedBy(document.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
             } catch (ConfigurationException e) {
-                told = e.getMessage();
+                result = e.getMessage();
             }
-            text.append(document).append("\n    ").append(told).append('\n');
+            text.append(document).append("\n    ").append(result).append('\n');
         }
         Approvals.verify(text.toString());
     }
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state on the disk against torn, missing and damaged files. */
+/** The state on the disk with torn, missing and damaged files. */
 class StateStoreTest {
     @TempDir Path folder;
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aFileIsAsLongAsItsStateAndNotMuchMore() throws Exception {
+    void fileIsNotMuchLongerThanItsState() throws Exception {
         StateStore store = new StateStore(folder);
         for (int size : new int[] {0, 1, 8_000, 60_000, 130_000, 1_100_000}) {
             store.save(state(5, size));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aStateThatEndsWithZerosComesBackWhole() {
+    void stateThatEndsWithZerosIsRestoredCompletely() {
         StoredState zeros =
                 StoredState.of("s", 1, null, Snapshot.of(new byte[70_000], 1, List.of()));
         new StateStore(folder).save(zeros);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void theNewestStateComesBackAndOldFilesGo() throws Exception {
+    void newestStateIsLoadedAndOldFilesAreRemoved() throws Exception {
         StateStore store = new StateStore(folder);
         assertNull(store.load());
         for (int i = 1; i <= 10; i++) {
@@ -79,16 +79,16 @@
     }
 
     @Test
-    void aFileTornAnywhereIsSetAsideAndTheOneBeforeHolds() throws Exception {
+    void tornFileIsSetAsideAndThePreviousOneLoaded() throws Exception {
         StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
-        byte[] whole = Files.readAllBytes(newest());
+        byte[] complete = Files.readAllBytes(newest());
         Path file = newest();
         Path other = new StateStore(folder).files().get(1).path();
         byte[] before = Files.readAllBytes(other);
-        for (int cut = 0; cut < whole.length; cut += 4_096) {
-            Files.write(file, Arrays.copyOf(whole, cut));
+        for (int cut = 0; cut < complete.length; cut += 4_096) {
+            Files.write(file, Arrays.copyOf(complete, cut));
             assertLoads(1, 30_000);
             Files.deleteIfExists(file.resolveSibling(file.getFileName() + ".damaged"));
             Files.write(other, before);
@@ -96,16 +96,16 @@
     }
 
     @Test
-    void missingPagesAreNoticed() throws Exception {
+    void missingPagesAreDetected() throws Exception {
         StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
         Path file = newest();
-        byte[] whole = Files.readAllBytes(file);
-        for (int page = 0; page < whole.length; page += 4_096) {
-            byte[] torn = whole.clone();
-            Arrays.fill(torn, page, Math.min(whole.length, page + 4_096), (byte) 0);
-            if (Arrays.equals(torn, whole)) {
+        byte[] complete = Files.readAllBytes(file);
+        for (int page = 0; page < complete.length; page += 4_096) {
+            byte[] torn = complete.clone();
+            Arrays.fill(torn, page, Math.min(complete.length, page + 4_096), (byte) 0);
+            if (Arrays.equals(torn, complete)) {
                 continue;
             }
             Files.write(file, torn);
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void anOldFileWhoseRemovalWasLostDoesNotComeBack() throws Exception {
+    void oldFileWhoseRemovalWasLostIsNotLoaded() throws Exception {
         StateStore store = new StateStore(folder);
         store.save(state(1, 100));
         Path first = newest();
@@ -134,13 +134,12 @@
     }
 
     @Test
-    void whatCannotBeWrittenIsToldByItsNumber() throws Exception {
+    void failedWriteIsReportedWithItsErrorCode() throws Exception {
         StateStore store = new StateStore(folder.resolve("sub"));
         Files.delete(folder.resolve("sub"));
         Files.write(folder.resolve("sub"), new byte[] {1});
-        StorageException refused =
-                assertThrows(StorageException.class, () -> store.save(state(1, 10)));
-        assertEquals(ResultCode.DISK_WRITE, refused.code());
-        assertTrue(refused.getMessage().startsWith("E300 DISK_WRITE"));
+        StorageException failure = assertThrows(StorageException.class, () -> store.save(state(1, 10)));
+        assertEquals(ResultCode.DISK_WRITE, failure.code());
+        assertTrue(failure.getMessage().startsWith("E300 DISK_WRITE"));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/ExternalClient.java
+++ b/src/test/java/myrtleladder/controlplane/model/ExternalClient.java
@@ -5,82 +5,88 @@
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
 
-/** How a caller from outside reaches control nodes: it follows redirects and gives up in time. */
+/** Sends HTTP requests to control nodes from outside: follows redirects and has a timeout. */
 final class ExternalClient {
-    private static final long PATIENCE = 1_000;
-    private static final int MOST_REDIRECTS = 2;
-    private static final int REDIRECT = 307;
+    /** Stands for a request without {@code If-Match}. */
+    static final long NO_IF_MATCH = -1;
 
-    private final SimulatedCluster model;
-    private final String caller;
+    private static final long TIMEOUT_MS = 1_000;
+    private static final int MAX_REDIRECTS = 2;
+    private static final int TEMPORARY_REDIRECT = 307;
 
-    ExternalClient(SimulatedCluster model, String caller) {
-        this.model = model;
-        this.caller = caller;
+    private final SimulatedCluster cluster;
+    private final String name;
+
+    ExternalClient(SimulatedCluster cluster, String name) {
+        this.cluster = cluster;
+        this.name = name;
     }
 
-    /** Any node that the caller has on its list. */
+    /** Any node of the platform's list. */
     SimulatedNode anyNode() {
-        List<SimulatedNode> nodes = model.listedNodes();
-        return nodes.get(model.random.nextInt(nodes.size()));
+        List<SimulatedNode> nodes = cluster.nodes();
+        return nodes.get(cluster.random.nextInt(nodes.size()));
     }
 
-    /** Calls a node; the answer is null if none came in time. */
+    /** Calls a node; the response is null if none came in time. */
     void call(
             SimulatedNode node,
             String method,
             String path,
-            long match,
+            long ifMatch,
             byte[] body,
-            Consumer<SimulatedResponse> answered) {
+            Consumer<SimulatedResponse> responder) {
         Headers headers = new Headers();
-        if (match >= 0) {
-            headers.add("If-Match", Long.toString(match));
+        if (ifMatch != NO_IF_MATCH) {
+            headers.add("If-Match", Long.toString(ifMatch));
         }
-        send(node, new RequestHead(method, path, headers), body, MOST_REDIRECTS, answered);
+        new Call(new RequestHead(method, path, headers), body, responder).send(node, MAX_REDIRECTS);
     }
 
-    private void send(
-            SimulatedNode node,
-            RequestHead head,
-            byte[] body,
-            int redirects,
-            Consumer<SimulatedResponse> answered) {
-        boolean[] told = {false};
-        Consumer<SimulatedResponse> once =
-                answer -> {
-                    if (!told[0]) {
-                        told[0] = true;
-                        follow(answer, head, body, redirects, answered);
-                    }
-                };
-        model.clock.schedule(PATIENCE, () -> once.accept(null));
-        model.network.carry(
-                caller,
-                node.address,
-                () ->
-                        node.handle(
-                                head,
-                                body,
-                                answer ->
-                                        model.network.carry(
-                                                node.address, caller, () -> once.accept(answer))));
-    }
+    /** A request with all its redirects. */
+    private final class Call {
+        private final RequestHead head;
+        private final byte[] body;
+        private final Consumer<SimulatedResponse> responder;
 
-    private void follow(
-            SimulatedResponse answer,
-            RequestHead head,
-            byte[] body,
-            int redirects,
-            Consumer<SimulatedResponse> answered) {
-        SimulatedNode next =
-                answer != null && answer.status() == REDIRECT && redirects > 0
-                        ? model.nodeAt(answer.location())
-                        : null;
-        if (next == null) {
-            answered.accept(answer);
-        } else {
-            send(next, head, body, redirects - 1, answered);
+        Call(RequestHead head, byte[] body, Consumer<SimulatedResponse> responder) {
+            this.head = head;
+            this.body = body;
+            this.responder = responder;
+        }
+
+        void send(SimulatedNode node, int redirectsLeft) {
+            boolean[] isDone = {false};
+            Consumer<SimulatedResponse> first =
+                    response -> {
+                        if (!isDone[0]) {
+                            isDone[0] = true;
+                            follow(response, redirectsLeft);
+                        }
+                    };
+            cluster.clock.schedule(TIMEOUT_MS, () -> first.accept(null));
+            cluster.network.carry(
+                    name,
+                    node.address,
+                    () -> node.handle(head, body, response -> carryBack(node, response, first)));
+        }
+
+        private void carryBack(
+                SimulatedNode node, SimulatedResponse response, Consumer<SimulatedResponse> first) {
+            cluster.network.carry(node.address, name, () -> first.accept(response));
+        }
+
+        private void follow(SimulatedResponse response, int redirectsLeft) {
+            boolean isRedirect =
+                    response != null
+                            && response.status() == TEMPORARY_REDIRECT
+                            && redirectsLeft > 0;
+            SimulatedNode next = isRedirect ? cluster.nodeAtLocation(response.location()) : null;
+            if (next == null) {
+                responder.accept(response);
+            } else {
+                send(next, redirectsLeft - 1);
+            }
         }
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -11,71 +11,70 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each point of the protocol in turn, before and after each send, arrival, sync and answer, is hit
- * by a loss of the node at which it lies.
+ * Injects a fault at each point of the protocol in turn: before and after each send, arrival, sync
+ * and response, into the node that has reached it.
  */
 class FaultPointTest {
-    private static final long CATCH_UP = 4_000;
-    private static final long WINDOW = 2_500;
-    private static final long AWAY = 1_500;
-    private static final long RECOVERED_WITHIN = 12_000;
-    private static final int EACH_IN_CI = 12;
-    private static final int PAIRS = 20_000;
-    private static final int SHOWN = 5;
-
-    private enum Strike {
+    private static final long WINDOW_MS = 2_500;
+    private static final long FAULT_DURATION_MS = 1_500;
+    private static final long RECOVERY_TIMEOUT_MS = 12_000;
+    private static final int POINT_STEP_IN_CI = 12;
+    private static final int PAIR_COUNT = 20_000;
+    private static final int MAX_SHOWN = 5;
+
+    private enum Fault {
         KILL,
         WIPE,
         FREEZE,
-        CUT
+        PARTITION
     }
 
     /** What goes on while the points are counted. */
-    private enum Scene {
-        /** Orders, polls and departures. */
-        ORDERS,
+    private enum Scenario {
+        /** Configuration changes, polls and departures. */
+        CHANGES,
         /** A machine is added and another one leaves besides. */
         REPLACEMENT
     }
 
     @Test
-    void aLossAtAPointOfTheProtocolLosesNothing() {
-        assertEquals(List.of(), single(EACH_IN_CI));
+    void faultAtSomePointsLosesNothing() {
+        assertEquals(List.of(), singleFaults(POINT_STEP_IN_CI));
     }
 
     @Test
     @Tag("long")
-    void aLossAtEachPointOfTheProtocolLosesNothing() {
-        assertEquals(List.of(), single(1));
+    void faultAtEachPointLosesNothing() {
+        assertEquals(List.of(), singleFaults(1));
     }
 
     @Test
     @Tag("long")
-    void lossesAtTwoPointsLoseNothingThatWasAcknowledged() {
+    void faultsAtTwoPointsLoseNothingThatWasAcknowledged() {
         List<String> found =
-                IntStream.range(0, PAIRS)
+                IntStream.range(0, PAIR_COUNT)
                         .parallel()
-                        .mapToObj(FaultPointTest::pair)
-                        .filter(fault -> !fault.isEmpty())
-                        .limit(SHOWN)
+                        .mapToObj(FaultPointTest::twoFaults)
+                        .filter(violation -> !violation.isEmpty())
+                        .limit(MAX_SHOWN)
                         .toList();
         assertEquals(List.of(), found);
     }
 
-    private static List<String> single(int each) {
+    private static List<String> singleFaults(int step) {
         List<String> found = new ArrayList<>();
-        for (Scene scene : Scene.values()) {
+        for (Scenario scenario : Scenario.values()) {
             for (int size : new int[] {3, 4, 5, 8}) {
-                int points = play(scene, size, List.of()).seen;
-                assertTrue(points > 100, scene + " has " + points + " points");
-                for (Strike strike : Strike.values()) {
+                int points = run(scenario, size, List.of()).pointCount;
+                assertTrue(points > 100, scenario + " has " + points + " points");
+                for (Fault fault : Fault.values()) {
                     IntStream.range(0, points)
-                            .filter(point -> point % each == size % each)
+                            .filter(point -> point % step == size % step)
                             .parallel()
-                            .mapToObj(point -> play(scene, size, List.of(new Hit(point, strike))))
-                            .filter(play -> !play.faults.isEmpty())
-                            .limit(SHOWN)
-                            .forEachOrdered(play -> found.add(play.toString()));
+                            .mapToObj(point -> run(scenario, size, List.of(new InjectionPoint(point, fault))))
+                            .filter(run -> !run.violations.isEmpty())
+                            .limit(MAX_SHOWN)
+                            .forEachOrdered(run -> found.add(run.toString()));
                 }
             }
         }
@@ -83,83 +82,83 @@
     }
 
     /** Two losses that overlap may be more than is borne: then only nothing may be lost. */
-    private static String pair(int number) {
-        SplittableRandom random = new SplittableRandom(number);
-        Scene scene = Scene.values()[random.nextInt(Scene.values().length)];
+    private static String twoFaults(int seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Scenario scenario = Scenario.values()[random.nextInt(Scenario.values().length)];
         int size = new int[] {3, 4, 5, 8}[random.nextInt(4)];
         int first = random.nextInt(600);
-        Strike strike = Strike.values()[random.nextInt(Strike.values().length)];
-        Strike other = random.nextBoolean() ? Strike.KILL : Strike.CUT;
-        List<Hit> hits =
-                List.of(new Hit(first, strike), new Hit(first + 1 + random.nextInt(200), other));
-        Play play = play(scene, size, hits);
-        return play.faults.isEmpty() ? "" : play.toString();
+        Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
+        Fault other = random.nextBoolean() ? Fault.KILL : Fault.PARTITION;
+        List<InjectionPoint> injections =
+                List.of(new InjectionPoint(first, fault), new InjectionPoint(first + 1 + random.nextInt(200), other));
+        Run run = run(scenario, size, injections);
+        return run.violations.isEmpty() ? "" : run.toString();
     }
 
-    private record Hit(int point, Strike strike) {}
+    private record InjectionPoint(int point, Fault fault) {}
 
-    /** One run with losses at points that are counted from the beginning of the scene. */
-    private static final class Play {
-        final SimulatedCluster model;
-        final Scene scene;
-        final List<Hit> hits;
-        final List<String> faults = new ArrayList<>();
-        int seen;
+    /** One run with losses at points that are counted from the beginning of the scenario. */
+    private static final class Run {
+        final SimulatedCluster cluster;
+        final Scenario scenario;
+        final List<InjectionPoint> injections;
+        final List<String> violations = new ArrayList<>();
+        int pointCount;
 
-        Play(Scene scene, int size, List<Hit> hits) {
-            this.scene = scene;
-            this.hits = hits;
-            this.model = new SimulatedCluster(size, size, size >= 5 ? 2 : 1, CATCH_UP, null);
+        Run(Scenario scenario, int size, List<InjectionPoint> injections) {
+            this.scenario = scenario;
+            this.injections = injections;
+            this.cluster = SimulatedCluster.ofSize(size).seed(size).build();
         }
 
         void run() {
-            model.begin();
-            model.clock.run(1_500);
-            model.atPoints(this::point);
-            if (scene == Scene.REPLACEMENT) {
+            cluster.start();
+            cluster.clock.run(1_500);
+            cluster.onFaultPoint(this::reach);
+            if (scenario == Scenario.REPLACEMENT) {
                 replace();
             }
-            model.clock.run(WINDOW);
-            model.atPoints(node -> {});
-            model.clock.run(AWAY);
-            model.mend();
-            model.clock.run(2 * CATCH_UP);
-            if (servesAfterwards()) {
-                model.expectAcknowledgement(RECOVERED_WITHIN, "after the loss");
-                model.expectWhole("after the loss");
+            cluster.clock.run(WINDOW_MS);
+            cluster.onFaultPoint(node -> {});
+            cluster.clock.run(FAULT_DURATION_MS);
+            cluster.heal();
+            cluster.clock.run(2 * SimulatedCluster.CATCH_UP_MS);
+            if (mustRecover()) {
+                cluster.expectAcknowledgement(RECOVERY_TIMEOUT_MS, "after the loss");
+                cluster.expectAllAreMembers("after the loss");
             }
-            faults.addAll(model.history.faults());
+            violations.addAll(cluster.history.violations());
         }
 
         private void replace() {
-            model.addMachine().start(false);
-            SimulatedNode leaves = model.listedNodes().get(0);
-            model.clock.schedule(WINDOW / 2, () -> leaves.terminate(() -> model.remove(leaves)));
+            cluster.addMachine().start(false);
+            SimulatedNode leaving = cluster.nodes().get(0);
+            cluster.clock.schedule(WINDOW_MS / 2, () -> leaving.terminate(() -> cluster.remove(leaving)));
         }
 
-        private void point(SimulatedNode node) {
-            int point = seen++;
-            for (Hit hit : hits) {
-                if (hit.point == point) {
-                    strike(node, hit.strike);
+        private void reach(SimulatedNode node) {
+            int point = pointCount++;
+            for (InjectionPoint injection : injections) {
+                if (injection.point == point) {
+                    inject(node, injection.fault);
                 }
             }
         }
 
-        private void strike(SimulatedNode node, Strike strike) {
-            switch (strike) {
+        private void inject(SimulatedNode node, Fault fault) {
+            switch (fault) {
                 case KILL -> node.kill();
                 case WIPE -> node.wipe();
-                case FREEZE -> node.freeze(AWAY);
-                case CUT -> cut(node);
-                default -> throw new IllegalStateException(strike.toString());
+                case FREEZE -> node.freeze(FAULT_DURATION_MS);
+                case PARTITION -> partition(node);
+                default -> throw new IllegalStateException(fault.toString());
             }
         }
 
-        private void cut(SimulatedNode node) {
-            for (SimulatedNode other : model.listedNodes()) {
+        private void partition(SimulatedNode node) {
+            for (SimulatedNode other : cluster.nodes()) {
                 if (other != node) {
-                    model.network.cut(node.address, other.address);
+                    cluster.network.partition(node.address, other.address);
                 }
             }
         }
@@ -167,20 +166,20 @@
         /**
          * A disk that is lost beside a replacement, or beside another loss, may be one too many.
          */
-        private boolean servesAfterwards() {
-            boolean disk = hits.stream().anyMatch(hit -> hit.strike == Strike.WIPE);
-            return !disk || hits.size() == 1 && scene == Scene.ORDERS;
+        private boolean mustRecover() {
+            boolean isDiskLost = injections.stream().anyMatch(injection -> injection.fault == Fault.WIPE);
+            return !isDiskLost || injections.size() == 1 && scenario == Scenario.CHANGES;
         }
 
         @Override
         public String toString() {
-            return scene + " of " + model.listedNodes().size() + " " + hits + ": " + faults;
+            return scenario + " of " + cluster.nodes().size() + " " + injections + ": " + violations;
         }
     }
 
-    private static Play play(Scene scene, int size, List<Hit> hits) {
-        Play play = new Play(scene, size, hits);
-        play.run();
-        return play;
+    private static Run run(Scenario scenario, int size, List<InjectionPoint> injections) {
+        Run run = new Run(scenario, size, injections);
+        run.run();
+        return run;
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
@@ -5,26 +5,33 @@
 import java.util.SplittableRandom;
 
 /**
- * A drawn run: losses that overlap and follow each other as closely as the deployments allow, each
- * beginning once the machines of the one before have been back for the catch-up time.
+ * A random run: faults that overlap and follow each other as closely as the deployments allow, each
+ * beginning once the machines of the one before have been back for the catch-up time. The same seed
+ * gives the same run.
  */
 final class FaultSchedule {
-    private static final long ACKNOWLEDGED_WITHIN = 4_000;
-    private static final long RECOVERED_WITHIN = 12_000;
+    /** While a tolerated fault lasts a change is acknowledged within this time. */
+    private static final long AVAILABILITY_TIMEOUT_MS = 4_000;
+
+    /** After all faults a change is acknowledged within this time. */
+    private static final long RECOVERY_TIMEOUT_MS = 12_000;
+
+    /** The time after which a tolerated fault must not be noticed any more. */
+    private static final long FAILOVER_MS = 3_000;
+
     private static final int[] SIZES = {3, 4, 3, 5, 8};
-    private static final int LEAST_FOR_TWO = 5;
-    private static final long AFTER_PROMISE = 1_500;
-    private static final long LEAVING_TAKES = 4_500;
+    private static final long COMMITMENT_TIMEOUT_MS = 1_500;
+    private static final long LEAVE_TIMEOUT_MS = 4_500;
 
     /** What happens to machines. */
-    enum Loss {
+    enum Fault {
         KILL,
         POWER_OFF,
         WIPE,
         WIPE_AND_POWER_OFF,
         FREEZE,
-        CUT,
-        CUT_ONE_WAY,
+        PARTITION,
+        PARTITION_ONE_WAY,
         SLOW_LINK,
         REPLACE,
         REPLACE_PLANNED,
@@ -35,59 +42,59 @@
         KILL_ALL,
         POWER_OFF_ALL,
         HALVES,
-        SECOND_CUT
+        SECOND_PARTITION
     }
 
-    private final SimulatedCluster model;
+    private final SimulatedCluster cluster;
     private final SplittableRandom random;
-    private final StringBuilder story = new StringBuilder();
-    private long nextAfter;
+    private final StringBuilder log = new StringBuilder();
+    private long pauseMs;
 
-    private FaultSchedule(long seed, Safeguard missing) {
+    private FaultSchedule(long seed, Safeguard removedSafeguard) {
         this.random = new SplittableRandom(seed * 31 + 7);
         int size = SIZES[(int) (seed % SIZES.length)];
-        int tolerated = size >= LEAST_FOR_TWO ? 2 : 1;
-        this.model = new SimulatedCluster(seed, size, tolerated, 4_000, missing);
+        this.cluster =
+                SimulatedCluster.ofSize(size).seed(seed).without(removedSafeguard).build();
     }
 
-    /** What went wrong in the run of a seed. */
-    static List<String> faults(long seed, Safeguard missing) {
-        FaultSchedule schedule = new FaultSchedule(seed, missing);
-        schedule.play(2 + schedule.random.nextInt(2));
-        List<String> faults = new ArrayList<>(schedule.model.history.faults());
-        if (!faults.isEmpty()) {
-            faults.add("schedule: " + schedule.story);
+    /** The violations in the run of a seed; none of them is expected with all safeguards. */
+    static List<String> violations(long seed, Safeguard removedSafeguard) {
+        FaultSchedule schedule = new FaultSchedule(seed, removedSafeguard);
+        schedule.run(2 + schedule.random.nextInt(2));
+        List<String> violations = new ArrayList<>(schedule.cluster.history.violations());
+        if (!violations.isEmpty()) {
+            violations.add("schedule: " + schedule.log);
         }
-        return faults;
+        return violations;
     }
 
-    private void play(int losses) {
-        model.begin();
-        model.clock.run(1_500 + random.nextInt(500));
-        for (int i = 0; i < losses && model.history.faults().isEmpty(); i++) {
-            model.operators.forEach(o -> o.loses(random.nextInt(3) == 0 ? 0.6 : 0));
-            Loss loss = Loss.values()[random.nextInt(Loss.values().length)];
-            story.append(loss).append('@').append(model.clock.now() % 100_000).append(' ');
+    private void run(int faultCount) {
+        cluster.start();
+        cluster.clock.run(1_500 + random.nextInt(500));
+        for (int i = 0; i < faultCount && cluster.history.violations().isEmpty(); i++) {
+            cluster.operators.forEach(o -> o.loseAcknowledgements(random.nextInt(3) == 0 ? 0.6 : 0));
+            Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
+            log.append(fault).append('@').append(cluster.clock.now() % 100_000).append(' ');
             if (random.nextBoolean()) {
-                model.awaitPromise(AFTER_PROMISE);
-                model.clock.run(random.nextInt(2) * random.nextInt(400));
+                cluster.awaitCommitment(COMMITMENT_TIMEOUT_MS);
+                cluster.clock.run(random.nextInt(2) * random.nextInt(400));
             }
-            nextAfter = model.catchUpMs();
-            strike(loss);
-            model.clock.run(nextAfter + random.nextInt(4) * random.nextInt(250));
+            pauseMs = cluster.catchUpMs();
+            inject(fault);
+            cluster.clock.run(pauseMs + random.nextInt(4) * random.nextInt(250));
         }
-        if (model.history.faults().isEmpty()) {
-            model.operators.forEach(o -> o.loses(0));
-            model.expectAcknowledgement(RECOVERED_WITHIN, "after all");
-            model.expectWhole("after all");
+        if (cluster.history.violations().isEmpty()) {
+            cluster.operators.forEach(o -> o.loseAcknowledgements(0));
+            cluster.expectAcknowledgement(RECOVERY_TIMEOUT_MS, "after all");
+            cluster.expectAllAreMembers("after all");
         }
     }
 
     private List<SimulatedNode> victims() {
-        List<SimulatedNode> nodes = new ArrayList<>(model.listedNodes());
+        List<SimulatedNode> nodes = new ArrayList<>(cluster.nodes());
         List<SimulatedNode> victims = new ArrayList<>();
-        int count = 1 + random.nextInt(model.tolerated);
-        SimulatedNode leader = model.leader();
+        int count = 1 + random.nextInt(cluster.tolerated);
+        SimulatedNode leader = cluster.leader();
         if (leader != null && random.nextInt(3) == 0) {
             victims.add(leader);
         }
@@ -100,86 +107,82 @@
         return victims;
     }
 
-    private void strike(Loss loss) {
+    private void inject(Fault fault) {
         List<SimulatedNode> victims = victims();
-        story.append(victims.stream().map(v -> v.address).toList()).append(' ');
-        switch (loss) {
+        log.append(victims.stream().map(v -> v.address).toList()).append(' ');
+        switch (fault) {
             case KILL -> during(victims, SimulatedNode::kill, 200 + random.nextInt(3_000));
             case POWER_OFF -> during(victims, SimulatedNode::powerOff, 500 + random.nextInt(6_000));
             case WIPE -> during(victims, SimulatedNode::wipe, 300 + random.nextInt(6_000));
             case WIPE_AND_POWER_OFF -> wipeAndPowerOff(victims);
             case FREEZE -> freeze(victims);
-            case CUT -> cut(victims, false);
-            case CUT_ONE_WAY -> cut(victims, true);
-            case SLOW_LINK -> during(victims, v -> model.network.slow(v.address), 4_000);
+            case PARTITION -> partition(victims, false);
+            case PARTITION_ONE_WAY -> partition(victims, true);
+            case SLOW_LINK -> during(victims, v -> cluster.network.slowDown(v.address), 4_000);
             case REPLACE -> replace(victims);
             case REPLACE_PLANNED -> replacePlanned(victims);
             case RESTART -> restart(victims);
-            case DISK_SLOW -> disks(victims, SimulatedDisk.Mode.SLOW);
-            case DISK_STALLED -> disks(victims, SimulatedDisk.Mode.STALLED);
-            case DISK_FULL -> disks(victims, SimulatedDisk.Mode.FULL);
+            case DISK_SLOW -> setDiskModes(victims, SimulatedDisk.Mode.SLOW);
+            case DISK_STALLED -> setDiskModes(victims, SimulatedDisk.Mode.STALLED);
+            case DISK_FULL -> setDiskModes(victims, SimulatedDisk.Mode.FULL);
             case KILL_ALL ->
-                    during(model.listedNodes(), SimulatedNode::kill, 300 + random.nextInt(700));
+                    during(cluster.nodes(), SimulatedNode::kill, 300 + random.nextInt(700));
             case POWER_OFF_ALL ->
-                    during(
-                            model.listedNodes(),
-                            SimulatedNode::powerOff,
-                            300 + random.nextInt(1_000));
+                    during(cluster.nodes(), SimulatedNode::powerOff, 300 + random.nextInt(1_000));
             case HALVES -> halves();
-            case SECOND_CUT -> secondCut(victims);
-            default -> throw new IllegalStateException(loss.toString());
+            case SECOND_PARTITION -> secondPartition(victims);
+            default -> throw new IllegalStateException(fault.toString());
         }
     }
 
-    private interface Blow {
-        void strike(SimulatedNode node);
+    private interface Injection {
+        void applyTo(SimulatedNode node);
     }
 
-    /** Strikes machines and mends all after a time; service has to go on meanwhile if it may. */
-    private void during(List<SimulatedNode> victims, Blow blow, long span) {
-        new ArrayList<>(victims).forEach(blow::strike);
-        boolean served = victims.size() <= model.tolerated;
-        long settled = 3_000;
-        if (served && span > settled + ACKNOWLEDGED_WITHIN) {
-            model.clock.run(settled);
-            model.expectAcknowledgement(ACKNOWLEDGED_WITHIN, "while " + victims + " are lost");
+    /** Injects a fault and heals it after a time; service has to go on if it is tolerated. */
+    private void during(List<SimulatedNode> victims, Injection injection, long durationMs) {
+        new ArrayList<>(victims).forEach(injection::applyTo);
+        boolean isTolerated = victims.size() <= cluster.tolerated;
+        if (isTolerated && durationMs > FAILOVER_MS + AVAILABILITY_TIMEOUT_MS) {
+            cluster.clock.run(FAILOVER_MS);
+            cluster.expectAcknowledgement(AVAILABILITY_TIMEOUT_MS, "while " + victims + " are lost");
         } else {
-            model.clock.run(span);
+            cluster.clock.run(durationMs);
         }
-        model.mend();
+        cluster.heal();
     }
 
     private void wipeAndPowerOff(List<SimulatedNode> victims) {
-        for (SimulatedNode node : model.listedNodes()) {
+        for (SimulatedNode node : cluster.nodes()) {
             if (victims.contains(node)) {
                 node.wipe();
             } else {
                 node.powerOff();
             }
         }
-        model.clock.run(300 + random.nextInt(900));
-        model.mend();
+        cluster.clock.run(300 + random.nextInt(900));
+        cluster.heal();
     }
 
     private void freeze(List<SimulatedNode> victims) {
-        long span = 300 + random.nextInt(9_000);
-        victims.forEach(v -> v.freeze(span));
-        model.clock.run(span + 10);
+        long durationMs = 300 + random.nextInt(9_000);
+        victims.forEach(v -> v.freeze(durationMs));
+        cluster.clock.run(durationMs + 10);
     }
 
-    private void cut(List<SimulatedNode> victims, boolean oneWay) {
-        boolean out = random.nextBoolean();
+    private void partition(List<SimulatedNode> victims, boolean isOneWay) {
+        boolean isOutbound = random.nextBoolean();
         for (SimulatedNode victim : victims) {
-            for (SimulatedNode other : model.listedNodes()) {
+            for (SimulatedNode other : cluster.nodes()) {
                 if (victims.contains(other)) {
                     continue;
                 }
-                if (!oneWay) {
-                    model.network.cut(victim.address, other.address);
-                } else if (out) {
-                    model.network.cutOneWay(victim.address, other.address);
+                if (!isOneWay) {
+                    cluster.network.partition(victim.address, other.address);
+                } else if (isOutbound) {
+                    cluster.network.partitionOneWay(victim.address, other.address);
                 } else {
-                    model.network.cutOneWay(other.address, victim.address);
+                    cluster.network.partitionOneWay(other.address, victim.address);
                 }
             }
         }
@@ -188,9 +191,9 @@
 
     /** The machines are gone for good; empty ones come a second later at new addresses. */
     private void replace(List<SimulatedNode> victims) {
-        victims.forEach(model::remove);
-        model.clock.run(1_000);
-        victims.forEach(v -> model.addMachine().start(false));
+        victims.forEach(cluster::remove);
+        cluster.clock.run(1_000);
+        victims.forEach(v -> cluster.addMachine().start(false));
     }
 
     /**
@@ -199,22 +202,22 @@
      */
     private void replacePlanned(List<SimulatedNode> victims) {
         List<SimulatedNode> added = new ArrayList<>();
-        victims.forEach(v -> added.add(model.addMachine()));
+        victims.forEach(v -> added.add(cluster.addMachine()));
         added.forEach(a -> a.start(false));
-        long whole = model.clock.now() + model.catchUpMs();
-        model.clock.run(random.nextBoolean() ? 1_000 : model.catchUpMs() + random.nextInt(500));
-        int[] left = {victims.size()};
+        long caughtUpAtMs = cluster.clock.now() + cluster.catchUpMs();
+        cluster.clock.run(random.nextBoolean() ? 1_000 : cluster.catchUpMs() + random.nextInt(500));
+        int[] remaining = {victims.size()};
         for (SimulatedNode victim : victims) {
             victim.terminate(
                     () -> {
-                        model.remove(victim);
-                        left[0]--;
+                        cluster.remove(victim);
+                        remaining[0]--;
                     });
         }
-        for (long waited = 0; left[0] > 0 && waited < LEAVING_TAKES; waited++) {
-            model.clock.run(1);
+        for (long waitedMs = 0; remaining[0] > 0 && waitedMs < LEAVE_TIMEOUT_MS; waitedMs++) {
+            cluster.clock.run(1);
         }
-        nextAfter = Math.max(0, whole - model.clock.now());
+        pauseMs = Math.max(0, caughtUpAtMs - cluster.clock.now());
     }
 
     /** Asked to end and started again, with the disk as it was. */
@@ -222,45 +225,45 @@
         for (SimulatedNode victim : victims) {
             victim.terminate(
                     () ->
-                            model.clock.schedule(
+                            cluster.clock.schedule(
                                     200,
                                     () -> {
-                                        if (!victim.up()) {
+                                        if (!victim.isUp()) {
                                             victim.start(false);
                                         }
                                     }));
         }
-        model.clock.run(5_000);
+        cluster.clock.run(5_000);
     }
 
-    private void disks(List<SimulatedNode> victims, SimulatedDisk.Mode mode) {
-        during(victims, v -> v.disk().mode(mode), 1_000 + random.nextInt(8_000));
+    private void setDiskModes(List<SimulatedNode> victims, SimulatedDisk.Mode mode) {
+        during(victims, v -> v.disk().setMode(mode), 1_000 + random.nextInt(8_000));
     }
 
     private void halves() {
-        List<SimulatedNode> nodes = model.listedNodes();
+        List<SimulatedNode> nodes = cluster.nodes();
         for (SimulatedNode one : nodes.subList(0, nodes.size() / 2)) {
             for (SimulatedNode other : nodes.subList(nodes.size() / 2, nodes.size())) {
-                model.network.cut(one.address, other.address);
+                cluster.network.partition(one.address, other.address);
             }
         }
-        model.clock.run(1_000 + random.nextInt(5_000));
-        model.mend();
+        cluster.clock.run(1_000 + random.nextInt(5_000));
+        cluster.heal();
     }
 
-    /** More is cut off than may be lost at a time: nothing has to be served, nothing is lost. */
-    private void secondCut(List<SimulatedNode> victims) {
-        List<SimulatedNode> nodes = model.listedNodes();
+    /** More is partitioned than may be lost at a time: nothing has to be served, nothing is lost. */
+    private void secondPartition(List<SimulatedNode> victims) {
+        List<SimulatedNode> nodes = cluster.nodes();
         victims.forEach(SimulatedNode::kill);
-        model.clock.run(random.nextInt(1_500));
+        cluster.clock.run(random.nextInt(1_500));
         SimulatedNode other = nodes.get(random.nextInt(nodes.size()));
         for (SimulatedNode node : nodes) {
             if (node != other) {
-                model.network.cut(node.address, other.address);
+                cluster.network.partition(node.address, other.address);
             }
         }
-        model.clock.run(500 + random.nextInt(2_500));
-        model.mend();
-        model.clock.run(1_000);
+        cluster.clock.run(500 + random.nextInt(2_500));
+        cluster.heal();
+        cluster.clock.run(1_000);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/HistoryChecker.java
+++ b/src/test/java/myrtleladder/controlplane/model/HistoryChecker.java
@@ -7,121 +7,134 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What callers from outside have seen, and what of it contradicts a promise of the system. */
+/**
+ * Records what external clients have seen, and reports what of it violates an invariant of the
+ * control plane.
+ */
 final class HistoryChecker {
-    private static final int MOST = 5;
-
-    private final List<String> faults = new ArrayList<>();
-    private final Map<Long, String> acknowledged = new HashMap<>();
-    private final Map<Long, String> baseTaken = new HashMap<>();
-    private final Map<String, Long> orderOfBody = new HashMap<>();
-    private final Set<String> refused = new HashSet<>();
-    private final Set<String> inForce = new HashSet<>();
-    private final Map<Long, String> primaryOfEpoch = new HashMap<>();
-    private final Map<String, Long> departed = new HashMap<>();
-    private long newest;
-    private long lastAcknowledgedAt;
-    private int acknowledgements;
-    private int departures;
-
-    List<String> faults() {
-        return faults;
+    private static final int MAX_VIOLATIONS = 5;
+
+    private final List<String> violations = new ArrayList<>();
+    private final Map<Long, String> changeByGeneration = new HashMap<>();
+    private final Map<Long, String> changeByBase = new HashMap<>();
+    private final Map<String, Long> generationByChange = new HashMap<>();
+    private final Set<String> rejectedChanges = new HashSet<>();
+    private final Set<String> shownChanges = new HashSet<>();
+    private final Map<Long, String> primaryByEpoch = new HashMap<>();
+    private final Map<String, Long> departedAtMs = new HashMap<>();
+    private long newestAcknowledged;
+    private long lastAcknowledgedAtMs;
+    private int acknowledgementCount;
+    private int departureCount;
+
+    /** The first violations, in plain text. */
+    List<String> violations() {
+        return violations;
     }
 
-    void fault(String what) {
-        if (faults.size() < MOST) {
-            faults.add(what);
+    /** Adds a violation that the caller has found. */
+    void addViolation(String description) {
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(description);
         }
     }
 
     /** The highest generation that was acknowledged. */
-    long newest() {
-        return newest;
+    long newestAcknowledged() {
+        return newestAcknowledged;
     }
 
-    long lastAcknowledgedAt() {
-        return lastAcknowledgedAt;
+    /** When the last change was acknowledged. */
+    long lastAcknowledgedAtMs() {
+        return lastAcknowledgedAtMs;
     }
 
-    int acknowledgements() {
-        return acknowledgements;
+    /** How many acknowledgements of changes operators have received. */
+    int acknowledgementCount() {
+        return acknowledgementCount;
     }
 
-    /** How many orders and departures were acknowledged. */
-    int promises() {
-        return acknowledgements + departures;
+    /** How many acknowledgements of changes, and of departures, were received. */
+    int commitmentCount() {
+        return acknowledgementCount + departureCount;
     }
 
-    /** An order was sent for the first time. */
-    void ordered(OperatorChange order) {
-        orderOfBody.put(order.name(), order.generation());
+    /** Records that a change is sent for the first time. */
+    void recordSent(OperatorChange change) {
+        generationByChange.put(change.name(), change.generation());
     }
 
-    /** An operator has an acknowledgement in hands. */
-    void acknowledged(OperatorChange order, long now) {
-        String other = acknowledged.putIfAbsent(order.generation(), order.name());
-        if (other != null && !other.equals(order.name())) {
-            fault("generation " + order.generation() + " acknowledged twice");
+    /** Records that an operator has received an acknowledgement. */
+    void recordAcknowledged(OperatorChange change, long nowMs) {
+        String other = changeByGeneration.putIfAbsent(change.generation(), change.name());
+        if (other != null && !other.equals(change.name())) {
+            addViolation("generation " + change.generation() + " acknowledged twice");
         }
-        String onBase = baseTaken.putIfAbsent(order.match(), order.name());
-        if (onBase != null && !onBase.equals(order.name())) {
-            fault("two changes on generation " + order.match() + " acknowledged");
+        String sameBase = changeByBase.putIfAbsent(change.base(), change.name());
+        if (sameBase != null && !sameBase.equals(change.name())) {
+            addViolation("two changes on generation " + change.base() + " acknowledged");
         }
-        if (refused.contains(order.name())) {
-            fault(order + " acknowledged after a refusal");
+        if (rejectedChanges.contains(change.name())) {
+            addViolation(change + " acknowledged after a refusal");
         }
-        newest = Math.max(newest, order.generation());
-        lastAcknowledgedAt = now;
-        acknowledgements++;
+        newestAcknowledged = Math.max(newestAcknowledged, change.generation());
+        lastAcknowledgedAtMs = nowMs;
+        acknowledgementCount++;
     }
 
-    /** An operator has a clear refusal in hands. */
-    void refused(OperatorChange order, int status) {
-        refused.add(order.name());
-        if (inForce.contains(order.name())) {
-            fault(order + " is in force and refused with " + status);
+    /** Records that an operator has received a rejection. */
+    void recordRejected(OperatorChange change, int status) {
+        rejectedChanges.add(change.name());
+        if (shownChanges.contains(change.name())) {
+            addViolation(change + " is in force and refused with " + status);
         }
     }
 
-    /** Somebody was shown a configuration as the one in force. */
-    void shown(String name, long generation, String where) {
-        Long sent = orderOfBody.get(name);
-        if (sent == null || sent != generation) {
-            fault(where + " shows " + name + " under generation " + generation);
+    /** Checks a configuration that was shown as the one in force. */
+    void checkShown(String change, long generation, String where) {
+        Long sentGeneration = generationByChange.get(change);
+        if (sentGeneration == null || sentGeneration != generation) {
+            addViolation(where + " shows " + change + " under generation " + generation);
         }
-        if (refused.contains(name)) {
-            fault(where + " shows " + name + ", which was refused");
+        if (rejectedChanges.contains(change)) {
+            addViolation(where + " shows " + change + ", which was refused");
         }
-        inForce.add(name);
+        shownChanges.add(change);
     }
 
-    /** A read or poll that was sent when {@code bound} was acknowledged was answered. */
-    void notOlder(long generation, long bound, String where) {
-        if (generation < bound) {
-            fault(where + " answers generation " + generation + " after " + bound);
+    /** Checks that a response is not older than what was acknowledged before its request. */
+    void checkNotOlder(long generation, long minGeneration, String where) {
+        if (generation < minGeneration) {
+            addViolation(where + " answers generation " + generation + " after " + minGeneration);
         }
     }
 
-    /** A node leads an epoch. */
-    void primary(long epoch, String address) {
-        String before = primaryOfEpoch.putIfAbsent(epoch, address);
-        if (before != null && !before.equals(address)) {
-            fault("epoch " + epoch + " has " + before + " and " + address);
+    /** Records that a node leads an epoch, and checks that no other does. */
+    void recordPrimary(long epoch, String address) {
+        String known = primaryByEpoch.putIfAbsent(epoch, address);
+        if (known != null && !known.equals(address)) {
+            addViolation("epoch " + epoch + " has " + known + " and " + address);
         }
     }
 
-    /** An upstream has the acknowledgement of its departure in hands. */
-    void departed(String instance, long now) {
-        if (departed.putIfAbsent(instance, now) == null) {
-            departures++;
+    /** Records that an upstream has received the acknowledgement of its departure. */
+    void recordDeparted(String instance, long nowMs) {
+        if (departedAtMs.putIfAbsent(instance, nowMs) == null) {
+            departureCount++;
         }
     }
 
-    /** A balancer was told that an instance is ready, by a poll sent at the given time. */
-    void shownReady(String instance, long sentAt, long allowance, String where) {
-        Long at = departed.get(instance);
-        if (at != null && sentAt > at + allowance) {
-            fault(where + " shows " + instance + " ready, gone for " + (sentAt - at) + " ms");
+    /** Checks an instance that a poll, sent at the given time, showed as ready. */
+    void checkShownReady(String instance, long sentAtMs, long allowanceMs, String where) {
+        Long departedMs = departedAtMs.get(instance);
+        if (departedMs != null && sentAtMs > departedMs + allowanceMs) {
+            addViolation(
+                    where
+                            + " shows "
+                            + instance
+                            + " ready, gone for "
+                            + (sentAtMs - departedMs)
+                            + " ms");
         }
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/MessageForger.java
+++ b/src/test/java/myrtleladder/controlplane/model/MessageForger.java
@@ -14,38 +14,38 @@
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.View;
 
-/** Takes a guard out of the protocol by forging what the network carries. */
+/** Removes a safeguard from the protocol by forging or changing what the network carries. */
 final class MessageForger {
-    private final Safeguard missing;
-    private final SimulatedCluster model;
+    private final Safeguard removed;
+    private final SimulatedCluster cluster;
 
-    MessageForger(Safeguard missing, SimulatedCluster model) {
-        this.missing = missing;
-        this.model = model;
+    MessageForger(Safeguard removed, SimulatedCluster cluster) {
+        this.removed = removed;
+        this.cluster = cluster;
     }
 
-    /** An answer that the network gives in place of the node that is called, null for none. */
-    Message answerInstead(SimulatedNode caller, String to, Message message) {
-        if (missing == null) {
+    /** The response that the network gives in place of the node that is called, null for none. */
+    Message forgedResponse(SimulatedNode caller, String to, Message message) {
+        if (removed == null) {
             return null;
         }
         Member called = memberAt(caller, to, message);
         if (called == null) {
             return null;
         }
-        return switch (missing) {
+        return switch (removed) {
             case COPY_BEFORE_VIEW ->
                     message instanceof InstallStateRequest install
-                            ? yes(install.epoch, called)
+                            ? acknowledgement(install.epoch, called)
                             : null;
-            case MAJORITY_OF_THE_GROUP -> vote(message, called);
-            case MAJORITY_OF_THE_GROUP_BEFORE ->
-                    dropped(caller, called) ? vote(message, called) : null;
-            case ROUND_TRIP_BEFORE_A_READ ->
-                    message instanceof HeartbeatRequest beat ? yes(beat.view.epoch, called) : null;
+            case MAJORITY_OF_GROUP -> vote(message, called);
+            case MAJORITY_OF_PREVIOUS_GROUP ->
+                    isDropped(caller, called) ? vote(message, called) : null;
+            case ROUND_TRIP_BEFORE_READ ->
+                    message instanceof HeartbeatRequest beat ? acknowledgement(beat.view.epoch, called) : null;
             case SWAP_AT_ADMISSION ->
-                    message instanceof HeartbeatRequest beat && !model.reaches(caller.address, to)
-                            ? yes(beat.view.epoch, called)
+                    message instanceof HeartbeatRequest beat && !cluster.isRunningAt(to)
+                            ? acknowledgement(beat.view.epoch, called)
                             : null;
             default -> null;
         };
@@ -59,15 +59,15 @@
             promise.member = called;
             return promise;
         }
-        return message instanceof AcceptViewRequest accept ? yes(accept.view.epoch, called) : null;
+        return message instanceof AcceptViewRequest accept ? acknowledgement(accept.view.epoch, called) : null;
     }
 
-    private static AcknowledgeResponse yes(long epoch, Member member) {
+    private static AcknowledgeResponse acknowledgement(long epoch, Member member) {
         return AcknowledgeResponse.of(true, epoch, member);
     }
 
-    /** Whether a member belongs to the group before a change of the group alone. */
-    private static boolean dropped(SimulatedNode caller, Member called) {
+    /** Whether a member belongs only to the group before a reconfiguration. */
+    private static boolean isDropped(SimulatedNode caller, Member called) {
         View view = caller.replica().view();
         return view != null
                 && !caller.address.equals(called.address)
@@ -90,20 +90,21 @@
         return null;
     }
 
-    /** A message as the receiving node takes it. */
-    Message received(SimulatedNode node, Message message) {
-        if (missing == Safeguard.EPOCH_IN_EACH_MESSAGE) {
-            raise(node, message);
-        } else if (missing == Safeguard.DIGEST_OF_AN_ORDER) {
-            forgetOrders(message);
-        } else if (missing == Safeguard.DURABLE_DEPARTURE
+    /** Changes a message on its way to the node that receives it. */
+    Message tamper(SimulatedNode node, Message message) {
+        if (removed == Safeguard.EPOCH_IN_EACH_MESSAGE) {
+            raiseEpoch(node, message);
+        } else if (removed == Safeguard.CHANGE_DIGEST) {
+            forgetChangeDigests(message);
+        } else if (removed == Safeguard.DURABLE_DEPARTURE
                 && message instanceof ShareInstancesRequest share) {
             share.durably = false;
         }
         return message;
     }
 
-    private static void raise(SimulatedNode node, Message message) {
+    /** Makes any message look as if it were of the epoch that the node has promised. */
+    private static void raiseEpoch(SimulatedNode node, Message message) {
         long promised = node.replica().epoch();
         View accepted = node.replica().view();
         if (message instanceof ReplicateRequest replicate && accepted != null) {
@@ -119,7 +120,7 @@
         }
     }
 
-    private static void forgetOrders(Message message) {
+    private static void forgetChangeDigests(Message message) {
         if (message instanceof ReplicateRequest replicate) {
             replicate.order = "forgotten";
         } else if (message instanceof InstallStateRequest install) {
--- a/src/test/java/myrtleladder/controlplane/model/OperatorChange.java
+++ b/src/test/java/myrtleladder/controlplane/model/OperatorChange.java
@@ -2,35 +2,41 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** An order of an operator: a whole configuration whose one service has the order's name. */
-record OperatorChange(String name, long match, long generation) {
+/**
+ * A change that an operator sends: a whole configuration with one service that has the change's
+ * name.
+ *
+ * @param base the generation that {@code If-Match} names
+ * @param generation the generation that the change leads to
+ */
+record OperatorChange(String name, long base, long generation) {
     private static final String SERVICE = "{\"name\":\"";
+    private static final String GENERATION = "\"generation\":";
 
     byte[] body() {
-        String text =
-                "{\"generation\":" + generation + ",\"services\":[" + SERVICE + name + "\"}]}";
+        String text = "{" + GENERATION + generation + ",\"services\":[" + SERVICE + name + "\"}]}";
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The name of the order whose configuration a document is. */
+    /** The name of the change that led to a document, empty if there is none. */
     static String nameIn(byte[] document) {
         String text = new String(document, StandardCharsets.UTF_8);
-        int start = text.indexOf(SERVICE);
-        if (start < 0) {
+        int service = text.indexOf(SERVICE);
+        if (service < 0) {
             return "";
         }
-        int from = start + SERVICE.length();
-        return text.substring(from, text.indexOf('"', from));
+        int start = service + SERVICE.length();
+        return text.substring(start, text.indexOf('"', start));
     }
 
-    /** The generation that a document tells. */
+    /** The generation of a document. */
     static long generationIn(byte[] document) {
         String text = new String(document, StandardCharsets.UTF_8);
-        int from = text.indexOf("\"generation\":") + "\"generation\":".length();
-        int end = from;
+        int start = text.indexOf(GENERATION) + GENERATION.length();
+        int end = start;
         while (end < text.length() && Character.isDigit(text.charAt(end))) {
             end++;
         }
-        return Long.parseLong(text.substring(from, end));
+        return Long.parseLong(text.substring(start, end));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/RandomFaultScheduleTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/RandomFaultScheduleTest.java
@@ -7,32 +7,32 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Drawn schedules of losses as close to each other as the deployments allow. */
+/** Random schedules of faults as close to each other as the deployments allow. */
 class RandomFaultScheduleTest {
-    private static final int SHOWN = 5;
+    private static final int MAX_SHOWN = 5;
 
     @Test
-    void drawnSchedulesKeepWhatWasAcknowledged() {
-        assertEquals(List.of(), found(0, 1_000));
+    void randomFaultsLoseNothingThatWasAcknowledged() {
+        assertEquals(List.of(), violations(0, 1_000));
     }
 
     @Test
     @Tag("long")
-    void manyDrawnSchedulesKeepWhatWasAcknowledged() {
-        assertEquals(List.of(), found(1_000, 101_000));
+    void manyRandomFaultsLoseNothingThatWasAcknowledged() {
+        assertEquals(List.of(), violations(1_000, 101_000));
     }
 
-    static List<String> found(long from, long to) {
+    private static List<String> violations(long from, long to) {
         return LongStream.range(from, to)
                 .parallel()
-                .mapToObj(RandomFaultScheduleTest::faults)
-                .filter(faults -> !faults.isEmpty())
-                .limit(SHOWN)
+                .mapToObj(RandomFaultScheduleTest::violations)
+                .filter(violations -> !violations.isEmpty())
+                .limit(MAX_SHOWN)
                 .toList();
     }
 
-    private static String faults(long seed) {
-        List<String> faults = FaultSchedule.faults(seed, null);
-        return faults.isEmpty() ? "" : seed + ": " + faults;
+    private static String violations(long seed) {
+        List<String> violations = FaultSchedule.violations(seed, null);
+        return violations.isEmpty() ? "" : seed + ": " + violations;
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SafeguardRemovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/SafeguardRemovalTest.java
@@ -7,18 +7,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Without any one of its guards the protocol fails in some drawn schedule, so the model notices.
+ * Without any one of its safeguards the protocol fails in some random schedule: the simulation would
+ * notice it.
  */
 class SafeguardRemovalTest {
-    private static final long MOST = 3_000;
+    private static final long MAX_SEEDS = 3_000;
 
     @ParameterizedTest
     @EnumSource(Safeguard.class)
-    void aScheduleFailsWithoutThisGuard(Safeguard missing) {
-        boolean noticed =
-                LongStream.range(0, MOST)
+    void someScheduleFailsWithoutTheSafeguard(Safeguard removed) {
+        boolean isNoticed =
+                LongStream.range(0, MAX_SEEDS)
                         .parallel()
-                        .anyMatch(seed -> !FaultSchedule.faults(seed, missing).isEmpty());
-        assertTrue(noticed, "nothing fails without " + missing);
+                        .anyMatch(seed -> !FaultSchedule.violations(seed, removed).isEmpty());
+        assertTrue(isNoticed, "nothing fails without " + removed);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -13,39 +13,34 @@
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.protocol.UpstreamLoad;
 
-/** A balancer as the control plane sees it: it polls, and never goes back. */
+/** A balancer as the control plane sees it: polls, and never goes back to an older generation. */
 final class SimulatedBalancer {
-    private static final long TIMEOUT = 750;
-    private static final long PAUSE = 50;
+    private static final long TIMEOUT_MS = 750;
+    private static final long RETRY_MS = 50;
     private static final int UPSTREAM = 7;
-    private static final int REQUESTS = 5;
+    private static final int REQUESTS_IN_FLIGHT = 5;
 
-    private final SimulatedCluster model;
+    private final SimulatedCluster cluster;
     private final String name;
-    private String target = "";
+    private String target = ""; // empty for none
     private long epoch;
     private long generation;
     private long revision;
     private boolean complete;
-    private long newestAtAsk;
-    private long reports;
+    private long newestWhenSent;
+    private long reportCount;
     private long fleetEpoch;
     private long promptRevision;
 
-    SimulatedBalancer(SimulatedCluster model, String name) {
-        this.model = model;
+    SimulatedBalancer(SimulatedCluster cluster, String name) {
+        this.cluster = cluster;
         this.name = name;
     }
 
-    /** The generation in force here. */
-    long generation() {
-        return generation;
-    }
-
     void poll() {
-        List<SimulatedNode> nodes = model.listedNodes();
+        List<SimulatedNode> nodes = cluster.nodes();
         if (target.isEmpty()) {
-            target = nodes.get(model.random.nextInt(nodes.size())).address;
+            target = nodes.get(cluster.random.nextInt(nodes.size())).address;
         }
         PollRequest poll = new PollRequest();
         poll.balancer = name;
@@ -54,75 +49,74 @@
         poll.generation = generation;
         poll.revision = revision;
         poll.complete = complete;
-        poll.load = report();
-        long sentAt = model.clock.now();
-        newestAtAsk = model.history.newest();
-        SimulatedNode.OneAnswer once =
-                new SimulatedNode.OneAnswer(reply -> answered(sentAt, reply));
-        model.clock.schedule(TIMEOUT, () -> once.accept(null));
+        poll.load = loadReport();
+        long sentAtMs = cluster.clock.now();
+        newestWhenSent = cluster.history.newestAcknowledged();
+        FirstResponse first = new FirstResponse(response -> handle(sentAtMs, response));
+        cluster.clock.schedule(TIMEOUT_MS, () -> first.accept(null));
         byte[] bytes = MessageCodec.encode(poll);
         String to = target;
-        model.network.carry(name, to, () -> model.arrive(to, bytes, name, once::accept));
+        cluster.network.carry(name, to, () -> cluster.deliver(to, bytes, name, first::accept));
     }
 
-    private void answered(long sentAt, Message message) {
-        if (!(message instanceof PollResponse reply)) {
+    private void handle(long sentAtMs, Message message) {
+        if (!(message instanceof PollResponse response)) {
             target = "";
-        } else if (!reply.valid || reply.epoch < epoch) {
-            target = reply.primary.equals(target) ? "" : reply.primary;
+        } else if (!response.valid || response.epoch < epoch) {
+            target = response.primary.equals(target) ? "" : response.primary;
         } else {
-            take(reply, sentAt);
+            apply(response, sentAtMs);
             poll();
             return;
         }
-        model.clock.schedule(PAUSE, this::poll);
+        cluster.clock.schedule(RETRY_MS, this::poll);
     }
 
-    /** Each balancer has as much under way as the others, so sums that double show. */
-    private LoadReport report() {
+    /** Each balancer has as much in flight as the others, so sums that count twice are noticed. */
+    private LoadReport loadReport() {
         LoadReport report = new LoadReport();
         report.balancer = name;
         report.process = 1;
-        report.sequence = ++reports;
+        report.sequence = ++reportCount;
         report.epoch = fleetEpoch;
         report.promptRevision = promptRevision;
-        report.loads.add(UpstreamLoad.of(UPSTREAM, REQUESTS, 0));
+        report.loads.add(UpstreamLoad.of(UPSTREAM, REQUESTS_IN_FLIGHT, 0));
         report.prompts.add(CachedPrompt.of(name.hashCode(), UPSTREAM));
         return report;
     }
 
-    private void takeLoads(FleetLoads told) {
-        fleetEpoch = told.epoch;
-        promptRevision = told.promptRevision;
-        int most = REQUESTS * (model.balancers.size() - 1);
-        for (UpstreamLoad load : told.loads) {
-            if (load.upstream != UPSTREAM || load.requests > most) {
-                model.history.fault(name + " is told " + load.requests + " requests of " + most);
+    private void checkLoads(FleetLoads loads) {
+        fleetEpoch = loads.epoch;
+        promptRevision = loads.promptRevision;
+        int maxRequests = REQUESTS_IN_FLIGHT * (cluster.balancers.size() - 1);
+        for (UpstreamLoad load : loads.loads) {
+            if (load.upstream != UPSTREAM || load.requests > maxRequests) {
+                cluster.history.addViolation(name + " is told " + load.requests + " requests of " + maxRequests);
             }
         }
-        if (told.prompts.size() > model.balancers.size()) {
-            model.history.fault(name + " is told of " + told.prompts.size() + " prompts");
+        if (loads.prompts.size() > cluster.balancers.size()) {
+            cluster.history.addViolation(name + " is told of " + loads.prompts.size() + " prompts");
         }
     }
 
-    private void take(PollResponse reply, long sentAt) {
-        if (reply.loads != null) {
-            takeLoads(reply.loads);
+    private void apply(PollResponse response, long sentAtMs) {
+        if (response.loads != null) {
+            checkLoads(response.loads);
         }
-        complete = reply.complete || complete && reply.epoch == epoch;
-        epoch = reply.epoch;
-        revision = reply.revision;
-        if (reply.generation > generation && reply.document.length > 0) {
-            byte[] document = Compression.inflate(reply.document);
-            model.history.shown(OperatorChange.nameIn(document), reply.generation, name);
-            generation = reply.generation;
+        complete = response.complete || complete && response.epoch == epoch;
+        epoch = response.epoch;
+        revision = response.revision;
+        if (response.generation > generation && response.document.length > 0) {
+            byte[] document = Compression.inflate(response.document);
+            cluster.history.checkShown(OperatorChange.nameIn(document), response.generation, name);
+            generation = response.generation;
         }
-        if (sentAt > model.history.lastAcknowledgedAt() + SimulatedCluster.STALE_POLL_MS) {
-            model.history.notOlder(generation, newestAtAsk, "poll of " + name);
+        if (sentAtMs > cluster.history.lastAcknowledgedAtMs() + SimulatedCluster.MAX_POLL_STALENESS_MS) {
+            cluster.history.checkNotOlder(generation, newestWhenSent, "poll of " + name);
         }
-        for (InstanceRecord record : reply.instances) {
+        for (InstanceRecord record : response.instances) {
             if (record.stage == Stage.READY) {
-                model.history.shownReady(record.id, sentAt, SimulatedCluster.STALE_POLL_MS, name);
+                cluster.history.checkShownReady(record.id, sentAtMs, SimulatedCluster.MAX_POLL_STALENESS_MS, name);
             }
         }
     }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
@@ -11,62 +11,101 @@
 import myrtleladder.replication.ManualScheduler;
 
 /**
- * The control side on one manual clock: nodes that run the code under test, with disks and links,
- * and everybody who calls them. What the callers have seen is judged by a {@link HistoryChecker}.
+ * The control plane in simulated time: nodes that run the code under test, with disks and links, and
+ * the operators, readers, balancers and upstreams that call them. A {@link HistoryChecker} judges
+ * what the callers have seen. The same seed gives the same run.
  */
 final class SimulatedCluster {
-    /** How long an answer to a poll may lag behind an acknowledgement. */
-    static final long STALE_POLL_MS = 800;
+    /** How long after a change is acknowledged polls may still be answered without it. */
+    static final long MAX_POLL_STALENESS_MS = 800;
 
-    private static final int SEEDS = 3;
-    private static final long RETURN_WITHIN = 800;
-    private static final int BALANCERS = 2;
-    private static final int UPSTREAMS = 2;
+    /** The catch-up time of the settings. */
+    static final long CATCH_UP_MS = 4_000;
+
+    private static final int SEED_COUNT = 3;
+    private static final int BALANCER_COUNT = 2;
+    private static final int UPSTREAM_COUNT = 2;
+    private static final int FIRST_START_SPREAD_MS = 300;
+    private static final long FIRST_ELECTION_MS = 2_500;
+    private static final long RESTART_SPREAD_MS = 800;
 
     final ManualScheduler clock = new ManualScheduler();
     final SplittableRandom random;
     final SimulatedNetwork network;
     final HistoryChecker history = new HistoryChecker();
+
+    /** How many machines may be lost at a time. */
     final int tolerated;
+
     final List<SimulatedOperator> operators = new ArrayList<>();
     final List<SimulatedBalancer> balancers = new ArrayList<>();
-    private final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
-    private final List<SimulatedNode> listed = new ArrayList<>();
-    private final Safeguard missing;
+    private final Map<String, SimulatedNode> nodeByAddress = new LinkedHashMap<>();
+
+    /** The nodes that are not removed. */
+    private final List<SimulatedNode> nodes = new ArrayList<>();
+
+    private final Safeguard removedSafeguard;
     private final MessageForger forger;
-    private final long catchUpMs;
     private List<Member> seeds = new ArrayList<>();
-    private Consumer<SimulatedNode> onPoint = node -> {};
+    private Consumer<SimulatedNode> onFaultPoint = node -> {};
 
-    SimulatedCluster(long seed, int size, int tolerated, long catchUpMs, Safeguard missing) {
-        this.random = new SplittableRandom(seed);
+    private SimulatedCluster(Builder builder) {
+        this.random = new SplittableRandom(builder.seed);
         this.network = new SimulatedNetwork(clock, random);
-        this.tolerated = tolerated;
-        this.catchUpMs = catchUpMs;
-        this.missing = missing;
-        this.forger = new MessageForger(missing, this);
-        for (int i = 0; i < size; i++) {
-            SimulatedNode node = add();
-            if (i < SEEDS) {
+        this.tolerated = builder.tolerated;
+        this.removedSafeguard = builder.removedSafeguard;
+        this.forger = new MessageForger(removedSafeguard, this);
+        for (int i = 0; i < builder.size; i++) {
+            SimulatedNode node = addMachine();
+            if (i < SEED_COUNT) {
                 seeds.add(Member.of(node.address, node.control, ""));
             }
         }
     }
 
-    private SimulatedNode add() {
-        SimulatedNode node = new SimulatedNode(this, nodes.size());
-        nodes.put(node.address, node);
-        listed.add(node);
-        return node;
+    /** A cluster with this number of nodes; it tolerates as many losses as that number allows. */
+    static Builder ofSize(int size) {
+        return new Builder(size);
+    }
+
+    /** Sets a cluster up. */
+    static final class Builder {
+        private static final int MIN_SIZE_FOR_TWO_LOSSES = 5;
+
+        private final int size;
+        private long seed;
+        private int tolerated;
+        private Safeguard removedSafeguard;
+
+        private Builder(int size) {
+            this.size = size;
+            this.tolerated = size >= MIN_SIZE_FOR_TWO_LOSSES ? 2 : 1;
+        }
+
+        /** Determines all that is random. */
+        Builder seed(long value) {
+            seed = value;
+            return this;
+        }
+
+        /** Leaves a safeguard out of the protocol; null for none. */
+        Builder without(Safeguard safeguard) {
+            removedSafeguard = safeguard;
+            return this;
+        }
+
+        SimulatedCluster build() {
+            return new SimulatedCluster(this);
+        }
     }
 
-    /** Starts all nodes for the first time, then whoever calls them. */
-    void begin() {
-        for (SimulatedNode node : listed) {
-            clock.schedule(random.nextInt(300), () -> node.start(true));
+    /** Starts all nodes for the first time, then those who call them. */
+    void start() {
+        for (SimulatedNode node : nodes) {
+            clock.schedule(random.nextInt(FIRST_START_SPREAD_MS), () -> node.start(true));
         }
-        clock.run(2_500);
-        for (int i = 0; i < BALANCERS; i++) {
+        clock.run(FIRST_ELECTION_MS);
+        for (int i = 0; i < BALANCER_COUNT; i++) {
             SimulatedBalancer balancer = new SimulatedBalancer(this, "e" + i);
             balancers.add(balancer);
             balancer.poll();
@@ -74,16 +113,17 @@
         for (String name : List.of("first", "second")) {
             SimulatedOperator operator = new SimulatedOperator(this, name);
             operators.add(operator);
-            operator.next();
+            operator.startChange();
         }
         new SimulatedReader(this).read();
-        for (int i = 0; i < UPSTREAMS; i++) {
+        for (int i = 0; i < UPSTREAM_COUNT; i++) {
             new SimulatedUpstream(this, "u" + i).start();
         }
     }
 
-    boolean without(Safeguard guard) {
-        return missing == guard;
+    /** Whether this run goes without a safeguard. */
+    boolean isRemoved(Safeguard safeguard) {
+        return removedSafeguard == safeguard;
     }
 
     MessageForger forger() {
@@ -91,7 +131,7 @@
     }
 
     long catchUpMs() {
-        return catchUpMs;
+        return CATCH_UP_MS;
     }
 
     List<Member> seeds() {
@@ -99,39 +139,43 @@
     }
 
     boolean isSeed(String address) {
-        return seeds.stream().anyMatch(s -> s.address.equals(address));
+        return seeds.stream().anyMatch(seed -> seed.address.equals(address));
     }
 
-    /** The settings name other seeds from now on: processes that start read them. */
-    void exchangeSeeds() {
+    /** Makes the last nodes the seeds: processes that start from now on read them. */
+    void replaceSeeds() {
         seeds = new ArrayList<>();
-        for (SimulatedNode node :
-                listed.subList(Math.max(0, listed.size() - SEEDS), listed.size())) {
+        int first = Math.max(0, nodes.size() - SEED_COUNT);
+        for (SimulatedNode node : nodes.subList(first, nodes.size())) {
             seeds.add(Member.of(node.address, node.control, ""));
         }
     }
 
-    /** The nodes of the platform's list. */
-    List<SimulatedNode> listedNodes() {
-        return listed;
+    /** The nodes of the platform's list: all that are not removed. */
+    List<SimulatedNode> nodes() {
+        return nodes;
     }
 
-    /** Another machine with an empty disk at a new address. */
+    /** Adds a machine with an empty disk at a new address; it is not started. */
     SimulatedNode addMachine() {
-        return add();
+        SimulatedNode node = new SimulatedNode(this, nodeByAddress.size());
+        nodeByAddress.put(node.address, node);
+        nodes.add(node);
+        return node;
     }
 
-    /** A machine is removed for good. */
+    /** Removes a machine for good. */
     void remove(SimulatedNode node) {
         node.powerOff();
-        listed.remove(node);
+        nodes.remove(node);
         if (isSeed(node.address)) {
-            exchangeSeeds();
+            replaceSeeds();
         }
     }
 
-    SimulatedNode nodeAt(String location) {
-        for (SimulatedNode node : nodes.values()) {
+    /** The node to which a redirect leads, null if there is none. */
+    SimulatedNode nodeAtLocation(String location) {
+        for (SimulatedNode node : nodeByAddress.values()) {
             if (location.startsWith("http://" + node.control + "/")) {
                 return node;
             }
@@ -139,104 +183,110 @@
         return null;
     }
 
-    /** Whether two machines reach each other and the second one answers. */
-    boolean reaches(String from, String to) {
-        SimulatedNode peer = nodes.get(to);
-        return peer != null && peer.running();
+    /** Whether a process runs at an address, partitioned or not. */
+    boolean isRunningAt(String address) {
+        SimulatedNode node = nodeByAddress.get(address);
+        return node != null && node.isRunning();
     }
 
-    void arrive(String to, byte[] bytes, String from, Consumer<Message> back) {
-        SimulatedNode node = nodes.get(to);
+    /** Delivers a message that the network carried. */
+    void deliver(String to, byte[] bytes, String from, Consumer<Message> responder) {
+        SimulatedNode node = nodeByAddress.get(to);
         if (node != null) {
-            node.arrive(bytes, from, back);
+            node.receive(bytes, from, responder);
         }
     }
 
     /** The node that leads, null if none does. */
     SimulatedNode leader() {
-        SimulatedNode found = null;
-        for (SimulatedNode node : listed) {
-            boolean later =
-                    found == null || node.up() && node.replica().epoch() > found.replica().epoch();
-            if (node.up() && node.leads() && later) {
-                found = node;
+        SimulatedNode leader = null;
+        for (SimulatedNode node : nodes) {
+            boolean isLater =
+                    leader == null
+                            || node.isUp() && node.replica().epoch() > leader.replica().epoch();
+            if (node.isUp() && node.isLeading() && isLater) {
+                leader = node;
             }
         }
-        return found;
+        return leader;
     }
 
-    /** Calls {@code task} at each point of the protocol: sends, arrivals, syncs and answers. */
-    void atPoints(Consumer<SimulatedNode> task) {
-        onPoint = task;
+    /** Calls {@code task} at each point of the protocol: sends, arrivals, syncs and responses. */
+    void onFaultPoint(Consumer<SimulatedNode> task) {
+        onFaultPoint = task;
     }
 
-    void point(SimulatedNode node) {
-        onPoint.accept(node);
+    void reachFaultPoint(SimulatedNode node) {
+        onFaultPoint.accept(node);
     }
 
-    /** Checks a document that was read; its generation. */
-    long checkRead(byte[] document, long bound, String where) {
+    /**
+     * Checks a document that was read; its generation.
+     *
+     * @param minGeneration the newest generation that was acknowledged before the read was sent
+     */
+    long checkRead(byte[] document, long minGeneration, String reader) {
         long generation = OperatorChange.generationIn(document);
-        history.shown(OperatorChange.nameIn(document), generation, where);
-        history.notOlder(generation, bound, where);
+        history.checkShown(OperatorChange.nameIn(document), generation, reader);
+        history.checkNotOlder(generation, minGeneration, reader);
         return generation;
     }
 
-    /** Ends all troubles; nodes that are down start again. */
-    void mend() {
+    /** Ends all faults; nodes that are down start again. */
+    void heal() {
         network.heal();
-        for (SimulatedNode node : listed) {
+        for (SimulatedNode node : nodes) {
             node.thaw();
-            node.disk().mode(SimulatedDisk.Mode.SOUND);
+            node.disk().setMode(SimulatedDisk.Mode.SOUND);
         }
         // they come back together or one after the other
-        long spread = random.nextBoolean() ? 1 : RETURN_WITHIN;
-        for (SimulatedNode node : listed) {
-            if (!node.up()) {
-                clock.schedule(random.nextLong(spread), () -> startAgain(node));
+        long spreadMs = random.nextBoolean() ? 1 : RESTART_SPREAD_MS;
+        for (SimulatedNode node : nodes) {
+            if (!node.isUp()) {
+                clock.schedule(random.nextLong(spreadMs), () -> restart(node));
             }
         }
-        clock.run(spread);
+        clock.run(spreadMs);
     }
 
-    private void startAgain(SimulatedNode node) {
-        if (!node.up() && listed.contains(node)) {
+    private void restart(SimulatedNode node) {
+        if (!node.isUp() && nodes.contains(node)) {
             node.start(false);
         }
     }
 
-    /** Waits until an order or a departure is acknowledged, or for a time at most. */
-    void awaitPromise(long longest) {
-        int before = history.promises();
-        long end = clock.now() + longest;
-        while (clock.now() < end && history.promises() == before) {
+    /** Waits until a change or a departure is acknowledged, or for a time at most. */
+    void awaitCommitment(long timeoutMs) {
+        int before = history.commitmentCount();
+        long endMs = clock.now() + timeoutMs;
+        while (clock.now() < endMs && history.commitmentCount() == before) {
             clock.run(1);
         }
     }
 
-    /** Whether an order is acknowledged within a time from now on; none is lost on its way. */
-    void expectAcknowledgement(long within, String when) {
-        operators.forEach(operator -> operator.loses(0));
-        int before = history.acknowledgements();
-        long end = clock.now() + within;
-        while (clock.now() < end && history.acknowledgements() == before) {
+    /** Checks that a change is acknowledged within a time; no acknowledgement is lost meanwhile. */
+    void expectAcknowledgement(long timeoutMs, String situation) {
+        operators.forEach(operator -> operator.loseAcknowledgements(0));
+        int before = history.acknowledgementCount();
+        long endMs = clock.now() + timeoutMs;
+        while (clock.now() < endMs && history.acknowledgementCount() == before) {
             clock.run(100);
         }
-        if (history.acknowledgements() == before) {
-            history.fault("no order is acknowledged " + when + ": " + listed);
+        if (history.acknowledgementCount() == before) {
+            history.addViolation("no order is acknowledged " + situation + ": " + nodes);
         }
     }
 
-    /** Whether all nodes are members of one settled view. */
-    void expectWhole(String when) {
+    /** Checks that there is a primary and that all nodes are members of its view. */
+    void expectAllAreMembers(String situation) {
         SimulatedNode leader = leader();
         if (leader == null) {
-            history.fault("no primary " + when + ": " + listed);
+            history.addViolation("no primary " + situation + ": " + nodes);
             return;
         }
-        for (SimulatedNode node : listed) {
+        for (SimulatedNode node : nodes) {
             if (!leader.group().contains(node.replica().self())) {
-                history.fault(node.address + " is no member " + when + ": " + leader);
+                history.addViolation(node.address + " is no member " + situation + ": " + leader);
             }
         }
     }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedExchange.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedExchange.java
@@ -5,23 +5,23 @@
 import myrtleladder.io.Headers;
 import myrtleladder.io.RequestHead;
 
-/** A call at a control address whose answer is handed over once, whole. */
+/** A request at a control address whose response is passed on. */
 final class SimulatedExchange extends FakeServerExchange {
-    private final Consumer<SimulatedResponse> answered;
+    private final Consumer<SimulatedResponse> responder;
 
-    SimulatedExchange(RequestHead head, byte[] body, Consumer<SimulatedResponse> answered) {
+    SimulatedExchange(RequestHead head, byte[] body, Consumer<SimulatedResponse> responder) {
         super(head, body);
-        this.answered = answered;
+        this.responder = responder;
     }
 
     @Override
     public void respond(int status, Headers headers, byte[] bytes) {
         String location = headers.get("Location");
-        answered.accept(new SimulatedResponse(status, location == null ? "" : location, bytes));
+        responder.accept(new SimulatedResponse(status, location == null ? "" : location, bytes));
     }
 
     @Override
     public void abort() {
-        // the caller hears nothing and gives up by itself
+        // the client gets no response and runs into its timeout
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNetwork.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNetwork.java
@@ -5,29 +5,29 @@
 import java.util.SplittableRandom;
 import myrtleladder.replication.ManualScheduler;
 
-/** Links between machines: delays, cuts in one or both directions, and links that are slow. */
+/** The links between machines: delays, partitions in one or both directions, and slow links. */
 final class SimulatedNetwork {
-    private static final int DELAY = 4;
-    private static final int SLOW_DELAY = 1_500;
+    private static final int MAX_DELAY_MS = 4;
+    private static final int MAX_SLOW_DELAY_MS = 1_500;
 
     private final ManualScheduler clock;
     private final SplittableRandom random;
-    private final Set<String> cuts = new HashSet<>();
-    private final Set<String> slow = new HashSet<>();
+    private final Set<String> partitionedLinks = new HashSet<>();
+    private final Set<String> slowMachines = new HashSet<>();
 
     SimulatedNetwork(ManualScheduler clock, SplittableRandom random) {
         this.clock = clock;
         this.random = random;
     }
 
-    /** Carries something; what a cut holds up never arrives. */
+    /** Carries something; what a partition holds up never arrives. */
     void carry(String from, String to, Runnable arrival) {
-        boolean late = slow.contains(from) || slow.contains(to);
-        long delay = 1 + random.nextInt(late ? SLOW_DELAY : DELAY);
+        boolean isSlow = slowMachines.contains(from) || slowMachines.contains(to);
+        long delayMs = 1 + random.nextInt(isSlow ? MAX_SLOW_DELAY_MS : MAX_DELAY_MS);
         clock.schedule(
-                delay,
+                delayMs,
                 () -> {
-                    if (!cuts.contains(link(from, to))) {
+                    if (!partitionedLinks.contains(link(from, to))) {
                         arrival.run();
                     }
                 });
@@ -37,21 +37,21 @@
         return from + ">" + to;
     }
 
-    void cutOneWay(String from, String to) {
-        cuts.add(link(from, to));
+    void partitionOneWay(String from, String to) {
+        partitionedLinks.add(link(from, to));
     }
 
-    void cut(String one, String other) {
-        cutOneWay(one, other);
-        cutOneWay(other, one);
+    void partition(String one, String other) {
+        partitionOneWay(one, other);
+        partitionOneWay(other, one);
     }
 
-    void slow(String machine) {
-        slow.add(machine);
+    void slowDown(String machine) {
+        slowMachines.add(machine);
     }
 
     void heal() {
-        cuts.clear();
-        slow.clear();
+        partitionedLinks.clear();
+        slowMachines.clear();
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
@@ -1,327 +1,174 @@
 package myrtleladder.controlplane.model;
 
-import java.util.Collection;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
-import myrtleladder.controlplane.ControlPlane;
 import myrtleladder.io.RequestHead;
-import myrtleladder.io.Scheduler;
-import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.protocol.MessageCodec;
-import myrtleladder.protocol.StoredState;
-import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
-import myrtleladder.replication.ReplicaOptions;
-import myrtleladder.replication.Storage;
 
-/** A control node's process, the code under test, on a machine with a disk and links. */
-final class SimulatedNode implements Peers, Storage, Replica.Listener {
-    private static final long HEARTBEAT_OF_UPSTREAMS = 1_200;
-    private static final long LEAVES_WITHIN = 4_000;
-    private static final long LAST_ANSWERS = 150;
+/** A machine with a disk and links, and the process of a control node that runs on it, if any. */
+final class SimulatedNode {
+    /** What the settings allow a process that was asked to end. */
+    private static final long LEAVE_TIMEOUT_MS = 4_000;
+
+    private static final long LINGER_MS = 150;
 
     final String address;
     final String control;
-    private final SimulatedCluster model;
+    private final SimulatedCluster cluster;
     private final SimulatedDisk disk;
-    private Replica replica;
-    private ControlPlane plane;
-    private int incarnation;
-    private int ordinalOfStart;
-    private boolean up;
-    private boolean powered = true;
-    private long frozenUntil;
+    private SimulatedProcess process;
+    private int startCount;
+    private boolean isPowered = true;
+    private long frozenUntilMs;
 
-    SimulatedNode(SimulatedCluster model, int number) {
-        this.model = model;
+    SimulatedNode(SimulatedCluster cluster, int number) {
+        this.cluster = cluster;
         this.address = "n" + number + ":1";
         this.control = "c" + number + ":1";
         this.disk =
                 new SimulatedDisk(
-                        model.clock, model.random, model.without(Safeguard.SYNC_BEFORE_ANSWER));
+                        cluster.clock,
+                        cluster.random,
+                        cluster.isRemoved(Safeguard.SYNC_BEFORE_ANSWER));
+    }
+
+    /** Starts a process; {@code isBootstrap} belongs to the first start of all. */
+    void start(boolean isBootstrap) {
+        if (process != null) {
+            process.end();
+        }
+        startCount++;
+        isPowered = true;
+        boolean isAlwaysFirstMember =
+                cluster.isRemoved(Safeguard.STORE_IDENTITY) && cluster.isSeed(address);
+        process =
+                new SimulatedProcess(
+                        cluster,
+                        this,
+                        isBootstrap || isAlwaysFirstMember,
+                        address + "/" + startCount);
+        process.start();
     }
 
-    // ---- The process
-    // -------------------------------------------------------------------------------
-
-    void start(boolean bootstrap) {
-        incarnation++;
-        ordinalOfStart++;
-        up = true;
-        powered = true;
-        Scheduler timers = new ProcessTimers(this, incarnation);
-        plane =
-                new ControlPlane(
-                        timers, this, HEARTBEAT_OF_UPSTREAMS, 0.1, 1_000, Map.of("z", "r"));
-        boolean knowsItself = model.without(Safeguard.STORE_IDENTITY);
-        replica =
-                new Replica(
-                        new ReplicaOptions(
-                                Member.of(address, control, ""),
-                                model.tolerated,
-                                bootstrap || knowsItself && model.isSeed(address),
-                                model.seeds(),
-                                model.catchUpMs()),
-                        disk.load(),
-                        address + "/" + ordinalOfStart,
-                        timers,
-                        this,
-                        this,
-                        this,
-                        plane::instances);
-        plane.attach(replica);
-        replica.start();
+    /** Whether a process is there, frozen or not. */
+    boolean isUp() {
+        return process != null && !process.hasEnded();
     }
 
-    boolean up() {
-        return up;
+    /** Whether a process is there and not frozen. */
+    boolean isRunning() {
+        return isUp() && frozenMs() == 0;
     }
 
-    boolean running() {
-        return up && model.clock.now() >= frozenUntil;
+    /** For how long the process is frozen from now on, 0 if it is not. */
+    long frozenMs() {
+        return Math.max(0, frozenUntilMs - cluster.clock.now());
     }
 
+    /** The replica of the last process, null before the first. */
     Replica replica() {
-        return replica;
+        return process == null ? null : process.replica();
+    }
+
+    /** The group of the last view that the process knew. */
+    List<Member> group() {
+        return replica().view() == null ? List.of() : replica().view().group;
     }
 
     SimulatedDisk disk() {
         return disk;
     }
 
-    boolean leads() {
-        return running() && replica.state() == Replica.State.PRIMARY && replica.recentlyConfirmed();
+    /** Whether the process is primary and confirmed by a majority. */
+    boolean isLeading() {
+        return isRunning()
+                && replica().state() == Replica.State.PRIMARY
+                && replica().recentlyConfirmed();
     }
 
-    /** The process ends; its machine answers that nobody listens. */
+    /** Kills the process; the machine refuses connections. */
     void kill() {
-        up = false;
-        incarnation++;
-        frozenUntil = 0;
+        if (process != null) {
+            process.end();
+        }
+        frozenUntilMs = 0;
         disk.interrupt();
     }
 
-    /** The machine is without power and says nothing. */
+    /** Turns the power off; the machine does not answer at all. */
     void powerOff() {
         kill();
-        powered = false;
+        isPowered = false;
     }
 
+    /** Turns the power off and replaces the disk by an empty one. */
     void wipe() {
         powerOff();
         disk.wipe();
     }
 
-    void freeze(long span) {
-        frozenUntil = model.clock.now() + span;
+    void freeze(long durationMs) {
+        frozenUntilMs = cluster.clock.now() + durationMs;
     }
 
     void thaw() {
-        frozenUntil = 0;
+        frozenUntilMs = 0;
     }
 
-    /** SIGTERM: the process ends by itself, and {@code ended} is run. */
-    void terminate(Runnable ended) {
-        if (!up) {
-            ended.run();
+    /** Asks the process to end (SIGTERM); {@code onEnd} is run once it has. */
+    void terminate(Runnable onEnd) {
+        if (!isUp()) {
+            onEnd.run();
             return;
         }
-        int mine = incarnation;
+        SimulatedProcess terminated = process;
         Runnable end =
                 () -> {
-                    if (incarnation == mine && up) {
+                    if (!terminated.hasEnded()) {
                         kill();
-                        ended.run();
+                        onEnd.run();
                     }
                 };
-        if (model.without(Safeguard.LEAVE_BEFORE_THE_END)) {
-            replica.resign("asked to end");
-            model.clock.schedule(2 * LAST_ANSWERS, end);
+        if (cluster.isRemoved(Safeguard.LEAVE_BEFORE_THE_END)) {
+            replica().resign("asked to end");
+            cluster.clock.schedule(2 * LINGER_MS, end);
         } else {
-            replica.leave(LEAVES_WITHIN, released -> model.clock.schedule(LAST_ANSWERS, end));
-        }
-    }
-
-    /** Runs a task of this process, after it thawed, unless it has ended by then. */
-    void run(int mine, Runnable task) {
-        if (!up || incarnation != mine) {
-            return;
-        }
-        if (model.clock.now() < frozenUntil) {
-            // what waited is run in any order
-            long wait = frozenUntil - model.clock.now() + 1 + model.random.nextInt(3);
-            model.clock.schedule(wait, () -> run(mine, task));
-            return;
-        }
-        task.run();
-    }
-
-    private boolean gone(int mine) {
-        return !up || incarnation != mine;
-    }
-
-    /** Timers that end with the process and wait while it is frozen. */
-    private record ProcessTimers(SimulatedNode node, int incarnation) implements Scheduler {
-        @Override
-        public long now() {
-            return node.model.clock.now();
-        }
-
-        @Override
-        public Timer schedule(long delay, Runnable task) {
-            return node.model.clock.schedule(delay, () -> node.run(incarnation, task));
+            replica()
+                    .leave(LEAVE_TIMEOUT_MS, isReleased -> cluster.clock.schedule(LINGER_MS, end));
         }
     }
 
-    // ---- The disk
-    // ----------------------------------------------------------------------------------
-
-    @Override
-    public void save(StoredState state, Consumer<Boolean> done) {
-        int mine = incarnation;
-        model.point(this);
-        if (gone(mine)) {
+    /** Receives a message of another machine; null is the response of one without process. */
+    void receive(byte[] bytes, String from, Consumer<Message> responder) {
+        if (!isPowered) {
             return;
         }
-        disk.save(
-                state,
-                () -> up && incarnation == mine,
-                ok ->
-                        run(
-                                mine,
-                                () -> {
-                                    model.point(this);
-                                    if (!gone(mine)) {
-                                        done.accept(ok);
-                                    }
-                                }));
-    }
-
-    // ---- Calls of other nodes
-    // ----------------------------------------------------------------------
-
-    @Override
-    public void call(String to, Message message, long timeoutMs, Consumer<Message> answer) {
-        int mine = incarnation;
-        byte[] bytes = MessageCodec.encode(message);
-        OneAnswer once = new OneAnswer(reply -> run(mine, () -> answer.accept(reply)));
-        model.clock.schedule(timeoutMs, () -> once.accept(null));
-        Message forged = model.forger().answerInstead(this, to, message);
-        if (forged != null) {
-            model.network.carry(address, address, () -> once.accept(forged));
-            return;
-        }
-        model.point(this);
-        if (gone(mine)) {
-            return;
-        }
-        model.network.carry(address, to, () -> model.arrive(to, bytes, address, once::accept));
-        model.point(this);
-    }
-
-    /** A message has arrived at this machine. */
-    void arrive(byte[] bytes, String from, Consumer<Message> back) {
-        if (!powered) {
-            return;
-        }
-        if (!up) {
-            model.network.carry(address, from, () -> back.accept(null));
-            return;
-        }
-        int mine = incarnation;
-        run(
-                mine,
-                () -> {
-                    model.point(this);
-                    if (gone(mine)) {
-                        return;
-                    }
-                    Message message = model.forger().received(this, MessageCodec.decode(bytes));
-                    plane.receive(message, reply -> answer(reply, from, back));
-                });
-    }
-
-    private void answer(Message reply, String from, Consumer<Message> back) {
-        model.point(this);
-        if (!up) {
-            return;
-        }
-        byte[] bytes = reply == null ? null : MessageCodec.encode(reply);
-        model.network.carry(
-                address,
-                from,
-                () -> back.accept(bytes == null ? null : MessageCodec.decode(bytes)));
-    }
-
-    /** Hands over the first answer alone. */
-    static final class OneAnswer {
-        private final Consumer<Message> consumer;
-        private boolean told;
-
-        OneAnswer(Consumer<Message> consumer) {
-            this.consumer = consumer;
-        }
-
-        void accept(Message message) {
-            if (!told) {
-                told = true;
-                consumer.accept(message);
-            }
+        if (isUp()) {
+            process.receive(bytes, from, responder);
+        } else {
+            cluster.network.carry(address, from, () -> responder.accept(null));
         }
     }
 
-    /** A caller from outside; nothing is answered without power. */
-    void handle(RequestHead head, byte[] body, Consumer<SimulatedResponse> answer) {
-        if (!powered) {
+    /** Receives an HTTP request of an external client. */
+    void handle(RequestHead head, byte[] body, Consumer<SimulatedResponse> responder) {
+        if (!isPowered) {
             return;
         }
-        if (!up) {
-            answer.accept(new SimulatedResponse(0, "", new byte[0]));
-            return;
+        if (isUp()) {
+            process.handle(head, body, responder);
+        } else {
+            responder.accept(SimulatedResponse.connectionRefused());
         }
-        int mine = incarnation;
-        run(
-                mine,
-                () ->
-                        plane.handle(
-                                new SimulatedExchange(
-                                        head,
-                                        body,
-                                        reply -> {
-                                            if (up && incarnation == mine) {
-                                                answer.accept(reply);
-                                            }
-                                        })));
-    }
-
-    // ---- What the replica tells
-    // --------------------------------------------------------------------
-
-    @Override
-    public void becamePrimary(Collection<InstanceRecord> instances) {
-        model.history.primary(replica.view().epoch, address);
-        plane.becamePrimary(instances);
-    }
-
-    @Override
-    public void lostPrimacy() {
-        plane.lostPrimacy();
-    }
-
-    @Override
-    public void inherit(Collection<InstanceRecord> instances) {
-        plane.inherit(instances);
     }
 
     @Override
     public String toString() {
-        return address + (up ? "" : " down") + " " + replica.state() + " " + replica.view();
-    }
-
-    List<Member> group() {
-        return replica.view() == null ? List.of() : replica.view().group;
+        if (process == null) {
+            return address + " not started";
+        }
+        return address + (isUp() ? "" : " down") + " " + replica().state() + " " + replica().view();
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedOperator.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedOperator.java
@@ -1,114 +1,127 @@
 package myrtleladder.controlplane.model;
 
 /**
- * An operator: it sends one change after the other, each again and again, unchanged, until the
- * answer is clear.
+ * An operator: sends one change after the other, and repeats each unchanged until its outcome is
+ * known.
  */
 final class SimulatedOperator {
-    private static final long PAUSE = 400;
-    private static final long FIRST_RETRY = 60;
-    private static final long MOST_RETRY = 400;
-    private static final long GIVES_UP = 12_000;
-    private static final byte[] NO_BYTES = {};
+    private static final long PAUSE_MS = 400;
+    private static final int MAX_EXTRA_PAUSE_MS = 300;
+    private static final long INITIAL_RETRY_MS = 60;
+    private static final long MAX_RETRY_MS = 400;
+    private static final long GIVE_UP_MS = 12_000;
 
-    private final SimulatedCluster model;
+    /** One change in so many is sent to two nodes at once. */
+    private static final int DUPLICATES_EVERY = 4;
+
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int PRECONDITION_FAILED = 412;
+    private static final int UNKNOWN = 0;
+    private static final byte[] NO_BODY = {};
+
+    private final SimulatedCluster cluster;
     private final String name;
-    private final ExternalClient calls;
-    private long known;
-    private int count;
-    private OperatorChange order;
-    private long orderedAt;
-    private long retry;
-    private double lostAcknowledgements;
+    private final ExternalClient client;
+    private long knownGeneration;
+    private int changeCount;
+
+    /** The change whose outcome is not known yet, null for none. */
+    private OperatorChange current;
 
-    SimulatedOperator(SimulatedCluster model, String name) {
-        this.model = model;
+    private long startedAtMs;
+    private long retryMs;
+    private double lostAcknowledgementShare;
+
+    SimulatedOperator(SimulatedCluster cluster, String name) {
+        this.cluster = cluster;
         this.name = name;
-        this.calls = new ExternalClient(model, name);
+        this.client = new ExternalClient(cluster, name);
     }
 
-    /** Which share of the acknowledgements is lost on the way. */
-    void loses(double share) {
-        lostAcknowledgements = share;
+    /** Sets which share of the responses is lost on the way. */
+    void loseAcknowledgements(double share) {
+        lostAcknowledgementShare = share;
     }
 
-    /** Begins the next change. */
-    void next() {
-        long generation = known + 1 + model.random.nextInt(2);
-        order = new OperatorChange(name + "-" + count++, known, generation);
-        orderedAt = model.clock.now();
-        retry = FIRST_RETRY;
-        model.history.ordered(order);
+    /** Starts the next change. */
+    void startChange() {
+        long generation = knownGeneration + 1 + cluster.random.nextInt(2);
+        current = new OperatorChange(name + "-" + changeCount, knownGeneration, generation);
+        changeCount++;
+        startedAtMs = cluster.clock.now();
+        retryMs = INITIAL_RETRY_MS;
+        cluster.history.recordSent(current);
         send();
-        if (model.random.nextInt(4) == 0) {
-            send(); // the same order at two nodes at once
+        if (cluster.random.nextInt(DUPLICATES_EVERY) == 0) {
+            send();
         }
     }
 
     private void send() {
-        OperatorChange sent = order;
-        calls.call(
-                calls.anyNode(),
+        OperatorChange sent = current;
+        client.call(
+                client.anyNode(),
                 "PUT",
                 "/config",
-                sent.match(),
+                sent.base(),
                 sent.body(),
-                answer -> answered(sent, answer));
+                response -> handle(sent, response));
     }
 
-    private void answered(OperatorChange sent, SimulatedResponse answer) {
-        boolean lost = model.random.nextDouble() < lostAcknowledgements;
-        int status = answer == null || lost ? 0 : answer.status();
-        if (status == 200) {
-            model.history.acknowledged(sent, model.clock.now());
-            known = Math.max(known, sent.generation());
-        } else if (status == 412 || status == 400) {
-            model.history.refused(sent, status);
+    /** Handles the response to any of the copies that were sent; null if none came in time. */
+    private void handle(OperatorChange sent, SimulatedResponse response) {
+        boolean isLost = cluster.random.nextDouble() < lostAcknowledgementShare;
+        int status = response == null || isLost ? UNKNOWN : response.status();
+        boolean isRejected = status == PRECONDITION_FAILED || status == BAD_REQUEST;
+        if (status == OK) {
+            cluster.history.recordAcknowledged(sent, cluster.clock.now());
+            knownGeneration = Math.max(knownGeneration, sent.generation());
+        } else if (isRejected) {
+            cluster.history.recordRejected(sent, status);
         }
-        if (sent != order) {
+        if (sent != current) {
             return;
         }
-        if (status == 200) {
-            later();
-        } else if (status == 412 || status == 400) {
-            order = null;
-            read();
-        } else if (model.clock.now() - orderedAt > GIVES_UP) {
-            order = null;
+        if (status == OK) {
+            current = null;
+            pause();
+        } else if (isRejected || cluster.clock.now() - startedAtMs > GIVE_UP_MS) {
+            current = null;
             read();
         } else {
-            model.clock.schedule(retry, () -> sendAgain(sent));
-            retry = Math.min(MOST_RETRY, retry * 2);
+            cluster.clock.schedule(retryMs, () -> retry(sent));
+            retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
         }
     }
 
-    private void sendAgain(OperatorChange sent) {
-        if (sent == order) {
+    private void retry(OperatorChange sent) {
+        if (sent == current) {
             send();
         }
     }
 
-    private void later() {
-        order = null;
-        model.clock.schedule(PAUSE + model.random.nextInt(300), this::next);
+    private void pause() {
+        long pauseMs = PAUSE_MS + cluster.random.nextInt(MAX_EXTRA_PAUSE_MS);
+        cluster.clock.schedule(pauseMs, this::startChange);
     }
 
-    /** Learns which generation is in force before it goes on. */
+    /** Reads which generation is in force before the next change. */
     private void read() {
-        long bound = model.history.newest();
-        calls.call(
-                calls.anyNode(),
+        long minGeneration = cluster.history.newestAcknowledged();
+        client.call(
+                client.anyNode(),
                 "GET",
                 "/config",
-                -1,
-                NO_BYTES,
-                answer -> {
-                    if (answer == null || answer.status() != 200) {
-                        model.clock.schedule(MOST_RETRY, this::read);
+                ExternalClient.NO_IF_MATCH,
+                NO_BODY,
+                response -> {
+                    if (response == null || response.status() != OK) {
+                        cluster.clock.schedule(MAX_RETRY_MS, this::read);
                         return;
                     }
-                    known = model.checkRead(answer.body(), bound, name);
-                    next();
+                    knownGeneration = cluster.checkRead(response.body(), minGeneration, name);
+                    startChange();
                 });
     }
 }
--- /dev/null
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -0,0 +1,200 @@
+package myrtleladder.controlplane.model;
+
+import java.util.Collection;
+import java.util.Map;
+import java.util.function.Consumer;
+import myrtleladder.controlplane.ControlPlane;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.MessageCodec;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.replication.Peers;
+import myrtleladder.replication.Replica;
+import myrtleladder.replication.ReplicaOptions;
+import myrtleladder.replication.Storage;
+
+/**
+ * One process of a control node: the code under test, connected to the simulated clock, disk and
+ * network. Nothing of it runs once it has ended; while it is frozen all of it waits.
+ */
+final class SimulatedProcess implements Scheduler, Storage, Peers, Replica.Listener {
+    private static final long UPSTREAM_HEARTBEAT_MS = 1_200;
+    private static final double QUOTA_OVERAGE_SHARE = 0.1;
+    private static final double QUOTA_SLACK_UNITS = 1_000;
+    private static final Map<String, String> REGION_BY_ZONE = Map.of("z", "r");
+
+    private final SimulatedCluster cluster;
+    private final SimulatedNode node;
+    private final ControlPlane plane;
+    private final Replica replica;
+    private boolean hasEnded;
+
+    /**
+     * Creates a process; {@link #start} has to follow.
+     *
+     * @param isBootstrap whether its seeds are the first group
+     * @param newStore the identity that an empty disk gets
+     */
+    SimulatedProcess(
+            SimulatedCluster cluster, SimulatedNode node, boolean isBootstrap, String newStore) {
+        this.cluster = cluster;
+        this.node = node;
+        this.plane =
+                new ControlPlane(
+                        this,
+                        this,
+                        UPSTREAM_HEARTBEAT_MS,
+                        QUOTA_OVERAGE_SHARE,
+                        QUOTA_SLACK_UNITS,
+                        REGION_BY_ZONE);
+        this.replica =
+                new Replica(
+                        new ReplicaOptions(
+                                Member.of(node.address, node.control, ""),
+                                cluster.tolerated,
+                                isBootstrap,
+                                cluster.seeds(),
+                                cluster.catchUpMs()),
+                        node.disk().load(),
+                        newStore,
+                        this,
+                        this,
+                        this,
+                        this,
+                        plane::instances);
+    }
+
+    void start() {
+        plane.attach(replica);
+        replica.start();
+    }
+
+    Replica replica() {
+        return replica;
+    }
+
+    boolean hasEnded() {
+        return hasEnded;
+    }
+
+    /** Ends the process; what it has scheduled does not run any more. */
+    void end() {
+        hasEnded = true;
+    }
+
+    /** Runs a task once the process is not frozen, unless it has ended by then. */
+    private void run(Runnable task) {
+        if (hasEnded) {
+            return;
+        }
+        long frozenMs = node.frozenMs();
+        if (frozenMs > 0) {
+            // tasks that wait run in any order
+            cluster.clock.schedule(frozenMs + 1 + cluster.random.nextInt(3), () -> run(task));
+            return;
+        }
+        task.run();
+    }
+
+    /** Reaches a point at which a test may inject a fault; whether the process goes on. */
+    private boolean passFaultPoint() {
+        cluster.reachFaultPoint(node);
+        return !hasEnded;
+    }
+
+    @Override
+    public long now() {
+        return cluster.clock.now();
+    }
+
+    @Override
+    public Timer schedule(long delayMs, Runnable task) {
+        return cluster.clock.schedule(delayMs, () -> run(task));
+    }
+
+    @Override
+    public void save(StoredState state, Consumer<Boolean> done) {
+        if (!passFaultPoint()) {
+            return;
+        }
+        node.disk().save(state, () -> !hasEnded, isSaved -> run(() -> saved(isSaved, done)));
+    }
+
+    private void saved(boolean isSaved, Consumer<Boolean> done) {
+        if (passFaultPoint()) {
+            done.accept(isSaved);
+        }
+    }
+
+    @Override
+    public void call(String to, Message message, long timeoutMs, Consumer<Message> responder) {
+        byte[] bytes = MessageCodec.encode(message);
+        FirstResponse first = new FirstResponse(response -> run(() -> responder.accept(response)));
+        cluster.clock.schedule(timeoutMs, () -> first.accept(null));
+        Message forged = cluster.forger().forgedResponse(node, to, message);
+        if (forged != null) {
+            cluster.network.carry(node.address, node.address, () -> first.accept(forged));
+            return;
+        }
+        if (!passFaultPoint()) {
+            return;
+        }
+        cluster.network.carry(
+                node.address, to, () -> cluster.deliver(to, bytes, node.address, first::accept));
+        passFaultPoint();
+    }
+
+    /** Handles a message of another process. */
+    void receive(byte[] bytes, String from, Consumer<Message> responder) {
+        run(
+                () -> {
+                    if (passFaultPoint()) {
+                        Message message = MessageCodec.decode(bytes);
+                        plane.receive(
+                                cluster.forger().tamper(node, message),
+                                response -> respond(response, from, responder));
+                    }
+                });
+    }
+
+    private void respond(Message response, String to, Consumer<Message> responder) {
+        if (!passFaultPoint()) {
+            return;
+        }
+        byte[] bytes = response == null ? null : MessageCodec.encode(response);
+        cluster.network.carry(
+                node.address,
+                to,
+                () -> responder.accept(bytes == null ? null : MessageCodec.decode(bytes)));
+    }
+
+    /** Handles an HTTP request of an external client. */
+    void handle(RequestHead head, byte[] body, Consumer<SimulatedResponse> responder) {
+        Consumer<SimulatedResponse> unlessEnded =
+                response -> {
+                    if (!hasEnded) {
+                        responder.accept(response);
+                    }
+                };
+        run(() -> plane.handle(new SimulatedExchange(head, body, unlessEnded)));
+    }
+
+    @Override
+    public void becamePrimary(Collection<InstanceRecord> instances) {
+        cluster.history.recordPrimary(replica.view().epoch, node.address);
+        plane.becamePrimary(instances);
+    }
+
+    @Override
+    public void lostPrimacy() {
+        plane.lostPrimacy();
+    }
+
+    @Override
+    public void inherit(Collection<InstanceRecord> instances) {
+        plane.inherit(instances);
+    }
+}
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedReader.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedReader.java
@@ -1,34 +1,44 @@
 package myrtleladder.controlplane.model;
 
-/** Somebody who reads the configuration at any node, cut off or not. */
+/** Reads the configuration at any node, partitioned or not, over and over. */
 final class SimulatedReader {
-    private static final long PAUSE = 350;
-    private static final byte[] NO_BYTES = {};
+    private static final long PAUSE_MS = 350;
+    private static final int MAX_EXTRA_PAUSE_MS = 100;
+    private static final int OK = 200;
+    private static final int NOT_FOUND = 404;
+    private static final byte[] NO_BODY = {};
 
-    private final SimulatedCluster model;
-    private final ExternalClient calls;
+    private final SimulatedCluster cluster;
+    private final ExternalClient client;
 
-    SimulatedReader(SimulatedCluster model) {
-        this.model = model;
-        this.calls = new ExternalClient(model, "reader");
+    SimulatedReader(SimulatedCluster cluster) {
+        this.cluster = cluster;
+        this.client = new ExternalClient(cluster, "reader");
     }
 
+    /** Reads once, and again after a pause. */
     void read() {
-        model.clock.schedule(PAUSE + model.random.nextInt(100), this::read);
-        long bound = model.history.newest();
-        SimulatedNode node = calls.anyNode();
-        calls.call(
+        long pauseMs = PAUSE_MS + cluster.random.nextInt(MAX_EXTRA_PAUSE_MS);
+        cluster.clock.schedule(pauseMs, this::read);
+        long minGeneration = cluster.history.newestAcknowledged();
+        SimulatedNode node = client.anyNode();
+        client.call(
                 node,
                 "GET",
                 "/config",
-                -1,
-                NO_BYTES,
-                answer -> {
-                    if (answer != null && answer.status() == 200) {
-                        model.checkRead(answer.body(), bound, "read at " + node.address);
-                    } else if (answer != null && answer.status() == 404 && bound > 0) {
-                        model.history.fault("no configuration at " + node.address);
-                    }
-                });
+                ExternalClient.NO_IF_MATCH,
+                NO_BODY,
+                response -> check(response, minGeneration, node));
+    }
+
+    private void check(SimulatedResponse response, long minGeneration, SimulatedNode node) {
+        if (response == null) {
+            return;
+        }
+        if (response.status() == OK) {
+            cluster.checkRead(response.body(), minGeneration, "read at " + node.address);
+        } else if (response.status() == NOT_FOUND && minGeneration > 0) {
+            cluster.history.addViolation("no configuration at " + node.address);
+        }
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedResponse.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedResponse.java
@@ -1,4 +1,15 @@
 package myrtleladder.controlplane.model;
 
-/** What a control node answered to a caller from outside. */
-record SimulatedResponse(int status, String location, byte[] body) {}
+/**
+ * The response of a control node to an external client.
+ *
+ * @param status the HTTP status, 0 if the connection was refused
+ * @param location where a redirect leads, empty without one
+ */
+record SimulatedResponse(int status, String location, byte[] body) {
+    private static final int CONNECTION_REFUSED = 0;
+
+    static SimulatedResponse connectionRefused() {
+        return new SimulatedResponse(CONNECTION_REFUSED, "", new byte[0]);
+    }
+}
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedUpstream.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedUpstream.java
@@ -3,89 +3,109 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An upstream that registers, lives for a while, leaves with an acknowledgement, and is followed.
+ * An upstream that sends heartbeats for a while and leaves with an acknowledgement; then its next
+ * incarnation starts.
  */
 final class SimulatedUpstream {
-    private static final long HEARTBEAT = 1_200;
-    private static final long RETRY = 100;
-    private static final int LIVES_FOR = 3_000;
-    private static final byte[] NO_BYTES = {};
+    private static final long HEARTBEAT_INTERVAL_MS = 1_200;
+    private static final long RETRY_MS = 100;
+    private static final long MIN_LIFETIME_MS = 1_000;
+    private static final int MAX_EXTRA_LIFETIME_MS = 3_000;
 
-    private final SimulatedCluster model;
+    /** One incarnation in so many leaves without draining first. */
+    private static final int DEPARTURES_WITHOUT_DRAINING_EVERY = 3;
+
+    private static final int OK = 200;
+    private static final byte[] NO_BODY = {};
+
+    private final SimulatedCluster cluster;
     private final String name;
-    private final ExternalClient calls;
+    private final ExternalClient client;
     private int incarnation;
     private int sequence;
-    private long leavesAt;
-    private boolean leavesUntold;
+    private long leavesAtMs;
+    private boolean isLeavingWithoutDraining;
 
-    SimulatedUpstream(SimulatedCluster model, String name) {
-        this.model = model;
+    SimulatedUpstream(SimulatedCluster cluster, String name) {
+        this.cluster = cluster;
         this.name = name;
-        this.calls = new ExternalClient(model, name);
+        this.client = new ExternalClient(cluster, name);
     }
 
     /** Starts the next incarnation. */
     void start() {
         incarnation++;
         sequence = 0;
-        leavesAt = model.clock.now() + 1_000 + model.random.nextInt(LIVES_FOR);
-        leavesUntold = model.random.nextInt(3) == 0;
-        heartbeat();
+        leavesAtMs =
+                cluster.clock.now()
+                        + MIN_LIFETIME_MS
+                        + cluster.random.nextInt(MAX_EXTRA_LIFETIME_MS);
+        isLeavingWithoutDraining = cluster.random.nextInt(DEPARTURES_WITHOUT_DRAINING_EVERY) == 0;
+        sendHeartbeat();
     }
 
     private String id() {
         return name + "-" + incarnation;
     }
 
-    private void heartbeat() {
-        if (model.clock.now() >= leavesAt) {
-            if (leavesUntold) {
-                call("DELETE", NO_BYTES, this::gone);
-            } else {
-                call("PUT", body("draining"), this::draining);
-            }
+    private boolean isLeaving() {
+        return cluster.clock.now() >= leavesAtMs;
+    }
+
+    private void sendHeartbeat() {
+        if (isLeaving()) {
+            leave();
             return;
         }
-        call("PUT", body("ready"), () -> {});
-        model.clock.schedule(HEARTBEAT, this::heartbeat);
+        call("PUT", heartbeat("ready"), () -> {});
+        cluster.clock.schedule(HEARTBEAT_INTERVAL_MS, this::sendHeartbeat);
+    }
+
+    private void leave() {
+        if (isLeavingWithoutDraining) {
+            sendDeparture();
+        } else {
+            call("PUT", heartbeat("draining"), this::draining);
+        }
+    }
+
+    private void sendDeparture() {
+        call("DELETE", NO_BODY, this::departed);
     }
 
-    private byte[] body(String state) {
-        String text =
+    private byte[] heartbeat(String state) {
+        sequence++;
+        String json =
                 "{\"backend\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"capacity\":8,"
-                        + "\"state\":\""
-                        + state
-                        + "\",\"sequence\":"
-                        + ++sequence
-                        + "}";
-        return text.getBytes(StandardCharsets.UTF_8);
+                        + "\"state\":\"%s\",\"sequence\":%d}";
+        return json.formatted(state, sequence).getBytes(StandardCharsets.UTF_8);
     }
 
     private void draining() {
-        model.history.departed(id(), model.clock.now());
-        model.clock.schedule(2 * HEARTBEAT, () -> call("DELETE", NO_BYTES, this::gone));
+        cluster.history.recordDeparted(id(), cluster.clock.now());
+        cluster.clock.schedule(2 * HEARTBEAT_INTERVAL_MS, this::sendDeparture);
     }
 
-    private void gone() {
-        model.history.departed(id(), model.clock.now());
-        model.clock.schedule(HEARTBEAT, this::start);
+    private void departed() {
+        cluster.history.recordDeparted(id(), cluster.clock.now());
+        cluster.clock.schedule(HEARTBEAT_INTERVAL_MS, this::start);
     }
 
     /** Calls one node after the other until one acknowledges; a heartbeat is not repeated. */
-    private void call(String method, byte[] body, Runnable acknowledged) {
-        boolean leaves = model.clock.now() >= leavesAt;
-        calls.call(
-                calls.anyNode(),
+    private void call(String method, byte[] body, Runnable onAcknowledged) {
+        boolean isRepeated = isLeaving();
+        client.call(
+                client.anyNode(),
                 method,
                 "/instances/" + id(),
-                -1,
+                ExternalClient.NO_IF_MATCH,
                 body,
-                answer -> {
-                    if (answer != null && answer.status() == 200) {
-                        acknowledged.run();
-                    } else if (leaves) {
-                        model.clock.schedule(RETRY, () -> call(method, body, acknowledged));
+                response -> {
+                    if (response != null && response.status() == OK) {
+                        onAcknowledged.run();
+                    } else if (isRepeated) {
+                        cluster.clock.schedule(
+                                RETRY_MS, () -> call(method, body, onAcknowledged));
                     }
                 });
     }
