--- a/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
@@ -35,7 +35,7 @@
 
     /** Records a poll, with the balancers that the polling one monitors and found alive. */
     void recordPoll(PollRequest poll, long nowMs) {
-        for (String name : poll.alive) {
+        for (String name : poll.liveBalancers) {
             Entry monitored = entries.get(name);
             if (monitored != null) {
                 monitored.lastSeenMs = nowMs;
@@ -47,8 +47,8 @@
         }
         Entry entry = entryAt(poll.balancer, poll.address);
         entry.lastSeenMs = nowMs;
-        entry.reportedCount = poll.balancers;
-        entry.inFlight = poll.underWay;
+        entry.reportedCount = poll.balancerCount;
+        entry.inFlight = poll.inFlightAtDraining;
     }
 
     private void remove(String balancer) {
@@ -74,7 +74,7 @@
         Map<String, Integer> sums = new HashMap<>();
         for (Entry entry : entries.values()) {
             entry.inFlight.forEach(
-                    inFlight -> sums.merge(inFlight.instance, inFlight.requests, Integer::sum));
+                    inFlight -> sums.merge(inFlight.instanceId, inFlight.requests, Integer::sum));
         }
         return sums;
     }
--- a/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
+++ b/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
@@ -54,7 +54,7 @@
 
     /** Whether the change with this digest is among those that are remembered as committed. */
     boolean includesChange(String digest) {
-        return snapshot.orders.contains(digest);
+        return snapshot.changeDigests.contains(digest);
     }
 
     /** The document as it is stored and distributed: deflated. */
--- a/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
+++ b/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
@@ -23,7 +23,7 @@
     void record(LoadReport report, long nowMs) {
         if (report != null) {
             loads.record(report, nowMs);
-            prompts.record(report.prompts);
+            prompts.record(report.cachedPrompts);
         }
     }
 
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -14,8 +14,8 @@
 
 /**
  * Keeps records of upstream instances for members that did not take them, and hands them over once
- * the member answers (hinted handoff, as in Dynamo). So each node has all departures before it
- * could become primary.
+ * the member answers (hinted handoff, as in Dynamo). So each node has all departures before it could
+ * become primary.
  *
  * <p>Invariant: while there are hints, an attempt is scheduled. Confined to the event loop.
  */
@@ -46,7 +46,7 @@
         Map<String, InstanceRecord> ofMember =
                 hints.computeIfAbsent(member, key -> new LinkedHashMap<>());
         if (ofMember.size() < MAX_HINTS_PER_MEMBER || ofMember.containsKey(record.id)) {
-            ofMember.merge(record.id, record, InstanceRecord::later);
+            ofMember.merge(record.id, record, InstanceRecord::latest);
         }
         scheduleAttempt();
     }
@@ -83,7 +83,7 @@
                     REQUEST_TIMEOUT_MS,
                     response -> {
                         if (response instanceof AcknowledgeResponse acknowledgement
-                                && acknowledgement.taken) {
+                                && acknowledgement.accepted) {
                             removeHints(member, records);
                         }
                     });
--- a/src/main/java/myrtleladder/controlplane/HttpResponses.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -34,7 +34,7 @@
             unavailable(exchange);
             return;
         }
-        String location = "http://" + primary.control + exchange.head().target();
+        String location = "http://" + primary.controlAddress + exchange.head().target();
         exchange.respond(TEMPORARY_REDIRECT, new Headers().add("Location", location), NO_BODY);
     }
 
--- a/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -31,7 +31,7 @@
                         String.valueOf(json.getOrDefault("generation", "")),
                         state.equals("draining") ? Stage.DRAINING : Stage.READY,
                         integer(json, "sequence", DEFAULT_SEQUENCE))
-                .withWeights(weightsVersion(json));
+                .withWeightsVersion(weightsVersion(json));
     }
 
     /** The version of the weights of the first model: an upstream serves one here. */
@@ -42,7 +42,7 @@
                 && first.get("generation") instanceof Number version) {
             return version.longValue();
         }
-        return InstanceRecord.UNKNOWN_WEIGHTS;
+        return InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
     private static String requiredString(Map<String, Object> json, String name) {
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -11,7 +11,7 @@
 /**
  * The upstream instances that this node knows of, by heartbeats and from other nodes.
  *
- * <p>Invariants: a record only ever advances ({@link InstanceRecord#later}), so that a departure
+ * <p>Invariants: a record only ever advances ({@link InstanceRecord#latest}), so that a departure
  * holds against any late heartbeat; each change that balancers have to learn of has a revision of
  * its own. Confined to the event loop.
  */
@@ -43,7 +43,7 @@
         Entry entry = entries.computeIfAbsent(record.id, id -> new Entry(nowMs));
         InstanceRecord before = entry.record;
         entry.lastSeenMs = nowMs;
-        entry.record = before == null ? record : InstanceRecord.later(before, record);
+        entry.record = before == null ? record : InstanceRecord.latest(before, record);
         if (!entry.record.differsFrom(before)) {
             return false;
         }
@@ -63,12 +63,12 @@
     void recover(Collection<InstanceRecord> records, long nowMs) {
         for (InstanceRecord record : records) {
             boolean isLost = record.stage == Stage.LOST;
-            merge(isLost ? record.at(Stage.READY) : record, nowMs);
+            merge(isLost ? record.withStage(Stage.READY) : record, nowMs);
         }
         for (Entry entry : entries.values()) {
             entry.lastSeenMs = nowMs;
             if (entry.record.stage == Stage.LOST) {
-                entry.record = entry.record.at(Stage.READY);
+                entry.record = entry.record.withStage(Stage.READY);
                 markChanged(entry);
             }
         }
@@ -126,7 +126,7 @@
         for (Entry entry : entries.values()) {
             if (nowMs - entry.lastSeenMs > timeoutMs && isAlive(entry.record)) {
                 boolean isDraining = entry.record.stage == Stage.DRAINING;
-                entry.record = entry.record.at(isDraining ? Stage.GONE : Stage.LOST);
+                entry.record = entry.record.withStage(isDraining ? Stage.GONE : Stage.LOST);
                 markChanged(entry);
                 hasChanged = true;
             }
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -66,8 +66,8 @@
     /**
      * Sends a record to the other nodes and waits for the disks of the replicas.
      *
-     * @param done called once: with true as soon as all replicas of the view have synced the
-     *     record, with false if one of them failed or did not answer
+     * @param done called once: with true as soon as all replicas of the view have synced the record,
+     *     with false if one of them failed or did not answer
      */
     void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
@@ -106,7 +106,7 @@
     /** Another node may answer at the address by now: its answer does not count. */
     private static boolean isTakenBy(Member member, Message response) {
         return response instanceof AcknowledgeResponse acknowledgement
-                && acknowledgement.taken
+                && acknowledgement.accepted
                 && member.equals(acknowledgement.member);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
@@ -64,7 +64,7 @@
     /** The departure of an instance, known or not: other nodes may know what this one does not. */
     private InstanceRecord departureOf(String id) {
         InstanceRecord known = instances.get(id);
-        return known == null ? InstanceRecord.departed(id) : known.at(Stage.GONE);
+        return known == null ? InstanceRecord.departed(id) : known.withStage(Stage.GONE);
     }
 
     private void handleHeartbeat(ServerExchange exchange, String id) {
@@ -85,7 +85,7 @@
             saves.schedule();
         }
         InstanceRecord merged = instances.get(record.id);
-        if (merged.leaving()) {
+        if (merged.isLeaving()) {
             replicator.replicateDurably(merged, isDurable -> answer(exchange, isDurable));
             return;
         }
--- a/src/main/java/myrtleladder/controlplane/LoadTable.java
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -8,18 +8,20 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * The requests and tokens that all balancers have in flight at each upstream, summed from the
- * newest report of each balancer.
+ * The requests and tokens that all balancers have in flight at each upstream, summed from the newest
+ * report of each balancer.
  *
- * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before
- * and expires, so that nothing counts twice and nothing remains of a balancer that died. Confined
- * to the event loop.
+ * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before and
+ * expires, so that nothing counts twice and nothing remains of a balancer that died. Confined to the
+ * event loop.
  */
 final class LoadTable {
     /** How long a report counts. Derived: a poll's timeout and two waits of a poll. */
     static final long REPORT_LIFETIME_MS = 1_500;
 
-    /** How long a new primary reports no sums. Derived: each live balancer has polled by then. */
+    /**
+     * How long a new primary reports no sums. Derived: each live balancer has polled by then.
+     */
     static final long WARM_UP_MS = 900;
 
     /** The most upstreams in a response: bounds its bytes in large fleets. Chosen. */
@@ -62,7 +64,7 @@
     }
 
     private static boolean replaces(LoadReport report, LoadReport previous) {
-        return report.process != previous.process || report.sequence > previous.sequence;
+        return report.processId != previous.processId || report.sequence > previous.sequence;
     }
 
     /** Takes a balancer's report, if there is one, out of the sums. */
@@ -74,11 +76,11 @@
     }
 
     private void addToSum(UpstreamLoad load, int sign) {
-        Sum sum = sums.computeIfAbsent(load.upstream, upstream -> new Sum());
-        sum.requests += sign * load.requests;
-        sum.tokens += sign * load.tokens;
+        Sum sum = sums.computeIfAbsent(load.upstreamKey, upstream -> new Sum());
+        sum.requests += sign * load.inFlightRequests;
+        sum.tokens += sign * load.pendingPromptTokens;
         if (sum.isIdle()) {
-            sums.remove(load.upstream);
+            sums.remove(load.upstreamKey);
         }
     }
 
@@ -91,11 +93,11 @@
             return;
         }
         removeExpired(nowMs);
-        response.known = true;
+        response.loadsKnown = true;
         Map<Integer, UpstreamLoad> own = loadsOf(balancer);
         sums.forEach((upstream, sum) -> addDifference(response, upstream, sum, own.get(upstream)));
         if (response.loads.size() > MAX_LOADS_IN_RESPONSE) {
-            response.loads.sort((a, b) -> Integer.compare(b.tokens, a.tokens));
+            response.loads.sort((a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
             response.loads.subList(MAX_LOADS_IN_RESPONSE, response.loads.size()).clear();
         }
     }
@@ -104,7 +106,7 @@
         Map<Integer, UpstreamLoad> loads = new HashMap<>();
         ReceivedReport received = reports.get(balancer);
         if (received != null) {
-            received.report().loads.forEach(load -> loads.put(load.upstream, load));
+            received.report().loads.forEach(load -> loads.put(load.upstreamKey, load));
         }
         return loads;
     }
@@ -112,8 +114,8 @@
     /** Adds a sum less the part of the balancer that is answered; {@code own} may be null. */
     private static void addDifference(
             FleetLoads response, int upstream, Sum sum, UpstreamLoad own) {
-        int requests = sum.requests - (own == null ? 0 : own.requests);
-        int tokens = sum.tokens - (own == null ? 0 : own.tokens);
+        int requests = sum.requests - (own == null ? 0 : own.inFlightRequests);
+        int tokens = sum.tokens - (own == null ? 0 : own.pendingPromptTokens);
         if (requests > 0 || tokens > 0) {
             response.loads.add(UpstreamLoad.of(upstream, requests, tokens));
         }
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -12,8 +12,8 @@
 /**
  * Decides which ordinals instances get. A new instance waits a moment for one of its service and
  * zone to leave and takes over that one's ordinal, so that what was placed there has one successor;
- * if none leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until
- * the instance has left.
+ * if none leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until the
+ * instance has left.
  *
  * <p>A function of its arguments, without state.
  */
@@ -21,7 +21,7 @@
     /** How long a new instance waits for one of its zone to leave. Chosen. */
     private static final long PREDECESSOR_WAIT_MS = 5_000;
 
-    private static final int FIRST_ORDINAL = InstanceRecord.UNASSIGNED + 1;
+    private static final int FIRST_ORDINAL = InstanceRecord.UNASSIGNED_ORDINAL + 1;
 
     private OrdinalAssigner() {}
 
@@ -32,11 +32,11 @@
      */
     record KnownInstance(InstanceRecord record, long firstSeenMs) {
         private boolean needsOrdinal() {
-            return !record.leaving() && !hasOrdinal();
+            return !record.isLeaving() && !hasOrdinal();
         }
 
         private boolean hasOrdinal() {
-            return record.ordinal != InstanceRecord.UNASSIGNED;
+            return record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
         }
     }
 
@@ -82,7 +82,7 @@
         Map<String, Set<Integer>> held = new HashMap<>();
         for (KnownInstance instance : instances) {
             InstanceRecord record = instance.record();
-            if (!record.leaving() && instance.hasOrdinal()) {
+            if (!record.isLeaving() && instance.hasOrdinal()) {
                 held.computeIfAbsent(record.service, service -> new HashSet<>())
                         .add(record.ordinal);
             }
@@ -97,7 +97,7 @@
         for (KnownInstance instance : instances) {
             InstanceRecord record = instance.record();
             boolean isHeld = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
-            if (record.leaving() && instance.hasOrdinal() && !isHeld) {
+            if (record.isLeaving() && instance.hasOrdinal() && !isHeld) {
                 vacant.computeIfAbsent(ServiceInZone.of(record), zone -> new TreeSet<>())
                         .add(record.ordinal);
             }
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -59,8 +59,8 @@
     boolean hasUpdate(PollRequest request) {
         return request.epoch != replica.view().epoch
                 || request.generation < committed.generation()
-                || request.revision < instances.revision()
-                || !request.complete && hasHeardAllInstances.getAsBoolean();
+                || request.instanceRevision < instances.revision()
+                || !request.hasAuthoritativeList && hasHeardAllInstances.getAsBoolean();
     }
 
     /** The response to a poll; that of another node than the primary if that is in doubt. */
@@ -69,13 +69,13 @@
             return notPrimary();
         }
         PollResponse response = new PollResponse();
-        response.valid = true;
-        response.primary = replica.self().address;
-        response.members = memberAddresses();
+        response.fromPrimary = true;
+        response.primaryAddress = replica.self().address;
+        response.controlNodeAddresses = memberAddresses();
         response.epoch = replica.view().epoch;
         addConfiguration(response, request);
         addInstances(response, request);
-        response.loads = fleetLoads.responseTo(request.load, response.epoch, scheduler.now());
+        response.fleetLoads = fleetLoads.responseTo(request.loadReport, response.epoch, scheduler.now());
         addBalancers(response, request);
         return response;
     }
@@ -87,16 +87,16 @@
     }
 
     private void addInstances(PollResponse response, PollRequest request) {
-        response.revision = instances.revision();
-        response.complete = hasHeardAllInstances.getAsBoolean();
-        response.whole = request.epoch != response.epoch || !request.complete;
-        response.instances = instances.changedSince(response.whole ? 0 : request.revision);
+        response.instanceRevision = instances.revision();
+        response.authoritative = hasHeardAllInstances.getAsBoolean();
+        response.fullInstanceList = request.epoch != response.epoch || !request.hasAuthoritativeList;
+        response.instances = instances.changedSince(response.fullInstanceList ? 0 : request.instanceRevision);
     }
 
     private void addBalancers(PollResponse response, PollRequest request) {
-        response.balancers = balancers.count(!response.complete);
-        response.memberRevision = balancers.revision();
-        if (response.whole || request.memberRevision != response.memberRevision) {
+        response.balancerCount = balancers.count(!response.authoritative);
+        response.balancerListRevision = balancers.revision();
+        if (response.fullInstanceList || request.balancerListRevision != response.balancerListRevision) {
             response.balancerList = balancers.addresses();
         }
     }
@@ -106,9 +106,9 @@
         PollResponse response = new PollResponse();
         Member primary = replica.primary();
         boolean isOther = primary != null && !primary.equals(replica.self());
-        response.primary = isOther ? primary.address : "";
+        response.primaryAddress = isOther ? primary.address : "";
         response.epoch = replica.view() == null ? 0 : replica.view().epoch;
-        response.members = memberAddresses();
+        response.controlNodeAddresses = memberAddresses();
         return response;
     }
 
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -29,7 +29,7 @@
     /** A prompt prefix at an upstream. */
     private record Location(long prompt, int upstream) {
         static Location of(CachedPrompt cached) {
-            return new Location(cached.prompt, cached.upstream);
+            return new Location(cached.prefixHash, cached.upstreamKey);
         }
     }
 
@@ -62,13 +62,13 @@
      */
     void addChangesSince(FleetLoads response, long knownRevision) {
         response.promptRevision = Math.min(knownRevision, revision);
-        response.prompts = new ArrayList<>();
+        response.cachedPrompts = new ArrayList<>();
         for (Map.Entry<Long, CachedPrompt> entry :
                 promptByRevision.tailMap(knownRevision, false).entrySet()) {
-            if (response.prompts.size() == MAX_PROMPTS_IN_RESPONSE) {
+            if (response.cachedPrompts.size() == MAX_PROMPTS_IN_RESPONSE) {
                 return;
             }
-            response.prompts.add(entry.getValue());
+            response.cachedPrompts.add(entry.getValue());
             response.promptRevision = entry.getKey();
         }
     }
--- a/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -39,7 +39,7 @@
             return;
         }
         request.instances.forEach(record -> instances.merge(record, scheduler.now()));
-        if (request.durably) {
+        if (request.syncRequired) {
             replica.saveInstancesNow(isSaved -> responder.accept(acknowledgement(isSaved)));
         } else {
             saves.schedule();
--- a/src/main/java/myrtleladder/controlplane/Warmup.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -26,9 +26,9 @@
 import myrtleladder.rpc.PeerClient;
 
 /**
- * A warm-up run: a control node on the loopback that sends itself one request of each kind and
- * ends. The build runs it to record the classes that a start needs in an archive, from which they
- * load at a fraction of the processor time.
+ * A warm-up run: a control node on the loopback that sends itself one request of each kind and ends.
+ * The build runs it to record the classes that a start needs in an archive, from which they load at
+ * a fraction of the processor time.
  *
  * <p>The verb of the command line is {@code rehearse}.
  */
@@ -141,10 +141,10 @@
         send("DELETE", "/instances/i", NO_IF_MATCH, NO_BODY);
         PeerClient peers = new PeerClient(loop);
         PollRequest poll = new PollRequest();
-        poll.load = loadReport();
+        poll.loadReport = loadReport();
         send(peers, poll);
         QuotaRequest quota = QuotaRequest.of("t", 1);
-        quota.load = loadReport();
+        quota.loadReport = loadReport();
         send(peers, quota);
         loop.schedule(2 * STEP_MS, this::finish);
     }
@@ -159,7 +159,7 @@
         report.balancer = "e";
         report.sequence = 1;
         report.loads.add(UpstreamLoad.of(1, 1, 1));
-        report.prompts.add(CachedPrompt.of(1, 1));
+        report.cachedPrompts.add(CachedPrompt.of(1, 1));
         return report;
     }
 
--- a/src/main/java/myrtleladder/controlplane/ZoneUpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/ZoneUpgradeStatus.java
@@ -27,11 +27,11 @@
     void add(InstanceRecord record, int requestsInFlight) {
         if (record.stage == Stage.READY) {
             readyByVersion.merge(record.version, 1, Integer::sum);
-            withoutOrdinal += record.ordinal == InstanceRecord.UNASSIGNED ? 1 : 0;
+            withoutOrdinal += record.ordinal == InstanceRecord.UNASSIGNED_ORDINAL ? 1 : 0;
         }
         lost += record.stage == Stage.LOST ? 1 : 0;
         draining += record.stage == Stage.DRAINING ? 1 : 0;
-        inFlight += record.leaving() ? requestsInFlight : 0;
+        inFlight += record.isLeaving() ? requestsInFlight : 0;
     }
 
     /** Whether the upgrade has nothing to wait for: no instance leaves, each has its ordinal. */
--- a/src/test/java/myrtleladder/controlplane/ConfigurationRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationRequestTest.java
@@ -81,7 +81,7 @@
         assertEquals(503, get.status);
         assertEquals(503, stale.status);
         PollRequest poll = new PollRequestBuilder().build();
-        assertFalse(((PollResponse) node.receive(poll).get(0)).valid);
+        assertFalse(((PollResponse) node.receive(poll).get(0)).fromPrimary);
     }
 
     @Test
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
@@ -123,7 +123,7 @@
         if (message instanceof PrepareRequest prepare) {
             PrepareResponse promise = new PrepareResponse();
             promise.granted = true;
-            promise.promised = prepare.epoch;
+            promise.promisedEpoch = prepare.epoch;
             promise.member = peer;
             return promise;
         }
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -32,13 +32,13 @@
         node.change("PUT", "0", "{'generation':3}");
         node.clock.run(4_000);
         PollResponse first = firstPoll();
-        assertTrue(first.valid && first.complete && first.whole && first.document.length > 0);
+        assertTrue(first.fromPrimary && first.authoritative && first.fullInstanceList && first.document.length > 0);
         PollRequest poll =
                 new PollRequestBuilder()
                         .generation(3)
                         .epoch(first.epoch)
-                        .revision(first.revision)
-                        .complete()
+                        .instanceRevision(first.instanceRevision)
+                        .authoritativeList()
                         .build();
         List<Message> responses = node.receive(poll);
         assertEquals(List.of(), responses);
@@ -47,7 +47,7 @@
         PollResponse update = (PollResponse) responses.get(0);
         assertEquals("i", update.instances.get(0).id);
         assertEquals(0, update.document.length);
-        poll.revision++;
+        poll.instanceRevision++;
         responses = node.receive(poll);
         node.clock.run(600);
         assertEquals(1, responses.size());
@@ -61,12 +61,12 @@
             node.clock.run(1);
         }
         assertEquals(Replica.State.CANDIDATE, node.replica.state());
-        assertTrue(requestQuota().valid);
-        assertTrue(firstPoll().valid);
+        assertTrue(requestQuota().fromPrimary);
+        assertTrue(firstPoll().fromPrimary);
         assertEquals(200, node.heartbeat("i", "ready", 1).status);
         node.clock.run(100);
         node.partitionPeers();
         node.clock.run(2_000);
-        assertFalse(requestQuota().valid);
+        assertFalse(requestQuota().fromPrimary);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/InstanceRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRequestTest.java
@@ -17,7 +17,7 @@
         return node.hasSent(
                 message ->
                         message instanceof ShareInstancesRequest shared
-                                && (shared.durably || !durably)
+                                && (shared.syncRequired || !durably)
                                 && shared.instances.get(0).id.equals(id)
                                 && shared.instances.get(0).stage == stage);
     }
@@ -43,7 +43,7 @@
         assertEquals(Stage.GONE, node.stored.instances.get(0).stage);
         long durably =
                 node.sent.stream()
-                        .filter(m -> m instanceof ShareInstancesRequest s && s.durably)
+                        .filter(m -> m instanceof ShareInstancesRequest s && s.syncRequired)
                         .count();
         assertEquals(node.replica.view().replicas.size() - 1, durably);
     }
--- a/src/test/java/myrtleladder/controlplane/LoadTableTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadTableTest.java
@@ -26,7 +26,7 @@
     private static LoadReport report(String balancer, long process, long sequence, int requests) {
         LoadReport report = new LoadReport();
         report.balancer = balancer;
-        report.process = process;
+        report.processId = process;
         report.sequence = sequence;
         if (requests > 0) {
             report.loads.add(UpstreamLoad.of(UPSTREAM, requests, 100 * requests));
@@ -42,15 +42,15 @@
 
     private void assertLoads(int requests, String balancer, long nowMs) {
         FleetLoads response = loadsFor(balancer, nowMs);
-        assertTrue(response.known);
+        assertTrue(response.loadsKnown);
         if (requests == 0) {
             assertEquals(List.of(), response.loads);
             return;
         }
         assertEquals(1, response.loads.size());
-        assertEquals(UPSTREAM, response.loads.get(0).upstream);
-        assertEquals(requests, response.loads.get(0).requests);
-        assertEquals(100 * requests, response.loads.get(0).tokens);
+        assertEquals(UPSTREAM, response.loads.get(0).upstreamKey);
+        assertEquals(requests, response.loads.get(0).inFlightRequests);
+        assertEquals(100 * requests, response.loads.get(0).pendingPromptTokens);
     }
 
     @Test
@@ -102,7 +102,7 @@
         table.record(report("a", 1, 1, 2), START_MS);
         table.reset(START_MS);
         table.record(report("b", 1, 1, 3), START_MS + 10);
-        assertFalse(loadsFor("c", START_MS + LoadTable.WARM_UP_MS - 1).known);
+        assertFalse(loadsFor("c", START_MS + LoadTable.WARM_UP_MS - 1).loadsKnown);
         assertLoads(3, "c", START_MS + LoadTable.WARM_UP_MS);
     }
 
@@ -115,6 +115,6 @@
         table.record(report, START_MS);
         FleetLoads response = loadsFor("b", START_MS);
         assertEquals(200, response.loads.size());
-        assertTrue(response.loads.stream().allMatch(load -> load.tokens > 4_800));
+        assertTrue(response.loads.stream().allMatch(load -> load.pendingPromptTokens > 4_800));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/PollRequestBuilder.java
+++ b/src/test/java/myrtleladder/controlplane/PollRequestBuilder.java
@@ -23,13 +23,13 @@
         return this;
     }
 
-    PollRequestBuilder revision(long revision) {
-        poll.revision = revision;
+    PollRequestBuilder instanceRevision(long revision) {
+        poll.instanceRevision = revision;
         return this;
     }
 
-    PollRequestBuilder complete() {
-        poll.complete = true;
+    PollRequestBuilder authoritativeList() {
+        poll.hasAuthoritativeList = true;
         return this;
     }
 
@@ -39,7 +39,7 @@
     }
 
     PollRequestBuilder inFlight(InFlightRequests... requests) {
-        poll.underWay.addAll(List.of(requests));
+        poll.inFlightAtDraining.addAll(List.of(requests));
         return this;
     }
 
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -47,9 +47,9 @@
         poll.address = name + ":1";
         poll.epoch = epoch;
         poll.generation = generation;
-        poll.revision = revision;
-        poll.complete = complete;
-        poll.load = loadReport();
+        poll.instanceRevision = revision;
+        poll.hasAuthoritativeList = complete;
+        poll.loadReport = loadReport();
         long sentAtMs = cluster.clock.now();
         newestWhenSent = cluster.history.newestAcknowledged();
         FirstResponse first = new FirstResponse(response -> handle(sentAtMs, response));
@@ -62,8 +62,8 @@
     private void handle(long sentAtMs, Message message) {
         if (!(message instanceof PollResponse response)) {
             target = "";
-        } else if (!response.valid || response.epoch < epoch) {
-            target = response.primary.equals(target) ? "" : response.primary;
+        } else if (!response.fromPrimary || response.epoch < epoch) {
+            target = response.primaryAddress.equals(target) ? "" : response.primaryAddress;
         } else {
             apply(response, sentAtMs);
             poll();
@@ -76,12 +76,12 @@
     private LoadReport loadReport() {
         LoadReport report = new LoadReport();
         report.balancer = name;
-        report.process = 1;
+        report.processId = 1;
         report.sequence = ++reportCount;
         report.epoch = fleetEpoch;
         report.promptRevision = promptRevision;
         report.loads.add(UpstreamLoad.of(UPSTREAM, REQUESTS_IN_FLIGHT, 0));
-        report.prompts.add(CachedPrompt.of(name.hashCode(), UPSTREAM));
+        report.cachedPrompts.add(CachedPrompt.of(name.hashCode(), UPSTREAM));
         return report;
     }
 
@@ -90,22 +90,22 @@
         promptRevision = loads.promptRevision;
         int maxRequests = REQUESTS_IN_FLIGHT * (cluster.balancers.size() - 1);
         for (UpstreamLoad load : loads.loads) {
-            if (load.upstream != UPSTREAM || load.requests > maxRequests) {
-                cluster.history.addViolation(name + " is told " + load.requests + " requests of " + maxRequests);
+            if (load.upstreamKey != UPSTREAM || load.inFlightRequests > maxRequests) {
+                cluster.history.addViolation(name + " is told " + load.inFlightRequests + " requests of " + maxRequests);
             }
         }
-        if (loads.prompts.size() > cluster.balancers.size()) {
-            cluster.history.addViolation(name + " is told of " + loads.prompts.size() + " prompts");
+        if (loads.cachedPrompts.size() > cluster.balancers.size()) {
+            cluster.history.addViolation(name + " is told of " + loads.cachedPrompts.size() + " prompts");
         }
     }
 
     private void apply(PollResponse response, long sentAtMs) {
-        if (response.loads != null) {
-            checkLoads(response.loads);
+        if (response.fleetLoads != null) {
+            checkLoads(response.fleetLoads);
         }
-        complete = response.complete || complete && response.epoch == epoch;
+        complete = response.authoritative || complete && response.epoch == epoch;
         epoch = response.epoch;
-        revision = response.revision;
+        revision = response.instanceRevision;
         if (response.generation > generation && response.document.length > 0) {
             byte[] document = Compression.inflate(response.document);
             cluster.history.checkShown(OperatorChange.nameIn(document), response.generation, name);
