--- a/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
@@ -13,8 +13,8 @@
  * Saves states on a thread of its own, since a disk may take seconds. States that arrive while one
  * is written are written at once, as the newest one includes the others (group commit).
  *
- * <p>{@link #save} may be called from any thread; callbacks run on the event loop. The writer thread
- * alone uses the {@link StateStore} once it is started.
+ * <p>{@link #save} may be called from any thread; callbacks run on the event loop. The writer
+ * thread alone uses the {@link StateStore} once it is started.
  */
 public final class AsyncStateWriter implements Storage {
     private static final Logger LOG = LogManager.getLogger(AsyncStateWriter.class);
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -20,8 +20,8 @@
  *   <li>a majority confirms that this node is still primary ({@link Replica#confirm});
  *   <li>it is checked against the committed configuration ({@link ChangeValidation});
  *   <li>all replicas of the view store it ({@link Replica#submit});
- *   <li>it becomes the {@link CommittedConfiguration}, whose listener hands it to the balancers that
- *       wait in a {@link LongPoll};
+ *   <li>it becomes the {@link CommittedConfiguration}, whose listener hands it to the balancers
+ *       that wait in a {@link LongPoll};
  *   <li>it is acknowledged.
  * </ol>
  *
@@ -158,8 +158,7 @@
 
     private void commit(ConfigurationRequest request) {
         committed.commit(replica.snapshot());
-        LOG.info(
-                "generation {} is committed in epoch {}", committed.generation(), replica.epoch());
+        LOG.info("generation {} is committed in epoch {}", committed.generation(), replica.epoch());
         acknowledge(request);
     }
 
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -82,8 +82,7 @@
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
         int sound = 0;
-        for (StateStore.StateFile file :
-                new StateStore(Path.of(words.get(1))).files()) {
+        for (StateStore.StateFile file : new StateStore(Path.of(words.get(1))).files()) {
             try {
                 StoredState state = StateStore.read(file.path());
                 sound++;
--- a/src/main/java/myrtleladder/controlplane/ControlNode.java
+++ b/src/main/java/myrtleladder/controlplane/ControlNode.java
@@ -68,8 +68,7 @@
             seeds.add(Member.of(seed.host() + ":" + port, seed.toString(), UNKNOWN_STORE));
         }
         Member self =
-                Member.of(
-                        settings.ip() + ":" + port, settings.control().toString(), UNKNOWN_STORE);
+                Member.of(settings.ip() + ":" + port, settings.control().toString(), UNKNOWN_STORE);
         return new ReplicaOptions(
                 self,
                 settings.toleratedMachines(),
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -14,8 +14,8 @@
 
 /**
  * Keeps records of upstream instances for members that did not take them, and hands them over once
- * the member answers (hinted handoff, as in Dynamo). So each node has all departures before it could
- * become primary.
+ * the member answers (hinted handoff, as in Dynamo). So each node has all departures before it
+ * could become primary.
  *
  * <p>Invariant: while there are hints, an attempt is scheduled. Confined to the event loop.
  */
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -66,8 +66,8 @@
     /**
      * Sends a record to the other nodes and waits for the disks of the replicas.
      *
-     * @param done called once: with true as soon as all replicas of the view have synced the record,
-     *     with false if one of them failed or did not answer
+     * @param done called once: with true as soon as all replicas of the view have synced the
+     *     record, with false if one of them failed or did not answer
      */
     void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
--- a/src/main/java/myrtleladder/controlplane/LoadTable.java
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -8,20 +8,18 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * The requests and tokens that all balancers have in flight at each upstream, summed from the newest
- * report of each balancer.
+ * The requests and tokens that all balancers have in flight at each upstream, summed from the
+ * newest report of each balancer.
  *
- * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before and
- * expires, so that nothing counts twice and nothing remains of a balancer that died. Confined to the
- * event loop.
+ * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before
+ * and expires, so that nothing counts twice and nothing remains of a balancer that died. Confined
+ * to the event loop.
  */
 final class LoadTable {
     /** How long a report counts. Derived: a poll's timeout and two waits of a poll. */
     static final long REPORT_LIFETIME_MS = 1_500;
 
-    /**
-     * How long a new primary reports no sums. Derived: each live balancer has polled by then.
-     */
+    /** How long a new primary reports no sums. Derived: each live balancer has polled by then. */
     static final long WARM_UP_MS = 900;
 
     /** The most upstreams in a response: bounds its bytes in large fleets. Chosen. */
@@ -97,7 +95,8 @@
         Map<Integer, UpstreamLoad> own = loadsOf(balancer);
         sums.forEach((upstream, sum) -> addDifference(response, upstream, sum, own.get(upstream)));
         if (response.loads.size() > MAX_LOADS_IN_RESPONSE) {
-            response.loads.sort((a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
+            response.loads.sort(
+                    (a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
             response.loads.subList(MAX_LOADS_IN_RESPONSE, response.loads.size()).clear();
         }
     }
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -12,8 +12,8 @@
 /**
  * Decides which ordinals instances get. A new instance waits a moment for one of its service and
  * zone to leave and takes over that one's ordinal, so that what was placed there has one successor;
- * if none leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until the
- * instance has left.
+ * if none leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until
+ * the instance has left.
  *
  * <p>A function of its arguments, without state.
  */
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -10,8 +10,8 @@
 
 /**
  * Handles the long polls by which balancers learn of the configuration, the upstreams, the other
- * balancers and their loads. A poll is answered at once if there is an update for the balancer, else
- * as soon as there is one or its time is over.
+ * balancers and their loads. A poll is answered at once if there is an update for the balancer,
+ * else as soon as there is one or its time is over.
  *
  * <p>Invariant: polls wait only while this node is primary. Confined to the event loop.
  */
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -75,7 +75,8 @@
         response.epoch = replica.view().epoch;
         addConfiguration(response, request);
         addInstances(response, request);
-        response.fleetLoads = fleetLoads.responseTo(request.loadReport, response.epoch, scheduler.now());
+        response.fleetLoads =
+                fleetLoads.responseTo(request.loadReport, response.epoch, scheduler.now());
         addBalancers(response, request);
         return response;
     }
@@ -89,14 +90,17 @@
     private void addInstances(PollResponse response, PollRequest request) {
         response.instanceRevision = instances.revision();
         response.authoritative = hasHeardAllInstances.getAsBoolean();
-        response.fullInstanceList = request.epoch != response.epoch || !request.hasAuthoritativeList;
-        response.instances = instances.changedSince(response.fullInstanceList ? 0 : request.instanceRevision);
+        response.fullInstanceList =
+                request.epoch != response.epoch || !request.hasAuthoritativeList;
+        response.instances =
+                instances.changedSince(response.fullInstanceList ? 0 : request.instanceRevision);
     }
 
     private void addBalancers(PollResponse response, PollRequest request) {
         response.balancerCount = balancers.count(!response.authoritative);
         response.balancerListRevision = balancers.revision();
-        if (response.fullInstanceList || request.balancerListRevision != response.balancerListRevision) {
+        if (response.fullInstanceList
+                || request.balancerListRevision != response.balancerListRevision) {
             response.balancerList = balancers.addresses();
         }
     }
--- a/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
@@ -8,8 +8,8 @@
 import myrtleladder.protocol.QuotaResponse;
 
 /**
- * The quotas of all tenants, kept by the primary: balancers take from a tenant's {@link TokenBucket}
- * what their requests count.
+ * The quotas of all tenants, kept by the primary: balancers take from a tenant's {@link
+ * TokenBucket} what their requests count.
  *
  * <p>Invariant: each tenant with a rate in the configuration in force has a bucket, all others are
  * not limited. Confined to the event loop.
@@ -68,8 +68,7 @@
     }
 
     /** The bucket of a tenant; {@code known} is the one before, null if there was none. */
-    private TokenBucket bucketFor(
-            Tenant tenant, TokenBucket known, boolean isFirst, long nowMs) {
+    private TokenBucket bucketFor(Tenant tenant, TokenBucket known, boolean isFirst, long nowMs) {
         double ratePerS = tenant.ratePerSecond() * (1 + overageShare * USED_SHARE_OF_OVERAGE);
         double capacity = Math.max(tenant.burst(), 1) + slackUnits * USED_SHARE_OF_SLACK;
         if (known == null) {
--- a/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
@@ -48,7 +48,8 @@
         long nowMs = scheduler.now();
         QuotaResponse response = quotas.grant(request, nowMs);
         fleetLoads.record(request.loadReport, nowMs);
-        response.fleetLoads = fleetLoads.responseTo(request.loadReport, replica.view().epoch, nowMs);
+        response.fleetLoads =
+                fleetLoads.responseTo(request.loadReport, replica.view().epoch, nowMs);
         return response;
     }
 }
--- a/src/main/java/myrtleladder/controlplane/StateStore.java
+++ b/src/main/java/myrtleladder/controlplane/StateStore.java
@@ -18,8 +18,9 @@
 import org.mapdb.DBException;
 
 /**
- * The state of a node on its disk. Each save writes the whole state as a new {@link StateFileFormat}
- * file, syncs it, and only then removes the files that are older than the one before.
+ * The state of a node on its disk. Each save writes the whole state as a new {@link
+ * StateFileFormat} file, syncs it, and only then removes the files that are older than the one
+ * before.
  *
  * <p>Invariants: no file is changed once it is written; the newest file that can be read holds at
  * least what was last acknowledged. A file that was written in part is set aside when the state is
--- a/src/main/java/myrtleladder/controlplane/Warmup.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -26,9 +26,9 @@
 import myrtleladder.rpc.PeerClient;
 
 /**
- * A warm-up run: a control node on the loopback that sends itself one request of each kind and ends.
- * The build runs it to record the classes that a start needs in an archive, from which they load at
- * a fraction of the processor time.
+ * A warm-up run: a control node on the loopback that sends itself one request of each kind and
+ * ends. The build runs it to record the classes that a start needs in an archive, from which they
+ * load at a fraction of the processor time.
  *
  * <p>The verb of the command line is {@code rehearse}.
  */
--- a/src/test/java/myrtleladder/controlplane/ConfigurationRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationRequestTest.java
@@ -19,7 +19,8 @@
 
     @Test
     void changeIsAcknowledgedOnceReplicatedAndReadBackUnchanged() {
-        RecordedExchange put = node.change("PUT", "0", "{'generation':3,'services':[{'name':'s'}]}");
+        RecordedExchange put =
+                node.change("PUT", "0", "{'generation':3,'services':[{'name':'s'}]}");
         assertEquals(200, put.status);
         assertTrue(node.hasSent(m -> m instanceof ReplicateRequest r && r.generation == 3));
         assertEquals(
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -32,7 +32,11 @@
         node.change("PUT", "0", "{'generation':3}");
         node.clock.run(4_000);
         PollResponse first = firstPoll();
-        assertTrue(first.fromPrimary && first.authoritative && first.fullInstanceList && first.document.length > 0);
+        assertTrue(
+                first.fromPrimary
+                        && first.authoritative
+                        && first.fullInstanceList
+                        && first.document.length > 0);
         PollRequest poll =
                 new PollRequestBuilder()
                         .generation(3)
--- a/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
+++ b/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
@@ -30,7 +30,8 @@
                             if (isBack[0]) {
                                 taken.addAll(((ShareInstancesRequest) message).instances);
                             }
-                            responder.accept(isBack[0] ? AcknowledgeResponse.of(true, 1, null) : null);
+                            responder.accept(
+                                    isBack[0] ? AcknowledgeResponse.of(true, 1, null) : null);
                         });
         Member away = Member.of("b:1", "b:2", "store");
         handoff.addHint(away, record("i", Stage.READY, 1), 1);
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -138,7 +138,8 @@
         StateStore store = new StateStore(folder.resolve("sub"));
         Files.delete(folder.resolve("sub"));
         Files.write(folder.resolve("sub"), new byte[] {1});
-        StorageException failure = assertThrows(StorageException.class, () -> store.save(state(1, 10)));
+        StorageException failure =
+                assertThrows(StorageException.class, () -> store.save(state(1, 10)));
         assertEquals(ResultCode.DISK_WRITE, failure.code());
         assertTrue(failure.getMessage().startsWith("E300 DISK_WRITE"));
     }
--- a/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -71,7 +71,12 @@
                     IntStream.range(0, points)
                             .filter(point -> point % step == size % step)
                             .parallel()
-                            .mapToObj(point -> run(scenario, size, List.of(new InjectionPoint(point, fault))))
+                            .mapToObj(
+                                    point ->
+                                            run(
+                                                    scenario,
+                                                    size,
+                                                    List.of(new InjectionPoint(point, fault))))
                             .filter(run -> !run.violations.isEmpty())
                             .limit(MAX_SHOWN)
                             .forEachOrdered(run -> found.add(run.toString()));
@@ -90,7 +95,9 @@
         Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
         Fault other = random.nextBoolean() ? Fault.KILL : Fault.PARTITION;
         List<InjectionPoint> injections =
-                List.of(new InjectionPoint(first, fault), new InjectionPoint(first + 1 + random.nextInt(200), other));
+                List.of(
+                        new InjectionPoint(first, fault),
+                        new InjectionPoint(first + 1 + random.nextInt(200), other));
         Run run = run(scenario, size, injections);
         return run.violations.isEmpty() ? "" : run.toString();
     }
@@ -133,7 +140,8 @@
         private void replace() {
             cluster.addMachine().start(false);
             SimulatedNode leaving = cluster.nodes().get(0);
-            cluster.clock.schedule(WINDOW_MS / 2, () -> leaving.terminate(() -> cluster.remove(leaving)));
+            cluster.clock.schedule(
+                    WINDOW_MS / 2, () -> leaving.terminate(() -> cluster.remove(leaving)));
         }
 
         private void reach(SimulatedNode node) {
@@ -167,13 +175,20 @@
          * A disk that is lost beside a replacement, or beside another loss, may be one too many.
          */
         private boolean mustRecover() {
-            boolean isDiskLost = injections.stream().anyMatch(injection -> injection.fault == Fault.WIPE);
+            boolean isDiskLost =
+                    injections.stream().anyMatch(injection -> injection.fault == Fault.WIPE);
             return !isDiskLost || injections.size() == 1 && scenario == Scenario.CHANGES;
         }
 
         @Override
         public String toString() {
-            return scenario + " of " + cluster.nodes().size() + " " + injections + ": " + violations;
+            return scenario
+                    + " of "
+                    + cluster.nodes().size()
+                    + " "
+                    + injections
+                    + ": "
+                    + violations;
         }
     }
 
--- a/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
@@ -53,8 +53,7 @@
     private FaultSchedule(long seed, Safeguard removedSafeguard) {
         this.random = new SplittableRandom(seed * 31 + 7);
         int size = SIZES[(int) (seed % SIZES.length)];
-        this.cluster =
-                SimulatedCluster.ofSize(size).seed(seed).without(removedSafeguard).build();
+        this.cluster = SimulatedCluster.ofSize(size).seed(seed).without(removedSafeguard).build();
     }
 
     /** The violations in the run of a seed; none of them is expected with all safeguards. */
@@ -72,7 +71,8 @@
         cluster.start();
         cluster.clock.run(1_500 + random.nextInt(500));
         for (int i = 0; i < faultCount && cluster.history.violations().isEmpty(); i++) {
-            cluster.operators.forEach(o -> o.loseAcknowledgements(random.nextInt(3) == 0 ? 0.6 : 0));
+            cluster.operators.forEach(
+                    o -> o.loseAcknowledgements(random.nextInt(3) == 0 ? 0.6 : 0));
             Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
             log.append(fault).append('@').append(cluster.clock.now() % 100_000).append(' ');
             if (random.nextBoolean()) {
@@ -145,7 +145,8 @@
         boolean isTolerated = victims.size() <= cluster.tolerated;
         if (isTolerated && durationMs > FAILOVER_MS + AVAILABILITY_TIMEOUT_MS) {
             cluster.clock.run(FAILOVER_MS);
-            cluster.expectAcknowledgement(AVAILABILITY_TIMEOUT_MS, "while " + victims + " are lost");
+            cluster.expectAcknowledgement(
+                    AVAILABILITY_TIMEOUT_MS, "while " + victims + " are lost");
         } else {
             cluster.clock.run(durationMs);
         }
@@ -251,7 +252,9 @@
         cluster.heal();
     }
 
-    /** More is partitioned than may be lost at a time: nothing has to be served, nothing is lost. */
+    /**
+     * More is partitioned than may be lost at a time: nothing has to be served, nothing is lost.
+     */
     private void secondPartition(List<SimulatedNode> victims) {
         List<SimulatedNode> nodes = cluster.nodes();
         victims.forEach(SimulatedNode::kill);
--- a/src/test/java/myrtleladder/controlplane/model/MessageForger.java
+++ b/src/test/java/myrtleladder/controlplane/model/MessageForger.java
@@ -42,7 +42,9 @@
             case MAJORITY_OF_PREVIOUS_GROUP ->
                     isDropped(caller, called) ? vote(message, called) : null;
             case ROUND_TRIP_BEFORE_READ ->
-                    message instanceof HeartbeatRequest beat ? acknowledgement(beat.view.epoch, called) : null;
+                    message instanceof HeartbeatRequest beat
+                            ? acknowledgement(beat.view.epoch, called)
+                            : null;
             case SWAP_AT_ADMISSION ->
                     message instanceof HeartbeatRequest beat && !cluster.isRunningAt(to)
                             ? acknowledgement(beat.view.epoch, called)
@@ -59,7 +61,9 @@
             promise.member = called;
             return promise;
         }
-        return message instanceof AcceptViewRequest accept ? acknowledgement(accept.view.epoch, called) : null;
+        return message instanceof AcceptViewRequest accept
+                ? acknowledgement(accept.view.epoch, called)
+                : null;
     }
 
     private static AcknowledgeResponse acknowledgement(long epoch, Member member) {
--- a/src/test/java/myrtleladder/controlplane/model/PartitionTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/PartitionTest.java
@@ -20,7 +20,8 @@
                 }
             }
             cluster.clock.run(Scenarios.FAILOVER_MS);
-            cluster.expectAcknowledgement(Scenarios.AVAILABILITY_TIMEOUT_MS, "beside the one that is cut off");
+            cluster.expectAcknowledgement(
+                    Scenarios.AVAILABILITY_TIMEOUT_MS, "beside the one that is cut off");
             cluster.clock.run(20_000 - Scenarios.FAILOVER_MS);
             assertFalse(leader.isLeading());
             assertEquals(null, leader.replica().primary());
@@ -64,7 +65,8 @@
                 }
             }
             cluster.clock.run(Scenarios.FAILOVER_MS);
-            cluster.expectAcknowledgement(Scenarios.AVAILABILITY_TIMEOUT_MS, "beside the one-way cut");
+            cluster.expectAcknowledgement(
+                    Scenarios.AVAILABILITY_TIMEOUT_MS, "beside the one-way cut");
             assertTrue(cluster.leader() != leader);
             cluster.heal();
             cluster.clock.run(Scenarios.CATCH_UP_MS);
--- a/src/test/java/myrtleladder/controlplane/model/ReconfigurationTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/ReconfigurationTest.java
@@ -23,11 +23,13 @@
                     Scenarios.nodes(cluster).get(wiped).wipe();
                     cluster.clock.run(away);
                     if (away > Scenarios.FAILOVER_MS) {
-                        cluster.expectAcknowledgement(Scenarios.AVAILABILITY_TIMEOUT_MS, "while it is away");
+                        cluster.expectAcknowledgement(
+                                Scenarios.AVAILABILITY_TIMEOUT_MS, "while it is away");
                     }
                     cluster.heal();
                     cluster.clock.run(Scenarios.CATCH_UP_MS);
-                    Scenarios.expectRecovered(cluster, gone + " replaced, then " + wiped + " wiped");
+                    Scenarios.expectRecovered(
+                            cluster, gone + " replaced, then " + wiped + " wiped");
                 }
             }
         }
@@ -54,10 +56,12 @@
                 assertNotNull(leader);
                 leader.wipe();
                 cluster.clock.run(Scenarios.FAILOVER_MS);
-                cluster.expectAcknowledgement(Scenarios.AVAILABILITY_TIMEOUT_MS, "after the second loss");
+                cluster.expectAcknowledgement(
+                        Scenarios.AVAILABILITY_TIMEOUT_MS, "after the second loss");
                 cluster.heal();
                 cluster.clock.run(Scenarios.CATCH_UP_MS);
-                Scenarios.expectRecovered(cluster, leaver + " left, the leader wiped after " + pause);
+                Scenarios.expectRecovered(
+                        cluster, leaver + " left, the leader wiped after " + pause);
             }
         }
     }
@@ -127,7 +131,8 @@
             cluster.clock.run(after);
             cluster.remove(joiner);
             cluster.clock.run(Scenarios.FAILOVER_MS);
-            cluster.expectAcknowledgement(Scenarios.AVAILABILITY_TIMEOUT_MS, "after the joiner's end");
+            cluster.expectAcknowledgement(
+                    Scenarios.AVAILABILITY_TIMEOUT_MS, "after the joiner's end");
             long views = cluster.leader().replica().epoch() - epoch;
             assertTrue(views <= 5, views + " views for a joiner that ended after " + after);
             Scenarios.expectRecovered(cluster, "a joiner that ends after " + after);
@@ -143,7 +148,8 @@
             cluster.clock.run(900 + i * 400);
             cluster.heal();
             cluster.clock.run(1_200);
-            cluster.expectAcknowledgement(Scenarios.AVAILABILITY_TIMEOUT_MS, "beside the flapping machine");
+            cluster.expectAcknowledgement(
+                    Scenarios.AVAILABILITY_TIMEOUT_MS, "beside the flapping machine");
         }
         cluster.clock.run(Scenarios.CATCH_UP_MS);
         Scenarios.expectRecovered(cluster, "after the flapping");
@@ -158,7 +164,9 @@
             for (int i = 0; i < 300; i++) {
                 cluster.awaitCommitment(4_000);
             }
-            assertTrue(cluster.history.newestAcknowledged() > 200, "generation " + cluster.history.newestAcknowledged());
+            assertTrue(
+                    cluster.history.newestAcknowledged() > 200,
+                    "generation " + cluster.history.newestAcknowledged());
             cluster.heal();
             cluster.clock.run(Scenarios.CATCH_UP_MS);
             SimulatedNode leader = cluster.leader();
--- a/src/test/java/myrtleladder/controlplane/model/RepeatedChangeTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/RepeatedChangeTest.java
@@ -28,7 +28,8 @@
     }
 
     /** The status of a node's response to a change, 0 without a response. */
-    private static int statusOf(SimulatedCluster cluster, SimulatedNode node, OperatorChange change) {
+    private static int statusOf(
+            SimulatedCluster cluster, SimulatedNode node, OperatorChange change) {
         int[] status = {-1};
         new ExternalClient(cluster, "third")
                 .call(
@@ -57,7 +58,8 @@
         throw new AssertionError("no change of a third operator is acknowledged");
     }
 
-    private static void expectKnownEverywhere(SimulatedCluster cluster, OperatorChange change, String when) {
+    private static void expectKnownEverywhere(
+            SimulatedCluster cluster, OperatorChange change, String when) {
         for (SimulatedNode node : Scenarios.nodes(cluster)) {
             assertEquals(200, statusOf(cluster, node, change), node.address + " " + when);
         }
@@ -83,7 +85,8 @@
             cluster.heal();
             cluster.clock.run(Scenarios.CATCH_UP_MS);
             expectKnownEverywhere(cluster, change, "after a restart of all");
-            OperatorChange other = new OperatorChange(change.name(), change.base() + 1, change.generation());
+            OperatorChange other =
+                    new OperatorChange(change.name(), change.base() + 1, change.generation());
             int status = statusOf(cluster, cluster.leader(), other);
             assertTrue(status == 412 || status == 400, "another If-Match: " + status);
             Scenarios.expectRecovered(cluster, "after a known change of " + size);
--- a/src/test/java/myrtleladder/controlplane/model/Safeguard.java
+++ b/src/test/java/myrtleladder/controlplane/model/Safeguard.java
@@ -1,9 +1,9 @@
 package myrtleladder.controlplane.model;
 
 /**
- * A safeguard of the protocol that a simulation may go without, to show that the simulation notices.
- * Each is removed at the edges of the code under test: in what the disk, the network or the start of
- * the process does.
+ * A safeguard of the protocol that a simulation may go without, to show that the simulation
+ * notices. Each is removed at the edges of the code under test: in what the disk, the network or
+ * the start of the process does.
  */
 enum Safeguard {
     /** A response waits until the disk has synced. */
--- a/src/test/java/myrtleladder/controlplane/model/SafeguardRemovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/SafeguardRemovalTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Without any one of its safeguards the protocol fails in some random schedule: the simulation would
- * notice it.
+ * Without any one of its safeguards the protocol fails in some random schedule: the simulation
+ * would notice it.
  */
 class SafeguardRemovalTest {
     private static final long MAX_SEEDS = 3_000;
--- a/src/test/java/myrtleladder/controlplane/model/Scenarios.java
+++ b/src/test/java/myrtleladder/controlplane/model/Scenarios.java
@@ -29,7 +29,9 @@
         return cluster;
     }
 
-    /** Checks that the cluster serves, that all nodes are members, and that nothing was violated. */
+    /**
+     * Checks that the cluster serves, that all nodes are members, and that nothing was violated.
+     */
     static void expectRecovered(SimulatedCluster cluster, String situation) {
         cluster.expectAcknowledgement(RECOVERY_TIMEOUT_MS, situation);
         cluster.expectAllAreMembers(situation);
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -91,11 +91,13 @@
         int maxRequests = REQUESTS_IN_FLIGHT * (cluster.balancers.size() - 1);
         for (UpstreamLoad load : loads.loads) {
             if (load.upstreamKey != UPSTREAM || load.inFlightRequests > maxRequests) {
-                cluster.history.addViolation(name + " is told " + load.inFlightRequests + " requests of " + maxRequests);
+                cluster.history.addViolation(
+                        name + " is told " + load.inFlightRequests + " requests of " + maxRequests);
             }
         }
         if (loads.cachedPrompts.size() > cluster.balancers.size()) {
-            cluster.history.addViolation(name + " is told of " + loads.cachedPrompts.size() + " prompts");
+            cluster.history.addViolation(
+                    name + " is told of " + loads.cachedPrompts.size() + " prompts");
         }
     }
 
@@ -111,12 +113,14 @@
             cluster.history.checkShown(OperatorChange.nameIn(document), response.generation, name);
             generation = response.generation;
         }
-        if (sentAtMs > cluster.history.lastAcknowledgedAtMs() + SimulatedCluster.MAX_POLL_STALENESS_MS) {
+        if (sentAtMs
+                > cluster.history.lastAcknowledgedAtMs() + SimulatedCluster.MAX_POLL_STALENESS_MS) {
             cluster.history.checkNotOlder(generation, newestWhenSent, "poll of " + name);
         }
         for (InstanceRecord record : response.instances) {
             if (record.stage == Stage.READY) {
-                cluster.history.checkShownReady(record.id, sentAtMs, SimulatedCluster.MAX_POLL_STALENESS_MS, name);
+                cluster.history.checkShownReady(
+                        record.id, sentAtMs, SimulatedCluster.MAX_POLL_STALENESS_MS, name);
             }
         }
     }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
@@ -11,9 +11,9 @@
 import myrtleladder.replication.ManualScheduler;
 
 /**
- * The control plane in simulated time: nodes that run the code under test, with disks and links, and
- * the operators, readers, balancers and upstreams that call them. A {@link HistoryChecker} judges
- * what the callers have seen. The same seed gives the same run.
+ * The control plane in simulated time: nodes that run the code under test, with disks and links,
+ * and the operators, readers, balancers and upstreams that call them. A {@link HistoryChecker}
+ * judges what the callers have seen. The same seed gives the same run.
  */
 final class SimulatedCluster {
     /** How long after a change is acknowledged polls may still be answered without it. */
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedDisk.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedDisk.java
@@ -9,8 +9,8 @@
 import myrtleladder.replication.ManualScheduler;
 
 /**
- * A disk that syncs one state after the other. After a loss of power a state that was being written is
- * either complete or missing: a torn one fails its checksum, and the one before it remains.
+ * A disk that syncs one state after the other. After a loss of power a state that was being written
+ * is either complete or missing: a torn one fails its checksum, and the one before it remains.
  */
 final class SimulatedDisk {
     private static final long SYNC_MS = 5;
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
@@ -135,8 +135,7 @@
             replica().resign("asked to end");
             cluster.clock.schedule(2 * LINGER_MS, end);
         } else {
-            replica()
-                    .leave(LEAVE_TIMEOUT_MS, isReleased -> cluster.clock.schedule(LINGER_MS, end));
+            replica().leave(LEAVE_TIMEOUT_MS, isReleased -> cluster.clock.schedule(LINGER_MS, end));
         }
     }
 
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedUpstream.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedUpstream.java
@@ -104,8 +104,7 @@
                     if (response != null && response.status() == OK) {
                         onAcknowledged.run();
                     } else if (isRepeated) {
-                        cluster.clock.schedule(
-                                RETRY_MS, () -> call(method, body, onAcknowledged));
+                        cluster.clock.schedule(RETRY_MS, () -> call(method, body, onAcknowledged));
                     }
                 });
     }
