--- a/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
@@ -14,33 +14,33 @@
  * upstream.
  */
 class AttemptTimingTest extends LoadBalancerFixture {
-    private static final long STAND_MS = 700;
-    private static final long PAST_MEMORY_MS = 2_100;
+    private static final long STALL_MS = 700;
+    private static final long PAST_MEMORY_SPAN_MS = 2_100;
 
     /**
      * Stops the loop while a connection for an attempt comes up, for longer than some limits allow.
      */
-    private void standStillWhileConnecting(Server upstream, Client client, String request)
+    private void stallWhileConnecting(Server upstream, Client client, String request)
             throws Exception {
-        StandStill still = standStillBehindDecisionFor(upstream);
+        LoopStall stall = stallAfterPickOf(upstream);
         client.write(request);
-        still.await();
-        spend(STAND_MS);
-        still.goOn();
+        stall.await();
+        spin(STALL_MS);
+        stall.resume();
     }
 
     /** It was told what was left at the decision, and worked on when its client had gone. */
     @Test
     void anAttemptTellsTheTimeThatIsLeftWhenItBegins() throws Exception {
         Server upstream = server(SERVE);
-        connectTimeout = "5";
+        configFile.connectTimeoutS("5");
         start(upstream);
         Client client = client();
-        standStillWhileConnecting(upstream, client, request("POST", "submit", "9000", ""));
+        stallWhileConnecting(upstream, client, request("POST", "submit", "9000", ""));
         assertEquals(200, client.read().status());
         long left =
                 Long.parseLong(RawSockets.next(upstream.requests).headers().get("x-time-left-ms"));
-        assertTrue(left <= 9_000 - STAND_MS, () -> "told that " + left + " ms are left");
+        assertTrue(left <= 9_000 - STALL_MS, () -> "told that " + left + " ms are left");
     }
 
     /**
@@ -56,22 +56,22 @@
                             RawSockets.answer(s, "500 Oops", "", "");
                         });
         Server second = server(SERVE);
-        memorySpan = "2";
-        connectTimeout = "5";
+        configFile.memorySpanS("2");
+        configFile.connectTimeoutS("5");
         start(first);
         Client client = client().write(request("POST", "revise", "9000", "Idempotency-Key: k\r\n"));
         RawSockets.next(first.requests);
         // From here on the second alone takes requests.
         String firstId = "s-" + first.addr();
         String secondId = "s-" + second.addr();
-        tellChanges(
+        sendChanges(
                 entry(firstId, first.addr(), "Terminating"),
                 entry(secondId, second.addr(), "Ready"));
-        StandStill still = standStillBehindDecisionFor(second);
+        LoopStall stall = stallAfterPickOf(second);
         decided.countDown();
-        still.await();
-        spend(PAST_MEMORY_MS);
-        still.goOn();
+        stall.await();
+        spin(PAST_MEMORY_SPAN_MS);
+        stall.resume();
         Message answer = client.read();
         assertTrue(answer.status() >= 500, answer.start());
         assertEquals(0, second.requests.size());
@@ -81,14 +81,14 @@
     @Test
     void anAttemptWhoseClientLeftWhileItsConnectionCameUpIsNotBegun() throws Exception {
         Server upstream = server(SERVE);
-        connectTimeout = "5";
+        configFile.connectTimeoutS("5");
         start(upstream);
         Client leaver = client();
-        StandStill still = standStillBehindDecisionFor(upstream);
+        LoopStall stall = stallAfterPickOf(upstream);
         leaver.write(request("GET", "look", "9000", ""));
-        still.await();
+        stall.await();
         leaver.close();
-        still.goOn();
+        stall.resume();
         assertEquals(200, client().write(request("GET", "look", "9000", "")).read().status());
         assertEquals("id-1", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
         assertEquals(0, upstream.requests.size());
@@ -108,7 +108,7 @@
         Client client = client().write(submit());
         RawSockets.next(upstream.requests);
         String id = "s-" + upstream.addr();
-        tellChanges(
+        sendChanges(
                 entry(id, upstream.addr(), "Ready")
                         .replace("\"started_ms\":0", "\"started_ms\":1000"));
         restarted.countDown();
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientConnectionLimitTest.java
@@ -0,0 +1,103 @@
+package myrtleladder.loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.SocketTimeoutException;
+import java.util.ArrayList;
+import java.util.List;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Client connections beyond the file descriptors, and connections that send no complete request.
+ */
+class ClientConnectionLimitTest extends LoadBalancerFixture {
+    /**
+     * Refusing whoever sends while there are too many would refuse all of them when many connect at
+     * once.
+     */
+    @Test
+    void clientsBeyondTheLimitAreRejectedAndTheOthersServed() throws Exception {
+        configFile.sockets(64 + 16); // room for 12 clients
+        start(server(SERVE));
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < 14; i++) {
+            clients.add(client()); // accepted in this order
+        }
+        assertEquals(503, clients.get(13).write(submit()).read().status());
+        assertNull(clients.get(13).read());
+        assertEquals(200, clients.get(11).write(submit()).read().status());
+    }
+
+    /** Silent clients took every descriptor, and no upstream could be reached for the others. */
+    @Test
+    void clientsFarBeyondTheLimitWaitToBeAccepted() throws Exception {
+        configFile.sockets(64 + 4); // room for 3 clients
+        start(server(SERVE));
+        List<Client> silent = new ArrayList<>();
+        for (int i = 0; i < 60; i++) {
+            silent.add(client());
+        }
+        Client waiting = client().write(submit());
+        assertEquals(200, silent.get(0).write(submit()).read().status());
+        waiting.socket.setSoTimeout(
+                100); // one that was accepted would mostly have its refusal by then
+        assertThrows(SocketTimeoutException.class, waiting::read);
+        waiting.socket.setSoTimeout(RawSockets.TIMEOUT_S * 1_000);
+        for (Client c : silent) {
+            c.close();
+        }
+        int status = waiting.read().status();
+        assertTrue(
+                status == 200 || status == 503, "served or refused, by how many have left by then");
+    }
+
+    /** They held their descriptors for good, until every other client was refused. */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "",
+                "GET /look?key=k1 HT",
+                "POST /submit?key=k1 HTTP/1.1\r\nContent-Length: 9\r\n\r\nb"
+            })
+    void connectionWithoutACompleteRequestIsClosed(String part) throws Exception {
+        start(server(SERVE));
+        assertNull(client().write(part).read());
+    }
+
+    @Test
+    void connectionWithAnIncompleteLaterRequestIsClosed() throws Exception {
+        start(server(SERVE));
+        Client client = client();
+        assertEquals(200, client.write(submit()).read().status());
+        assertNull(client.write("POST /submit").read());
+    }
+
+    /**
+     * To close a connection that looks idle crosses with the next request on it; so the answer says
+     * it.
+     */
+    @Test
+    void connectionsBeyondThoseKeptCloseWithTheirResponseAndIdleOnesStay() throws Exception {
+        configFile.sockets(64 + 8); // room for 6 clients, 3 of them kept
+        start(server(SERVE));
+        List<Client> kept = List.of(client(), client(), client());
+        for (Client c : kept) {
+            assertNull(c.write(submit()).read().headers().get("connection"));
+        }
+        Client beyond = client().write(submit());
+        Message answer = beyond.read();
+        assertEquals(200, answer.status());
+        assertEquals("close", answer.headers().get("connection"));
+        assertNull(beyond.read());
+        for (Client c : kept) {
+            assertEquals(200, c.write(submit()).read().status());
+        }
+    }
+}
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -21,7 +21,7 @@
     private static final int MANY = 600;
 
     /** Beyond it an attempt after the close is a break. */
-    private static final long STAND_MS = 200;
+    private static final long STALL_MS = 200;
 
     private static final int TURNS = 5;
     private static final int SMALL_BUFFER = 4_096;
@@ -41,12 +41,12 @@
         assertEquals(200, client().write(look(FOR_EVER)).read().status());
         Client leaver = client();
         Client other = client();
-        whileStandingStill(
+        whileLoopIsStalled(
                 () -> {
                     leaver.write(look(FOR_EVER));
                     leaver.close();
                     other.write(look(FOR_EVER));
-                    spend(STAND_MS);
+                    spin(STALL_MS);
                 });
         assertEquals(200, other.read().status());
         assertEquals(2, attempts());
@@ -56,7 +56,7 @@
 
     /** Attempts that have ended; one that was never begun is none. */
     private long attempts() throws Exception {
-        Map<String, Long> byOutcome = node.status().get().attempts();
+        Map<String, Long> byOutcome = balancer.status().get().attempts();
         return byOutcome.values().stream().mapToLong(n -> n).sum() - byOutcome.get("moot");
     }
 
@@ -72,7 +72,7 @@
         Server discovery =
                 server(
                         (m, s) -> {
-                            RawSockets.beginChunks(s);
+                            RawSockets.startChunkedResponse(s);
                             told.await();
                             RawSockets.chunk(s, ready(upstream));
                             written.countDown();
@@ -80,11 +80,11 @@
         start(list(0, true), discovery);
         Client leaver = client().write(look(FOR_EVER));
         RawSockets.next(discovery.requests);
-        while (node.status().get().openRequests() == 0) {
+        while (balancer.status().get().openRequests() == 0) {
             Thread.onSpinWait();
         }
         Client other = client();
-        whileStandingStill(
+        whileLoopIsStalled(
                 () -> {
                     told.countDown();
                     written.await(); // so the client's end comes behind the list
@@ -139,7 +139,7 @@
         Client client = client().write(look(FOR_EVER) + look(FOR_EVER) + look(FOR_EVER));
         RawSockets.next(upstream.requests);
         Client idle = client();
-        Future<Void> drained = node.drain(1, 600_000);
+        Future<Void> drained = balancer.drain(1, 600_000);
         assertNull(idle.read(), "closed between requests");
         go.countDown();
         for (int i = 0; i < 3; i++) {
@@ -148,7 +148,7 @@
             assertEquals(i == 2 ? "close" : null, answer.headers().get("connection"));
         }
         assertNull(client.read());
-        assertTrue(drained.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(drained.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /**
@@ -168,7 +168,7 @@
         start(upstream);
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(SMALL_BUFFER);
-            slow.connect(node.address());
+            slow.connect(balancer.address());
             StringBuilder many =
                     new StringBuilder(request("GET", "look", FOR_EVER, "Connection: close\r\n"));
             for (int i = 0; i < MANY; i++) {
@@ -178,7 +178,7 @@
             RawSockets.next(upstream.requests);
             go.countDown();
             awaitIdle();
-            slow.setSoTimeout(RawSockets.PATIENCE_S * 1_000);
+            slow.setSoTimeout(RawSockets.TIMEOUT_S * 1_000);
             Message answer = RawSockets.read(slow.getInputStream());
             assertEquals(large.length(), answer.body().length());
             assertEquals(-1, slow.getInputStream().read(), "an orderly end");
@@ -197,21 +197,21 @@
         assertEquals(200, client.write(look(FOR_EVER)).read().status());
         RawSockets.next(upstream.requests);
         awaitIdle();
-        StandStill still = standStillBeforeDrain();
+        LoopStall stall = stallBeforeDrain();
         client.write(look(FOR_EVER));
-        still.goOn();
+        stall.resume();
         assertNull(client.read());
         assertEquals(0, upstream.requests.size());
     }
 
     private void awaitIdle() throws Exception {
-        while (node.status().get().openRequests() > 0) {
+        while (balancer.status().get().openRequests() > 0) {
             Thread.onSpinWait();
         }
         // The session is idle a task after its answer, and a socket is closed a turn after its
         // channel.
         for (int i = 0; i < TURNS; i++) {
-            group.next().submit(() -> {}).get();
+            eventLoops.next().submit(() -> {}).get();
         }
     }
 
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
@@ -0,0 +1,193 @@
+package myrtleladder.loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.Collectors;
+import myrtleladder.error.OperatorError.BadList;
+import myrtleladder.loadbalancer.policy.LogLines;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
+import org.junit.jupiter.api.Test;
+
+/** Endpoint lists from discovery: watches, changes and health. */
+class DiscoveryClientTest extends LoadBalancerFixture {
+    private static boolean isWatch(Message m) {
+        return m.start().startsWith("GET /v1/servers?follow=1&since=");
+    }
+
+    @Test
+    void drainingAndGoneUpstreamsGetNoNewRequests() throws Exception {
+        Server old = server(SERVE);
+        Server other = server(SERVE);
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            RawSockets.startChunkedResponse(s);
+                            RawSockets.chunk(s, "");
+                            RawSockets.chunk(s, "{broken");
+                            RawSockets.chunk(
+                                    s,
+                                    list(
+                                            42,
+                                            false,
+                                            entry("s-" + old.addr(), old.addr(), "Terminating"),
+                                            entry("new", other.addr(), "Ready")));
+                        });
+        try (LogLines lines = new LogLines(DiscoveryClient.class)) {
+            start(ready(old), discovery);
+            assertTrue(RawSockets.next(discovery.requests).start().contains("since=41"));
+            awaitRequestAt(other);
+            String said = lines.next();
+            assertTrue(
+                    said.startsWith(BadList.CODE)
+                            && said.contains(discovery.addr())
+                            && said.contains(BadList.REMEDY),
+                    said);
+        }
+        int before = old.requests.size();
+        for (int i = 0; i < 5; i++) {
+            assertEquals(200, client().write(submit()).read().status());
+        }
+        assertEquals(before, old.requests.size());
+        // a full list without it: gone; and the id that stays has moved
+        Server moved = server(SERVE);
+        RawSockets.chunk(
+                discovery.accepted.get(0), list(43, true, entry("new", moved.addr(), "Ready")));
+        awaitRequestAt(moved);
+        before = other.requests.size();
+        assertEquals(200, client().write(submit()).read().status());
+        assertEquals(before, other.requests.size());
+    }
+
+    /** Lists may be written for people; a heartbeat or a new object ends a broken one. */
+    @Test
+    void indentedListsAreRead() throws Exception {
+        Server one = server(SERVE);
+        Server two = server(SERVE);
+        Server three = server(SERVE);
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            RawSockets.startChunkedResponse(s);
+                            RawSockets.chunk(
+                                    s,
+                                    "{\n"
+                                            + "  \"version\": 42, \"full\": true,\n"
+                                            + "  \"note\": \"}]{\\\"\",\n"
+                                            + "  \"servers\": [\n"
+                                            + "    "
+                                            + entry("one", one.addr(), "Ready")
+                                                    .replace(",", ",\n      ")
+                                            + "\n  ]\n}");
+                        });
+        start(ready(server(SERVE)), discovery);
+        awaitRequestAt(one);
+        Socket watch = discovery.accepted.get(0);
+        RawSockets.chunk(watch, "{\"version\":43,\"full\":true,\"servers\":[");
+        RawSockets.chunk(watch, "");
+        RawSockets.chunk(watch, list(44, true, entry("two", two.addr(), "Ready")));
+        awaitRequestAt(two);
+        RawSockets.chunk(
+                watch,
+                "{\"version\":45,\"full\":true,\"servers\":[\n      "
+                        + entry("three", three.addr(), "Ready")
+                        + "]}");
+        awaitRequestAt(three);
+    }
+
+    /**
+     * One that says nothing may be cut off, and what it had to tell would be unheard past the
+     * grace.
+     */
+    @Test
+    void timedOutWatchAndEndedWatchAreReopenedFromTheVersionKnown() throws Exception {
+        AtomicInteger count = new AtomicInteger();
+        Server upstream = server(SERVE);
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            assertTrue(isWatch(m));
+                            RawSockets.startChunkedResponse(s);
+                            int n = count.getAndIncrement();
+                            if (n == 0) {
+                                RawSockets.chunk(s, list(50, false));
+                                s.close();
+                            } else if (n == 1) {
+                                RawSockets.chunk(s, list(51, false));
+                                s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
+                            } else if (n == 2) {
+                                RawSockets.chunk(s, list(52, false)); // and not a word more
+                            }
+                        });
+        start(ready(upstream), discovery);
+        List<String> calls = new ArrayList<>();
+        for (int i = 0; i < 4; i++) {
+            calls.add(RawSockets.next(discovery.requests).start());
+        }
+        assertEquals(
+                List.of("41", "50", "51", "52"),
+                calls.stream()
+                        .map(c -> c.replaceAll(".*since=(\\d+) .*", "$1"))
+                        .collect(Collectors.toList()));
+    }
+
+    /** Connections to the process before are dead, even where their end was never heard of. */
+    @Test
+    void restartedUpstreamGetsNewConnections() throws Exception {
+        Server upstream = server(SERVE);
+        CountDownLatch restart = new CountDownLatch(1);
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            restart.await();
+                            RawSockets.startChunkedResponse(s);
+                            RawSockets.chunk(
+                                    s,
+                                    list(
+                                            42,
+                                            false,
+                                            entry("s-" + upstream.addr(), upstream.addr(), "Ready")
+                                                    .replace(
+                                                            "\"started_ms\":0",
+                                                            "\"started_ms\":1764000000000")));
+                        });
+        start(ready(upstream), discovery);
+        Client client = client();
+        assertEquals(200, client.write(submit()).read().status());
+        restart.countDown();
+        assertEquals(0, RawSockets.next(upstream.ended));
+        assertEquals(200, client.write(submit()).read().status());
+        assertEquals(2, upstream.accepted.size());
+    }
+
+    @Test
+    void balancerIsHealthyOnlyOnceTheListIsKnown() throws Exception {
+        CountDownLatch tell = new CountDownLatch(1);
+        Server upstream = server(SERVE);
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            tell.await();
+                            RawSockets.startChunkedResponse(s);
+                            RawSockets.chunk(s, ready(upstream));
+                        });
+        start(list(0, true), discovery);
+        String health = "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n";
+        Client client = client();
+        assertEquals(503, client.write(health).read().status());
+        tell.countDown();
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.TIMEOUT_S);
+        while (client.write(health).read().status() != 200) {
+            assertTrue(System.nanoTime() < end, "never ready");
+        }
+        assertEquals(200, client.write(submit()).read().status());
+    }
+}
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -30,7 +30,7 @@
                 server(
                         (m, s) -> {
                             if (follows(m)) {
-                                RawSockets.beginChunks(s);
+                                RawSockets.startChunkedResponse(s);
                                 RawSockets.chunk(
                                         s,
                                         "{\"version\":42,\"full\":false,\"servers\":[{\"id\":\"spo");
@@ -45,11 +45,11 @@
                             }
                         });
         start(list(41, true), discovery);
-        awaitServedBy(missed);
+        awaitRequestAt(missed);
         assertEquals(2, whole.get());
         RawSockets.chunk(
                 discovery.accepted.get(0), list(43, true, entry("later", later.addr(), "Ready")));
-        awaitServedBy(later);
+        awaitRequestAt(later);
     }
 
     /** A whole list that was made before the watch's last word would undo that. */
@@ -63,7 +63,7 @@
                 server(
                         (m, s) -> {
                             if (follows(m)) {
-                                RawSockets.beginChunks(s);
+                                RawSockets.startChunkedResponse(s);
                                 RawSockets.chunk(s, "{broken");
                                 RawSockets.chunk(
                                         s,
@@ -84,8 +84,8 @@
                             }
                         });
         start(list(41, true), discovery);
-        taken.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS);
-        awaitServedBy(current);
+        taken.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS);
+        awaitRequestAt(current);
         assertEquals(0, old.requests.size());
     }
 
@@ -95,20 +95,20 @@
      */
     @Test
     void theCallThatANewAddressEndsIsNotReportedAsFailed() throws Exception {
-        discoveryMode = "on_request";
+        configFile.discoveryMode("on_request");
         Server upstream = server(SERVE);
-        Server before = server((m, s) -> RawSockets.beginChunks(s));
+        Server before = server((m, s) -> RawSockets.startChunkedResponse(s));
         Server after =
                 server(
                         (m, s) -> {
-                            RawSockets.beginChunks(s);
+                            RawSockets.startChunkedResponse(s);
                             RawSockets.chunk(
                                     s, list(42, true, entry("now", upstream.addr(), "Ready")));
                         });
         start(list(41, true), before);
         RawSockets.next(before.requests);
-        node.reload(config(list(41, true), after));
-        awaitServedBy(upstream);
+        balancer.reload(config(list(41, true), after));
+        awaitRequestAt(upstream);
         // The first pause after a failed call is shorter than that; nothing else shows that there
         // is none.
         assertNull(after.ended.poll(ASK_AGAIN_MS, TimeUnit.MILLISECONDS), "the new watch ended");
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
@@ -72,7 +72,7 @@
     }
 
     private long loopCpu() throws Exception {
-        long id = group.next().submit(() -> Thread.currentThread().getId()).get();
+        long id = eventLoops.next().submit(() -> Thread.currentThread().getId()).get();
         return ManagementFactory.getThreadMXBean().getThreadCpuTime(id);
     }
 
@@ -102,7 +102,7 @@
     @Test
     void connections() throws Exception {
         Server upstream = server(SERVE);
-        sockets = 2_000;
+        configFile.sockets(2_000);
         start(upstream);
         CapacityFigures heap =
                 new CapacityFigures("data path, heap of idle clients (both ends)", "KB");
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -1,12 +1,13 @@
 package myrtleladder.loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -14,6 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
 import myrtleladder.loadbalancer.server.RawSockets.Script;
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.AfterEach;
@@ -31,16 +33,10 @@
     private static final long LAST_ANSWERS_MS = 600_000;
 
     @TempDir Path folder;
-    final List<AutoCloseable> started = new ArrayList<>();
-    EventLoopGroup group;
-    int sockets = 1024;
-    String idle = "10";
-    String reports = "silent";
-    int balancers = 1;
-    String memorySpan = "10";
-    String connectTimeout = "0.25";
-    String discoveryMode = "pushed";
-    LoadBalancerServer node;
+    final List<AutoCloseable> closeables = new ArrayList<>();
+    EventLoopGroup eventLoops;
+    final ConfigFileBuilder configFile = new ConfigFileBuilder();
+    LoadBalancerServer balancer;
 
     /**
      * That of a balancer started with upstreams alone: it has been asked, and says nothing by
@@ -48,30 +44,30 @@
      */
     Server discovery;
 
-    int sent;
+    int requestsSent;
 
     @BeforeEach
     void begin() {
-        group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     }
 
     @AfterEach
     void end() throws Exception {
-        for (AutoCloseable c : started) {
+        for (AutoCloseable c : closeables) {
             c.close();
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     Server server(Script script) throws IOException {
         Server server = new Server(script);
-        started.add(server);
+        closeables.add(server);
         return server;
     }
 
     Client client() throws IOException {
-        Client client = new Client(node.address());
-        started.add(client);
+        Client client = new Client(balancer.address());
+        closeables.add(client);
         return client;
     }
 
@@ -105,59 +101,17 @@
                         .toArray(String[]::new));
     }
 
-    String serviceClass(String name, String repeat) {
-        return "{\"name\":\""
-                + name
-                + "\",\"repeat\":\""
-                + repeat
-                + "\",\"dedup-scope\":\"zone\","
-                + "\"memory-span-s\":"
-                + memorySpan
-                + ",\"aim-s\":1,\"give-up-s\":20,"
-                + "\"worth\":1,\"late-worth\":0.5}";
-    }
-
     /** Starts a balancer that knows a list and follows discovery. */
     void start(String known, Server discovery) throws Exception {
-        node = LoadBalancerBootstrap.bind(config(known, discovery), group.next(), Transport.TCP);
-        node.open();
+        balancer =
+                LoadBalancerBootstrap.bind(
+                        config(known, discovery), eventLoops.next(), Transport.TCP);
+        balancer.open();
     }
 
     BalancerConfig config(String known, Server discovery) throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(
-                file,
-                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                        + discovery.addr()
-                        + "\",\"seed\":\"8c1f30d27a5be964\","
-                        + "\"limits\":{\"cores\":1.0,\"sockets\":"
-                        + sockets
-                        + "},"
-                        + "\"known\":"
-                        + known
-                        + ",\"settings\":{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],"
-                        + "\"classes\":["
-                        + serviceClass("submit", "single_shot")
-                        + ","
-                        + serviceClass("revise", "guarded")
-                        + ","
-                        + serviceClass("look", "free")
-                        + "],"
-                        + "\"parties\":[{\"name\":\"acme\",\"share\":1}],\"group-size\":"
-                        + balancers
-                        + ",\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
-                        + "\"connect-timeout-s\":"
-                        + connectTimeout
-                        + ",\"conn-idle-s\":"
-                        + idle
-                        + "},\"rules\":{\"answer-slack-s\":0.02,\"drain-grace-s\":2,\"cold-s\":9,"
-                        + "\"start-capacity\":0.2,\"fall-multiple\":3,\"fall-s\":1},"
-                        + "\"report\":{\"names\":[\"cpu\"],\"via\":\""
-                        + reports
-                        + "\"},\"prices\":{},\"tick-s\":0.005,\"discovery\":\""
-                        + discoveryMode
-                        + "\"}}");
-        return BalancerConfig.read(file);
+        return BalancerConfig.read(configFile.write(file, known, discovery.addr()));
     }
 
     void start(Server... upstreams) throws Exception {
@@ -166,18 +120,18 @@
         RawSockets.next(discovery.requests);
     }
 
-    String request(String method, String cls, String left, String more) {
+    String request(String method, String className, String timeLeftMs, String moreHeaders) {
         return method
                 + " /"
-                + cls
+                + className
                 + "?key=k1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-"
-                + sent++
+                + requestsSent++
                 + "\r\nX-Service-Class: "
-                + cls
+                + className
                 + "\r\nX-Account: acme\r\nX-Time-Left-Ms: "
-                + left
+                + timeLeftMs
                 + "\r\n"
-                + more
+                + moreHeaders
                 + "Content-Length: "
                 + (method.equals("GET") ? 0 : 3)
                 + "\r\n\r\n"
@@ -192,15 +146,15 @@
      * The event loop while it stands still; what comes meanwhile stays in the sockets until it goes
      * on.
      */
-    final class StandStill {
-        private final CountDownLatch stands = new CountDownLatch(1);
-        private final CountDownLatch goesOn = new CountDownLatch(1);
-        private boolean asked;
+    final class LoopStall {
+        private final CountDownLatch hasStalled = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
+        private boolean isScheduled;
 
-        private void stand() {
-            stands.countDown();
+        private void stall() {
+            hasStalled.countDown();
             try {
-                goesOn.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS);
+                resumed.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -208,20 +162,20 @@
 
         /** Waits until it stands still. */
         void await() throws InterruptedException {
-            if (!stands.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS)) {
+            if (!hasStalled.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS)) {
                 throw new AssertionError("the loop never stood still");
             }
         }
 
-        void goOn() {
-            goesOn.countDown();
+        void resume() {
+            resumed.countDown();
         }
     }
 
     /**
      * Time is what is at stake: it passes while the loop stands still, and nothing waits for it.
      */
-    static void spend(long millis) {
+    static void spin(long millis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < end) {
             Thread.onSpinWait();
@@ -234,14 +188,14 @@
     }
 
     /** Does something while the loop stands still. */
-    void whileStandingStill(Action action) throws Exception {
-        StandStill still = new StandStill();
-        group.next().execute(still::stand);
-        still.await();
+    void whileLoopIsStalled(Action action) throws Exception {
+        LoopStall loopStall = new LoopStall();
+        eventLoops.next().execute(loopStall::stall);
+        loopStall.await();
         try {
             action.run();
         } finally {
-            still.goOn();
+            loopStall.resume();
         }
     }
 
@@ -249,20 +203,23 @@
      * Stops the loop right behind the decision to send to an upstream, and before its connection is
      * up.
      */
-    StandStill standStillBehindDecisionFor(Server upstream) throws Exception {
-        StandStill still = new StandStill();
-        group.next()
+    LoopStall stallAfterPickOf(Server upstream) throws Exception {
+        LoopStall loopStall = new LoopStall();
+        eventLoops
+                .next()
                 .submit(
                         () ->
-                                node.trafficControl()
+                                balancer.trafficControl()
                                         .setAdmission(
                                                 new TrafficControl.AttemptAdmission() {
                                                     @Override
                                                     public boolean canSend(String id) {
                                                         if (id.equals("s-" + upstream.addr())
-                                                                && !still.asked) {
-                                                            still.asked = true;
-                                                            group.next().execute(still::stand);
+                                                                && !loopStall.isScheduled) {
+                                                            loopStall.isScheduled = true;
+                                                            eventLoops
+                                                                    .next()
+                                                                    .execute(loopStall::stall);
                                                         }
                                                         return true;
                                                     }
@@ -274,33 +231,37 @@
                                                             long tookUs) {}
                                                 }))
                 .get();
-        return still;
+        return loopStall;
     }
 
     /**
      * Begins a stop, and stops the loop right before the first step of it: no socket is read in
      * between.
      */
-    StandStill standStillBeforeDrain() throws Exception {
-        StandStill still = new StandStill();
-        whileStandingStill(
+    LoopStall stallBeforeDrain() throws Exception {
+        LoopStall loopStall = new LoopStall();
+        whileLoopIsStalled(
                 () -> {
-                    group.next().schedule(still::stand, 0, TimeUnit.MILLISECONDS);
-                    node.drain(0, LAST_ANSWERS_MS);
+                    eventLoops.next().schedule(loopStall::stall, 0, TimeUnit.MILLISECONDS);
+                    balancer.drain(0, LAST_ANSWERS_MS);
                 });
-        still.await();
-        return still;
+        loopStall.await();
+        return loopStall;
     }
 
     /** Has discovery tell changes on the watch, and waits until they are in force. */
-    void tellChanges(String... entries) throws Exception {
-        String marker = "told-" + sent++;
+    void sendChanges(String... entries) throws Exception {
+        String marker = "told-" + requestsSent++;
         List<String> all = new ArrayList<>(List.of(entries));
         all.add(entry(marker, "127.0.0.1:1", "Terminating"));
-        RawSockets.beginChunks(discovery.accepted.get(0));
+        RawSockets.startChunkedResponse(discovery.accepted.get(0));
         RawSockets.chunk(discovery.accepted.get(0), list(42, false, all.toArray(String[]::new)));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
-        while (group.next().submit(() -> node.trafficControl().listedEndpoints()).get().stream()
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.TIMEOUT_S);
+        while (eventLoops
+                .next()
+                .submit(() -> balancer.trafficControl().listedEndpoints())
+                .get()
+                .stream()
                 .noneMatch(l -> l.id().equals(marker))) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("the list has not arrived");
@@ -309,9 +270,9 @@
     }
 
     /** Requests until an upstream has had one: it is on the list then. */
-    void awaitServedBy(Server upstream) throws Exception {
+    void awaitRequestAt(Server upstream) throws Exception {
         Client client = client();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.TIMEOUT_S);
         while (upstream.requests.isEmpty()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("the list has not arrived");
@@ -319,4 +280,10 @@
             assertEquals(200, client.write(submit()).read().status());
         }
     }
+
+    /** Asserts that a request has failed and may have run. */
+    static void assertFailed(Message answer) {
+        assertTrue(answer.status() >= 500, answer.start());
+        assertNotEquals(503, answer.status(), "a refusal says that trying again is harmless");
+    }
 }
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -58,7 +58,7 @@
      */
     private static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
-        CompletableFuture.delayedExecutor(3L * RawSockets.PATIENCE_S, TimeUnit.SECONDS)
+        CompletableFuture.delayedExecutor(3L * RawSockets.TIMEOUT_S, TimeUnit.SECONDS)
                 .execute(process::destroyForcibly);
         return process;
     }
@@ -87,7 +87,7 @@
             listen = (InetSocketAddress) free.getLocalSocketAddress();
         }
         File log = folder.resolve("log").toFile();
-        try (Server discovery = new Server((m, s) -> RawSockets.beginChunks(s))) {
+        try (Server discovery = new Server((m, s) -> RawSockets.startChunkedResponse(s))) {
             Process process =
                     start(
                             serve(config("127.0.0.1:" + listen.getPort(), discovery.addr()))
@@ -120,8 +120,8 @@
     /** The signal ended the process, and with it all that it had taken. */
     @Test
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
-        try (Server before = new Server((m, s) -> RawSockets.beginChunks(s));
-                Server after = new Server((m, s) -> RawSockets.beginChunks(s))) {
+        try (Server before = new Server((m, s) -> RawSockets.startChunkedResponse(s));
+                Server after = new Server((m, s) -> RawSockets.startChunkedResponse(s))) {
             Process process = start(serve(config(before.addr())));
             try (BufferedReader log = process.errorReader()) {
                 await(log, "rehearsed with");
@@ -133,7 +133,7 @@
                 hangUp(process);
                 assertTrue(RawSockets.next(after.requests).start().contains("follow=1&since=7"));
                 process.destroy();
-                assertTrue(process.waitFor(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(RawSockets.TIMEOUT_S, TimeUnit.SECONDS));
                 assertEquals(SIGTERM_EXIT, process.exitValue());
             } finally {
                 process.destroyForcibly();
--- a/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
@@ -26,7 +26,7 @@
  */
 final class RawSockets {
     /** Long past anything that a test waits for; only a failing test gets there. */
-    static final int PATIENCE_S = 20;
+    static final int TIMEOUT_S = 20;
 
     private RawSockets() {}
 
@@ -39,7 +39,7 @@
 
     /** Waits for the next of a queue. */
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T item = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
+        T item = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (item == null) {
             throw new AssertionError("nothing came");
         }
@@ -80,7 +80,7 @@
 
         Client(SocketAddress to) throws IOException {
             socket.connect(to);
-            socket.setSoTimeout(PATIENCE_S * 1_000);
+            socket.setSoTimeout(TIMEOUT_S * 1_000);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
@@ -196,7 +196,7 @@
     }
 
     /** Begins a chunked answer, as a watch has. */
-    static void beginChunks(Socket socket) throws IOException {
+    static void startChunkedResponse(Socket socket) throws IOException {
         socket.getOutputStream()
                 .write(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
@@ -0,0 +1,213 @@
+package myrtleladder.loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicInteger;
+import myrtleladder.loadbalancer.server.RawSockets.Client;
+import myrtleladder.loadbalancer.server.RawSockets.Message;
+import myrtleladder.loadbalancer.server.RawSockets.Script;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * After which ends of an attempt a request is retried, and which responses are forwarded: one that
+ * may have run is never sent again unless that is safe.
+ */
+class RetrySafetyTest extends LoadBalancerFixture {
+    /**
+     * After its last byte was written an unsafe request may have run, whatever becomes of the
+     * connection.
+     */
+    @Test
+    void unsafeRequestIsNotRetriedAfterAReset() throws Exception {
+        Script reset = (m, s) -> RawSockets.reset(s);
+        Server one = server(reset);
+        Server two = server(reset);
+        start(one, two);
+        assertFailed(client().write(submit()).read());
+        assertEquals(1, one.requests.size() + two.requests.size());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "500 Internal Server Error,''",
+        "503 Service Unavailable,''",
+        "504 Gateway Timeout,''",
+        "503 Service Unavailable,X-Unprocessed: 0",
+        "418 Teapot,X-Unprocessed: 1"
+    })
+    void unsafeRequestIsNotRetriedAfterAResponseThatProvesNothing(String status, String header)
+            throws Exception {
+        Script error =
+                (m, s) -> RawSockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
+        Server one = server(error);
+        Server two = server(error);
+        start(one, two);
+        assertFailed(client().write(submit()).read());
+        assertEquals(1, one.requests.size() + two.requests.size());
+    }
+
+    @Test
+    void rejectedRequestIsRetried() throws Exception {
+        AtomicInteger count = new AtomicInteger();
+        Script once =
+                (m, s) -> {
+                    if (count.getAndIncrement() == 0) {
+                        RawSockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+                    } else {
+                        SERVE.on(m, s);
+                    }
+                };
+        start(server(once), server(once));
+        assertEquals(200, client().write(submit()).read().status());
+        assertEquals(2, count.get());
+    }
+
+    @Test
+    void refusedConnectionIsRetriedAtAnotherUpstream() throws Exception {
+        Server dead = server(SERVE);
+        dead.close();
+        Server alive = server(SERVE);
+        start(dead, alive);
+        Client client = client();
+        for (int i = 0; i < 6; i++) {
+            assertEquals(200, client.write(submit()).read().status());
+        }
+        assertEquals(6, alive.requests.size());
+    }
+
+    /**
+     * Taken for the answer, an interim one left the true one to the next request on the connection.
+     */
+    @Test
+    void interimResponseIsNotTakenForTheFinalOne() throws Exception {
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            s.getOutputStream()
+                                    .write("HTTP/1.1 102 Processing\r\n\r\n".getBytes("UTF-8"));
+                            RawSockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id"));
+                        });
+        start(upstream);
+        Client client = client();
+        assertEquals("id-0", client.write(submit()).read().body());
+        assertEquals("id-1", client.write(submit()).read().body());
+        assertEquals(1, upstream.accepted.size());
+    }
+
+    /** Half an answer is none: the client would take it for what the upstream made. */
+    @ParameterizedTest
+    @CsvSource({
+        "Content-Length: 10, false",
+        "Transfer-Encoding: chunked, false",
+        "X-No-Length: 1, true",
+        "Content-Length: 10, true",
+        "Transfer-Encoding: chunked, true"
+    })
+    void truncatedResponseIsNotForwarded(String framing, boolean reset) throws Exception {
+        CountDownLatch written = new CountDownLatch(1);
+        CountDownLatch read = new CountDownLatch(1);
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            String half = "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha";
+                            s.getOutputStream().write(half.getBytes("UTF-8"));
+                            written.countDown();
+                            read.await();
+                            if (reset) {
+                                RawSockets.reset(s);
+                            }
+                            s.close();
+                        });
+        start(upstream);
+        Client client = client().write(submit());
+        RawSockets.next(upstream.requests);
+        written.await();
+        // Another one's answer has come since, so what there is of this one has been read.
+        assertEquals(400, client().write("GET /look HTTP/1.1\r\n\r\n").read().status());
+        read.countDown();
+        assertFailed(client.read());
+        assertEquals(0, upstream.requests.size());
+    }
+
+    /**
+     * An answer of no length is whole when its connection ends; taken for a cut one, it was lost.
+     */
+    @Test
+    void responseThatEndsWithItsConnectionIsForwarded() throws Exception {
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            String answer = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it";
+                            s.getOutputStream().write(answer.getBytes("UTF-8"));
+                            s.close();
+                        });
+        start(upstream);
+        for (int i = 0; i < 3; i++) {
+            Message answer = client().write(submit()).read();
+            assertEquals(200, answer.status());
+            assertEquals("all of it", answer.body());
+        }
+        assertEquals(3, upstream.requests.size());
+    }
+
+    /**
+     * What follows an answer unasked was taken for the answer to the next request on the
+     * connection.
+     */
+    @Test
+    void bytesBehindAResponseAreNotTakenForTheNextOne() throws Exception {
+        AtomicInteger count = new AtomicInteger();
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            boolean first = count.getAndIncrement() == 0;
+                            String stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
+                            RawSockets.answer(
+                                    s,
+                                    "200 OK",
+                                    "",
+                                    m.headers().get("x-correlation-id")
+                                            + (first ? stray.substring(0, 30) : ""),
+                                    4);
+                            if (!first) {
+                                s.getOutputStream().write(stray.substring(30).getBytes("UTF-8"));
+                            }
+                        });
+        start(upstream);
+        Client client = client();
+        assertEquals("id-0", client.write(submit()).read().body());
+        assertEquals("id-1", client.write(submit()).read().body());
+    }
+
+    /** What can't be read as the protocol has it was made by no upstream, and may have run. */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK|no colon here|Content-Length: 4||done",
+                "HTTP/1.1 200 OK|: nameless|Content-Length: 4||done",
+                "HTTP/1.1 200 OK|Content-Length : 4||done",
+                "HTTP/1.1 200 OK|nocolon|Content-Length: 4||done",
+                "HTTP/1.1 2x0 OK|Content-Length: 4||done",
+                "HTTP/1.1 OK 200|Content-Length: 4||done",
+                "HTTP/1.1 200 OK|Content-Length: 3|Content-Length: 4||done",
+                "HTTP/1.1 200 OK|Content-Length: -1|Content-Length: 4||done",
+                "HTTP/1.1 200 OK|Content-Length: 4|Transfer-Encoding: chunked||4|done|0||",
+                "HTTP/1.1 200 OK|Transfer-Encoding: chunked||4|done|zz|done|0||",
+                "HTTP/1.1 200 OK|Transfer-Encoding: chunked||4|doneXX0||",
+                "HTTP/1.1 200 OK|Content-Length: 3000000000||done"
+            })
+    void malformedResponseIsNotForwarded(String answer) throws Exception {
+        Script broken =
+                (m, s) -> s.getOutputStream().write(answer.replace("|", "\r\n").getBytes("UTF-8"));
+        Server one = server(broken);
+        Server two = server(broken);
+        start(one, two);
+        assertFailed(client().write(submit()).read());
+        assertEquals(1, one.requests.size() + two.requests.size());
+    }
+}
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
@@ -0,0 +1,57 @@
+package myrtleladder.loadbalancer.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import myrtleladder.loadbalancer.server.RawSockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The warm-up run. */
+class WarmupTest extends LoadBalancerFixture {
+    /**
+     * One of a few that opened cold was seconds behind its clients; one of many was away for
+     * seconds to serve itself. What it warms up with is its own affair.
+     */
+    @ParameterizedTest
+    @CsvSource({"1, 90, 200", "100, 10, 50"})
+    void warmupServesRequestsAndCallsNoOtherProcess(int groupSize, int least, int most)
+            throws Exception {
+        configFile.groupSize(groupSize);
+        Server upstream = server(SERVE);
+        Server discovery = server(HANG);
+        int served = Warmup.run(config(ready(upstream), discovery));
+        assertTrue(served >= least && served <= most, "served " + served);
+        assertTrue(upstream.accepted.isEmpty());
+        assertTrue(discovery.accepted.isEmpty());
+    }
+
+    /**
+     * On a thread of its own the rehearsal's loop spun for good where only one thread runs at a
+     * time. What is handed on from thread to thread counts those that the rehearsal makes, and none
+     * of another test's.
+     */
+    @Test
+    void warmupStartsNoThread() throws Exception {
+        BalancerConfig config = config(ready(server(SERVE)), server(HANG));
+        List<String> makers = new CopyOnWriteArrayList<>();
+        InheritableThreadLocal<Boolean> handedOn =
+                new InheritableThreadLocal<>() {
+                    @Override
+                    protected Boolean childValue(Boolean parent) {
+                        makers.add(Thread.currentThread().getName());
+                        return parent;
+                    }
+                };
+        handedOn.set(true);
+        try {
+            Warmup.run(config);
+        } finally {
+            handedOn.remove();
+        }
+        assertEquals(List.of(), makers);
+    }
+}
