--- a/src/main/java/myrtleladder/testbed/fake/Front.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeFrontend.java
@@ -10,7 +10,7 @@
  * Deals out new connections among the balancers that it holds for well, in turn. It takes one in
  * when its health was seen good, and notices only after some time that one is gone.
  */
-public final class Front {
+public final class FakeFrontend {
     private final long notice;
     private final Map<String, Balancer> balancers = new LinkedHashMap<>();
     private int turn;
@@ -18,14 +18,14 @@
     /**
      * A front that keeps dealing connections to a balancer until its health was bad for so long.
      */
-    public Front(long noticeMicros) {
+    public FakeFrontend(long noticeMicros) {
         this.notice = noticeMicros;
     }
 
     private static final class Balancer {
         final InetSocketAddress address;
         boolean in;
-        int life;
+        int incarnation;
         boolean dying;
         long badSince = Long.MAX_VALUE;
 
@@ -67,18 +67,18 @@
     public void isDead(String name) {
         Balancer b = balancers.get(name);
         b.dying = false;
-        b.life++;
+        b.incarnation++;
     }
 
     /** Which life of a balancer a new connection belongs to. */
-    public int life(String name) {
-        return balancers.get(name).life;
+    public int incarnation(String name) {
+        return balancers.get(name).incarnation;
     }
 
     /** Whether whoever answered in that life has been killed. */
-    public boolean killed(String name, int life) {
+    public boolean killed(String name, int incarnation) {
         Balancer b = balancers.get(name);
-        return b.dying || b.life != life;
+        return b.dying || b.incarnation != incarnation;
     }
 
     /** Whether all have been taken in. */
--- /dev/null
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedExchange.java
@@ -0,0 +1,27 @@
+package myrtleladder.controlplane.model;
+
+import java.util.function.Consumer;
+import myrtleladder.controlplane.FakeServerExchange;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+
+/** A request at a control address whose response is passed on. */
+final class SimulatedExchange extends FakeServerExchange {
+    private final Consumer<SimulatedResponse> responder;
+
+    SimulatedExchange(RequestHead head, byte[] body, Consumer<SimulatedResponse> responder) {
+        super(head, body);
+        this.responder = responder;
+    }
+
+    @Override
+    public void respond(int status, Headers headers, byte[] bytes) {
+        String location = headers.get("Location");
+        responder.accept(new SimulatedResponse(status, location == null ? "" : location, bytes));
+    }
+
+    @Override
+    public void abort() {
+        // the client gets no response and runs into its timeout
+    }
+}
