--- a/src/main/java/myrtleladder/cluster/AgreeCarrier.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -19,17 +19,17 @@
 import myrtleladder.consensus.Point;
 import myrtleladder.consensus.Term;
 import myrtleladder.consensus.View;
-import myrtleladder.gossip.Claim;
+import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.maintenance.Work;
 
 /**
  * A process's agreement, over the datagrams and on the event loop of its membership: what is seen
  * there is who is there, and names have the addresses that their members tell.
  */
-public final class AgreeCarrier implements Agreement.Out {
-    private static final System.Logger LOG = System.getLogger(AgreeCarrier.class.getName());
+public final class ConsensusRuntime implements Agreement.Out {
+    private static final System.Logger LOG = System.getLogger(ConsensusRuntime.class.getName());
 
-    private final MemberCarrier members;
+    private final MembershipRuntime members;
     private final EventLoop loop;
     private final Consumer<? super Point> points;
     private final Life me;
@@ -38,36 +38,18 @@
     private boolean lookDue;
 
     /** What is built upon the agreement; null if nothing is. */
-    private WorkCarrier guest;
+    private MaintenanceRuntime guest;
 
-    /**
-     * What a process holds of its fleet's agreement.
-     *
-     * @param leader null if it knows none
-     * @param decides whether a majority of the council stands behind what it hears
-     * @param applied decrees known here
-     * @param waiting commands of this process that are not decided
-     */
-    public record Look(
-            Life self,
-            Term term,
-            Life leader,
-            boolean decides,
-            View view,
-            long applied,
-            int waiting,
-            Map<String, Long> refused) {}
-
-    private AgreeCarrier(
-            MemberCarrier members,
+    private ConsensusRuntime(
+            MembershipRuntime members,
             AgreeSettings settings,
             Machine machine,
             Consumer<? super Point> points) {
         this.members = members;
         this.loop = members.loop();
         this.points = points;
-        Claim self = members.self();
-        this.me = new Life(self.name(), self.life());
+        MemberUpdate self = members.self();
+        this.me = new Life(self.name(), self.startId());
         this.agreement = new Agreement(settings, me, new SecureRandom().nextLong(), machine, this);
     }
 
@@ -75,12 +57,12 @@
      * Takes part from now on. {@code points} hears of each point of fault that is passed; for the
      * lab.
      */
-    public static AgreeCarrier start(
-            MemberCarrier members,
+    public static ConsensusRuntime start(
+            MembershipRuntime members,
             AgreeSettings settings,
             Machine machine,
             Consumer<? super Point> points) {
-        AgreeCarrier carrier = new AgreeCarrier(members, settings, machine, points);
+        ConsensusRuntime carrier = new ConsensusRuntime(members, settings, machine, points);
         carrier.loop
                 .submit(
                         () -> {
@@ -93,12 +75,12 @@
     }
 
     /** What it holds, as of soon. */
-    public Future<Look> look() {
+    public Future<ConsensusStatus> look() {
         return loop.submit(this::held);
     }
 
-    private Look held() {
-        return new Look(
+    private ConsensusStatus held() {
+        return new ConsensusStatus(
                 me,
                 agreement.term(),
                 agreement.leader(),
@@ -128,7 +110,7 @@
     /**
      * Has the work on machines hear its datagrams and what the agreement does; on the event loop.
      */
-    void host(WorkCarrier work) {
+    void host(MaintenanceRuntime work) {
         guest = work;
         lookAround();
     }
@@ -176,9 +158,9 @@
         lookDue = false;
         Map<String, Long> there = new TreeMap<>();
         addresses.clear();
-        for (Claim c : members.claims()) {
-            if (c.state().present()) {
-                there.put(c.name(), c.life());
+        for (MemberUpdate c : members.claims()) {
+            if (c.state().isPresent()) {
+                there.put(c.name(), c.startId());
                 addresses.put(c.name(), c.address());
             }
         }
--- a/src/main/java/myrtleladder/cluster/PointFault.java
+++ b/src/main/java/myrtleladder/cluster/FaultPointTrigger.java
@@ -16,7 +16,7 @@
  * processes of a fleet are told the same but for who they are; the first one that comes there makes
  * the file, which names it, and the fault is its own.
  */
-public final class PointFault implements Consumer<Enum<?>> {
+public final class FaultPointTrigger implements Consumer<Enum<?>> {
     /** The property that only the lab sets. */
     public static final String PROPERTY = "myrtleladder.testbed.fault";
 
@@ -37,7 +37,7 @@
     private final Path file;
     private int left;
 
-    private PointFault(String point, int pass, Kind kind, String who, Path file) {
+    private FaultPointTrigger(String point, int pass, Kind kind, String who, Path file) {
         this.point = point;
         this.left = pass;
         this.kind = kind;
@@ -55,7 +55,7 @@
             throw new IllegalArgumentException(
                     PROPERTY + " is not POINT:pass:KIND:who:file: " + property);
         }
-        return new PointFault(
+        return new FaultPointTrigger(
                 parts[0],
                 Integer.parseInt(parts[1]),
                 Kind.valueOf(parts[2]),
--- a/src/main/java/myrtleladder/cluster/FleetConfig.java
+++ b/src/main/java/myrtleladder/cluster/FleetConfiguration.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.gossip.Meta;
-import myrtleladder.gossip.Settings;
+import myrtleladder.gossip.MemberMetadata;
+import myrtleladder.gossip.GossipSettings;
 
 /**
  * How a process takes part in its fleet.
@@ -15,10 +15,10 @@
  * @param via addresses to send to in place of those that members tell, as behind a translation of
  *     addresses
  */
-public record FleetConfig(
-        Settings settings,
+public record FleetConfiguration(
+        GossipSettings settings,
         String name,
         InetSocketAddress listen,
         List<String> seeds,
         Map<String, String> via,
-        Meta meta) {}
+        MemberMetadata meta) {}
--- a/src/main/java/myrtleladder/cluster/Balancing.java
+++ b/src/main/java/myrtleladder/cluster/LoadBalancerControl.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** What the work on machines needs of the balancer beside it; on its event loop. */
-public interface Balancing {
+public interface LoadBalancerControl {
     /** An upstream as discovery told it last. */
     record Upstream(String id, String zone, String kind, int cell, boolean ready) {}
 
--- a/src/main/java/myrtleladder/cluster/WorkCarrier.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -26,8 +26,8 @@
  * A process's part in the work on machines, beside its agreement: on the same event loop, by the
  * same datagrams. It sees how upstreams do by what becomes of this process's own attempts.
  */
-public final class WorkCarrier implements Work.Out {
-    private static final System.Logger LOG = System.getLogger(WorkCarrier.class.getName());
+public final class MaintenanceRuntime implements Work.Out {
+    private static final System.Logger LOG = System.getLogger(MaintenanceRuntime.class.getName());
 
     /** An upstream that has not served so many attempts in a row fails. */
     private static final int FAILS = 5;
@@ -47,10 +47,10 @@
 
     private static final double SMOOTH = 0.02;
 
-    private final AgreeCarrier agreement;
+    private final ConsensusRuntime agreement;
     private final Agenda agenda;
     private final Work work;
-    private final Balancing balancing;
+    private final LoadBalancerControl balancing;
     private final Consumer<? super WorkPoint> points;
     private final Map<String, Integer> notServed = new HashMap<>();
     private final Map<String, Tally> tallies = new HashMap<>();
@@ -71,34 +71,12 @@
         }
     }
 
-    /** A job as operators see it; {@code waits} says for what, null if for nothing. */
-    public record Seen(
-            String machine,
-            String plan,
-            String state,
-            Token permit,
-            long until,
-            boolean reserved,
-            String waits,
-            String why) {}
-
-    /** What a process holds of the work on machines. */
-    public record Look(
-            List<Seen> jobs,
-            String halted,
-            boolean safe,
-            boolean leave,
-            boolean registered,
-            List<String> gone,
-            Map<String, String> refusals,
-            Map<String, Long> refused) {}
-
-    private WorkCarrier(
-            AgreeCarrier agreement,
+    private MaintenanceRuntime(
+            ConsensusRuntime agreement,
             Agreement core,
             Agenda agenda,
             WorkSettings settings,
-            Balancing balancing,
+            LoadBalancerControl balancing,
             Consumer<? super WorkPoint> points) {
         this.agreement = agreement;
         this.agenda = agenda;
@@ -108,18 +86,18 @@
     }
 
     /** Takes part from now on; {@code agenda} is what the agreement feeds. */
-    public static WorkCarrier start(
-            AgreeCarrier agreement,
+    public static MaintenanceRuntime start(
+            ConsensusRuntime agreement,
             Agenda agenda,
             WorkSettings settings,
-            Balancing balancing,
+            LoadBalancerControl balancing,
             Consumer<? super WorkPoint> points) {
         return agreement
                 .loop()
                 .submit(
                         () -> {
-                            WorkCarrier carrier =
-                                    new WorkCarrier(
+                            MaintenanceRuntime carrier =
+                                    new MaintenanceRuntime(
                                             agreement,
                                             agreement.core(),
                                             agenda,
@@ -177,15 +155,15 @@
     }
 
     /** What it holds, as of soon. */
-    public Future<Look> look() {
+    public Future<MaintenanceStatus> look() {
         return agreement
                 .loop()
                 .submit(
                         () -> {
-                            List<Seen> jobs = new ArrayList<>();
+                            List<MaintenanceStatus.JobStatus> jobs = new ArrayList<>();
                             for (Job job : agenda.jobs()) {
                                 jobs.add(
-                                        new Seen(
+                                        new MaintenanceStatus.JobStatus(
                                                 job.machine(),
                                                 job.plan(),
                                                 job.state().name(),
@@ -195,7 +173,7 @@
                                                 work.waits(now(), job),
                                                 job.why()));
                             }
-                            return new Look(
+                            return new MaintenanceStatus(
                                     jobs,
                                     agenda.halted(),
                                     agenda.isSafe(),
@@ -223,7 +201,7 @@
     }
 
     /** All upstreams; on the loop. */
-    public List<Balancing.Upstream> upstreams() {
+    public List<LoadBalancerControl.Upstream> upstreams() {
         return balancing.listed();
     }
 
--- a/src/main/java/myrtleladder/cluster/MemberCarrier.java
+++ b/src/main/java/myrtleladder/cluster/MembershipRuntime.java
@@ -22,8 +22,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.gossip.Claim;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.MemberUpdate;
+import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.Membership;
 
 /**
@@ -31,8 +31,8 @@
  * with its requests is late here as well, and the others see what clients see. What comes beyond a
  * rate is dropped unread, so that a flood costs no more than that.
  */
-public final class MemberCarrier implements Membership.Out {
-    private static final System.Logger LOG = System.getLogger(MemberCarrier.class.getName());
+public final class MembershipRuntime implements Membership.Output {
+    private static final System.Logger LOG = System.getLogger(MembershipRuntime.class.getName());
 
     /**
      * Datagrams that are read in each tenth of a second; a member of a fleet of 5,000 gets some
@@ -43,31 +43,19 @@
     private static final long TENTH_NANOS = 100_000_000;
 
     private final EventLoop loop;
-    private final FleetConfig config;
+    private final FleetConfiguration config;
     private final Membership membership;
     private final long origin = System.nanoTime();
     private Channel channel;
 
     /** What is built upon the picture; null if nothing is. */
-    private AgreeCarrier guest;
+    private ConsensusRuntime guest;
 
     private long tenth;
     private int read;
     private long dropped;
 
-    /** What is held of a member, for people: how long it has been held, in seconds. */
-    public record Held(Claim claim, double seconds) {}
-
-    /** What a process holds of its fleet. */
-    public record Look(
-            Claim self,
-            int present,
-            int health,
-            long digest,
-            Map<String, Long> refused,
-            List<Held> members) {}
-
-    private MemberCarrier(EventLoop loop, FleetConfig config) {
+    private MembershipRuntime(EventLoop loop, FleetConfiguration config) {
         this.loop = loop;
         this.config = config;
         SecureRandom random = new SecureRandom();
@@ -85,8 +73,8 @@
     }
 
     /** Takes part from now on, and says at SIGTERM that it goes. */
-    public static MemberCarrier start(EventLoop loop, FleetConfig config) {
-        MemberCarrier carrier = new MemberCarrier(loop, config);
+    public static MembershipRuntime start(EventLoop loop, FleetConfiguration config) {
+        MembershipRuntime carrier = new MembershipRuntime(loop, config);
         carrier.channel =
                 new Bootstrap()
                         .group(loop)
@@ -106,17 +94,17 @@
     }
 
     /** What it holds, as of soon. */
-    public Future<Look> look() {
+    public Future<MembershipStatus> look() {
         return loop.submit(
                 () -> {
                     long now = now();
-                    List<Held> members = new ArrayList<>();
+                    List<MembershipStatus.ListedMember> members = new ArrayList<>();
                     membership
                             .members()
                             .forEach(
                                     c ->
                                             members.add(
-                                                    new Held(
+                                                    new MembershipStatus.ListedMember(
                                                             c,
                                                             (now - membership.since(c.name()))
                                                                     / 1e6)));
@@ -124,7 +112,7 @@
                     if (dropped > 0) {
                         refused.put("flood", dropped);
                     }
-                    return new Look(
+                    return new MembershipStatus(
                             membership.self(),
                             membership.present(),
                             membership.health(),
@@ -140,17 +128,17 @@
     }
 
     /** Has an agreement hear its datagrams and the changes of the picture; on the event loop. */
-    void host(AgreeCarrier agreement) {
+    void host(ConsensusRuntime agreement) {
         guest = agreement;
     }
 
     /** What this process says of itself. */
-    Claim self() {
+    MemberUpdate self() {
         return membership.self();
     }
 
     /** What is held of all members; on the event loop. */
-    Collection<Claim> claims() {
+    Collection<MemberUpdate> claims() {
         return membership.members();
     }
 
@@ -191,21 +179,21 @@
     }
 
     @Override
-    public void event(Event event) {
+    public void event(MemberEvent event) {
         if (guest != null) {
             guest.changed();
         }
-        Claim c = event.claim();
+        MemberUpdate c = event.update();
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("member", c.name());
         fields.put("state", c.state());
         fields.put("incarnation", c.incarnation());
-        fields.put("life", Long.toHexString(c.life()));
+        fields.put("life", Long.toHexString(c.startId()));
         fields.put("address", c.address());
-        fields.put("why", event.why());
+        fields.put("why", event.reason());
         LOG.log(
                 System.Logger.Level.INFO,
-                "member " + c.name() + " " + event.kind() + ": " + event.why(),
+                "member " + c.name() + " " + event.kind() + ": " + event.reason(),
                 fields);
     }
 
--- a/src/main/java/myrtleladder/gossip/Membership.java
+++ b/src/main/java/myrtleladder/gossip/Membership.java
@@ -51,13 +51,13 @@
     /** What the field of the news itself takes in a message. */
     private static final int NEWS_BYTES = 12;
 
-    private final Settings settings;
+    private final GossipSettings settings;
     private final List<String> seeds;
     private final Random random;
-    private final Out out;
-    private final Picture picture = new Picture();
-    private final Rumours rumours = new Rumours();
-    private final Health health = new Health();
+    private final Output out;
+    private final MemberTable picture = new MemberTable();
+    private final DisseminationQueue rumours = new DisseminationQueue();
+    private final LocalHealth health = new LocalHealth();
     private final Map<String, Suspicion> suspicions = new HashMap<>();
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
 
@@ -67,7 +67,7 @@
     private final Map<String, Long> planned = new HashMap<>();
     private final Map<String, Long> refused = new TreeMap<>();
     private final List<String> order = new ArrayList<>();
-    private Claim me;
+    private MemberUpdate me;
     private Probe probe;
     private Rival rival;
     private long numbers;
@@ -79,7 +79,7 @@
     private boolean leaving;
 
     /** Where the actions go. */
-    public interface Out {
+    public interface Output {
         /** Sends a datagram that may be late, lost, doubled or overtaken. */
         void send(String address, byte[] datagram);
 
@@ -87,7 +87,7 @@
         void timer(String token, long delay);
 
         /** Something has changed in the picture. */
-        void event(Event event);
+        void event(MemberEvent event);
     }
 
     private static final class Probe {
@@ -106,7 +106,7 @@
     private record Relay(String back, long number) {}
 
     /** Another life under our name; {@code heardAt} is when it last answered, if ever. */
-    private record Rival(Claim claim, long number, long heardAt) {}
+    private record Rival(MemberUpdate claim, long number, long heardAt) {}
 
     /**
      * A process that is called {@code name} in this life, not started yet.
@@ -116,20 +116,20 @@
      * @param seeds addresses at which others may be found
      */
     public Membership(
-            Settings settings,
+            GossipSettings settings,
             String name,
-            long life,
+            long startId,
             long incarnation,
             String address,
-            Meta meta,
+            MemberMetadata meta,
             List<String> seeds,
             long seed,
-            Out out) {
+            Output out) {
         this.settings = settings;
         this.seeds = List.copyOf(seeds);
         this.random = new Random(seed);
         this.out = out;
-        this.me = new Claim(name, life, incarnation, State.ALIVE, false, address, name, meta);
+        this.me = new MemberUpdate(name, startId, incarnation, MemberState.ALIVE, false, address, name, meta);
         this.numbers =
                 random.nextInt(
                         Integer.MAX_VALUE); // late answers to an earlier life fit none of ours
@@ -144,40 +144,40 @@
         comparedAt = now;
         picture.put(me, now);
         seeds.forEach(this::contact);
-        timer(now, PERIOD, random.nextLong(settings.period()));
+        timer(now, PERIOD, random.nextLong(settings.protocolPeriodUs()));
     }
 
     /** A datagram has come. */
     public void received(long now, String from, byte[] datagram) {
-        if (datagram.length > settings.bytes()) {
+        if (datagram.length > settings.maxDatagramBytes()) {
             count("oversized");
             return;
         }
-        Message m;
+        GossipDatagram m;
         try {
-            m = Wire.read(datagram, settings.fleet());
-        } catch (Wire.Refused e) {
+            m = GossipCodec.decode(datagram, settings.fleet());
+        } catch (RejectedDatagramException e) {
             count(e.getMessage());
             return;
         }
-        Claim sender = m.me();
-        if (sender.name().equals(me.name()) && sender.life() != me.life()) {
+        MemberUpdate sender = m.sender();
+        if (sender.name().equals(me.name()) && sender.startId() != me.startId()) {
             fromOwnName(now, from, m);
             return;
         }
-        Claim held = picture.of(sender.name());
+        MemberUpdate held = picture.get(sender.name());
         apply(now, sender, true);
-        if (held != null && held.life() != sender.life() && held.supersedes(sender)) {
+        if (held != null && held.startId() != sender.startId() && held.supersedes(sender)) {
             // An earlier life's, replayed or late; or it lives, and has to hear that it is out of
             // date.
             count("stale");
-            if (m.kind() == Message.Kind.PING) {
-                send(from, message(Message.Kind.ACK, m.number()), held);
+            if (m.kind() == GossipDatagram.Kind.PING) {
+                send(from, message(GossipDatagram.Kind.ACK, m.sequenceNumber()), held);
             }
             return;
         }
-        boolean tell = m.kind() != Message.Kind.CLAIMS || rumours.size() < ENOUGH_NEWS;
-        m.news().forEach(c -> apply(now, c, tell));
+        boolean tell = m.kind() != GossipDatagram.Kind.UPDATES || rumours.size() < ENOUGH_NEWS;
+        m.updates().forEach(c -> apply(now, c, tell));
         handle(now, from, m);
         compare(now, from, m);
     }
@@ -185,7 +185,7 @@
     /** A timer is due. */
     public void due(long now, String token) {
         Long at = planned.remove(token);
-        if (at != null && now - at > settings.period() && at >= stalledAt) {
+        if (at != null && now - at > settings.protocolPeriodUs() && at >= stalledAt) {
             stalled(now, now - at);
         }
         if (token.equals(PERIOD)) {
@@ -195,7 +195,7 @@
         } else if (token.startsWith(RELAY)) {
             Relay relay = relays.remove(Long.parseLong(token.substring(RELAY.length())));
             if (relay != null) {
-                send(relay.back(), Message.Kind.NACK, relay.number(), null);
+                send(relay.back(), GossipDatagram.Kind.NACK, relay.number(), null);
             }
         } else if (token.startsWith(SUSPECT)) {
             suspicionMayEnd(now, token.substring(SUSPECT.length()));
@@ -205,30 +205,30 @@
     /** The process is going to end: tells some of the others at once, and they tell the rest. */
     public void leave(long now) {
         leaving = true;
-        say(now, me.with(State.LEFT, me.name()));
-        someOthers(TOLD_OF_LEAVING).forEach(c -> send(c.address(), Message.Kind.NEWS, 0, c.name()));
+        say(now, me.withState(MemberState.LEFT, me.name()));
+        someOthers(TOLD_OF_LEAVING).forEach(c -> send(c.address(), GossipDatagram.Kind.GOSSIP, 0, c.name()));
     }
 
     // ---- What can be asked of it
     // -----------------------------------------------------------------------
 
     /** What is held of each member, gone ones for a while too. */
-    public Collection<Claim> members() {
+    public Collection<MemberUpdate> members() {
         return picture.all();
     }
 
     /** Since when the claim on a name that is held is held. */
     public long since(String name) {
-        return picture.since(name);
+        return picture.sinceUs(name);
     }
 
     /** How many are there, this process and suspects among them. */
     public int present() {
-        return picture.present();
+        return picture.presentCount();
     }
 
     /** The claim of this process on itself. */
-    public Claim self() {
+    public MemberUpdate self() {
         return me;
     }
 
@@ -252,7 +252,7 @@
 
     private void period(long now) {
         judge(now);
-        picture.forget(now, settings.tombstone());
+        picture.removeExpired(now, settings.tombstoneTtlUs());
         if (!leaving) {
             beginProbe(now);
             if (periods % CONTACT_EVERY == 0) {
@@ -261,11 +261,11 @@
             watchRival(now);
         }
         if (!rumours.isEmpty()) {
-            someOthers(settings.fanout())
-                    .forEach(c -> send(c.address(), Message.Kind.NEWS, 0, c.name()));
+            someOthers(settings.gossipFanout())
+                    .forEach(c -> send(c.address(), GossipDatagram.Kind.GOSSIP, 0, c.name()));
         }
         periods++;
-        timer(now, PERIOD, health.stretch(settings.period()));
+        timer(now, PERIOD, health.scaleUs(settings.protocolPeriodUs()));
     }
 
     /**
@@ -276,8 +276,8 @@
         stalledAt = now;
         probe = null;
         suspicions.values().forEach(s -> s.extend(late));
-        health.worse(2);
-        out.event(new Event(Event.Kind.STARVED, me, "a timer was " + late / 1_000 + " ms late"));
+        health.degrade(2);
+        out.event(new MemberEvent(MemberEvent.Kind.STARVED, me, "a timer was " + late / 1_000 + " ms late"));
     }
 
     private void judge(long now) {
@@ -287,25 +287,25 @@
             return;
         }
         if (last.acked) {
-            health.better();
+            health.improve();
             return;
         }
         // Those who were asked have not been heard either: it may be us.
-        health.worse(last.asked > 0 && last.refusedBy == 0 ? 2 : 1);
-        Claim held = picture.of(last.target);
-        if (held != null && held.state() == State.ALIVE) {
-            apply(now, held.with(State.SUSPECT, me.name()), true);
-        } else if (held != null && held.state() == State.SUSPECT) {
-            confirm(now, held.with(State.SUSPECT, me.name()));
+        health.degrade(last.asked > 0 && last.refusedBy == 0 ? 2 : 1);
+        MemberUpdate held = picture.get(last.target);
+        if (held != null && held.state() == MemberState.ALIVE) {
+            apply(now, held.withState(MemberState.SUSPECT, me.name()), true);
+        } else if (held != null && held.state() == MemberState.SUSPECT) {
+            confirm(now, held.withState(MemberState.SUSPECT, me.name()));
         }
     }
 
     private void beginProbe(long now) {
-        Claim target = nextInTurn();
+        MemberUpdate target = nextInTurn();
         if (target != null) {
             probe = new Probe(target.name(), ++numbers);
-            send(target.address(), Message.Kind.PING, probe.number, target.name());
-            timer(now, ACK + probe.number, health.stretch(settings.ackAfter()));
+            send(target.address(), GossipDatagram.Kind.PING, probe.number, target.name());
+            timer(now, ACK + probe.number, health.scaleUs(settings.ackTimeoutUs()));
         }
     }
 
@@ -313,32 +313,32 @@
      * Each of the others in turn, in an order drawn anew each time: the next probe is never far
      * (4.3).
      */
-    private Claim nextInTurn() {
+    private MemberUpdate nextInTurn() {
         for (int looked = 0; looked <= order.size() + 1; looked++) {
             if (turn >= order.size()) {
                 turn = 0;
                 order.clear();
                 picture.all().stream()
-                        .filter(c -> c.state().present() && !c.name().equals(me.name()))
+                        .filter(c -> c.state().isPresent() && !c.name().equals(me.name()))
                         .forEach(c -> order.add(c.name()));
                 Collections.shuffle(order, random);
                 if (order.isEmpty()) {
                     return null;
                 }
             }
-            Claim next = picture.of(order.get(turn++));
-            if (next != null && next.state().present()) {
+            MemberUpdate next = picture.get(order.get(turn++));
+            if (next != null && next.state().isPresent()) {
                 return next;
             }
         }
         return null;
     }
 
-    private List<Claim> someOthers(int count) {
-        List<Claim> some = new ArrayList<>();
+    private List<MemberUpdate> someOthers(int count) {
+        List<MemberUpdate> some = new ArrayList<>();
         for (int tries = 0; tries < 4 * count && some.size() < count && !order.isEmpty(); tries++) {
-            Claim one = picture.of(order.get(random.nextInt(order.size())));
-            if (one != null && one.state().present() && !some.contains(one)) {
+            MemberUpdate one = picture.get(order.get(random.nextInt(order.size())));
+            if (one != null && one.state().isPresent() && !some.contains(one)) {
                 some.add(one);
             }
         }
@@ -350,24 +350,24 @@
         if (probe == null || probe.number != number || probe.acked) {
             return;
         }
-        Claim target = picture.of(probe.target);
+        MemberUpdate target = picture.get(probe.target);
         if (target == null) {
             return;
         }
-        send(target.address(), Message.Kind.PING, number, target.name());
+        send(target.address(), GossipDatagram.Kind.PING, number, target.name());
         probe.asked = askOthers(number, target);
     }
 
-    private int askOthers(long number, Claim target) {
+    private int askOthers(long number, MemberUpdate target) {
         int asked = 0;
-        for (Claim helper : someOthers(settings.indirect())) {
+        for (MemberUpdate helper : someOthers(settings.indirectProbes())) {
             if (!helper.name().equals(target.name())) {
                 asked++;
                 send(
                         helper.address(),
-                        new Message(
+                        new GossipDatagram(
                                 settings.fleet(),
-                                Message.Kind.ASK,
+                                GossipDatagram.Kind.PING_REQUEST,
                                 me,
                                 number,
                                 picture.digest(),
@@ -381,48 +381,48 @@
         return asked;
     }
 
-    private void handle(long now, String from, Message m) {
+    private void handle(long now, String from, GossipDatagram m) {
         switch (m.kind()) {
-            case PING -> send(from, Message.Kind.ACK, m.number(), m.me().name());
+            case PING -> send(from, GossipDatagram.Kind.ACK, m.sequenceNumber(), m.sender().name());
             case ACK -> {
-                Relay relay = relays.remove(m.number());
-                String checked = checks.remove(m.number());
+                Relay relay = relays.remove(m.sequenceNumber());
+                String checked = checks.remove(m.sequenceNumber());
                 Suspicion suspicion = checked == null ? null : suspicions.get(checked);
                 if (suspicion != null) {
-                    suspicion.beginAnew(now);
-                    timer(now, SUSPECT + checked, suspicion.ends() - now);
+                    suspicion.restart(now);
+                    timer(now, SUSPECT + checked, suspicion.deadlineUs() - now);
                 }
                 if (relay != null) {
-                    send(relay.back(), Message.Kind.ACK, relay.number(), null);
-                } else if (probe != null && probe.number == m.number()) {
+                    send(relay.back(), GossipDatagram.Kind.ACK, relay.number(), null);
+                } else if (probe != null && probe.number == m.sequenceNumber()) {
                     probe.acked = true;
                 }
             }
             case NACK -> {
-                if (probe != null && probe.number == m.number()) {
+                if (probe != null && probe.number == m.sequenceNumber()) {
                     probe.refusedBy++;
                 }
             }
-            case ASK -> {
-                Claim target = m.target() == null ? null : picture.of(m.target());
+            case PING_REQUEST -> {
+                MemberUpdate target = m.probeTarget() == null ? null : picture.get(m.probeTarget());
                 if (target == null || relays.size() >= MOST_RELAYS) {
-                    send(from, Message.Kind.NACK, m.number(), m.me().name());
+                    send(from, GossipDatagram.Kind.NACK, m.sequenceNumber(), m.sender().name());
                     return;
                 }
                 long number = ++numbers;
-                relays.put(number, new Relay(from, m.number()));
-                send(target.address(), Message.Kind.PING, number, target.name());
-                timer(now, RELAY + number, settings.ackAfter());
+                relays.put(number, new Relay(from, m.sequenceNumber()));
+                send(target.address(), GossipDatagram.Kind.PING, number, target.name());
+                timer(now, RELAY + number, settings.ackTimeoutUs());
             }
-            case PARTS -> {
-                long differing = picture.differing(m.digests());
+            case DIGESTS -> {
+                long differing = picture.differingBuckets(m.bucketDigests());
                 if (differing != 0) {
                     sendClaims(from, differing, differing);
                 }
             }
-            case CLAIMS -> {
-                if (m.wanted() != 0) {
-                    sendClaims(from, m.wanted(), 0);
+            case UPDATES -> {
+                if (m.requestedBuckets() != 0) {
+                    sendClaims(from, m.requestedBuckets(), 0);
                 }
             }
             default -> {}
@@ -432,21 +432,21 @@
     // ---- Claims
     // ----------------------------------------------------------------------------------------
 
-    private void apply(long now, Claim claim, boolean tell) {
+    private void apply(long now, MemberUpdate claim, boolean tell) {
         if (claim.name().equals(me.name())) {
             aboutMe(now, claim);
             return;
         }
-        Claim held = picture.of(claim.name());
-        if (held == null && picture.size() >= settings.members()) {
+        MemberUpdate held = picture.get(claim.name());
+        if (held == null && picture.size() >= settings.maxMembers()) {
             count("full");
             return;
         }
         if (held != null && !claim.supersedes(held)) {
-            if (held.state() == State.SUSPECT
-                    && claim.state() == State.SUSPECT
+            if (held.state() == MemberState.SUSPECT
+                    && claim.state() == MemberState.SUSPECT
                     && held.incarnation() == claim.incarnation()
-                    && held.life() == claim.life()) {
+                    && held.startId() == claim.startId()) {
                 confirm(now, claim);
             }
             return;
@@ -456,17 +456,17 @@
         if (tell) {
             rumours.add(claim);
         }
-        if (claim.state() == State.SUSPECT) {
-            long least = (long) (settings.least() * settings.powers(present()) * settings.period());
+        if (claim.state() == MemberState.SUSPECT) {
+            long least = settings.minSuspicionUs(present());
             suspicions.put(
                     claim.name(),
                     new Suspicion(
                             claim,
                             now,
                             least,
-                            (long) (least * settings.most()),
-                            Math.min(settings.confirmations(), Math.max(0, present() - 2))));
-            timer(now, SUSPECT + claim.name(), suspicions.get(claim.name()).ends() - now);
+                            settings.maxSuspicionUs(least),
+                            Math.min(settings.suspicionConfirmations(), Math.max(0, present() - 2))));
+            timer(now, SUSPECT + claim.name(), suspicions.get(claim.name()).deadlineUs() - now);
         } else {
             suspicions.remove(claim.name());
             checks.values().removeIf(claim.name()::equals);
@@ -474,38 +474,38 @@
         tellOf(held, claim);
     }
 
-    private void tellOf(Claim held, Claim claim) {
-        if (claim.rival() && (held == null || !held.rival())) {
+    private void tellOf(MemberUpdate held, MemberUpdate claim) {
+        if (claim.hasNameConflict() && (held == null || !held.hasNameConflict())) {
             out.event(
-                    new Event(
-                            Event.Kind.RIVAL, claim, "it says that another process has its name"));
-        } else if (held != null && held.rival() && !claim.rival()) {
-            out.event(new Event(Event.Kind.RIVAL_GONE, claim, "it says so"));
-        }
-        boolean was = held != null && held.state().present();
-        if (claim.state() == State.SUSPECT) {
-            out.event(new Event(Event.Kind.SUSPECTED, claim, "by " + claim.by()));
-        } else if (claim.state() == State.DEAD && was) {
-            out.event(new Event(Event.Kind.DIED, claim, "by " + claim.by()));
-        } else if (claim.state() == State.LEFT && was) {
-            out.event(new Event(Event.Kind.LEFT, claim, "it said so"));
-        } else if (claim.state() == State.ALIVE && held != null && held.life() != claim.life()) {
-            out.event(new Event(Event.Kind.RESTARTED, claim, "another life under its name"));
-        } else if (claim.state() == State.ALIVE && held != null && held.state() != State.ALIVE) {
-            out.event(new Event(Event.Kind.REFUTED, claim, "it contradicted " + held.by()));
-        } else if (claim.state() == State.ALIVE && held == null) {
-            out.event(new Event(Event.Kind.JOINED, claim, "it said so"));
-        }
-    }
-
-    private void confirm(long now, Claim claim) {
+                    new MemberEvent(
+                            MemberEvent.Kind.RIVAL, claim, "it says that another process has its name"));
+        } else if (held != null && held.hasNameConflict() && !claim.hasNameConflict()) {
+            out.event(new MemberEvent(MemberEvent.Kind.RIVAL_GONE, claim, "it says so"));
+        }
+        boolean was = held != null && held.state().isPresent();
+        if (claim.state() == MemberState.SUSPECT) {
+            out.event(new MemberEvent(MemberEvent.Kind.SUSPECTED, claim, "by " + claim.reportedBy()));
+        } else if (claim.state() == MemberState.DEAD && was) {
+            out.event(new MemberEvent(MemberEvent.Kind.DIED, claim, "by " + claim.reportedBy()));
+        } else if (claim.state() == MemberState.LEFT && was) {
+            out.event(new MemberEvent(MemberEvent.Kind.LEFT, claim, "it said so"));
+        } else if (claim.state() == MemberState.ALIVE && held != null && held.startId() != claim.startId()) {
+            out.event(new MemberEvent(MemberEvent.Kind.RESTARTED, claim, "another life under its name"));
+        } else if (claim.state() == MemberState.ALIVE && held != null && held.state() != MemberState.ALIVE) {
+            out.event(new MemberEvent(MemberEvent.Kind.REFUTED, claim, "it contradicted " + held.reportedBy()));
+        } else if (claim.state() == MemberState.ALIVE && held == null) {
+            out.event(new MemberEvent(MemberEvent.Kind.JOINED, claim, "it said so"));
+        }
+    }
+
+    private void confirm(long now, MemberUpdate claim) {
         Suspicion suspicion = suspicions.get(claim.name());
         if (suspicion != null
-                && suspicion.isOf(claim)
-                && !claim.by().equals(picture.of(claim.name()).by())
-                && suspicion.confirm(claim.by())) {
+                && suspicion.isAbout(claim)
+                && !claim.reportedBy().equals(picture.get(claim.name()).reportedBy())
+                && suspicion.confirm(claim.reportedBy())) {
             rumours.add(claim);
-            timer(now, SUSPECT + claim.name(), Math.max(0, suspicion.ends() - now));
+            timer(now, SUSPECT + claim.name(), Math.max(0, suspicion.deadlineUs() - now));
         }
     }
 
@@ -514,60 +514,60 @@
         if (suspicion == null) {
             return;
         }
-        if (suspicion.ends() > now) {
-            timer(now, SUSPECT + name, suspicion.ends() - now);
+        if (suspicion.deadlineUs() > now) {
+            timer(now, SUSPECT + name, suspicion.deadlineUs() - now);
             return;
         }
-        if (!suspicion.checked()) {
-            suspicion.check();
+        if (!suspicion.isFinalProbeSent()) {
+            suspicion.finalProbeSent();
             checks.put(++numbers, name);
-            Claim subject = picture.of(name);
-            send(subject.address(), Message.Kind.PING, numbers, name);
+            MemberUpdate subject = picture.get(name);
+            send(subject.address(), GossipDatagram.Kind.PING, numbers, name);
             askOthers(numbers, subject);
-            timer(now, SUSPECT + name, health.stretch(settings.period()));
+            timer(now, SUSPECT + name, health.scaleUs(settings.protocolPeriodUs()));
             return;
         }
-        apply(now, picture.of(name).with(State.DEAD, me.name()), true);
+        apply(now, picture.get(name).withState(MemberState.DEAD, me.name()), true);
     }
 
     /**
      * Contradicts what is said of this life; what is said of another one under our name may be
      * true.
      */
-    private void aboutMe(long now, Claim claim) {
+    private void aboutMe(long now, MemberUpdate claim) {
         if (leaving) {
             return;
         }
-        if (claim.life() == me.life()) {
-            if (claim.state() != State.ALIVE && claim.incarnation() >= me.incarnation()) {
-                health.worse(1);
-                out.event(new Event(Event.Kind.CONTRADICTED, claim, claim.by() + " said so"));
-                raise(now, claim.incarnation() + 1, me.rival());
+        if (claim.startId() == me.startId()) {
+            if (claim.state() != MemberState.ALIVE && claim.incarnation() >= me.incarnation()) {
+                health.degrade(1);
+                out.event(new MemberEvent(MemberEvent.Kind.CONTRADICTED, claim, claim.reportedBy() + " said so"));
+                raise(now, claim.incarnation() + 1, me.hasNameConflict());
             }
-        } else if (claim.supersedes(me) && (!me.rival() || !claim.state().present())) {
-            if (claim.state().present() && rival == null) {
+        } else if (claim.supersedes(me) && (!me.hasNameConflict() || !claim.state().isPresent())) {
+            if (claim.state().isPresent() && rival == null) {
                 rival = new Rival(claim, ++numbers, Long.MIN_VALUE);
-                send(claim.address(), Message.Kind.PING, rival.number(), null);
+                send(claim.address(), GossipDatagram.Kind.PING, rival.number(), null);
             }
-            raise(now, claim.incarnation() + 1, me.rival());
+            raise(now, claim.incarnation() + 1, me.hasNameConflict());
         }
     }
 
     private void raise(long now, long incarnation, boolean hasRival) {
         say(
                 now,
-                new Claim(
+                new MemberUpdate(
                         me.name(),
-                        me.life(),
+                        me.startId(),
                         incarnation,
-                        State.ALIVE,
+                        MemberState.ALIVE,
                         hasRival,
                         me.address(),
                         me.name(),
-                        me.meta()));
+                        me.metadata()));
     }
 
-    private void say(long now, Claim claim) {
+    private void say(long now, MemberUpdate claim) {
         me = claim;
         picture.put(me, now);
         changedAt = now;
@@ -581,18 +581,18 @@
      * Somebody under our name speaks to us. That proves that he lives only if it answers what we
      * asked.
      */
-    private void fromOwnName(long now, String from, Message m) {
-        aboutMe(now, m.me());
-        if (m.kind() == Message.Kind.PING) {
-            send(from, Message.Kind.ACK, m.number(), null);
-        } else if (m.kind() == Message.Kind.ACK
+    private void fromOwnName(long now, String from, GossipDatagram m) {
+        aboutMe(now, m.sender());
+        if (m.kind() == GossipDatagram.Kind.PING) {
+            send(from, GossipDatagram.Kind.ACK, m.sequenceNumber(), null);
+        } else if (m.kind() == GossipDatagram.Kind.ACK
                 && rival != null
-                && m.number() == rival.number()
-                && m.me().life() == rival.claim().life()) {
-            rival = new Rival(m.me(), rival.number(), now);
-            if (!me.rival()) {
-                out.event(new Event(Event.Kind.RIVAL, m.me(), "it answers under our name"));
-                raise(now, Math.max(me.incarnation(), m.me().incarnation()) + 1, true);
+                && m.sequenceNumber() == rival.number()
+                && m.sender().startId() == rival.claim().startId()) {
+            rival = new Rival(m.sender(), rival.number(), now);
+            if (!me.hasNameConflict()) {
+                out.event(new MemberEvent(MemberEvent.Kind.RIVAL, m.sender(), "it answers under our name"));
+                raise(now, Math.max(me.incarnation(), m.sender().incarnation()) + 1, true);
             }
         }
     }
@@ -601,45 +601,45 @@
         if (rival == null) {
             return;
         }
-        long patience = RIVAL_PERIODS * settings.period();
-        if (!me.rival() && periods % RIVAL_PERIODS == 0) {
+        long patience = RIVAL_PERIODS * settings.protocolPeriodUs();
+        if (!me.hasNameConflict() && periods % RIVAL_PERIODS == 0) {
             rival = null; // it has not answered: an earlier life of ours, of which somebody was
             // late to hear
-        } else if (me.rival() && now - rival.heardAt() > patience) {
+        } else if (me.hasNameConflict() && now - rival.heardAt() > patience) {
             out.event(
-                    new Event(Event.Kind.RIVAL_GONE, rival.claim(), "it does not answer any more"));
+                    new MemberEvent(MemberEvent.Kind.RIVAL_GONE, rival.claim(), "it does not answer any more"));
             long above = Math.max(me.incarnation(), rival.claim().incarnation()) + 1;
             rival = null;
             raise(now, above, false);
         } else {
             rival = new Rival(rival.claim(), ++numbers, rival.heardAt());
-            send(rival.claim().address(), Message.Kind.PING, rival.number(), null);
+            send(rival.claim().address(), GossipDatagram.Kind.PING, rival.number(), null);
         }
     }
 
     // ---- Pictures
     // --------------------------------------------------------------------------------------
 
-    private void compare(long now, String from, Message m) {
-        if (m.digest() == picture.digest() || m.kind() == Message.Kind.CLAIMS) {
+    private void compare(long now, String from, GossipDatagram m) {
+        if (m.tableDigest() == picture.digest() || m.kind() == GossipDatagram.Kind.UPDATES) {
             return;
         }
         boolean settled =
-                now - changedAt >= SETTLED * settings.period()
+                now - changedAt >= SETTLED * settings.protocolPeriodUs()
                         || present() == 1
-                        || now - comparedAt >= SELDOM * settings.period();
-        if (settled && (now - comparedAt >= 2 * settings.period() || present() == 1)) {
+                        || now - comparedAt >= SELDOM * settings.protocolPeriodUs();
+        if (settled && (now - comparedAt >= 2 * settings.protocolPeriodUs() || present() == 1)) {
             comparedAt = now;
             send(
                     from,
-                    new Message(
+                    new GossipDatagram(
                             settings.fleet(),
-                            Message.Kind.PARTS,
+                            GossipDatagram.Kind.DIGESTS,
                             me,
                             0,
                             picture.digest(),
                             null,
-                            picture.digests(),
+                            picture.bucketDigests(),
                             0,
                             List.of()),
                     null);
@@ -647,15 +647,15 @@
     }
 
     private void sendClaims(String to, long parts, long wanted) {
-        List<Claim> claims = new ArrayList<>(picture.claims(parts));
+        List<MemberUpdate> claims = new ArrayList<>(picture.updatesIn(parts));
         Collections.shuffle(claims, random);
         long still = wanted;
         int next = 0;
         for (int sent = 0; sent < MOST_DATAGRAMS && (next < claims.size() || sent == 0); sent++) {
-            Message m =
-                    new Message(
+            GossipDatagram m =
+                    new GossipDatagram(
                             settings.fleet(),
-                            Message.Kind.CLAIMS,
+                            GossipDatagram.Kind.UPDATES,
                             me,
                             0,
                             picture.digest(),
@@ -663,21 +663,21 @@
                             List.of(),
                             still,
                             List.of());
-            int left = settings.bytes() - Wire.write(m).length - NEWS_BYTES;
-            List<Claim> some = new ArrayList<>();
-            while (next < claims.size() && Wire.size(claims.get(next)) <= left) {
-                left -= Wire.size(claims.get(next));
+            int left = settings.maxDatagramBytes() - GossipCodec.encode(m).length - NEWS_BYTES;
+            List<MemberUpdate> some = new ArrayList<>();
+            while (next < claims.size() && GossipCodec.encodedSize(claims.get(next)) <= left) {
+                left -= GossipCodec.encodedSize(claims.get(next));
                 some.add(claims.get(next++));
             }
             out.send(
                     to,
-                    Wire.write(
-                            new Message(
+                    GossipCodec.encode(
+                            new GossipDatagram(
                                     m.fleet(),
                                     m.kind(),
                                     me,
                                     0,
-                                    m.digest(),
+                                    m.tableDigest(),
                                     null,
                                     List.of(),
                                     still,
@@ -692,10 +692,10 @@
     private void contactSomebody() {
         List<String> lost = new ArrayList<>();
         List<String> known = new ArrayList<>();
-        for (Claim c : picture.all()) {
-            if (c.state().present()) {
+        for (MemberUpdate c : picture.all()) {
+            if (c.state().isPresent()) {
                 known.add(c.address());
-            } else if (c.state() == State.DEAD) {
+            } else if (c.state() == MemberState.DEAD) {
                 lost.add(c.address());
             }
         }
@@ -711,15 +711,15 @@
         }
         String name =
                 picture.all().stream()
-                        .filter(c -> c.address().equals(address) && c.state() == State.DEAD)
-                        .map(Claim::name)
+                        .filter(c -> c.address().equals(address) && c.state() == MemberState.DEAD)
+                        .map(MemberUpdate::name)
                         .findFirst()
                         .orElse(null);
-        send(address, Message.Kind.PING, 0, name);
+        send(address, GossipDatagram.Kind.PING, 0, name);
     }
 
-    private Message message(Message.Kind kind, long number) {
-        return new Message(
+    private GossipDatagram message(GossipDatagram.Kind kind, long number) {
+        return new GossipDatagram(
                 settings.fleet(),
                 kind,
                 me,
@@ -732,37 +732,37 @@
     }
 
     /** What is held against a member goes first in what it is sent, so that it may answer. */
-    private void send(String to, Message.Kind kind, long number, String name) {
-        Claim about = name == null ? null : picture.of(name);
+    private void send(String to, GossipDatagram.Kind kind, long number, String name) {
+        MemberUpdate about = name == null ? null : picture.get(name);
         send(
                 to,
                 message(kind, number),
-                about == null || about.state() == State.ALIVE ? null : about);
+                about == null || about.state() == MemberState.ALIVE ? null : about);
     }
 
     /** Sends a message, filled up with news behind the first piece, if there is one. */
-    private void send(String to, Message m, Claim first) {
-        List<Claim> news = new ArrayList<>();
-        int left = settings.bytes() - Wire.write(m).length - NEWS_BYTES;
-        if (first != null && Wire.size(first) <= left) {
+    private void send(String to, GossipDatagram m, MemberUpdate first) {
+        List<MemberUpdate> news = new ArrayList<>();
+        int left = settings.maxDatagramBytes() - GossipCodec.encode(m).length - NEWS_BYTES;
+        if (first != null && GossipCodec.encodedSize(first) <= left) {
             news.add(first);
-            left -= Wire.size(first);
+            left -= GossipCodec.encodedSize(first);
         }
         news.addAll(
                 rumours.take(
-                        left, (int) Math.ceil(settings.spread() * settings.powers(present()))));
+                        left, settings.retransmits(present())));
         out.send(
                 to,
-                Wire.write(
-                        new Message(
+                GossipCodec.encode(
+                        new GossipDatagram(
                                 m.fleet(),
                                 m.kind(),
                                 me,
-                                m.number(),
-                                m.digest(),
-                                m.target(),
-                                m.digests(),
-                                m.wanted(),
+                                m.sequenceNumber(),
+                                m.tableDigest(),
+                                m.probeTarget(),
+                                m.bucketDigests(),
+                                m.requestedBuckets(),
                                 news)));
     }
 
--- a/src/main/java/myrtleladder/gossip/Suspicion.java
+++ b/src/main/java/myrtleladder/gossip/Suspicion.java
@@ -4,61 +4,69 @@
 import java.util.Set;
 
 /**
- * One suspicion and how long it lasts (Lifeguard, section IV-B): long while few have it, since
- * whoever has it alone may be at fault himself; down to its least as others come to it
- * independently.
+ * The suspicion of one member and its timeout (Lifeguard, section IV-B). The timeout is long while
+ * few members have the suspicion, since a member that has it alone may itself be at fault, and
+ * falls to its minimum as others confirm it independently. Times are in microseconds.
  */
 final class Suspicion {
-    private final long life;
-    private final long incarnation;
-    private final long least;
-    private final long most;
-    private final int wanted;
-    private final Set<String> others = new HashSet<>();
-    private long begun;
-    private boolean checked;
+    private final MemberUpdate suspect;
+    private final long minTimeoutUs;
+    private final long maxTimeoutUs;
+    private final int confirmationsWanted;
+    private final Set<String> confirmedBy = new HashSet<>();
+    private long startedUs;
+    private boolean isFinalProbeSent;
 
-    Suspicion(Claim claim, long now, long least, long most, int wanted) {
-        this.life = claim.life();
-        this.incarnation = claim.incarnation();
-        this.begun = now;
-        this.least = least;
-        this.most = most;
-        this.wanted = wanted;
+    Suspicion(
+            MemberUpdate suspect,
+            long nowUs,
+            long minTimeoutUs,
+            long maxTimeoutUs,
+            int confirmationsWanted) {
+        this.suspect = suspect;
+        this.startedUs = nowUs;
+        this.minTimeoutUs = minTimeoutUs;
+        this.maxTimeoutUs = maxTimeoutUs;
+        this.confirmationsWanted = confirmationsWanted;
     }
 
-    /** Whether it is the suspicion of this claim's life and incarnation. */
-    boolean isOf(Claim claim) {
-        return life == claim.life() && incarnation == claim.incarnation();
+    /** Whether it is about the incarnation that an update is about. */
+    boolean isAbout(MemberUpdate update) {
+        return suspect.hasSameIncarnation(update);
     }
 
-    /** Whether that one is a new and wanted confirmation. */
-    boolean confirm(String by) {
-        return others.size() < wanted && others.add(by);
+    /** Adds a confirmation; false if it is not independent or there are enough already. */
+    boolean confirm(String member) {
+        return confirmedBy.size() < confirmationsWanted && confirmedBy.add(member);
     }
 
-    /** Whether its subject was asked a last time since it began. */
-    boolean checked() {
-        return checked;
+    /** Whether the suspect was probed a last time since the timeout began. */
+    boolean isFinalProbeSent() {
+        return isFinalProbeSent;
     }
 
-    void check() {
-        checked = true;
+    void finalProbeSent() {
+        isFinalProbeSent = true;
     }
 
-    /** Its subject was heard of: it begins anew, until what the subject says of itself arrives. */
-    void beginAnew(long now) {
-        begun = now;
-        checked = false;
+    /** Begins the timeout anew: the suspect has answered, and its refutation is still to come. */
+    void restart(long nowUs) {
+        startedUs = nowUs;
+        isFinalProbeSent = false;
     }
 
-    /** This process stood still for so long: the other one had no chance to be heard meanwhile. */
-    void extend(long by) {
-        begun += by;
+    /** Extends the timeout by a time in which this process could not receive a refutation. */
+    void extend(long byUs) {
+        startedUs += byUs;
     }
 
-    long ends() {
-        double shorter = wanted == 0 ? 1 : Math.log(others.size() + 1) / Math.log(wanted + 1);
-        return begun + Math.max(least, (long) (most - (most - least) * shorter));
+    /** When the timeout ends, as confirmed so far. */
+    long deadlineUs() {
+        double confirmed =
+                confirmationsWanted == 0
+                        ? 1
+                        : Math.log(confirmedBy.size() + 1) / Math.log(confirmationsWanted + 1);
+        long timeoutUs = (long) (maxTimeoutUs - (maxTimeoutUs - minTimeoutUs) * confirmed);
+        return startedUs + Math.max(minTimeoutUs, timeoutUs);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
@@ -40,8 +40,9 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
-import myrtleladder.cluster.AgreeCarrier;
-import myrtleladder.cluster.MemberCarrier;
+import myrtleladder.cluster.ConsensusRuntime;
+import myrtleladder.cluster.ConsensusStatus;
+import myrtleladder.cluster.MembershipRuntime;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.NoMajority;
 import myrtleladder.error.OperatorError.OldPermit;
@@ -70,25 +71,25 @@
     private final Supplier<Future<Status>> balancer;
 
     /** Null where no peers are configured. */
-    private final MemberCarrier members;
+    private final MembershipRuntime members;
 
     /** Null where no council is configured. */
-    private final AgreeCarrier agreement;
+    private final ConsensusRuntime agreement;
 
     /** Null with that. */
     private final WorkDesk work;
 
     private final Channel listening;
     private volatile Status status = NOTHING;
-    private volatile AgreeCarrier.Look agreed;
+    private volatile ConsensusStatus agreed;
 
     /** Answers at an address from now on; what is not configured is null. */
     Admin(
             InetSocketAddress listen,
             String process,
             Supplier<Future<Status>> balancer,
-            MemberCarrier members,
-            AgreeCarrier agreement,
+            MembershipRuntime members,
+            ConsensusRuntime agreement,
             WorkDesk work) {
         this.balancer = balancer;
         this.members = members;
@@ -165,11 +166,11 @@
                 "1 if this process leads",
                 l -> l.self().equals(l.leader()) ? 1 : 0);
         agreed("yewyoke.agreement.members", "Lives in the view", l -> l.view().lives().size());
-        agreed("yewyoke.agreement.applied", "Decrees known here", AgreeCarrier.Look::applied);
+        agreed("yewyoke.agreement.applied", "Decrees known here", ConsensusStatus::applied);
         agreed(
                 "yewyoke.agreement.waiting",
                 "Commands of this process that are not decided",
-                AgreeCarrier.Look::waiting);
+                ConsensusStatus::waiting);
     }
 
     /** Where they can be read. */
@@ -182,7 +183,7 @@
     }
 
     /** A figure of the agreement; not a number while the event loop does not answer. */
-    private void agreed(String name, String what, ToDoubleFunction<AgreeCarrier.Look> value) {
+    private void agreed(String name, String what, ToDoubleFunction<ConsensusStatus> value) {
         Gauge.builder(name, () -> agreed == null ? Double.NaN : value.applyAsDouble(agreed))
                 .description(what)
                 .register(registry);
--- a/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import java.util.Set;
-import myrtleladder.cluster.Balancing;
-import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.cluster.LoadBalancerControl;
+import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.loadbalancer.server.Running;
 import myrtleladder.loadbalancer.server.Sending;
 
 /** The balancer as the work on machines knows it: neither knows of the other. */
-record Beside(Sending sending) implements Balancing {
+record Beside(Sending sending) implements LoadBalancerControl {
     /** From now on the work on machines has a say on each attempt. */
-    static void restrain(Running balancer, WorkCarrier work) {
+    static void restrain(Running balancer, MaintenanceRuntime work) {
         balancer.loop()
                 .execute(
                         () ->
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -8,18 +8,18 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
-import myrtleladder.cluster.AgreeCarrier;
-import myrtleladder.cluster.FleetConfig;
-import myrtleladder.cluster.MemberCarrier;
-import myrtleladder.cluster.PointFault;
-import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.cluster.ConsensusRuntime;
+import myrtleladder.cluster.FleetConfiguration;
+import myrtleladder.cluster.MembershipRuntime;
+import myrtleladder.cluster.FaultPointTrigger;
+import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.consensus.AgreeSettings;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.error.OperatorError.NoFile;
 import myrtleladder.error.OperatorError.Unexpected;
-import myrtleladder.gossip.Meta;
-import myrtleladder.gossip.Settings;
+import myrtleladder.gossip.MemberMetadata;
+import myrtleladder.gossip.GossipSettings;
 import myrtleladder.loadbalancer.server.Running;
 import myrtleladder.maintenance.Agenda;
 import myrtleladder.maintenance.WorkSettings;
@@ -128,7 +128,7 @@
             String listen = own.admin().listen();
             InetSocketAddress at =
                     listen == null ? null : Own.address(file, "admin.listen", listen);
-            FleetConfig fleet = own.fleet() == null ? null : fleet(own.fleet(), name);
+            FleetConfiguration fleet = own.fleet() == null ? null : fleet(own.fleet(), name);
             AgreeSettings council =
                     fleet == null || own.fleet().council() == null
                             ? null
@@ -148,23 +148,23 @@
                 Own own,
                 String name,
                 InetSocketAddress at,
-                FleetConfig fleet,
+                FleetConfiguration fleet,
                 AgreeSettings council) {
-            MemberCarrier members =
-                    fleet == null ? null : MemberCarrier.start(balancer.loop(), fleet);
-            AgreeCarrier agreement = null;
-            WorkCarrier work = null;
+            MembershipRuntime members =
+                    fleet == null ? null : MembershipRuntime.start(balancer.loop(), fleet);
+            ConsensusRuntime agreement = null;
+            MaintenanceRuntime work = null;
             if (council != null) {
-                Consumer<Enum<?>> points = PointFault.of(System.getProperty(PointFault.PROPERTY));
+                Consumer<Enum<?>> points = FaultPointTrigger.of(System.getProperty(FaultPointTrigger.PROPERTY));
                 Agenda agenda = new Agenda();
-                agreement = AgreeCarrier.start(members, council, agenda, points);
+                agreement = ConsensusRuntime.start(members, council, agenda, points);
                 WorkSettings settings =
                         WorkSettings.of(
                                 own.fleet().name(),
                                 LONGEST_ATTEMPT,
                                 1_000_000 * own.fleet().longestWorkS());
                 work =
-                        WorkCarrier.start(
+                        MaintenanceRuntime.start(
                                 agreement,
                                 agenda,
                                 settings,
@@ -187,23 +187,23 @@
          * Who serves before the fleet knows of him may send to a machine that is out. He can't wait
          * long.
          */
-        private static void awaitFleet(WorkCarrier work) {
+        private static void awaitFleet(MaintenanceRuntime work) {
             long end = System.nanoTime() + JOIN_NANOS;
             while (System.nanoTime() < end && !work.registered().syncUninterruptibly().getNow()) {
                 LockSupport.parkNanos(JOIN_STEP_NANOS);
             }
         }
 
-        private FleetConfig fleet(Own.FleetPart part, String name) throws BadFile {
+        private FleetConfiguration fleet(Own.FleetPart part, String name) throws BadFile {
             String version = new Version().getVersion()[0];
-            Meta meta =
-                    new Meta(
+            MemberMetadata meta =
+                    new MemberMetadata(
                             part.zone() == null ? "" : part.zone(),
                             version,
                             System.currentTimeMillis(),
                             List.of("serve"));
-            return new FleetConfig(
-                    Settings.of(part.name()),
+            return new FleetConfiguration(
+                    GossipSettings.of(part.name()),
                     part.process() == null ? name : part.process(),
                     Own.address(file, "fleet.listen", part.listen()),
                     part.seeds() == null ? List.of() : part.seeds(),
--- a/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
@@ -14,8 +14,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import myrtleladder.cluster.Balancing;
-import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.cluster.LoadBalancerControl;
+import myrtleladder.cluster.MaintenanceRuntime;
+import myrtleladder.cluster.MaintenanceStatus;
 import myrtleladder.consensus.Token;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadPlan;
@@ -41,7 +42,7 @@
     private static final int MOST_MACHINES = 1_000;
     private static final int WHOLE = 100;
 
-    private final WorkCarrier work;
+    private final MaintenanceRuntime work;
     private final String process;
     private final long longestS;
 
@@ -69,14 +70,14 @@
     /**
      * Takes what is asked for at a process; no work may take longer than {@code longestS} seconds.
      */
-    WorkDesk(WorkCarrier work, String process, long longestS) {
+    WorkDesk(MaintenanceRuntime work, String process, long longestS) {
         this.work = work;
         this.process = process;
         this.longestS = longestS;
     }
 
     /** What the process holds. */
-    Future<WorkCarrier.Look> look() {
+    Future<MaintenanceStatus> look() {
         return work.look();
     }
 
@@ -154,7 +155,7 @@
 
     private List<Step> plan(PlanFile file) throws OperatorError {
         need("name", file.name());
-        List<Balancing.Upstream> listed = onLoop(work::upstreams);
+        List<LoadBalancerControl.Upstream> listed = onLoop(work::upstreams);
         List<Part> parts = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (MachinePart m : file.machines()) {
@@ -189,7 +190,7 @@
         return Step.plan(terms, parts);
     }
 
-    private Part part(MachinePart m, List<Balancing.Upstream> listed) throws OperatorError {
+    private Part part(MachinePart m, List<LoadBalancerControl.Upstream> listed) throws OperatorError {
         String machine =
                 need(
                         "machine",
@@ -204,7 +205,7 @@
         if (m.upstream() == null) {
             return new Part(machine, null, need("member", m.member()), 0, 0, 0, m.seconds());
         }
-        Balancing.Upstream its =
+        LoadBalancerControl.Upstream its =
                 listed.stream()
                         .filter(u -> u.id().equals(m.upstream()))
                         .findFirst()
--- a/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
@@ -21,11 +21,11 @@
 import myrtleladder.consensus.Term;
 import myrtleladder.consensus.Token;
 import myrtleladder.consensus.View;
-import myrtleladder.gossip.Claim;
-import myrtleladder.gossip.Event;
-import myrtleladder.gossip.Meta;
-import myrtleladder.gossip.Settings;
-import myrtleladder.gossip.State;
+import myrtleladder.gossip.MemberUpdate;
+import myrtleladder.gossip.MemberEvent;
+import myrtleladder.gossip.MemberMetadata;
+import myrtleladder.gossip.GossipSettings;
+import myrtleladder.gossip.MemberState;
 import myrtleladder.maintenance.Agenda;
 import org.junit.jupiter.api.Test;
 
@@ -37,16 +37,16 @@
 class OperatorsCompatibilityTest {
     private static final GoldenFile GOLDEN = new GoldenFile("operators.txt");
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Claim CLAIM =
-            new Claim(
+    private static final MemberUpdate CLAIM =
+            new MemberUpdate(
                     "b1",
                     0x1234,
                     3,
-                    State.SUSPECT,
+                    MemberState.SUSPECT,
                     true,
                     "10.0.0.2:7400",
                     "b0",
-                    new Meta("zone-a", "1.4.2", 1_700_000_000_123L, List.of("drain")));
+                    new MemberMetadata("zone-a", "1.4.2", 1_700_000_000_123L, List.of("drain")));
 
     /** Keeps the lines that a logger gets. */
     private static final class Lines extends Handler {
@@ -66,14 +66,14 @@
 
     @Test
     void theAnswerOnMembersKeepsItsFields() throws Exception {
-        MemberCarrier.Look look =
-                new MemberCarrier.Look(
+        MembershipStatus look =
+                new MembershipStatus(
                         CLAIM,
                         2,
                         1,
                         -5,
                         Map.of("foreign", 7L),
-                        List.of(new MemberCarrier.Held(CLAIM, 1.5)));
+                        List.of(new MembershipStatus.ListedMember(CLAIM, 1.5)));
         GOLDEN.assertWritten("members", JSON.writeValueAsString(look));
     }
 
@@ -81,19 +81,19 @@
     void theAnswerOnTheAgreementKeepsItsFields() throws Exception {
         Life life = new Life("b1", 0x1234);
         View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", 1L));
-        AgreeCarrier.Look look =
-                new AgreeCarrier.Look(
+        ConsensusStatus look =
+                new ConsensusStatus(
                         life, new Term(8, 9), life, true, view, 17, 2, Map.of("malformed", 7L));
         GOLDEN.assertWritten("agreement", JSON.writeValueAsString(look));
     }
 
     @Test
     void theAnswerOnWorkKeepsItsFields() throws Exception {
-        WorkCarrier.Seen seen =
-                new WorkCarrier.Seen(
+        MaintenanceStatus.JobStatus seen =
+                new MaintenanceStatus.JobStatus(
                         "host-7", "patch", "OUT", new Token(8, 9), 17, true, "for b1", "why");
-        WorkCarrier.Look look =
-                new WorkCarrier.Look(
+        MaintenanceStatus look =
+                new MaintenanceStatus(
                         List.of(seen),
                         "too hot",
                         true,
@@ -105,26 +105,26 @@
         GOLDEN.assertWritten("work", JSON.writeValueAsString(look));
     }
 
-    private static MemberCarrier member(MultiThreadIoEventLoopGroup group) {
-        FleetConfig config =
-                new FleetConfig(
-                        Settings.of("dhaka"),
+    private static MembershipRuntime member(MultiThreadIoEventLoopGroup group) {
+        FleetConfiguration config =
+                new FleetConfiguration(
+                        GossipSettings.of("dhaka"),
                         "b0",
                         new InetSocketAddress("127.0.0.1", 0),
                         List.of(),
                         Map.of(),
-                        Meta.NONE);
-        return MemberCarrier.start(group.next(), config);
+                        MemberMetadata.NONE);
+        return MembershipRuntime.start(group.next(), config);
     }
 
     /** What a class logs while something is done by a member that has just started. */
-    private static LogRecord logged(Class<?> by, Consumer<MemberCarrier> what) throws Exception {
+    private static LogRecord logged(Class<?> by, Consumer<MembershipRuntime> what) throws Exception {
         Logger logger = Logger.getLogger(by.getName());
         Lines lines = new Lines();
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
-            MemberCarrier carrier = member(group);
+            MembershipRuntime carrier = member(group);
             logger.addHandler(lines);
             what.accept(carrier);
             LogRecord line = lines.records.poll(20, TimeUnit.SECONDS);
@@ -138,8 +138,8 @@
 
     @Test
     void aMembersLineInTheLogKeepsItsWordsAndFields() throws Exception {
-        Event event = new Event(Event.Kind.SUSPECTED, CLAIM, "no answer");
-        LogRecord line = logged(MemberCarrier.class, m -> m.event(event));
+        MemberEvent event = new MemberEvent(MemberEvent.Kind.SUSPECTED, CLAIM, "no answer");
+        LogRecord line = logged(MembershipRuntime.class, m -> m.event(event));
         GOLDEN.assertWritten("log line", line.getLevel() + " " + line.getMessage());
         GOLDEN.assertWritten("log fields", line.getParameters()[0].toString());
     }
@@ -151,8 +151,8 @@
         AgreeSettings settings = AgreeSettings.of("dhaka", List.of("b0", "b1", "b2"));
         LogRecord line =
                 logged(
-                        AgreeCarrier.class,
-                        m -> AgreeCarrier.start(m, settings, new Agenda(), p -> {}).note(note));
+                        ConsensusRuntime.class,
+                        m -> ConsensusRuntime.start(m, settings, new Agenda(), p -> {}).note(note));
         GOLDEN.assertWritten("agreement log line", line.getLevel() + " " + line.getMessage());
         GOLDEN.assertWritten("agreement log fields", line.getParameters()[0].toString());
     }
--- a/src/test/java/myrtleladder/consensus/VirtualAgreement.java
+++ b/src/test/java/myrtleladder/consensus/VirtualAgreement.java
@@ -17,9 +17,9 @@
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
 import myrtleladder.cluster.PointFaults;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.Membership;
-import myrtleladder.gossip.Meta;
+import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.simulation.Core;
@@ -122,7 +122,7 @@
     }
 
     /** One life with all that it holds. */
-    final class Node implements Core, Agreement.Out, Membership.Out {
+    final class Node implements Core, Agreement.Out, Membership.Output {
         final Life me;
         final Agreement agreement;
         final Chain machine = new Chain();
@@ -141,12 +141,12 @@
             this.me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
-                            myrtleladder.gossip.Settings.of("dhaka"),
+                            myrtleladder.gossip.GossipSettings.of("dhaka"),
                             process,
                             me.life(),
                             0,
                             process,
-                            Meta.NONE,
+                            MemberMetadata.NONE,
                             names(3),
                             seed,
                             this);
@@ -205,8 +205,8 @@
                 changed = false;
                 Map<String, Long> there = new TreeMap<>();
                 membership.members().stream()
-                        .filter(c -> c.state().present())
-                        .forEach(c -> there.put(c.name(), c.life()));
+                        .filter(c -> c.state().isPresent())
+                        .forEach(c -> there.put(c.name(), c.startId()));
                 agreement.present(now, there);
             }
         }
@@ -243,7 +243,7 @@
         }
 
         @Override
-        public void event(Event event) {
+        public void event(MemberEvent event) {
             changed = true;
         }
 
--- a/src/test/java/myrtleladder/gossip/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/gossip/DatagramCompatibilityTest.java
@@ -19,44 +19,44 @@
  */
 class DatagramCompatibilityTest {
     private static final GoldenFile GOLDEN = new GoldenFile("member-datagrams.txt");
-    private static final Meta META =
-            new Meta("zone-a", "1.4.2", 1_700_000_000_123L, List.of("drain", "permit"));
-    private static final Claim ME =
-            new Claim(
-                    "b0", 0xfedcba9876543210L, 7, State.ALIVE, false, "10.0.0.1:7400", "b0", META);
+    private static final MemberMetadata META =
+            new MemberMetadata("zone-a", "1.4.2", 1_700_000_000_123L, List.of("drain", "permit"));
+    private static final MemberUpdate ME =
+            new MemberUpdate(
+                    "b0", 0xfedcba9876543210L, 7, MemberState.ALIVE, false, "10.0.0.1:7400", "b0", META);
 
-    private static Claim claim(String name, State state) {
-        return new Claim(name, 0x1234, 3, state, false, "10.0.0.2:7400", "b0", Meta.NONE);
+    private static MemberUpdate claim(String name, MemberState state) {
+        return new MemberUpdate(name, 0x1234, 3, state, false, "10.0.0.2:7400", "b0", MemberMetadata.NONE);
     }
 
-    private static Message plain(Message.Kind kind) {
-        return new Message("dhaka", kind, ME, 42, 0xabcL, null, List.of(), 0, List.of());
+    private static GossipDatagram plain(GossipDatagram.Kind kind) {
+        return new GossipDatagram("dhaka", kind, ME, 42, 0xabcL, null, List.of(), 0, List.of());
     }
 
-    private static void check(String name, Message message) throws Exception {
-        GOLDEN.assertWritten(name, Wire.write(message));
-        assertEquals(message, Wire.read(GOLDEN.bytes(name), "dhaka"));
+    private static void check(String name, GossipDatagram message) throws Exception {
+        GOLDEN.assertWritten(name, GossipCodec.encode(message));
+        assertEquals(message, GossipCodec.decode(GOLDEN.bytes(name), "dhaka"));
     }
 
     private static String refusal(String datagram) {
         byte[] bytes = datagram.getBytes(StandardCharsets.UTF_8);
-        return assertThrows(Wire.Refused.class, () -> Wire.read(bytes, "dhaka")).getMessage();
+        return assertThrows(RejectedDatagramException.class, () -> GossipCodec.decode(bytes, "dhaka")).getMessage();
     }
 
     @ParameterizedTest
-    @EnumSource(Message.Kind.class)
-    void eachKindOfMessageKeepsItsBytes(Message.Kind kind) throws Exception {
+    @EnumSource(GossipDatagram.Kind.class)
+    void eachKindOfMessageKeepsItsBytes(GossipDatagram.Kind kind) throws Exception {
         check("kind " + kind.ordinal(), plain(kind));
     }
 
     @ParameterizedTest
-    @EnumSource(State.class)
-    void aClaimOfEachStateKeepsItsBytes(State state) throws Exception {
+    @EnumSource(MemberState.class)
+    void aClaimOfEachStateKeepsItsBytes(MemberState state) throws Exception {
         check(
                 "state " + state.ordinal(),
-                new Message(
+                new GossipDatagram(
                         "dhaka",
-                        Message.Kind.NEWS,
+                        GossipDatagram.Kind.GOSSIP,
                         ME,
                         0,
                         -1,
@@ -68,31 +68,31 @@
 
     @Test
     void aMessageWithAllFieldsKeepsItsBytes() throws Exception {
-        Claim rival = new Claim("b2", -1, 1L << 52, State.DEAD, true, "[::1]:7400", "b3", META);
+        MemberUpdate rival = new MemberUpdate("b2", -1, 1L << 52, MemberState.DEAD, true, "[::1]:7400", "b3", META);
         check(
                 "all fields",
-                new Message(
+                new GossipDatagram(
                         "dhaka",
-                        Message.Kind.ASK,
+                        GossipDatagram.Kind.PING_REQUEST,
                         ME,
                         Long.MAX_VALUE,
                         Long.MIN_VALUE,
                         "b9",
                         List.of(0L, 1L, -1L),
                         0x8000000000000001L,
-                        List.of(rival, claim("b4", State.SUSPECT))));
+                        List.of(rival, claim("b4", MemberState.SUSPECT))));
     }
 
     @Test
     void theLongestFieldsFit() throws Exception {
         String longest = "n".repeat(64);
-        Meta meta = new Meta(longest, longest, Long.MAX_VALUE, Collections.nCopies(8, longest));
-        Claim claim = new Claim(longest, -1, 1L << 52, State.LEFT, true, longest, longest, meta);
+        MemberMetadata meta = new MemberMetadata(longest, longest, Long.MAX_VALUE, Collections.nCopies(8, longest));
+        MemberUpdate claim = new MemberUpdate(longest, -1, 1L << 52, MemberState.LEFT, true, longest, longest, meta);
         check(
                 "longest fields",
-                new Message(
+                new GossipDatagram(
                         "dhaka",
-                        Message.Kind.CLAIMS,
+                        GossipDatagram.Kind.UPDATES,
                         claim,
                         1,
                         1,
@@ -106,24 +106,24 @@
     void asManyDigestsAndClaimsAsAllowedFit() throws Exception {
         check(
                 "most claims",
-                new Message(
+                new GossipDatagram(
                         "dhaka",
-                        Message.Kind.PARTS,
+                        GossipDatagram.Kind.DIGESTS,
                         ME,
                         1,
                         1,
                         null,
                         Collections.nCopies(64, -1L),
                         -1,
-                        Collections.nCopies(64, claim("b1", State.ALIVE))));
+                        Collections.nCopies(64, claim("b1", MemberState.ALIVE))));
     }
 
     @Test
     void oneClaimMoreThanAllowedIsRefused() {
-        List<Claim> claims = Collections.nCopies(65, claim("b1", State.ALIVE));
-        Message message =
-                new Message("dhaka", Message.Kind.NEWS, ME, 1, 1, null, List.of(), 0, claims);
-        byte[] bytes = Wire.write(message);
+        List<MemberUpdate> claims = Collections.nCopies(65, claim("b1", MemberState.ALIVE));
+        GossipDatagram message =
+                new GossipDatagram("dhaka", GossipDatagram.Kind.GOSSIP, ME, 1, 1, null, List.of(), 0, claims);
+        byte[] bytes = GossipCodec.encode(message);
         assertEquals("malformed", refusal(new String(bytes, StandardCharsets.UTF_8)));
     }
 
@@ -144,7 +144,7 @@
 
     @Test
     void theSizeOfAClaimIsTheOneThatPackingCountsOn() {
-        GOLDEN.assertWritten("size of a claim", Integer.toString(Wire.size(ME)));
+        GOLDEN.assertWritten("size of a claim", Integer.toString(GossipCodec.encodedSize(ME)));
     }
 
     @Test
@@ -154,7 +154,7 @@
 
     @Test
     void theOrderOfStatesDecidesBetweenClaims() {
-        assertEquals("[ALIVE, SUSPECT, DEAD, LEFT]", Arrays.toString(State.values()));
+        assertEquals("[ALIVE, SUSPECT, DEAD, LEFT]", Arrays.toString(MemberState.values()));
     }
 
     @Test
@@ -162,14 +162,14 @@
         assertEquals(
                 "[JOINED, RESTARTED, SUSPECTED, REFUTED, DIED, LEFT, RIVAL, RIVAL_GONE, STARVED,"
                         + " CONTRADICTED]",
-                Arrays.toString(Event.Kind.values()));
+                Arrays.toString(MemberEvent.Kind.values()));
     }
 
     @Test
     void theFiguresThatHoldUnlessConfiguredStay() {
         assertEquals(
-                new Settings(
+                new GossipSettings(
                         "dhaka", 300_000, 100_000, 3, 2, 4, 6, 3, 4, 600_000_000L, 10_000, 1_400),
-                Settings.of("dhaka"));
+                GossipSettings.of("dhaka"));
     }
 }
--- a/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
@@ -24,7 +24,7 @@
  */
 @Tag("long")
 class MembershipFiguresTest {
-    private static final Settings FLEET = Settings.of("dhaka");
+    private static final GossipSettings FLEET = GossipSettings.of("dhaka");
     private static final List<String> SEEDS = List.of("m0", "m1", "m2");
 
     private static VirtualFleet settled(long seed, LinkFault links, int count) {
@@ -61,8 +61,8 @@
                     fleet.events.stream()
                             .filter(
                                     s ->
-                                            s.event().kind() == Event.Kind.DIED
-                                                    && s.event().claim().name().equals(victim))
+                                            s.event().kind() == MemberEvent.Kind.DIED
+                                                    && s.event().update().name().equals(victim))
                             .map(s -> s.at() - at)
                             .sorted()
                             .toList();
@@ -102,17 +102,17 @@
                 fleet.events.stream()
                         .filter(
                                 s ->
-                                        s.event().kind() == Event.Kind.DIED
-                                                && s.event().claim().by().equals(s.observer()))
-                        .map(s -> s.event().claim().name())
+                                        s.event().kind() == MemberEvent.Kind.DIED
+                                                && s.event().update().reportedBy().equals(s.observer()))
+                        .map(s -> s.event().update().name())
                         .toList();
         long well = dead.stream().filter(n -> !names(starved).contains(n)).count();
         long suspected =
                 fleet.events.stream()
                         .filter(
                                 s ->
-                                        s.event().kind() == Event.Kind.SUSPECTED
-                                                && s.event().claim().by().equals(s.observer()))
+                                        s.event().kind() == MemberEvent.Kind.SUSPECTED
+                                                && s.event().update().reportedBy().equals(s.observer()))
                         .count();
         System.out.printf(
                 Locale.ROOT,
--- a/src/test/java/myrtleladder/gossip/MembershipTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipTest.java
@@ -22,7 +22,7 @@
 
 /** Members in virtual time, with faults between them: they find out who is there, and agree. */
 class MembershipTest {
-    private static final Settings FLEET = Settings.of("dhaka");
+    private static final GossipSettings FLEET = GossipSettings.of("dhaka");
     private static final List<String> SEEDS = List.of("m0", "m1", "m2");
     private static final LinkFault LOSSY = new LinkFault(false, 200, 20_000, 0.3, 0.1);
 
@@ -68,19 +68,19 @@
     void withoutContradictionAMemberThatStoodStillIsLostForGood() {
         UnaryOperator<byte[]> deaf =
                 datagram -> {
-                    Message m = read(datagram);
-                    List<Claim> good =
-                            m.news().stream().filter(c -> c.state() == State.ALIVE).toList();
-                    return Wire.write(
-                            new Message(
+                    GossipDatagram m = read(datagram);
+                    List<MemberUpdate> good =
+                            m.updates().stream().filter(c -> c.state() == MemberState.ALIVE).toList();
+                    return GossipCodec.encode(
+                            new GossipDatagram(
                                     m.fleet(),
                                     m.kind(),
-                                    m.me(),
-                                    m.number(),
-                                    m.digest(),
-                                    m.target(),
-                                    m.digests(),
-                                    m.wanted(),
+                                    m.sender(),
+                                    m.sequenceNumber(),
+                                    m.tableDigest(),
+                                    m.probeTarget(),
+                                    m.bucketDigests(),
+                                    m.requestedBuckets(),
                                     good));
                 };
         assertTrue(explore(50, deaf, UnaryOperator.identity()).isPresent());
@@ -91,38 +91,38 @@
     void withoutANewIncarnationAContradictionIsNotBelieved() {
         UnaryOperator<byte[]> flat =
                 datagram -> {
-                    Message m = read(datagram);
-                    Claim me =
-                            new Claim(
-                                    m.me().name(),
-                                    m.me().life(),
+                    GossipDatagram m = read(datagram);
+                    MemberUpdate me =
+                            new MemberUpdate(
+                                    m.sender().name(),
+                                    m.sender().startId(),
                                     0,
-                                    m.me().state(),
+                                    m.sender().state(),
                                     false,
-                                    m.me().address(),
-                                    m.me().by(),
-                                    m.me().meta());
-                    return Wire.write(
-                            new Message(
+                                    m.sender().address(),
+                                    m.sender().reportedBy(),
+                                    m.sender().metadata());
+                    return GossipCodec.encode(
+                            new GossipDatagram(
                                     m.fleet(),
                                     m.kind(),
                                     me,
-                                    m.number(),
-                                    m.digest(),
-                                    m.target(),
-                                    m.digests(),
-                                    m.wanted(),
-                                    m.news().stream()
+                                    m.sequenceNumber(),
+                                    m.tableDigest(),
+                                    m.probeTarget(),
+                                    m.bucketDigests(),
+                                    m.requestedBuckets(),
+                                    m.updates().stream()
                                             .map(c -> c.name().equals(me.name()) ? me : c)
                                             .toList()));
                 };
         assertTrue(explore(50, UnaryOperator.identity(), flat).isPresent());
     }
 
-    private static Message read(byte[] datagram) {
+    private static GossipDatagram read(byte[] datagram) {
         try {
-            return Wire.read(datagram, FLEET.fleet());
-        } catch (Wire.Refused e) {
+            return GossipCodec.decode(datagram, FLEET.fleet());
+        } catch (RejectedDatagramException e) {
             throw new AssertionError(e);
         }
     }
@@ -140,7 +140,7 @@
         for (String other : fleet.living()) {
             assertTrue(
                     fleet.members.get(other).members().stream()
-                            .anyMatch(c -> c.name().equals("m9") && c.state() == State.LEFT),
+                            .anyMatch(c -> c.name().equals("m9") && c.state() == MemberState.LEFT),
                     other);
         }
     }
@@ -157,7 +157,7 @@
         assertEquals(
                 List.of(),
                 fleet.events.stream()
-                        .filter(s -> s.at() > before && s.event().kind() == Event.Kind.DIED)
+                        .filter(s -> s.at() > before && s.event().kind() == MemberEvent.Kind.DIED)
                         .toList());
     }
 
@@ -176,8 +176,8 @@
                         .filter(
                                 s ->
                                         s.observer().equals("m19")
-                                                && s.event().kind() == Event.Kind.RESTARTED)
-                        .map(s -> s.event().claim().name())
+                                                && s.event().kind() == MemberEvent.Kind.RESTARTED)
+                        .map(s -> s.event().update().name())
                         .collect(Collectors.toSet());
         assertEquals(Set.copyOf(names(14)), restarted);
     }
@@ -235,14 +235,14 @@
                                 s ->
                                         s.at() >= back
                                                 && s.observer().equals("m3")
-                                                && s.event().kind() == Event.Kind.DIED)
+                                                && s.event().kind() == MemberEvent.Kind.DIED)
                         .toList());
         assertTrue(
                 fleet.events.stream()
                         .anyMatch(
                                 s ->
                                         s.observer().equals("m3")
-                                                && s.event().kind() == Event.Kind.STARVED));
+                                                && s.event().kind() == MemberEvent.Kind.STARVED));
     }
 
     /**
@@ -260,11 +260,11 @@
                             .anyMatch(
                                     s ->
                                             s.observer().equals(process)
-                                                    && s.event().kind() == Event.Kind.RIVAL),
+                                                    && s.event().kind() == MemberEvent.Kind.RIVAL),
                     process);
             assertTrue(
                     fleet.members.get(process).members().stream()
-                            .anyMatch(c -> c.name().equals("m5") && c.rival()),
+                            .anyMatch(c -> c.name().equals("m5") && c.hasNameConflict()),
                     process);
         }
         fleet.world.bring(new Fault.Kill("intruder"));
@@ -272,7 +272,7 @@
         assertNull(fleet.disagreement());
         for (String process : fleet.living()) {
             assertTrue(
-                    fleet.members.get(process).members().stream().noneMatch(Claim::rival), process);
+                    fleet.members.get(process).members().stream().noneMatch(MemberUpdate::hasNameConflict), process);
         }
     }
 
@@ -292,11 +292,11 @@
         fleet.run(5 * SECOND);
         Membership m = fleet.members.get("m0");
         long digest = m.digest();
-        Claim stranger = new Claim("x", 1, 0, State.ALIVE, false, "x", "x", Meta.NONE);
-        Message good =
-                new Message(
-                        "dhaka", Message.Kind.NEWS, stranger, 0, 0, null, List.of(), 0, List.of());
-        byte[] whole = Wire.write(good);
+        MemberUpdate stranger = new MemberUpdate("x", 1, 0, MemberState.ALIVE, false, "x", "x", MemberMetadata.NONE);
+        GossipDatagram good =
+                new GossipDatagram(
+                        "dhaka", GossipDatagram.Kind.GOSSIP, stranger, 0, 0, null, List.of(), 0, List.of());
+        byte[] whole = GossipCodec.encode(good);
         String text = new String(whole, StandardCharsets.UTF_8);
         for (String bad :
                 List.of(
--- a/src/test/java/myrtleladder/gossip/VirtualFleet.java
+++ b/src/test/java/myrtleladder/gossip/VirtualFleet.java
@@ -25,16 +25,16 @@
     final List<Said> events = new ArrayList<>();
     long datagrams;
     long bytes;
-    private final Settings settings;
+    private final GossipSettings settings;
     private final List<String> seeds;
     private final UnaryOperator<byte[]> hears;
     private final UnaryOperator<byte[]> says;
     private final SplittableRandom lives;
 
     /** What one process came to hold, and when. */
-    record Said(long at, String observer, Event event) {}
+    record Said(long at, String observer, MemberEvent event) {}
 
-    VirtualFleet(long seed, LinkFault links, Settings settings, List<String> seeds) {
+    VirtualFleet(long seed, LinkFault links, GossipSettings settings, List<String> seeds) {
         this(seed, links, settings, seeds, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
@@ -42,7 +42,7 @@
     VirtualFleet(
             long seed,
             LinkFault links,
-            Settings settings,
+            GossipSettings settings,
             List<String> seeds,
             UnaryOperator<byte[]> hears,
             UnaryOperator<byte[]> says) {
@@ -80,7 +80,7 @@
                                     lives.nextLong(),
                                     0,
                                     p,
-                                    Meta.NONE,
+                                    MemberMetadata.NONE,
                                     seeds,
                                     seed,
                                     hosted);
@@ -113,12 +113,12 @@
     String disagreement() {
         TreeMap<String, Long> there = new TreeMap<>();
         living().forEach(
-                        p -> there.put(members.get(p).self().name(), members.get(p).self().life()));
+                        p -> there.put(members.get(p).self().name(), members.get(p).self().startId()));
         for (String p : living()) {
             TreeMap<String, Long> held = new TreeMap<>();
             members.get(p).members().stream()
-                    .filter(c -> c.state() == State.ALIVE)
-                    .forEach(c -> held.put(c.name(), c.life()));
+                    .filter(c -> c.state() == MemberState.ALIVE)
+                    .forEach(c -> held.put(c.name(), c.startId()));
             if (!held.equals(there)) {
                 TreeSet<String> missing = new TreeSet<>(there.keySet());
                 missing.removeAll(held.keySet());
@@ -134,10 +134,10 @@
         world.follow(plan);
     }
 
-    private final class Hosted implements Core, Membership.Out {
+    private final class Hosted implements Core, Membership.Output {
         private final String process;
         private final Actions actions;
-        private final Map<String, Claim> last = new LinkedHashMap<>();
+        private final Map<String, MemberUpdate> last = new LinkedHashMap<>();
         private Membership member;
         private long incarnation;
         private long now;
@@ -187,13 +187,13 @@
         }
 
         @Override
-        public void event(Event event) {
+        public void event(MemberEvent event) {
             events.add(new Said(world.now(), process, event));
-            Claim before = last.put(event.claim().name(), event.claim());
+            MemberUpdate before = last.put(event.update().name(), event.update());
             if (before != null
-                    && before.incarnation() > event.claim().incarnation()
-                    && !event.claim().name().equals(member.self().name())) {
-                broken.add(process + " went back from " + before + " to " + event.claim());
+                    && before.incarnation() > event.update().incarnation()
+                    && !event.update().name().equals(member.self().name())) {
+                broken.add(process + " went back from " + before + " to " + event.update());
             }
         }
     }
--- a/src/test/java/myrtleladder/loadbalancer/admin/PointsOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/PointsOfProcessesTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import myrtleladder.cluster.PointFault;
+import myrtleladder.cluster.FaultPointTrigger;
 import myrtleladder.consensus.Point;
 import myrtleladder.testbed.fault.Fault;
 import org.junit.jupiter.api.Tag;
@@ -59,7 +59,7 @@
                         ALL,
                         "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n",
                         "-D"
-                                + PointFault.PROPERTY
+                                + FaultPointTrigger.PROPERTY
                                 + "="
                                 + point
                                 + ":1:"
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -20,10 +20,10 @@
 import myrtleladder.consensus.Note;
 import myrtleladder.consensus.Point;
 import myrtleladder.consensus.Token;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.Membership;
-import myrtleladder.gossip.Meta;
-import myrtleladder.gossip.Settings;
+import myrtleladder.gossip.MemberMetadata;
+import myrtleladder.gossip.GossipSettings;
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.simulation.Core;
 import myrtleladder.testbed.simulation.World;
@@ -109,7 +109,7 @@
     }
 
     /** One life of a process. */
-    final class Node implements Core, Agreement.Out, Membership.Out, Work.Out {
+    final class Node implements Core, Agreement.Out, Membership.Output, Work.Out {
         final Agreement agreement;
         final Agenda agenda = new Agenda();
         final Work work;
@@ -125,12 +125,12 @@
             Life me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
-                            Settings.of("dhaka"),
+                            GossipSettings.of("dhaka"),
                             process,
                             me.life(),
                             0,
                             process,
-                            Meta.NONE,
+                            MemberMetadata.NONE,
                             names(3),
                             seed,
                             this);
@@ -157,8 +157,8 @@
                 changed = false;
                 Map<String, Long> there = new TreeMap<>();
                 membership.members().stream()
-                        .filter(c -> c.state().present())
-                        .forEach(c -> there.put(c.name(), c.life()));
+                        .filter(c -> c.state().isPresent())
+                        .forEach(c -> there.put(c.name(), c.startId()));
                 agreement.present(now, there);
                 Set<Life> present = new HashSet<>();
                 there.forEach((name, life) -> present.add(new Life(name, life)));
@@ -254,9 +254,9 @@
         }
 
         @Override
-        public void event(Event event) {
+        public void event(MemberEvent event) {
             changed = true;
-            String what = event.kind().name() + " " + event.claim().name() + " " + event.why();
+            String what = event.kind().name() + " " + event.update().name() + " " + event.reason();
             record("membership", process, what);
         }
 
--- a/src/test/java/myrtleladder/maintenance/VirtualWork.java
+++ b/src/test/java/myrtleladder/maintenance/VirtualWork.java
@@ -19,9 +19,9 @@
 import myrtleladder.consensus.Life;
 import myrtleladder.consensus.Note;
 import myrtleladder.consensus.Token;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.Membership;
-import myrtleladder.gossip.Meta;
+import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.simulation.Core;
 import myrtleladder.testbed.simulation.World;
@@ -150,7 +150,7 @@
     }
 
     /** One life with all that it holds. */
-    final class Node implements Core, Agreement.Out, Membership.Out, Work.Out {
+    final class Node implements Core, Agreement.Out, Membership.Output, Work.Out {
         final Life me;
         final Agreement agreement;
         final Agenda agenda;
@@ -176,12 +176,12 @@
             this.me = new Life(process, random.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
-                            myrtleladder.gossip.Settings.of("dhaka"),
+                            myrtleladder.gossip.GossipSettings.of("dhaka"),
                             process,
                             me.life(),
                             0,
                             process,
-                            Meta.NONE,
+                            MemberMetadata.NONE,
                             names(3),
                             seed,
                             this);
@@ -199,8 +199,8 @@
                             changed = false;
                             Map<String, Long> there = new TreeMap<>();
                             membership.members().stream()
-                                    .filter(c -> c.state().present())
-                                    .forEach(c -> there.put(c.name(), c.life()));
+                                    .filter(c -> c.state().isPresent())
+                                    .forEach(c -> there.put(c.name(), c.startId()));
                             agreement.present(now, there);
                             Set<Life> lives = new HashSet<>();
                             there.forEach((n, l) -> lives.add(new Life(n, l)));
@@ -331,7 +331,7 @@
         }
 
         @Override
-        public void event(Event event) {
+        public void event(MemberEvent event) {
             changed = true;
         }
 
