--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -17,8 +17,6 @@
 import myrtleladder.consensus.Machine;
 import myrtleladder.consensus.Note;
 import myrtleladder.consensus.Point;
-import myrtleladder.consensus.Term;
-import myrtleladder.consensus.View;
 import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.maintenance.Work;
 
--- a/src/main/java/myrtleladder/cluster/FleetConfiguration.java
+++ b/src/main/java/myrtleladder/cluster/FleetConfiguration.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.GossipSettings;
+import myrtleladder.gossip.MemberMetadata;
 
 /**
  * How a process takes part in its fleet.
--- a/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -14,7 +14,6 @@
 import java.util.function.Consumer;
 import myrtleladder.consensus.Agreement;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Token;
 import myrtleladder.maintenance.Agenda;
 import myrtleladder.maintenance.Job;
 import myrtleladder.maintenance.Step;
--- a/src/main/java/myrtleladder/cluster/MembershipRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MembershipRuntime.java
@@ -22,8 +22,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.gossip.MemberEvent;
+import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.gossip.Membership;
 
 /**
--- a/src/main/java/myrtleladder/gossip/MemberMetadata.java
+++ b/src/main/java/myrtleladder/gossip/MemberMetadata.java
@@ -10,8 +10,7 @@
  * @param startedMs Unix time of its start in milliseconds, for display
  * @param capabilities names of what the member is able to do
  */
-public record MemberMetadata(
-        String zone, String build, long startedMs, List<String> capabilities) {
+public record MemberMetadata(String zone, String build, long startedMs, List<String> capabilities) {
     /** Publishes nothing. */
     public static final MemberMetadata NONE = new MemberMetadata("", "", 0, List.of());
 
--- a/src/main/java/myrtleladder/gossip/Membership.java
+++ b/src/main/java/myrtleladder/gossip/Membership.java
@@ -129,7 +129,9 @@
         this.seeds = List.copyOf(seeds);
         this.random = new Random(seed);
         this.out = out;
-        this.me = new MemberUpdate(name, startId, incarnation, MemberState.ALIVE, false, address, name, meta);
+        this.me =
+                new MemberUpdate(
+                        name, startId, incarnation, MemberState.ALIVE, false, address, name, meta);
         this.numbers =
                 random.nextInt(
                         Integer.MAX_VALUE); // late answers to an earlier life fit none of ours
@@ -206,7 +208,8 @@
     public void leave(long now) {
         leaving = true;
         say(now, me.withState(MemberState.LEFT, me.name()));
-        someOthers(TOLD_OF_LEAVING).forEach(c -> send(c.address(), GossipDatagram.Kind.GOSSIP, 0, c.name()));
+        someOthers(TOLD_OF_LEAVING)
+                .forEach(c -> send(c.address(), GossipDatagram.Kind.GOSSIP, 0, c.name()));
     }
 
     // ---- What can be asked of it
@@ -277,7 +280,9 @@
         probe = null;
         suspicions.values().forEach(s -> s.extend(late));
         health.degrade(2);
-        out.event(new MemberEvent(MemberEvent.Kind.STARVED, me, "a timer was " + late / 1_000 + " ms late"));
+        out.event(
+                new MemberEvent(
+                        MemberEvent.Kind.STARVED, me, "a timer was " + late / 1_000 + " ms late"));
     }
 
     private void judge(long now) {
@@ -465,7 +470,9 @@
                             now,
                             least,
                             settings.maxSuspicionUs(least),
-                            Math.min(settings.suspicionConfirmations(), Math.max(0, present() - 2))));
+                            Math.min(
+                                    settings.suspicionConfirmations(),
+                                    Math.max(0, present() - 2))));
             timer(now, SUSPECT + claim.name(), suspicions.get(claim.name()).deadlineUs() - now);
         } else {
             suspicions.remove(claim.name());
@@ -478,21 +485,34 @@
         if (claim.hasNameConflict() && (held == null || !held.hasNameConflict())) {
             out.event(
                     new MemberEvent(
-                            MemberEvent.Kind.RIVAL, claim, "it says that another process has its name"));
+                            MemberEvent.Kind.RIVAL,
+                            claim,
+                            "it says that another process has its name"));
         } else if (held != null && held.hasNameConflict() && !claim.hasNameConflict()) {
             out.event(new MemberEvent(MemberEvent.Kind.RIVAL_GONE, claim, "it says so"));
         }
         boolean was = held != null && held.state().isPresent();
         if (claim.state() == MemberState.SUSPECT) {
-            out.event(new MemberEvent(MemberEvent.Kind.SUSPECTED, claim, "by " + claim.reportedBy()));
+            out.event(
+                    new MemberEvent(MemberEvent.Kind.SUSPECTED, claim, "by " + claim.reportedBy()));
         } else if (claim.state() == MemberState.DEAD && was) {
             out.event(new MemberEvent(MemberEvent.Kind.DIED, claim, "by " + claim.reportedBy()));
         } else if (claim.state() == MemberState.LEFT && was) {
             out.event(new MemberEvent(MemberEvent.Kind.LEFT, claim, "it said so"));
-        } else if (claim.state() == MemberState.ALIVE && held != null && held.startId() != claim.startId()) {
-            out.event(new MemberEvent(MemberEvent.Kind.RESTARTED, claim, "another life under its name"));
-        } else if (claim.state() == MemberState.ALIVE && held != null && held.state() != MemberState.ALIVE) {
-            out.event(new MemberEvent(MemberEvent.Kind.REFUTED, claim, "it contradicted " + held.reportedBy()));
+        } else if (claim.state() == MemberState.ALIVE
+                && held != null
+                && held.startId() != claim.startId()) {
+            out.event(
+                    new MemberEvent(
+                            MemberEvent.Kind.RESTARTED, claim, "another life under its name"));
+        } else if (claim.state() == MemberState.ALIVE
+                && held != null
+                && held.state() != MemberState.ALIVE) {
+            out.event(
+                    new MemberEvent(
+                            MemberEvent.Kind.REFUTED,
+                            claim,
+                            "it contradicted " + held.reportedBy()));
         } else if (claim.state() == MemberState.ALIVE && held == null) {
             out.event(new MemberEvent(MemberEvent.Kind.JOINED, claim, "it said so"));
         }
@@ -541,7 +561,11 @@
         if (claim.startId() == me.startId()) {
             if (claim.state() != MemberState.ALIVE && claim.incarnation() >= me.incarnation()) {
                 health.degrade(1);
-                out.event(new MemberEvent(MemberEvent.Kind.CONTRADICTED, claim, claim.reportedBy() + " said so"));
+                out.event(
+                        new MemberEvent(
+                                MemberEvent.Kind.CONTRADICTED,
+                                claim,
+                                claim.reportedBy() + " said so"));
                 raise(now, claim.incarnation() + 1, me.hasNameConflict());
             }
         } else if (claim.supersedes(me) && (!me.hasNameConflict() || !claim.state().isPresent())) {
@@ -591,7 +615,9 @@
                 && m.sender().startId() == rival.claim().startId()) {
             rival = new Rival(m.sender(), rival.number(), now);
             if (!me.hasNameConflict()) {
-                out.event(new MemberEvent(MemberEvent.Kind.RIVAL, m.sender(), "it answers under our name"));
+                out.event(
+                        new MemberEvent(
+                                MemberEvent.Kind.RIVAL, m.sender(), "it answers under our name"));
                 raise(now, Math.max(me.incarnation(), m.sender().incarnation()) + 1, true);
             }
         }
@@ -607,7 +633,10 @@
             // late to hear
         } else if (me.hasNameConflict() && now - rival.heardAt() > patience) {
             out.event(
-                    new MemberEvent(MemberEvent.Kind.RIVAL_GONE, rival.claim(), "it does not answer any more"));
+                    new MemberEvent(
+                            MemberEvent.Kind.RIVAL_GONE,
+                            rival.claim(),
+                            "it does not answer any more"));
             long above = Math.max(me.incarnation(), rival.claim().incarnation()) + 1;
             rival = null;
             raise(now, above, false);
@@ -748,9 +777,7 @@
             news.add(first);
             left -= GossipCodec.encodedSize(first);
         }
-        news.addAll(
-                rumours.take(
-                        left, settings.retransmits(present())));
+        news.addAll(rumours.take(left, settings.retransmits(present())));
         out.send(
                 to,
                 GossipCodec.encode(
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import myrtleladder.cluster.ConsensusRuntime;
-import myrtleladder.cluster.FleetConfiguration;
-import myrtleladder.cluster.MembershipRuntime;
 import myrtleladder.cluster.FaultPointTrigger;
+import myrtleladder.cluster.FleetConfiguration;
 import myrtleladder.cluster.MaintenanceRuntime;
+import myrtleladder.cluster.MembershipRuntime;
 import myrtleladder.consensus.AgreeSettings;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.error.OperatorError.NoFile;
 import myrtleladder.error.OperatorError.Unexpected;
-import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.GossipSettings;
+import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.loadbalancer.server.Running;
 import myrtleladder.maintenance.Agenda;
 import myrtleladder.maintenance.WorkSettings;
@@ -155,7 +155,8 @@
             ConsensusRuntime agreement = null;
             MaintenanceRuntime work = null;
             if (council != null) {
-                Consumer<Enum<?>> points = FaultPointTrigger.of(System.getProperty(FaultPointTrigger.PROPERTY));
+                Consumer<Enum<?>> points =
+                        FaultPointTrigger.of(System.getProperty(FaultPointTrigger.PROPERTY));
                 Agenda agenda = new Agenda();
                 agreement = ConsensusRuntime.start(members, council, agenda, points);
                 WorkSettings settings =
--- a/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
@@ -190,7 +190,8 @@
         return Step.plan(terms, parts);
     }
 
-    private Part part(MachinePart m, List<LoadBalancerControl.Upstream> listed) throws OperatorError {
+    private Part part(MachinePart m, List<LoadBalancerControl.Upstream> listed)
+            throws OperatorError {
         String machine =
                 need(
                         "machine",
--- a/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
@@ -21,11 +21,11 @@
 import myrtleladder.consensus.Term;
 import myrtleladder.consensus.Token;
 import myrtleladder.consensus.View;
-import myrtleladder.gossip.MemberUpdate;
+import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.MemberMetadata;
-import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberState;
+import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.maintenance.Agenda;
 import org.junit.jupiter.api.Test;
 
@@ -118,7 +118,8 @@
     }
 
     /** What a class logs while something is done by a member that has just started. */
-    private static LogRecord logged(Class<?> by, Consumer<MembershipRuntime> what) throws Exception {
+    private static LogRecord logged(Class<?> by, Consumer<MembershipRuntime> what)
+            throws Exception {
         Logger logger = Logger.getLogger(by.getName());
         Lines lines = new Lines();
         MultiThreadIoEventLoopGroup group =
--- a/src/test/java/myrtleladder/gossip/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/gossip/DatagramCompatibilityTest.java
@@ -23,10 +23,18 @@
             new MemberMetadata("zone-a", "1.4.2", 1_700_000_000_123L, List.of("drain", "permit"));
     private static final MemberUpdate ME =
             new MemberUpdate(
-                    "b0", 0xfedcba9876543210L, 7, MemberState.ALIVE, false, "10.0.0.1:7400", "b0", META);
+                    "b0",
+                    0xfedcba9876543210L,
+                    7,
+                    MemberState.ALIVE,
+                    false,
+                    "10.0.0.1:7400",
+                    "b0",
+                    META);
 
     private static MemberUpdate claim(String name, MemberState state) {
-        return new MemberUpdate(name, 0x1234, 3, state, false, "10.0.0.2:7400", "b0", MemberMetadata.NONE);
+        return new MemberUpdate(
+                name, 0x1234, 3, state, false, "10.0.0.2:7400", "b0", MemberMetadata.NONE);
     }
 
     private static GossipDatagram plain(GossipDatagram.Kind kind) {
@@ -40,7 +48,9 @@
 
     private static String refusal(String datagram) {
         byte[] bytes = datagram.getBytes(StandardCharsets.UTF_8);
-        return assertThrows(RejectedDatagramException.class, () -> GossipCodec.decode(bytes, "dhaka")).getMessage();
+        return assertThrows(
+                        RejectedDatagramException.class, () -> GossipCodec.decode(bytes, "dhaka"))
+                .getMessage();
     }
 
     @ParameterizedTest
@@ -68,7 +78,9 @@
 
     @Test
     void aMessageWithAllFieldsKeepsItsBytes() throws Exception {
-        MemberUpdate rival = new MemberUpdate("b2", -1, 1L << 52, MemberState.DEAD, true, "[::1]:7400", "b3", META);
+        MemberUpdate rival =
+                new MemberUpdate(
+                        "b2", -1, 1L << 52, MemberState.DEAD, true, "[::1]:7400", "b3", META);
         check(
                 "all fields",
                 new GossipDatagram(
@@ -86,8 +98,12 @@
     @Test
     void theLongestFieldsFit() throws Exception {
         String longest = "n".repeat(64);
-        MemberMetadata meta = new MemberMetadata(longest, longest, Long.MAX_VALUE, Collections.nCopies(8, longest));
-        MemberUpdate claim = new MemberUpdate(longest, -1, 1L << 52, MemberState.LEFT, true, longest, longest, meta);
+        MemberMetadata meta =
+                new MemberMetadata(
+                        longest, longest, Long.MAX_VALUE, Collections.nCopies(8, longest));
+        MemberUpdate claim =
+                new MemberUpdate(
+                        longest, -1, 1L << 52, MemberState.LEFT, true, longest, longest, meta);
         check(
                 "longest fields",
                 new GossipDatagram(
@@ -122,7 +138,8 @@
     void oneClaimMoreThanAllowedIsRefused() {
         List<MemberUpdate> claims = Collections.nCopies(65, claim("b1", MemberState.ALIVE));
         GossipDatagram message =
-                new GossipDatagram("dhaka", GossipDatagram.Kind.GOSSIP, ME, 1, 1, null, List.of(), 0, claims);
+                new GossipDatagram(
+                        "dhaka", GossipDatagram.Kind.GOSSIP, ME, 1, 1, null, List.of(), 0, claims);
         byte[] bytes = GossipCodec.encode(message);
         assertEquals("malformed", refusal(new String(bytes, StandardCharsets.UTF_8)));
     }
--- a/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
@@ -103,7 +103,10 @@
                         .filter(
                                 s ->
                                         s.event().kind() == MemberEvent.Kind.DIED
-                                                && s.event().update().reportedBy().equals(s.observer()))
+                                                && s.event()
+                                                        .update()
+                                                        .reportedBy()
+                                                        .equals(s.observer()))
                         .map(s -> s.event().update().name())
                         .toList();
         long well = dead.stream().filter(n -> !names(starved).contains(n)).count();
@@ -112,7 +115,10 @@
                         .filter(
                                 s ->
                                         s.event().kind() == MemberEvent.Kind.SUSPECTED
-                                                && s.event().update().reportedBy().equals(s.observer()))
+                                                && s.event()
+                                                        .update()
+                                                        .reportedBy()
+                                                        .equals(s.observer()))
                         .count();
         System.out.printf(
                 Locale.ROOT,
--- a/src/test/java/myrtleladder/gossip/MembershipTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipTest.java
@@ -70,7 +70,9 @@
                 datagram -> {
                     GossipDatagram m = read(datagram);
                     List<MemberUpdate> good =
-                            m.updates().stream().filter(c -> c.state() == MemberState.ALIVE).toList();
+                            m.updates().stream()
+                                    .filter(c -> c.state() == MemberState.ALIVE)
+                                    .toList();
                     return GossipCodec.encode(
                             new GossipDatagram(
                                     m.fleet(),
@@ -272,7 +274,9 @@
         assertNull(fleet.disagreement());
         for (String process : fleet.living()) {
             assertTrue(
-                    fleet.members.get(process).members().stream().noneMatch(MemberUpdate::hasNameConflict), process);
+                    fleet.members.get(process).members().stream()
+                            .noneMatch(MemberUpdate::hasNameConflict),
+                    process);
         }
     }
 
@@ -292,10 +296,20 @@
         fleet.run(5 * SECOND);
         Membership m = fleet.members.get("m0");
         long digest = m.digest();
-        MemberUpdate stranger = new MemberUpdate("x", 1, 0, MemberState.ALIVE, false, "x", "x", MemberMetadata.NONE);
+        MemberUpdate stranger =
+                new MemberUpdate(
+                        "x", 1, 0, MemberState.ALIVE, false, "x", "x", MemberMetadata.NONE);
         GossipDatagram good =
                 new GossipDatagram(
-                        "dhaka", GossipDatagram.Kind.GOSSIP, stranger, 0, 0, null, List.of(), 0, List.of());
+                        "dhaka",
+                        GossipDatagram.Kind.GOSSIP,
+                        stranger,
+                        0,
+                        0,
+                        null,
+                        List.of(),
+                        0,
+                        List.of());
         byte[] whole = GossipCodec.encode(good);
         String text = new String(whole, StandardCharsets.UTF_8);
         for (String bad :
--- a/src/test/java/myrtleladder/gossip/VirtualFleet.java
+++ b/src/test/java/myrtleladder/gossip/VirtualFleet.java
@@ -113,7 +113,10 @@
     String disagreement() {
         TreeMap<String, Long> there = new TreeMap<>();
         living().forEach(
-                        p -> there.put(members.get(p).self().name(), members.get(p).self().startId()));
+                        p ->
+                                there.put(
+                                        members.get(p).self().name(),
+                                        members.get(p).self().startId()));
         for (String p : living()) {
             TreeMap<String, Long> held = new TreeMap<>();
             members.get(p).members().stream()
