--- a/src/main/java/myrtleladder/cluster/MembershipRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MembershipRuntime.java
@@ -83,7 +83,7 @@
                         .bind(config.listen())
                         .syncUninterruptibly()
                         .channel();
-        loop.submit(() -> carrier.membership.started(carrier.now())).syncUninterruptibly();
+        loop.submit(() -> carrier.membership.start(carrier.now())).syncUninterruptibly();
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
@@ -106,16 +106,16 @@
                                             members.add(
                                                     new MembershipStatus.ListedMember(
                                                             c,
-                                                            (now - membership.since(c.name()))
+                                                            (now - membership.sinceUs(c.name()))
                                                                     / 1e6)));
-                    Map<String, Long> refused = new LinkedHashMap<>(membership.refused());
+                    Map<String, Long> refused = new LinkedHashMap<>(membership.droppedDatagrams());
                     if (dropped > 0) {
                         refused.put("flood", dropped);
                     }
                     return new MembershipStatus(
                             membership.self(),
-                            membership.present(),
-                            membership.health(),
+                            membership.presentCount(),
+                            membership.healthScore(),
                             membership.digest(),
                             refused,
                             members);
@@ -174,12 +174,12 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
-        loop.schedule(() -> membership.due(now(), token), delay, TimeUnit.MICROSECONDS);
+    public void scheduleTimer(String token, long delayUs) {
+        loop.schedule(() -> membership.onTimer(now(), token), delayUs, TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void event(MemberEvent event) {
+    public void onEvent(MemberEvent event) {
         if (guest != null) {
             guest.changed();
         }
@@ -213,7 +213,7 @@
             if (guest != null && guest.takes(datagram)) {
                 guest.received(datagram);
             } else {
-                membership.received(
+                membership.onDatagram(
                         now(), NetUtil.toSocketAddressString(packet.sender()), datagram);
             }
         }
--- a/src/main/java/myrtleladder/gossip/MemberTable.java
+++ b/src/main/java/myrtleladder/gossip/MemberTable.java
@@ -22,11 +22,13 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final long[] bucketDigests = new long[BUCKETS];
     private int presentCount;
+    private long lastChangedUs;
 
     private record Entry(MemberUpdate update, long sinceUs) {}
 
     /** Stores an update; the caller has checked that it supersedes the one stored. */
     void put(MemberUpdate update, long nowUs) {
+        lastChangedUs = nowUs;
         Entry previous = entries.put(update.name(), new Entry(update, nowUs));
         if (previous != null) {
             toggle(previous.update(), -1);
@@ -73,6 +75,11 @@
         return presentCount;
     }
 
+    /** When an update was last stored. */
+    long lastChangedUs() {
+        return lastChangedUs;
+    }
+
     int size() {
         return entries.size();
     }
--- a/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
@@ -140,7 +140,7 @@
     @Test
     void aMembersLineInTheLogKeepsItsWordsAndFields() throws Exception {
         MemberEvent event = new MemberEvent(MemberEvent.Kind.SUSPECTED, CLAIM, "no answer");
-        LogRecord line = logged(MembershipRuntime.class, m -> m.event(event));
+        LogRecord line = logged(MembershipRuntime.class, m -> m.onEvent(event));
         GOLDEN.assertWritten("log line", line.getLevel() + " " + line.getMessage());
         GOLDEN.assertWritten("log fields", line.getParameters()[0].toString());
     }
--- a/src/test/java/myrtleladder/consensus/VirtualAgreement.java
+++ b/src/test/java/myrtleladder/consensus/VirtualAgreement.java
@@ -157,7 +157,7 @@
         public void started(long now) {
             post.step(
                     () -> {
-                        membership.started(now);
+                        membership.start(now);
                         agreement.started(now);
                         actions.timer("work", WORK);
                         look(now);
@@ -171,7 +171,7 @@
                         if (Agreement.isOurs(message)) {
                             agreement.received(now, message);
                         } else {
-                            membership.received(now, from, message);
+                            membership.onDatagram(now, from, message);
                         }
                         look(now);
                     });
@@ -194,7 +194,7 @@
                         } else if (token.startsWith("agree:")) {
                             agreement.due(now, token.substring(6));
                         } else {
-                            membership.due(now, token);
+                            membership.onTimer(now, token);
                         }
                         look(now);
                     });
@@ -232,6 +232,11 @@
             }
         }
 
+        @Override
+        public void scheduleTimer(String token, long delayUs) {
+            timer(token, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             actions.timer(token.equals("beat") ? "agree:" + token : token, delay);
@@ -243,7 +248,7 @@
         }
 
         @Override
-        public void event(MemberEvent event) {
+        public void onEvent(MemberEvent event) {
             changed = true;
         }
 
--- a/src/test/java/myrtleladder/gossip/MembershipTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipTest.java
@@ -193,10 +193,10 @@
         fleet.run(10 * SECOND);
         cut(fleet, (a, b) -> a % 3 != b % 3, true);
         fleet.run(30 * SECOND);
-        assertEquals(7, fleet.members.get("m4").present());
+        assertEquals(7, fleet.members.get("m4").presentCount());
         cut(fleet, (a, b) -> a % 3 != b % 3 && a % 3 != 2 && b % 3 != 2, false);
         fleet.run(5 * SECOND);
-        assertEquals(14, fleet.members.get("m4").present());
+        assertEquals(14, fleet.members.get("m4").presentCount());
         cut(fleet, (a, b) -> a % 3 != b % 3, false);
         fleet.run(5 * SECOND);
         assertNull(fleet.disagreement());
@@ -326,12 +326,17 @@
                         text.replace("ALIVE", "DEAD"),
                         text.replace("\"no\"", "\"nu\""),
                         text + " ".repeat(1_400))) {
-            m.received(fleet.world.now(), "x", bad.getBytes(StandardCharsets.UTF_8));
+            m.onDatagram(fleet.world.now(), "x", bad.getBytes(StandardCharsets.UTF_8));
             assertEquals(digest, m.digest(), bad);
         }
-        assertEquals(12, m.refused().values().stream().mapToLong(v -> v).sum(), "" + m.refused());
-        assertEquals(Set.of("malformed", "version", "foreign", "oversized"), m.refused().keySet());
-        m.received(fleet.world.now(), "x", whole);
+        assertEquals(
+                12,
+                m.droppedDatagrams().values().stream().mapToLong(v -> v).sum(),
+                "" + m.droppedDatagrams());
+        assertEquals(
+                Set.of("malformed", "version", "foreign", "oversized"),
+                m.droppedDatagrams().keySet());
+        m.onDatagram(fleet.world.now(), "x", whole);
         assertNotEquals(digest, m.digest());
     }
 }
--- a/src/test/java/myrtleladder/gossip/VirtualFleet.java
+++ b/src/test/java/myrtleladder/gossip/VirtualFleet.java
@@ -153,20 +153,20 @@
         @Override
         public void started(long at) {
             now = at;
-            member.started(at);
+            member.start(at);
         }
 
         @Override
         public void received(long at, String from, byte[] message) {
             now = at;
-            member.received(at, from, hears.apply(message));
+            member.onDatagram(at, from, hears.apply(message));
             look();
         }
 
         @Override
         public void due(long at, String token) {
             now = at;
-            member.due(at, token);
+            member.onTimer(at, token);
             look();
         }
 
@@ -185,12 +185,12 @@
         }
 
         @Override
-        public void timer(String token, long delay) {
-            actions.timer(token, delay);
+        public void scheduleTimer(String token, long delayUs) {
+            actions.timer(token, delayUs);
         }
 
         @Override
-        public void event(MemberEvent event) {
+        public void onEvent(MemberEvent event) {
             events.add(new Said(world.now(), process, event));
             MemberUpdate before = last.put(event.update().name(), event.update());
             if (before != null
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -180,7 +180,7 @@
             step(
                     at,
                     () -> {
-                        membership.started(at);
+                        membership.start(at);
                         agreement.started(at);
                         work.started(at);
                         actions.timer("look", SECOND);
@@ -197,7 +197,7 @@
                         } else if (Work.isOurs(message)) {
                             work.received(at, message);
                         } else {
-                            membership.received(at, from, message);
+                            membership.onDatagram(at, from, message);
                         }
                     });
         }
@@ -214,7 +214,7 @@
                             }
                             case "beat" -> agreement.due(at, token);
                             case "work" -> work.due(at, token);
-                            default -> membership.due(at, token);
+                            default -> membership.onTimer(at, token);
                         }
                     });
         }
@@ -233,6 +233,11 @@
             actions.send(to, datagram);
         }
 
+        @Override
+        public void scheduleTimer(String token, long delayUs) {
+            timer(token, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             String layer =
@@ -254,7 +259,7 @@
         }
 
         @Override
-        public void event(MemberEvent event) {
+        public void onEvent(MemberEvent event) {
             changed = true;
             String what = event.kind().name() + " " + event.update().name() + " " + event.reason();
             record("membership", process, what);
--- a/src/test/java/myrtleladder/maintenance/VirtualWork.java
+++ b/src/test/java/myrtleladder/maintenance/VirtualWork.java
@@ -218,7 +218,7 @@
             step(
                     at,
                     () -> {
-                        membership.started(at);
+                        membership.start(at);
                         agreement.started(at);
                         work.started(at);
                         actions.timer("request", REQUESTS);
@@ -237,7 +237,7 @@
                             work.received(
                                     at, leaveFromReceipt ? fromReceipt(at, message) : message);
                         } else {
-                            membership.received(at, from, message);
+                            membership.onDatagram(at, from, message);
                         }
                     });
         }
@@ -272,7 +272,7 @@
                         } else if (token.equals("work")) {
                             work.due(at, token);
                         } else {
-                            membership.due(at, token);
+                            membership.onTimer(at, token);
                         }
                     });
         }
@@ -315,6 +315,11 @@
             post.send(to, datagram);
         }
 
+        @Override
+        public void scheduleTimer(String token, long delayUs) {
+            timer(token, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             actions.timer(token, delay);
@@ -331,7 +336,7 @@
         }
 
         @Override
-        public void event(MemberEvent event) {
+        public void onEvent(MemberEvent event) {
             changed = true;
         }
 
