--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -212,7 +212,7 @@
     private void process(PendingRequest pending) {
         FullHttpRequest message = pending.message();
         if (message.decoderResult().isFailure()) {
-            // Where the next request on this connection begins can't be told any more.
+            // Where the next request on this connection begins is unknown.
             isLastRequest = true;
             respondBadRequest(message, "malformed request");
             return;
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -221,7 +221,7 @@
         loop.execute(() -> balancer.endpointsListed(kind, list));
     }
 
-    /** What a malformed list held is known again with a full one, fetched beside the watch. */
+    /** The changes in a malformed list are recovered by a full one, fetched beside the watch. */
     @Override
     public void malformedList(String reason) {
         isIncomplete = true;
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
@@ -6,7 +6,7 @@
 
 /** Creates load balancers from their configuration, each confined to one event loop. */
 final class LoadBalancerBootstrap {
-    /** Observed: file descriptors that the JVM itself needs, for jars, selector and log. */
+    /** Chosen: file descriptors that the JVM itself needs, for jars, selector and log. */
     static final int RESERVED_DESCRIPTORS = 64;
 
     /** Chosen: the part of the other descriptors for clients; upstreams have the rest. */
--- a/src/main/java/myrtleladder/loadbalancer/server/ShutdownSchedule.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ShutdownSchedule.java
@@ -23,7 +23,9 @@
      */
     private static final long LAST_REQUESTS_IN_GROUP_MS = 1_500;
 
-    /** Observed: new connections come for up to 0.4 s after SIGTERM. */
+    /**
+     * Derived: new connections come for up to 0.4 s after SIGTERM, and a little later none waits.
+     */
     private static final long MIN_ACCEPT_MS = 500;
 
     /**
--- a/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What changes between the decision for an attempt and its first byte: time, its client, its
+ * What can change between the decision on an attempt and its first byte: the time, its client, its
  * upstream.
  */
 class AttemptTimingTest extends LoadBalancerFixture {
@@ -18,7 +18,8 @@
     private static final long PAST_MEMORY_SPAN_MS = 2_100;
 
     /**
-     * Stops the loop while a connection for an attempt comes up, for longer than some limits allow.
+     * Stalls the loop while the connection of an attempt comes up, for longer than some limits
+     * allow.
      */
     private void stallWhileConnecting(Server upstream, Client client, String request)
             throws Exception {
@@ -29,9 +30,12 @@
         stall.resume();
     }
 
-    /** It was told what was left at the decision, and worked on when its client had gone. */
+    /**
+     * The header once had the time left at the decision, and upstreams went on after the client had
+     * gone.
+     */
     @Test
-    void anAttemptTellsTheTimeThatIsLeftWhenItBegins() throws Exception {
+    void attemptStatesTheTimeLeftWhenItBegins() throws Exception {
         Server upstream = server(SERVE);
         configFile.connectTimeoutS("5");
         start(upstream);
@@ -44,10 +48,11 @@
     }
 
     /**
-     * In time when decided, a repeat came to its upstream when that no longer knew the first one.
+     * In time when it was decided, a retry once reached its upstream after that had forgotten the
+     * key.
      */
     @Test
-    void aRepeatWhoseConnectionComesUpTooLateIsNotBegun() throws Exception {
+    void retryWhoseConnectionComesUpTooLateIsNotSent() throws Exception {
         CountDownLatch decided = new CountDownLatch(1);
         Server first =
                 server(
@@ -77,9 +82,9 @@
         assertEquals(0, second.requests.size());
     }
 
-    /** Its client left while the connection came up, and both were read in the same turn. */
+    /** The end of the client and the new connection are read in the same turn of the loop. */
     @Test
-    void anAttemptWhoseClientLeftWhileItsConnectionCameUpIsNotBegun() throws Exception {
+    void attemptWhoseClientDisconnectedWhileConnectingIsNotSent() throws Exception {
         Server upstream = server(SERVE);
         configFile.connectTimeoutS("5");
         start(upstream);
@@ -94,9 +99,9 @@
         assertEquals(0, upstream.requests.size());
     }
 
-    /** Kept for the next request, a connection to the process before a restart reset that one. */
+    /** A connection to the process before a restart was once kept, and reset the next request. */
     @Test
-    void aConnectionToTheProcessBeforeARestartIsNotKept() throws Exception {
+    void connectionToTheProcessBeforeARestartIsNotKept() throws Exception {
         CountDownLatch restarted = new CountDownLatch(1);
         Server upstream =
                 server(
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientConnectionLimitTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientConnectionLimitTest.java
@@ -19,8 +19,8 @@
  */
 class ClientConnectionLimitTest extends LoadBalancerFixture {
     /**
-     * Refusing whoever sends while there are too many would refuse all of them when many connect at
-     * once.
+     * To reject every client that sends while there are too many would reject all of them when many
+     * connect at once.
      */
     @Test
     void clientsBeyondTheLimitAreRejectedAndTheOthersServed() throws Exception {
@@ -35,7 +35,7 @@
         assertEquals(200, clients.get(11).write(submit()).read().status());
     }
 
-    /** Silent clients took every descriptor, and no upstream could be reached for the others. */
+    /** Clients that sent nothing once took every descriptor, and no upstream could be reached. */
     @Test
     void clientsFarBeyondTheLimitWaitToBeAccepted() throws Exception {
         configFile.sockets(64 + 4); // room for 3 clients
@@ -58,7 +58,9 @@
                 status == 200 || status == 503, "served or refused, by how many have left by then");
     }
 
-    /** They held their descriptors for good, until every other client was refused. */
+    /**
+     * Such connections once kept their descriptors for good, until every other client was rejected.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -80,8 +82,8 @@
     }
 
     /**
-     * To close a connection that looks idle crosses with the next request on it; so the answer says
-     * it.
+     * To close a connection that looks idle can cross with the next request on it, so the response
+     * announces it.
      */
     @Test
     void connectionsBeyondThoseKeptCloseWithTheirResponseAndIdleOnesStay() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -15,12 +15,15 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** A client's close, its pipelined requests and our own close, each in the worst order. */
+/**
+ * The end of a client's connection, pipelined requests and our own close, in the worst order of
+ * each.
+ */
 class ClientSessionTest extends LoadBalancerFixture {
     private static final String FOR_EVER = "600000";
     private static final int MANY = 600;
 
-    /** Beyond it an attempt after the close is a break. */
+    /** Longer than an attempt may begin after the end of its client. */
     private static final long STALL_MS = 200;
 
     private static final int TURNS = 5;
@@ -31,11 +34,11 @@
     }
 
     /**
-     * Both are in the socket when it is read: the request was begun before the end behind it was
+     * Both are read in one turn of the loop; the request was once sent before the end behind it was
      * seen.
      */
     @Test
-    void aRequestWithItsClientsEndBehindItIsNeverBegun() throws Exception {
+    void requestWhoseClientHasDisconnectedBehindItIsNotSent() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         assertEquals(200, client().write(look(FOR_EVER)).read().status());
@@ -54,18 +57,18 @@
         assertEquals("id-2", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
     }
 
-    /** Attempts that have ended; one that was never begun is none. */
+    /** The number of attempts that have ended, without those that were never sent. */
     private long attempts() throws Exception {
         Map<String, Long> byOutcome = balancer.status().get().attempts();
         return byOutcome.values().stream().mapToLong(n -> n).sum() - byOutcome.get("moot");
     }
 
     /**
-     * A new list lets held requests go; the end of one's connection is read in the same turn,
-     * behind it.
+     * A new list releases queued requests; the end of one's client is read in the same turn, behind
+     * the list.
      */
     @Test
-    void aHeldRequestIsNotBegunWhenItsClientsEndIsReadInTheTurnOfTheList() throws Exception {
+    void queuedRequestIsNotSentWhenItsClientDisconnectsInTheTurnOfTheList() throws Exception {
         Server upstream = server(SERVE);
         CountDownLatch told = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
@@ -96,9 +99,9 @@
         assertEquals("id-1", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
     }
 
-    /** With eight requests waiting the connection was read no further, and its end went unseen. */
+    /** Behind eight pending requests the connection was once not read, and its end not seen. */
     @Test
-    void theEndOfAClientIsSeenBehindManyPipelinedRequests() throws Exception {
+    void disconnectIsSeenBehindManyPipelinedRequests() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         Client client = client();
@@ -113,9 +116,11 @@
         assertEquals(0, upstream.requests.size());
     }
 
-    /** Its time counted from its turn: it was sent on when its client no longer waited. */
+    /**
+     * The time of a pipelined request once began when its turn came, after its client had given up.
+     */
     @Test
-    void aPipelinedRequestsTimeCountsWhileItWaits() throws Exception {
+    void timeOfAPipelinedRequestCountsWhileItWaits() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         Client client = client().write(request("POST", "submit", "500", "") + look("400"));
@@ -125,9 +130,12 @@
         assertEquals(0, upstream.requests.size());
     }
 
-    /** The first answer of a planned stop closed the connection over the requests behind it. */
+    /**
+     * The first response of a graceful shutdown once closed the connection over the requests behind
+     * it.
+     */
     @Test
-    void aPlannedStopAnswersPipelinedRequestsBeforeItEndsTheirConnection() throws Exception {
+    void gracefulShutdownAnswersPipelinedRequestsBeforeItClosesTheirConnection() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Server upstream =
                 server(
@@ -152,11 +160,11 @@
     }
 
     /**
-     * Closed with bytes unread, a connection is reset, and of an answer its client got what it had
-     * read.
+     * A connection that is closed with bytes unread is reset, and its client once lost the rest of
+     * a response.
      */
     @Test
-    void anAnswerArrivesWholeThoughItsConnectionEndsOverUnreadBytes() throws Exception {
+    void responseIsCompleteThoughItsConnectionClosesOverUnreadBytes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         String large = "x".repeat(60_000);
         Server upstream =
@@ -186,11 +194,11 @@
     }
 
     /**
-     * What is read after our end is neither sent on nor answered; its client sends it again
-     * elsewhere.
+     * A request that is read after our end of the connection is neither sent nor answered; its
+     * client retries it.
      */
     @Test
-    void aRequestThatCrossesWithOurEndIsNotSentOn() throws Exception {
+    void requestThatCrossesWithOurCloseIsNotForwarded() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = client();
@@ -215,9 +223,9 @@
         }
     }
 
-    /** The node held every answer of a client that reads none. */
+    /** The balancer once buffered every response for a client that read none. */
     @Test
-    void aClientThatReadsNoAnswersIsGivenNoMoreOfThemUntilItDoes() throws Exception {
+    void clientThatReadsNoResponsesGetsNoMoreOfThemUntilItDoes() throws Exception {
         String large = "x".repeat(60_000);
         Server upstream = server((m, s) -> RawSockets.answer(s, "200 OK", "", large));
         start(upstream);
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
@@ -67,7 +67,7 @@
         assertEquals(before, other.requests.size());
     }
 
-    /** Lists may be written for people; a heartbeat or a new object ends a broken one. */
+    /** A list may be indented; a heartbeat or a new object ends one that was not closed. */
     @Test
     void indentedListsAreRead() throws Exception {
         Server one = server(SERVE);
@@ -104,7 +104,7 @@
     }
 
     /**
-     * One that says nothing may be cut off, and what it had to tell would be unheard past the
+     * A watch without a line may be partitioned, and its changes would be missed past the drain
      * grace.
      */
     @Test
@@ -139,7 +139,9 @@
                         .collect(Collectors.toList()));
     }
 
-    /** Connections to the process before are dead, even where their end was never heard of. */
+    /**
+     * Connections to the process before the restart are dead, even where their end was not seen.
+     */
     @Test
     void restartedUpstreamGetsNewConnections() throws Exception {
         Server upstream = server(SERVE);
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** What a broken line of discovery held, and calls that cross with others. */
+/** What becomes of changes in a malformed line, and of calls that cross with others. */
 class DiscoveryRepairTest extends LoadBalancerFixture {
     private static final long ASK_AGAIN_MS = 2_000;
 
@@ -19,10 +19,10 @@
     }
 
     /**
-     * What a line held that could not be read was heard of with the next whole list: maybe never.
+     * The changes in a malformed line were once missed until the next full list, maybe for good.
      */
     @Test
-    void afterABrokenLineTheWholeListIsAskedForAndTheWatchGoesOn() throws Exception {
+    void malformedListIsFollowedByAFetchOfTheFullListAndTheWatchGoesOn() throws Exception {
         Server missed = server(SERVE);
         Server later = server(SERVE);
         AtomicInteger whole = new AtomicInteger();
@@ -52,9 +52,9 @@
         awaitRequestAt(later);
     }
 
-    /** A whole list that was made before the watch's last word would undo that. */
+    /** A full list from before the watch's last change would undo that change. */
     @Test
-    void aWholeListOlderThanWhatTheWatchHasToldIsNotTaken() throws Exception {
+    void fullListOlderThanTheWatchIsIgnored() throws Exception {
         Server old = server(SERVE);
         Server current = server(SERVE);
         AtomicInteger whole = new AtomicInteger();
@@ -90,11 +90,11 @@
     }
 
     /**
-     * Reported as failed, the call that a new address had ended cost the good one that took its
-     * place.
+     * The call that a new address had superseded was once reported as failed, which ended the new
+     * one too.
      */
     @Test
-    void theCallThatANewAddressEndsIsNotReportedAsFailed() throws Exception {
+    void callSupersededByANewAddressIsNotReportedAsFailed() throws Exception {
         configFile.discoveryMode("on_request");
         Server upstream = server(SERVE);
         Server before = server((m, s) -> RawSockets.startChunkedResponse(s));
--- a/src/test/java/myrtleladder/loadbalancer/server/GracefulShutdownTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/GracefulShutdownTest.java
@@ -44,7 +44,10 @@
         assertTrue(drained.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    /** Each answer closed its connection, and with one balancer there was nowhere else to go. */
+    /**
+     * Each response once closed its connection, and with one balancer clients had nowhere else to
+     * go.
+     */
     @Test
     void keptConnectionsAreServedAsLongAsItAccepts() throws Exception {
         start(server(SERVE));
@@ -58,8 +61,8 @@
     }
 
     /**
-     * A stop leaves less time than some clients do: what the end of the process finds unanswered is
-     * lost.
+     * A shutdown leaves less time than some deadlines do; what is unanswered when the process ends
+     * is lost.
      */
     @Test
     void requestsStillOpenAtTheEndFail() throws Exception {
@@ -77,7 +80,8 @@
     }
 
     /**
-     * The loop was late: what comes after the last answers would have none when the process ends.
+     * With a late loop, requests that came after the last responses would have none when the
+     * process ends.
      */
     @Test
     void requestsAfterTheLastResponsesAreRejectedAtOnce() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A balancer in this process, between servers and clients on real sockets that follow a test's
- * script.
+ * Runs a balancer in this process, between upstreams and clients on real sockets that follow a
+ * script of the test.
  */
 abstract class LoadBalancerFixture {
     static final Script SERVE = (m, s) -> RawSockets.answer(s, "200 OK", "", "done");
@@ -39,8 +39,7 @@
     LoadBalancerServer balancer;
 
     /**
-     * That of a balancer started with upstreams alone: it has been asked, and says nothing by
-     * itself.
+     * Discovery of a balancer that was started with upstreams alone; it never responds by itself.
      */
     Server discovery;
 
@@ -101,7 +100,7 @@
                         .toArray(String[]::new));
     }
 
-    /** Starts a balancer that knows a list and follows discovery. */
+    /** Starts a balancer with a known list, which follows discovery. */
     void start(String known, Server discovery) throws Exception {
         balancer =
                 LoadBalancerBootstrap.bind(
@@ -142,10 +141,7 @@
         return request("POST", "submit", "9000", "");
     }
 
-    /**
-     * The event loop while it stands still; what comes meanwhile stays in the sockets until it goes
-     * on.
-     */
+    /** A stall of the event loop; what comes meanwhile stays in the sockets until it is resumed. */
     final class LoopStall {
         private final CountDownLatch hasStalled = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
@@ -160,7 +156,7 @@
             }
         }
 
-        /** Waits until it stands still. */
+        /** Waits until the loop is stalled. */
         void await() throws InterruptedException {
             if (!hasStalled.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS)) {
                 throw new AssertionError("the loop never stood still");
@@ -172,9 +168,7 @@
         }
     }
 
-    /**
-     * Time is what is at stake: it passes while the loop stands still, and nothing waits for it.
-     */
+    /** Lets time pass while the loop is stalled; there is no event to wait for. */
     static void spin(long millis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < end) {
@@ -182,12 +176,12 @@
         }
     }
 
-    /** What a test does at a moment of its choice. */
+    /** A step of a test. */
     interface Action {
         void run() throws Exception;
     }
 
-    /** Does something while the loop stands still. */
+    /** Runs an action while the loop is stalled. */
     void whileLoopIsStalled(Action action) throws Exception {
         LoopStall loopStall = new LoopStall();
         eventLoops.next().execute(loopStall::stall);
@@ -200,8 +194,7 @@
     }
 
     /**
-     * Stops the loop right behind the decision to send to an upstream, and before its connection is
-     * up.
+     * Stalls the loop right after the decision to send to an upstream, before the connection is up.
      */
     LoopStall stallAfterPickOf(Server upstream) throws Exception {
         LoopStall loopStall = new LoopStall();
@@ -235,7 +228,7 @@
     }
 
     /**
-     * Begins a stop, and stops the loop right before the first step of it: no socket is read in
+     * Begins a graceful shutdown and stalls the loop right before its first step, with no read in
      * between.
      */
     LoopStall stallBeforeDrain() throws Exception {
@@ -249,7 +242,7 @@
         return loopStall;
     }
 
-    /** Has discovery tell changes on the watch, and waits until they are in force. */
+    /** Has discovery send changes on the watch, and waits until they are in force. */
     void sendChanges(String... entries) throws Exception {
         String marker = "told-" + requestsSent++;
         List<String> all = new ArrayList<>(List.of(entries));
@@ -269,7 +262,7 @@
         }
     }
 
-    /** Requests until an upstream has had one: it is on the list then. */
+    /** Sends requests until an upstream has received one, that is, until it is on the list. */
     void awaitRequestAt(Server upstream) throws Exception {
         Client client = client();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.TIMEOUT_S);
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadProbeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadProbeTest.java
@@ -12,8 +12,8 @@
 /** Load reports that upstreams send in response to probes. */
 class LoadProbeTest extends LoadBalancerFixture {
     /**
-     * Reports are named as in the settings; read under other names they said nothing, and no one
-     * saw it.
+     * The values have the names of the settings; under other names they were once ignored,
+     * unnoticed.
      */
     @Test
     void reportedLoadChangesThePicks() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/MainTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/MainTest.java
@@ -26,7 +26,7 @@
         assertOneLine(run(file, "serve"));
     }
 
-    /** What the build runs to have the loaded classes kept for the starts to come. */
+    /** What the build runs to record the class archive. */
     @Test
     void rehearseCommandEndsByItself() {
         assertEquals(0, run(Path.of("deploy/rehearsal.json"), "rehearse").exit());
--- a/src/test/java/myrtleladder/loadbalancer/server/MalformedRequestTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/MalformedRequestTest.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * After a header that can't be read the decoder skips all that follows: kept open, it would be
-     * lost.
+     * After a malformed header the decoder skips all that follows, so the connection is of no more
+     * use.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Starts it, and ends it when the patience of all tests is over: nothing may wait for a log for
-     * ever.
+     * Starts a process, and kills it when every timeout of a test is over: no test waits for a log
+     * for ever.
      */
     private static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
@@ -76,11 +76,11 @@
     }
 
     /**
-     * The machine took connections all through the rehearsal, and each request on them was ours to
-     * answer: of a fleet that came back together thousands were lost.
+     * The machine once accepted connections all through the warm-up run, and their requests were
+     * lost by thousands when a group restarted together.
      */
     @Test
-    void noClientCanComeBeforeTheRehearsalHasEnded() throws Exception {
+    void noClientCanConnectBeforeTheWarmupHasEnded() throws Exception {
         InetSocketAddress listen;
         try (ServerSocket free = new ServerSocket()) {
             free.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
@@ -117,7 +117,7 @@
         }
     }
 
-    /** The signal ended the process, and with it all that it had taken. */
+    /** The signal once ended the process, and all requests in it were lost. */
     @Test
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
         try (Server before = new Server((m, s) -> RawSockets.startChunkedResponse(s));
--- a/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plain sockets for the tests: what goes over them is written and read byte by byte, as no library
- * would.
+ * Plain sockets for the tests: messages are written and read byte by byte, with no HTTP library
+ * between.
  */
 final class RawSockets {
-    /** Long past anything that a test waits for; only a failing test gets there. */
+    /** Longer than anything that a test waits for; only a failing test gets there. */
     static final int TIMEOUT_S = 20;
 
     private RawSockets() {}
--- a/src/test/java/myrtleladder/loadbalancer/server/RequestDeadlineTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RequestDeadlineTest.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * The loop stands still, as behind a long collection; what came meanwhile has less time left.
+     * The loop is stalled, as by a long garbage collection; what came meanwhile has less time left.
      */
     @Test
     void timeThatARequestWaitedUnreadCountsAgainstItsDeadline() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/RequestForwardingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RequestForwardingTest.java
@@ -74,7 +74,8 @@
     }
 
     /**
-     * A write to a connection that the upstream is just closing ends as a reset, and may have run.
+     * A request written to a connection that the upstream is closing ends as a reset, and may have
+     * run.
      */
     @Test
     void idleConnectionIsClosedBeforeTheUpstreamWouldCloseIt() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
@@ -19,7 +19,7 @@
  */
 class RetrySafetyTest extends LoadBalancerFixture {
     /**
-     * After its last byte was written an unsafe request may have run, whatever becomes of the
+     * Once its last byte is written an unsafe request may have run, whatever becomes of the
      * connection.
      */
     @Test
@@ -81,7 +81,8 @@
     }
 
     /**
-     * Taken for the answer, an interim one left the true one to the next request on the connection.
+     * An interim response was once taken for the final one, which the next request on the
+     * connection got.
      */
     @Test
     void interimResponseIsNotTakenForTheFinalOne() throws Exception {
@@ -99,7 +100,7 @@
         assertEquals(1, upstream.accepted.size());
     }
 
-    /** Half an answer is none: the client would take it for what the upstream made. */
+    /** A truncated response is not the one that the upstream made. */
     @ParameterizedTest
     @CsvSource({
         "Content-Length: 10, false",
@@ -135,7 +136,8 @@
     }
 
     /**
-     * An answer of no length is whole when its connection ends; taken for a cut one, it was lost.
+     * A response without a length is complete when its connection ends; it was once taken for
+     * truncated.
      */
     @Test
     void responseThatEndsWithItsConnectionIsForwarded() throws Exception {
@@ -156,7 +158,7 @@
     }
 
     /**
-     * What follows an answer unasked was taken for the answer to the next request on the
+     * Bytes behind a response were once taken for the response to the next request on the
      * connection.
      */
     @Test
@@ -184,7 +186,7 @@
         assertEquals("id-1", client.write(submit()).read().body());
     }
 
-    /** What can't be read as the protocol has it was made by no upstream, and may have run. */
+    /** A malformed response is none that an upstream made, and the request may have run. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
@@ -13,8 +13,8 @@
 /** The warm-up run. */
 class WarmupTest extends LoadBalancerFixture {
     /**
-     * One of a few that opened cold was seconds behind its clients; one of many was away for
-     * seconds to serve itself. What it warms up with is its own affair.
+     * One of few balancers that opened cold was seconds behind its clients; one of many was away
+     * for seconds to warm up.
      */
     @ParameterizedTest
     @CsvSource({"1, 90, 200", "100, 10, 50"})
@@ -30,8 +30,8 @@
     }
 
     /**
-     * On a thread of its own the rehearsal's loop spun for good where only one thread runs at a
-     * time. What is handed on from thread to thread counts those that the rehearsal makes, and none
+     * On a thread of its own the loop of the warm-up run once spun for good where only one thread
+     * runs at a time. The inheritable value counts threads that the warm-up run creates, and none
      * of another test's.
      */
     @Test
