--- /dev/null
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -0,0 +1,58 @@
+package myrtleladder.controlplane;
+
+import java.util.List;
+import java.util.Map;
+import myrtleladder.configuration.ConfigurationException;
+import myrtleladder.io.ResultCode;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.InstanceRecord.Stage;
+
+/** Parses the JSON body of an upstream's heartbeat. */
+final class InstanceHeartbeatParser {
+    private static final long DEFAULT_CAPACITY = 1;
+    private static final long DEFAULT_SEQUENCE = 0;
+
+    private InstanceHeartbeatParser() {}
+
+    /**
+     * The record that a heartbeat describes.
+     *
+     * @param id the incarnation, from the path of the request
+     * @throws ConfigurationException if a field that is required is missing or no string
+     */
+    static InstanceRecord parse(String id, Map<String, Object> json) {
+        String state = requiredString(json, "state");
+        return InstanceRecord.of(
+                        id,
+                        requiredString(json, "backend"),
+                        requiredString(json, "address"),
+                        String.valueOf(json.getOrDefault("zone", "")),
+                        (int) integer(json, "capacity", DEFAULT_CAPACITY),
+                        String.valueOf(json.getOrDefault("generation", "")),
+                        state.equals("draining") ? Stage.DRAINING : Stage.READY,
+                        integer(json, "sequence", DEFAULT_SEQUENCE))
+                .withWeightsVersion(weightsVersion(json));
+    }
+
+    /** The version of the weights of the first model: an upstream serves one here. */
+    private static long weightsVersion(Map<String, Object> json) {
+        if (json.get("models") instanceof List<?> models
+                && !models.isEmpty()
+                && models.get(0) instanceof Map<?, ?> first
+                && first.get("generation") instanceof Number version) {
+            return version.longValue();
+        }
+        return InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
+    }
+
+    private static String requiredString(Map<String, Object> json, String name) {
+        if (json.get(name) instanceof String text && !text.isEmpty()) {
+            return text;
+        }
+        throw new ConfigurationException(ResultCode.CONFIGURATION_FIELD, name + " is not a text");
+    }
+
+    private static long integer(Map<String, Object> json, String name, long defaultValue) {
+        return json.get(name) instanceof Number number ? number.longValue() : defaultValue;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -0,0 +1,132 @@
+package myrtleladder.controlplane;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import myrtleladder.protocol.FleetLoads;
+import myrtleladder.protocol.LoadReport;
+import myrtleladder.protocol.UpstreamLoad;
+
+/**
+ * The requests and tokens that all balancers have in flight at each upstream, summed from the
+ * newest report of each balancer.
+ *
+ * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before
+ * and expires, so that nothing counts twice and nothing remains of a balancer that died. Confined
+ * to the event loop.
+ */
+final class LoadTable {
+    /** How long a report counts. Derived: a poll's timeout and two waits of a poll. */
+    static final long REPORT_LIFETIME_MS = 1_500;
+
+    /** How long a new primary reports no sums. Derived: each live balancer has polled by then. */
+    static final long WARM_UP_MS = 900;
+
+    /** The most upstreams in a response: bounds its bytes in large fleets. Chosen. */
+    private static final int MAX_LOADS_IN_RESPONSE = 200;
+
+    /** Reports by balancer, in the order in which they arrived. */
+    private final LinkedHashMap<String, ReceivedReport> reports = new LinkedHashMap<>();
+
+    private final Map<Integer, Sum> sums = new HashMap<>();
+    private long resetAtMs;
+
+    private record ReceivedReport(LoadReport report, long receivedAtMs) {}
+
+    /** What all balancers together have in flight at an upstream. */
+    private static final class Sum {
+        private int requests;
+        private int tokens;
+
+        private boolean isIdle() {
+            return requests <= 0 && tokens <= 0;
+        }
+    }
+
+    /** Starts anew: until now other nodes summed up. */
+    void reset(long nowMs) {
+        reports.clear();
+        sums.clear();
+        resetAtMs = nowMs;
+    }
+
+    /** Records a report unless a newer one of the same process is known. */
+    void record(LoadReport report, long nowMs) {
+        ReceivedReport previous = reports.get(report.balancer);
+        if (previous != null && !replaces(report, previous.report())) {
+            return;
+        }
+        remove(report.balancer);
+        reports.put(report.balancer, new ReceivedReport(report, nowMs));
+        report.loads.forEach(load -> addToSum(load, 1));
+    }
+
+    private static boolean replaces(LoadReport report, LoadReport previous) {
+        return report.processId != previous.processId || report.sequence > previous.sequence;
+    }
+
+    /** Takes a balancer's report, if there is one, out of the sums. */
+    void remove(String balancer) {
+        ReceivedReport removed = reports.remove(balancer);
+        if (removed != null) {
+            removed.report().loads.forEach(load -> addToSum(load, -1));
+        }
+    }
+
+    private void addToSum(UpstreamLoad load, int sign) {
+        Sum sum = sums.computeIfAbsent(load.upstreamKey, upstream -> new Sum());
+        sum.requests += sign * load.inFlightRequests;
+        sum.tokens += sign * load.pendingPromptTokens;
+        if (sum.isIdle()) {
+            sums.remove(load.upstreamKey);
+        }
+    }
+
+    /**
+     * Adds to a response what the other balancers have in flight, unless this node is primary for
+     * too short a time to know it.
+     */
+    void addLoadsOfOthers(FleetLoads response, String balancer, long nowMs) {
+        if (nowMs - resetAtMs < WARM_UP_MS) {
+            return;
+        }
+        removeExpired(nowMs);
+        response.loadsKnown = true;
+        Map<Integer, UpstreamLoad> own = loadsOf(balancer);
+        sums.forEach((upstream, sum) -> addDifference(response, upstream, sum, own.get(upstream)));
+        if (response.loads.size() > MAX_LOADS_IN_RESPONSE) {
+            response.loads.sort(
+                    (a, b) -> Integer.compare(b.pendingPromptTokens, a.pendingPromptTokens));
+            response.loads.subList(MAX_LOADS_IN_RESPONSE, response.loads.size()).clear();
+        }
+    }
+
+    private Map<Integer, UpstreamLoad> loadsOf(String balancer) {
+        Map<Integer, UpstreamLoad> loads = new HashMap<>();
+        ReceivedReport received = reports.get(balancer);
+        if (received != null) {
+            received.report().loads.forEach(load -> loads.put(load.upstreamKey, load));
+        }
+        return loads;
+    }
+
+    /** Adds a sum less the part of the balancer that is answered; {@code own} may be null. */
+    private static void addDifference(
+            FleetLoads response, int upstream, Sum sum, UpstreamLoad own) {
+        int requests = sum.requests - (own == null ? 0 : own.inFlightRequests);
+        int tokens = sum.tokens - (own == null ? 0 : own.pendingPromptTokens);
+        if (requests > 0 || tokens > 0) {
+            response.loads.add(UpstreamLoad.of(upstream, requests, tokens));
+        }
+    }
+
+    private void removeExpired(long nowMs) {
+        while (!reports.isEmpty()) {
+            Map.Entry<String, ReceivedReport> oldest = reports.entrySet().iterator().next();
+            if (nowMs - oldest.getValue().receivedAtMs() <= REPORT_LIFETIME_MS) {
+                return;
+            }
+            remove(oldest.getKey());
+        }
+    }
+}
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** What the data path and lists cost one balancer, at four sizes each. */
+/** What the data path and endpoint lists cost one balancer, at four sizes each. */
 @Tag("long")
 class LoadBalancerCapacityTest extends LoadBalancerFixture {
     private static final int[] ENTRIES = {100, 400, 1_600, 6_300};
@@ -72,7 +72,7 @@
     }
 
     private long loopCpu() throws Exception {
-        long id = group.next().submit(() -> Thread.currentThread().getId()).get();
+        long id = eventLoops.next().submit(() -> Thread.currentThread().getId()).get();
         return ManagementFactory.getThreadMXBean().getThreadCpuTime(id);
     }
 
@@ -102,7 +102,7 @@
     @Test
     void connections() throws Exception {
         Server upstream = server(SERVE);
-        sockets = 2_000;
+        configFile.sockets(2_000);
         start(upstream);
         CapacityFigures heap =
                 new CapacityFigures("data path, heap of idle clients (both ends)", "KB");
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -53,12 +53,12 @@
     }
 
     /**
-     * Starts it, and ends it when the patience of all tests is over: nothing may wait for a log for
-     * ever.
+     * Starts a process, and kills it when every timeout of a test is over: no test waits for a log
+     * for ever.
      */
     private static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
-        CompletableFuture.delayedExecutor(3L * RawSockets.PATIENCE_S, TimeUnit.SECONDS)
+        CompletableFuture.delayedExecutor(3L * RawSockets.TIMEOUT_S, TimeUnit.SECONDS)
                 .execute(process::destroyForcibly);
         return process;
     }
@@ -76,18 +76,18 @@
     }
 
     /**
-     * The machine took connections all through the rehearsal, and each request on them was ours to
-     * answer: of a fleet that came back together thousands were lost.
+     * The machine once accepted connections all through the warm-up run, and their requests were
+     * lost by thousands when a group restarted together.
      */
     @Test
-    void noClientCanComeBeforeTheRehearsalHasEnded() throws Exception {
+    void noClientCanConnectBeforeTheWarmupHasEnded() throws Exception {
         InetSocketAddress listen;
         try (ServerSocket free = new ServerSocket()) {
             free.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             listen = (InetSocketAddress) free.getLocalSocketAddress();
         }
         File log = folder.resolve("log").toFile();
-        try (Server discovery = new Server((m, s) -> RawSockets.beginChunks(s))) {
+        try (Server discovery = new Server((m, s) -> RawSockets.startChunkedResponse(s))) {
             Process process =
                     start(
                             serve(config("127.0.0.1:" + listen.getPort(), discovery.addr()))
@@ -117,11 +117,11 @@
         }
     }
 
-    /** The signal ended the process, and with it all that it had taken. */
+    /** The signal once ended the process, and all requests in it were lost. */
     @Test
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
-        try (Server before = new Server((m, s) -> RawSockets.beginChunks(s));
-                Server after = new Server((m, s) -> RawSockets.beginChunks(s))) {
+        try (Server before = new Server((m, s) -> RawSockets.startChunkedResponse(s));
+                Server after = new Server((m, s) -> RawSockets.startChunkedResponse(s))) {
             Process process = start(serve(config(before.addr())));
             try (BufferedReader log = process.errorReader()) {
                 await(log, "rehearsed with");
@@ -133,7 +133,7 @@
                 hangUp(process);
                 assertTrue(RawSockets.next(after.requests).start().contains("follow=1&since=7"));
                 process.destroy();
-                assertTrue(process.waitFor(RawSockets.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(RawSockets.TIMEOUT_S, TimeUnit.SECONDS));
                 assertEquals(SIGTERM_EXIT, process.exitValue());
             } finally {
                 process.destroyForcibly();
