--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -20,10 +20,10 @@
 import myrtleladder.consensus.Note;
 import myrtleladder.consensus.Point;
 import myrtleladder.consensus.Token;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.GossipSettings;
+import myrtleladder.gossip.MemberEvent;
+import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.Membership;
-import myrtleladder.gossip.Meta;
-import myrtleladder.gossip.Settings;
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.simulation.ProtocolCore;
 import myrtleladder.testbed.simulation.SimulatedNetwork;
@@ -109,7 +109,7 @@
     }
 
     /** One life of a process. */
-    final class Node implements ProtocolCore, Agreement.Out, Membership.Out, Work.Out {
+    final class Node implements ProtocolCore, Agreement.Out, Membership.Output, Work.Out {
         final Agreement agreement;
         final Agenda agenda = new Agenda();
         final Work work;
@@ -125,12 +125,12 @@
             Life me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
-                            Settings.of("dhaka"),
+                            GossipSettings.of("dhaka"),
                             process,
                             me.life(),
                             0,
                             process,
-                            Meta.NONE,
+                            MemberMetadata.NONE,
                             names(3),
                             seed,
                             this);
@@ -157,8 +157,8 @@
                 changed = false;
                 Map<String, Long> there = new TreeMap<>();
                 membership.members().stream()
-                        .filter(c -> c.state().present())
-                        .forEach(c -> there.put(c.name(), c.life()));
+                        .filter(c -> c.state().isPresent())
+                        .forEach(c -> there.put(c.name(), c.startId()));
                 agreement.present(now, there);
                 Set<Life> present = new HashSet<>();
                 there.forEach((name, life) -> present.add(new Life(name, life)));
@@ -180,7 +180,7 @@
             step(
                     at,
                     () -> {
-                        membership.started(at);
+                        membership.start(at);
                         agreement.started(at);
                         work.started(at);
                         actions.timer("look", SECOND);
@@ -197,7 +197,7 @@
                         } else if (Work.isOurs(message)) {
                             work.received(at, message);
                         } else {
-                            membership.received(at, from, message);
+                            membership.onDatagram(at, from, message);
                         }
                     });
         }
@@ -214,7 +214,7 @@
                             }
                             case "beat" -> agreement.due(at, token);
                             case "work" -> work.due(at, token);
-                            default -> membership.due(at, token);
+                            default -> membership.onTimer(at, token);
                         }
                     });
         }
@@ -233,6 +233,11 @@
             actions.send(to, datagram);
         }
 
+        @Override
+        public void scheduleTimer(String token, long delayUs) {
+            timer(token, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             String layer =
@@ -254,9 +259,9 @@
         }
 
         @Override
-        public void event(Event event) {
+        public void onEvent(MemberEvent event) {
             changed = true;
-            String what = event.kind().name() + " " + event.claim().name() + " " + event.why();
+            String what = event.kind().name() + " " + event.update().name() + " " + event.reason();
             record("membership", process, what);
         }
 
