--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.configuration.Service;
-import myrtleladder.loadbalancer.policy.UtilisationWeights;
 import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
+import myrtleladder.loadbalancer.policy.UtilisationWeights;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * Picks the upstream of a request. Candidates are narrowed by health, connections and, for model
  * services, the expected time to the first event; among those left, picks go by weight / (in-flight
- * + 1)^bias, earliest deadline first ({@link EarliestDeadlineFirstScheduler}). Confined to the event loop.
+ * + 1)^bias, earliest deadline first ({@link EarliestDeadlineFirstScheduler}). Confined to the
+ * event loop.
  */
 final class UpstreamPicker {
     /** Bias for model services; chosen so that a clearly shorter queue nearly always wins. */
@@ -156,7 +157,9 @@
     private EarliestDeadlineFirstScheduler schedule(Service service) {
         return schedules.computeIfAbsent(
                 service.name(),
-                name -> new EarliestDeadlineFirstScheduler(service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
+                name ->
+                        new EarliestDeadlineFirstScheduler(
+                                service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
     }
 
     private PickResult pickPlain(Service service, List<Upstream> candidates, long nowMs) {
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
-import myrtleladder.loadbalancer.policy.LoadBalancer;
 import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
 import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.policy.Settings;
+import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
@@ -69,8 +69,7 @@
     }
 
     private EndpointList.Endpoint effective(EndpointList.Endpoint endpoint) {
-        boolean isDrained =
-                endpoint.state() == State.READY && draining.contains(endpoint.id());
+        boolean isDrained = endpoint.state() == State.READY && draining.contains(endpoint.id());
         return new EndpointList.Endpoint(
                 endpoint.id(),
                 endpoint.address(),
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
@@ -1,8 +1,8 @@
 package myrtleladder.loadbalancer.server;
 
 import java.util.Arrays;
-import myrtleladder.loadbalancer.policy.Reports;
 import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.Reports;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.policy.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /** Reads events from JSON. Fields that it does not know, and fields that are null, are skipped. */
--- a/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -26,7 +26,8 @@
                 instance,
                 () -> {
                     LoadBalancer balancer =
-                            new UtilisationLoadBalancer(settings, seed, decisions.forInstance(instance));
+                            new UtilisationLoadBalancer(
+                                    settings, seed, decisions.forInstance(instance));
                     instances.put(instance, balancer);
                     balancer.start(nowUs);
                 });
