--- a/src/test/java/myrtleladder/loadbalancer/server/EndpointDirectoryTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/EndpointDirectoryTest.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Set;
-import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
 /** What maintenance changes in the endpoints that discovery lists. */
