--- a/src/test/java/myrtleladder/controlplane/RefusalsApprovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The messages with which invalid configurations are rejected. */
-class RefusalsApprovalTest {
+class ConfigurationErrorsApprovalTest {
     private static final List<String> DOCUMENTS =
             List.of(
                     "{'generation':8,'routes':[",
@@ -32,7 +32,7 @@
                             + "'api_keys':['k']}]}");
 
     @Test
-    void refusalsNameTheirPlace() {
+    void errorsNameTheirPlace() {
         StringBuilder text = new StringBuilder();
         ConfigurationDocument current =
                 ConfigurationDocument.stored("{\"generation\":7}".getBytes(), 7);
--- a/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -15,11 +15,20 @@
  * and response, into the node that has reached it.
  */
 class FaultPointTest {
+    /** How long points are counted. */
     private static final long WINDOW_MS = 2_500;
+
     private static final long FAULT_DURATION_MS = 1_500;
+
+    /** After the fault a change is acknowledged within this time. */
     private static final long RECOVERY_TIMEOUT_MS = 12_000;
+
+    /** Each build takes one point in so many; the long profile takes all. */
     private static final int POINT_STEP_IN_CI = 12;
+
+    /** How many pairs of points the long profile takes. */
     private static final int PAIR_COUNT = 20_000;
+
     private static final int MAX_SHOWN = 5;
 
     private enum Fault {
@@ -86,7 +95,7 @@
         return found;
     }
 
-    /** Two losses that overlap may be more than is borne: then only nothing may be lost. */
+    /** Two faults that overlap may be more than is tolerated: then nothing has to be served. */
     private static String twoFaults(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Scenario scenario = Scenario.values()[random.nextInt(Scenario.values().length)];
@@ -104,7 +113,7 @@
 
     private record InjectionPoint(int point, Fault fault) {}
 
-    /** One run with losses at points that are counted from the beginning of the scenario. */
+    /** One run with faults at points that are counted from the beginning of the scenario. */
     private static final class Run {
         final SimulatedCluster cluster;
         final Scenario scenario;
@@ -172,7 +181,7 @@
         }
 
         /**
-         * A disk that is lost beside a replacement, or beside another loss, may be one too many.
+         * A disk that is lost during a replacement, or with another fault, may be one too many.
          */
         private boolean mustRecover() {
             boolean isDiskLost =
--- a/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
@@ -19,10 +19,15 @@
     /** The time after which a tolerated fault must not be noticed any more. */
     private static final long FAILOVER_MS = 3_000;
 
-    private static final int[] SIZES = {3, 4, 3, 5, 8};
+    /** The longest wait for an acknowledgement before a fault that is to follow one. */
     private static final long COMMITMENT_TIMEOUT_MS = 1_500;
+
+    /** The longest wait for nodes that were asked to end. */
     private static final long LEAVE_TIMEOUT_MS = 4_500;
 
+    /** How many nodes a run has, by its seed. */
+    private static final int[] SIZES = {3, 4, 3, 5, 8};
+
     /** What happens to machines. */
     enum Fault {
         KILL,
@@ -48,6 +53,8 @@
     private final SimulatedCluster cluster;
     private final SplittableRandom random;
     private final StringBuilder log = new StringBuilder();
+
+    /** The time from the end of a fault to the next one. */
     private long pauseMs;
 
     private FaultSchedule(long seed, Safeguard removedSafeguard) {
@@ -135,6 +142,7 @@
         }
     }
 
+    /** What a fault does to a node. */
     private interface Injection {
         void applyTo(SimulatedNode node);
     }
@@ -199,7 +207,7 @@
 
     /**
      * The new machines come first; then the old ones are asked to end. Once those are gone, the
-     * next loss may come as soon as the new ones have had their time.
+     * next fault may come as soon as the new ones have had their time.
      */
     private void replacePlanned(List<SimulatedNode> victims) {
         List<SimulatedNode> added = new ArrayList<>();
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -22,7 +22,9 @@
 
     private final SimulatedCluster cluster;
     private final String name;
-    private String target = ""; // empty for none
+    
+    /** The address of the node that is polled; empty if any may be. */
+    private String target = "";
     private long epoch;
     private long generation;
     private long revision;
@@ -92,12 +94,12 @@
         for (UpstreamLoad load : loads.loads) {
             if (load.upstreamKey != UPSTREAM || load.inFlightRequests > maxRequests) {
                 cluster.history.addViolation(
-                        name + " is told " + load.inFlightRequests + " requests of " + maxRequests);
+                        name + " gets " + load.inFlightRequests + " requests of " + maxRequests);
             }
         }
         if (loads.cachedPrompts.size() > cluster.balancers.size()) {
             cluster.history.addViolation(
-                    name + " is told of " + loads.cachedPrompts.size() + " prompts");
+                    name + " gets " + loads.cachedPrompts.size() + " prompts");
         }
     }
 
