--- a/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -180,9 +180,7 @@
             }
         }
 
-        /**
-         * A disk that is lost during a replacement, or with another fault, may be one too many.
-         */
+        /** A disk that is lost during a replacement, or with another fault, may be one too many. */
         private boolean mustRecover() {
             boolean isDiskLost =
                     injections.stream().anyMatch(injection -> injection.fault == Fault.WIPE);
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -22,9 +22,10 @@
 
     private final SimulatedCluster cluster;
     private final String name;
-    
+
     /** The address of the node that is polled; empty if any may be. */
     private String target = "";
+
     private long epoch;
     private long generation;
     private long revision;
@@ -98,8 +99,7 @@
             }
         }
         if (loads.cachedPrompts.size() > cluster.balancers.size()) {
-            cluster.history.addViolation(
-                    name + " gets " + loads.cachedPrompts.size() + " prompts");
+            cluster.history.addViolation(name + " gets " + loads.cachedPrompts.size() + " prompts");
         }
     }
 
