--- a/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
@@ -28,7 +28,6 @@
     private final long tickUs;
     private final QueueingDelayTarget delayTarget;
     private final RendezvousSubsetting subsetting;
-    private final OutlierEjection ejection;
     private final AdmissionControl admission;
     private final LoadBalancer.Actions actions;
     private double tokens;
@@ -40,7 +39,6 @@
             LoadVisibility visibility,
             QueueingDelayTarget delayTarget,
             RendezvousSubsetting subsetting,
-            OutlierEjection ejection,
             AdmissionControl admission,
             LoadBalancer.Actions actions) {
         this.isEnabled = visibility.byProbes();
@@ -48,7 +46,6 @@
         this.tickUs = settings.tickUs();
         this.delayTarget = delayTarget;
         this.subsetting = subsetting;
-        this.ejection = ejection;
         this.admission = admission;
         this.actions = actions;
     }
@@ -74,7 +71,7 @@
         boolean isPanic = subsetting.isPanic(nowUs);
         for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
             if (!isKnown(upstream, nowUs)
-                    && (isPanic || !ejection.isEjected(upstream, nowUs))
+                    && (isPanic || !subsetting.isEjected(upstream, nowUs))
                     && tokens >= 1
                     && admission.hasRoom(upstream, queue.first(), nowUs)) {
                 tokens--;
--- a/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
@@ -61,6 +61,11 @@
         return ejection.isPanic(upstreams.ranked(), nowUs);
     }
 
+    /** Whether that upstream is ejected; {@link #isPanic} says whether that is ignored. */
+    boolean isEjected(UpstreamState upstream, long nowUs) {
+        return ejection.isEjected(upstream, nowUs);
+    }
+
     /** The other balancers that have an upstream in their subset, by position. */
     List<Integer> peersSharing(UpstreamState upstream) {
         List<Integer> peers = new ArrayList<>();
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -82,13 +82,7 @@
         AdmissionControl admission = new AdmissionControl(visibility, loads, limiter, statistics);
         this.onDemandProber =
                 new OnDemandProber(
-                        settings,
-                        visibility,
-                        delayTarget,
-                        subsetting,
-                        ejection,
-                        admission,
-                        actions);
+                        settings, visibility, delayTarget, subsetting, admission, actions);
         this.periodicProber =
                 new PeriodicProber(settings, visibility, upstreams, statistics, random, actions);
         this.peers =
