--- a/src/main/java/myrtleladder/configuration/Compression.java
+++ b/src/main/java/myrtleladder/configuration/Compression.java
@@ -4,7 +4,7 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /** Documents as they are stored and sent: their JSON names the same fields hundreds of times. */
 public final class Compression {
--- a/src/main/java/myrtleladder/configuration/Configuration.java
+++ b/src/main/java/myrtleladder/configuration/Configuration.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /** A checked configuration, ready to route by. */
 public final class Configuration {
--- a/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
+++ b/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /** A configuration as the operator wrote it, with the changes that orders make to it. */
 public final class ConfigurationDocument {
--- a/src/main/java/myrtleladder/configuration/Fields.java
+++ b/src/main/java/myrtleladder/configuration/Fields.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /**
  * Typed access to the fields of a JSON object; what is missing or mistyped is refused by its path.
--- a/src/main/java/myrtleladder/configuration/Json.java
+++ b/src/main/java/myrtleladder/configuration/Json.java
@@ -7,7 +7,7 @@
 import com.dslplatform.json.ParsingException;
 import java.io.IOException;
 import java.util.Map;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /** Reads and writes JSON objects as trees that keep the order of their fields. */
 public final class Json {
--- a/src/main/java/myrtleladder/controlplane/CallerAnswers.java
+++ b/src/main/java/myrtleladder/controlplane/CallerAnswers.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.Headers;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.Member;
 import myrtleladder.replication.Replica;
 
--- a/src/main/java/myrtleladder/controlplane/ConfigurationOrders.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationOrders.java
@@ -11,11 +11,11 @@
 import myrtleladder.configuration.ConfigurationDocument;
 import myrtleladder.configuration.ConfigurationException;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.ResultCode;
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.replication.Replica;
+import myrtleladder.result.ResultCode;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import myrtleladder.io.ResultCode;
-import myrtleladder.io.SystemException;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.process.ProgramCommand;
 import myrtleladder.process.SettingsException;
 import myrtleladder.protocol.StoredState;
+import myrtleladder.result.ResultCode;
+import myrtleladder.result.ResultException;
 
 /** The command line of the control plane. */
 final class ControlCommand {
@@ -100,7 +100,7 @@
                                 + ", "
                                 + state.snapshot.changeDigests.size()
                                 + " orders");
-            } catch (SystemException e) {
+            } catch (ResultException e) {
                 System.out.println(generation.file() + ": " + e.getMessage());
             }
         }
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -6,9 +6,7 @@
 import java.util.function.Consumer;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.ServerExchange;
-import myrtleladder.io.SystemException;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
@@ -19,6 +17,8 @@
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
+import myrtleladder.result.ResultException;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
@@ -234,7 +234,7 @@
         } else {
             try {
                 record = InstanceReader.read(id, Json.readObject(exchange.body()));
-            } catch (SystemException e) {
+            } catch (ResultException e) {
                 CallerAnswers.refuse(exchange, 400, e.getMessage());
                 return;
             }
--- a/src/main/java/myrtleladder/controlplane/DiskThread.java
+++ b/src/main/java/myrtleladder/controlplane/DiskThread.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.EventLoop;
+import myrtleladder.eventloop.EventLoop;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.replication.Storage;
 import org.apache.logging.log4j.LogManager;
--- a/src/main/java/myrtleladder/controlplane/InstanceSharing.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSharing.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
@@ -13,6 +12,7 @@
 import myrtleladder.protocol.View;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Hands records of upstreams from the primary to the other control nodes. What is only news is
--- a/src/main/java/myrtleladder/controlplane/PollDistribution.java
+++ b/src/main/java/myrtleladder/controlplane/PollDistribution.java
@@ -7,13 +7,13 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * The long polls of balancers: the primary answers each with what is newer than what the balancer
--- a/src/main/java/myrtleladder/controlplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/controlplane/Rehearsal.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.CachedPrompt;
@@ -60,7 +60,8 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new StoreException(myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new StoreException(
+                    myrtleladder.result.ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -1,8 +1,8 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
-import myrtleladder.io.Scheduler;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
+import myrtleladder.scheduler.Scheduler;
 
 /** One send of a request to one upstream. */
 final class Attempt implements UpstreamLinks.User {
--- a/src/main/java/myrtleladder/dataplane/Connections.java
+++ b/src/main/java/myrtleladder/dataplane/Connections.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.HttpConnection;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.http.HttpConnection;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
 
 /** Connections to upstreams, kept for later requests as long as the upstream keeps them. */
 final class Connections implements UpstreamLinks {
--- a/src/main/java/myrtleladder/dataplane/DataCommand.java
+++ b/src/main/java/myrtleladder/dataplane/DataCommand.java
@@ -2,10 +2,10 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import myrtleladder.io.ResultCode;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.process.ProgramCommand;
 import myrtleladder.process.SettingsException;
+import myrtleladder.result.ResultCode;
 
 /** The command line of the data plane. */
 final class DataCommand {
--- a/src/main/java/myrtleladder/dataplane/Exchange.java
+++ b/src/main/java/myrtleladder/dataplane/Exchange.java
@@ -6,10 +6,10 @@
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
 import myrtleladder.configuration.Tenant;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 
 /**
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import myrtleladder.configuration.ClientLimits;
+import myrtleladder.eventloop.EventLoop;
 import myrtleladder.heartbeat.MembershipAgent;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.HttpServer;
-import myrtleladder.io.ServerExchange;
-import myrtleladder.io.SystemException;
+import myrtleladder.http.Headers;
+import myrtleladder.http.HttpServer;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.BalancerHeartbeat;
+import myrtleladder.result.ResultException;
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.PeerClient;
 import myrtleladder.signal.Signals;
@@ -120,7 +120,7 @@
         List<Address> seeds = settings.seeds();
         try {
             seeds = NodeSettings.fromEnvironment().seeds();
-        } catch (SystemException e) {
+        } catch (ResultException e) {
             LOG.warn("the settings file is left: {}", e.getMessage());
         }
         return seeds.stream().map(s -> s.host() + ":" + settings.firstPort()).toList();
--- a/src/main/java/myrtleladder/dataplane/Names.java
+++ b/src/main/java/myrtleladder/dataplane/Names.java
@@ -1,7 +1,7 @@
 package myrtleladder.dataplane;
 
 import java.util.Set;
-import myrtleladder.io.Headers;
+import myrtleladder.http.Headers;
 
 /** The header fields of the deployments' protocol, and what of a message is passed on. */
 final class Names {
--- a/src/main/java/myrtleladder/dataplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/dataplane/Rehearsal.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.configuration.Compression;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.HttpServer;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.http.Headers;
+import myrtleladder.http.HttpServer;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.BalancerAddress;
@@ -68,8 +68,8 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new myrtleladder.io.IoException(
-                    myrtleladder.io.ResultCode.NO_SOCKET, "no port is free", e);
+            throw new myrtleladder.eventloop.NetworkException(
+                    myrtleladder.result.ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
--- a/src/main/java/myrtleladder/dataplane/Router.java
+++ b/src/main/java/myrtleladder/dataplane/Router.java
@@ -10,10 +10,10 @@
 import myrtleladder.configuration.Route;
 import myrtleladder.configuration.Service;
 import myrtleladder.configuration.Tenant;
-import myrtleladder.io.Headers;
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.UpstreamLoad;
+import myrtleladder.scheduler.Scheduler;
 
 /** The data plane's routing: from a request to its route, its tenant's quota and its exchange. */
 final class Router {
--- a/src/main/java/myrtleladder/dataplane/UpstreamLinks.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamLinks.java
@@ -1,7 +1,7 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
 
 /** Connections to upstreams, each used by one request at a time. */
 interface UpstreamLinks {
--- a/src/main/java/myrtleladder/io/EventLoop.java
+++ b/src/main/java/myrtleladder/eventloop/EventLoop.java
@@ -1,10 +1,13 @@
-package myrtleladder.io;
+package myrtleladder.eventloop;
 
 import java.io.IOException;
 import java.nio.channels.SelectionKey;
 import java.util.Set;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
+import myrtleladder.result.ResultCode;
+import myrtleladder.scheduler.Scheduler;
+import myrtleladder.scheduler.TimerQueue;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.glassfish.grizzly.filterchain.FilterChain;
@@ -62,7 +65,7 @@
         try {
             transport.start();
         } catch (IOException e) {
-            throw new IoException(
+            throw new NetworkException(
                     ResultCode.NO_SOCKET, "the transport can't start: " + e.getMessage(), e);
         }
     }
@@ -95,19 +98,20 @@
         }
     }
 
-    TCPNIOTransport transport() {
+    public TCPNIOTransport transport() {
         return transport;
     }
 
     /** Listens at an address with a chain of filters. */
-    void bind(String host, int port, FilterChain chain) {
+    public void bind(String host, int port, FilterChain chain) {
         try {
             org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler.builder(transport)
                     .processor(chain)
                     .build()
                     .bind(new java.net.InetSocketAddress(host, port), BACKLOG);
         } catch (IOException e) {
-            throw new IoException(ResultCode.NO_SOCKET, "can't listen at " + host + ":" + port, e);
+            throw new NetworkException(
+                    ResultCode.NO_SOCKET, "can't listen at " + host + ":" + port, e);
         }
     }
 
--- a/src/main/java/myrtleladder/io/Headers.java
+++ b/src/main/java/myrtleladder/http/Headers.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/myrtleladder/io/HttpConnection.java
+++ b/src/main/java/myrtleladder/http/HttpConnection.java
@@ -1,7 +1,10 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.eventloop.NetworkException;
+import myrtleladder.result.ResultCode;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
@@ -131,7 +134,7 @@
     /** Sends a request with its whole body. */
     public void send(RequestHead head, byte[] body) {
         if (!ready()) {
-            throw new IoException(
+            throw new NetworkException(
                     ResultCode.PEER_FAILED, "the connection takes no request now", null);
         }
         HttpRequestPacket.Builder builder = HttpRequestPacket.builder();
--- a/src/main/java/myrtleladder/io/HttpExchange.java
+++ b/src/main/java/myrtleladder/http/HttpExchange.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
--- a/src/main/java/myrtleladder/io/HttpServer.java
+++ b/src/main/java/myrtleladder/http/HttpServer.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
+import myrtleladder.eventloop.EventLoop;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.attributes.Attribute;
--- a/src/main/java/myrtleladder/io/RequestHead.java
+++ b/src/main/java/myrtleladder/http/RequestHead.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 /** Method, target and header fields of a request. */
 public record RequestHead(String method, String target, Headers headers) {
--- a/src/main/java/myrtleladder/io/ResponseHead.java
+++ b/src/main/java/myrtleladder/http/ResponseHead.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 /**
  * Status and header fields of an answer; {@code framed} says that its end can be told from its
--- a/src/main/java/myrtleladder/io/ServerExchange.java
+++ b/src/main/java/myrtleladder/http/ServerExchange.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 /** One request at a server and the answer that it is owed. */
 public interface ServerExchange {
--- a/src/main/java/myrtleladder/process/Address.java
+++ b/src/main/java/myrtleladder/process/Address.java
@@ -1,6 +1,6 @@
 package myrtleladder.process;
 
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /** A host by number and a port. */
 public record Address(String host, int port) {
--- a/src/main/java/myrtleladder/process/NodeSettings.java
+++ b/src/main/java/myrtleladder/process/NodeSettings.java
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /** What the platform tells a process, checked whole; fields that are not known are ignored. */
 public record NodeSettings(
--- a/src/main/java/myrtleladder/process/ProgramCommand.java
+++ b/src/main/java/myrtleladder/process/ProgramCommand.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.ToIntFunction;
-import myrtleladder.io.ResultCode;
-import myrtleladder.io.SystemException;
+import myrtleladder.result.ResultCode;
+import myrtleladder.result.ResultException;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.HelpFormatter;
@@ -41,7 +41,7 @@
             return carryOut.applyAsInt(given);
         } catch (ParseException e) {
             return wrong(e.getMessage());
-        } catch (SystemException e) {
+        } catch (ResultException e) {
             System.err.println(e.getMessage());
             return FAILED;
         }
--- a/src/main/java/myrtleladder/process/SettingsException.java
+++ b/src/main/java/myrtleladder/process/SettingsException.java
@@ -1,10 +1,10 @@
 package myrtleladder.process;
 
-import myrtleladder.io.ResultCode;
-import myrtleladder.io.SystemException;
+import myrtleladder.result.ResultCode;
+import myrtleladder.result.ResultException;
 
 /** Settings or a command line that can't be used. */
-public final class SettingsException extends SystemException {
+public final class SettingsException extends ResultException {
     private static final long serialVersionUID = 1;
 
     /** Creates a refusal. */
--- a/src/main/java/myrtleladder/protocol/MessageCodec.java
+++ b/src/main/java/myrtleladder/protocol/MessageCodec.java
@@ -5,8 +5,6 @@
 import io.protostuff.Schema;
 import io.protostuff.runtime.RuntimeSchema;
 import java.util.List;
-import myrtleladder.io.IoException;
-import myrtleladder.io.ResultCode;
 
 /** Messages as bytes: one byte for the type, then the fields as Protostuff. */
 public final class MessageCodec {
@@ -54,13 +52,12 @@
     /** Bytes as a message; what is none is refused. */
     public static Message decode(byte[] bytes) {
         if (bytes.length == 0 || bytes[0] < 0 || bytes[0] >= TYPES.size()) {
-            throw new IoException(ResultCode.BAD_MESSAGE, "unknown type of message", null);
+            throw new MessageFormatException("unknown type of message", null);
         }
         try {
             return parse(TYPES.get(bytes[0]), bytes);
         } catch (RuntimeException e) {
-            throw new IoException(
-                    ResultCode.BAD_MESSAGE, "fields can't be read: " + e.getMessage(), e);
+            throw new MessageFormatException("fields can't be read: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/myrtleladder/io/ResultCode.java
+++ b/src/main/java/myrtleladder/result/ResultCode.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.result;
 
 /** Numbered results of the fleet's programs; the table in docs/errors.md has a row for each. */
 public enum ResultCode {
--- a/src/main/java/myrtleladder/rpc/MessageServer.java
+++ b/src/main/java/myrtleladder/rpc/MessageServer.java
@@ -1,13 +1,13 @@
 package myrtleladder.rpc;
 
 import java.util.function.Consumer;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.HttpServer;
-import myrtleladder.io.ServerExchange;
-import myrtleladder.io.SystemException;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.http.Headers;
+import myrtleladder.http.HttpServer;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
+import myrtleladder.result.ResultException;
 
 /** Takes the calls of other processes of the fleet. */
 public final class MessageServer {
@@ -37,7 +37,7 @@
         Message message;
         try {
             message = MessageCodec.decode(exchange.body());
-        } catch (SystemException e) {
+        } catch (ResultException e) {
             refused++;
             exchange.respond(400, new Headers(), NO_BYTES);
             return;
--- a/src/main/java/myrtleladder/rpc/OneCall.java
+++ b/src/main/java/myrtleladder/rpc/OneCall.java
@@ -1,9 +1,9 @@
 package myrtleladder.rpc;
 
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.HttpConnection;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.http.HttpConnection;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
 
 /** A request on a connection of its own, whose answer is only read. */
 public final class OneCall implements HttpConnection.Listener {
--- a/src/main/java/myrtleladder/rpc/PeerClient.java
+++ b/src/main/java/myrtleladder/rpc/PeerClient.java
@@ -4,16 +4,16 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.HttpConnection;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.SystemException;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.http.Headers;
+import myrtleladder.http.HttpConnection;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.replication.Peers;
+import myrtleladder.result.ResultException;
+import myrtleladder.scheduler.Scheduler;
 
 /** Calls between the fleet's processes over connections that are kept for the next call. */
 public final class PeerClient implements Peers {
@@ -132,7 +132,7 @@
             if (status == 200) {
                 try {
                     message = MessageCodec.decode(received);
-                } catch (SystemException e) {
+                } catch (ResultException e) {
                     message = null;
                 }
             }
--- a/src/main/java/myrtleladder/io/Scheduler.java
+++ b/src/main/java/myrtleladder/scheduler/Scheduler.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.scheduler;
 
 /**
  * A steady clock and timers whose tasks run one at a time, on the thread that runs everything else.
--- a/src/main/java/myrtleladder/io/TimerQueue.java
+++ b/src/main/java/myrtleladder/scheduler/TimerQueue.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.scheduler;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/test/java/myrtleladder/PackagesTest.java
+++ b/src/test/java/myrtleladder/PackagesTest.java
@@ -49,17 +49,27 @@
             + " myrtleladder.testbed.proxy myrtleladder.testbed.checker myrtleladder.testbed.fake"
             + " io.netty.. com.fasterxml.jackson.core..",
         "myrtleladder.signal,",
-        "myrtleladder.io,org.glassfish.grizzly.. org.apache.logging.log4j..",
-        "myrtleladder.protocol,myrtleladder.io io.protostuff..",
-        "myrtleladder.configuration,myrtleladder.io com.dslplatform.json..",
-        "myrtleladder.replication,myrtleladder.io myrtleladder.protocol org.apache.logging.log4j..",
-        "myrtleladder.heartbeat,myrtleladder.io myrtleladder.protocol myrtleladder.replication",
-        "myrtleladder.rpc,myrtleladder.io myrtleladder.protocol myrtleladder.replication",
-        "myrtleladder.process,myrtleladder.io com.fasterxml.jackson.. org.apache.commons.cli",
-        "myrtleladder.controlplane,myrtleladder.io myrtleladder.protocol myrtleladder.configuration"
-            + " myrtleladder.replication myrtleladder.rpc myrtleladder.process myrtleladder.signal"
-            + " org.mapdb.. kotlin.. org.apache.logging.log4j.. org.apache.commons.cli",
-        "myrtleladder.dataplane,myrtleladder.loadbalancer.policy myrtleladder.io"
+        "myrtleladder.result,",
+        "myrtleladder.scheduler,",
+        "myrtleladder.eventloop,myrtleladder.result myrtleladder.scheduler org.glassfish.grizzly.."
+                + " org.apache.logging.log4j..",
+        "myrtleladder.http,myrtleladder.result myrtleladder.eventloop org.glassfish.grizzly..",
+        "myrtleladder.protocol,myrtleladder.result io.protostuff..",
+        "myrtleladder.configuration,myrtleladder.result com.dslplatform.json..",
+        "myrtleladder.replication,myrtleladder.scheduler myrtleladder.protocol"
+                + " org.apache.logging.log4j..",
+        "myrtleladder.heartbeat,myrtleladder.scheduler myrtleladder.protocol"
+                + " myrtleladder.replication",
+        "myrtleladder.rpc,myrtleladder.result myrtleladder.scheduler myrtleladder.eventloop"
+                + " myrtleladder.http myrtleladder.protocol myrtleladder.replication",
+        "myrtleladder.process,myrtleladder.result com.fasterxml.jackson.. org.apache.commons.cli",
+        "myrtleladder.controlplane,myrtleladder.result myrtleladder.scheduler"
+                + " myrtleladder.eventloop myrtleladder.http myrtleladder.protocol"
+                + " myrtleladder.configuration myrtleladder.replication myrtleladder.rpc"
+                + " myrtleladder.process myrtleladder.signal org.mapdb.. kotlin.."
+                + " org.apache.logging.log4j.. org.apache.commons.cli",
+        "myrtleladder.dataplane,myrtleladder.loadbalancer.policy myrtleladder.result"
+            + " myrtleladder.scheduler myrtleladder.eventloop myrtleladder.http"
             + " myrtleladder.protocol myrtleladder.configuration myrtleladder.replication"
             + " myrtleladder.heartbeat myrtleladder.rpc myrtleladder.process myrtleladder.signal"
             + " org.apache.logging.log4j.. org.apache.commons.cli",
@@ -111,7 +121,10 @@
                         "myrtleladder.gossip..",
                         "myrtleladder.consensus..",
                         "myrtleladder.maintenance..",
-                        "myrtleladder.io..",
+                        "myrtleladder.result..",
+                        "myrtleladder.scheduler..",
+                        "myrtleladder.eventloop..",
+                        "myrtleladder.http..",
                         "myrtleladder.controlplane..",
                         "myrtleladder.dataplane..",
                         "picocli..",
--- a/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/myrtleladder/controlplane/WholeAnswerCall.java
+++ b/src/test/java/myrtleladder/controlplane/WholeAnswerCall.java
@@ -1,8 +1,8 @@
 package myrtleladder.controlplane;
 
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ServerExchange;
 
 /** A scripted call of somebody who waits for one whole answer and stays until it comes. */
 public abstract class WholeAnswerCall implements ServerExchange {
--- a/src/test/java/myrtleladder/controlplane/model/ModelCall.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelCall.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 import myrtleladder.controlplane.WholeAnswerCall;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
 
 /** A call at a control address whose answer is handed over once, whole. */
 final class ModelCall extends WholeAnswerCall {
--- a/src/test/java/myrtleladder/controlplane/model/ModelNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelNode.java
@@ -5,8 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import myrtleladder.controlplane.ControlPlane;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.Scheduler;
+import myrtleladder.http.RequestHead;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
@@ -16,6 +15,7 @@
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.ReplicaOptions;
 import myrtleladder.replication.Storage;
+import myrtleladder.scheduler.Scheduler;
 
 /** A control node's process, the code under test, on a machine with a disk and links. */
 final class ModelNode implements Peers, Storage, Replica.Listener {
--- a/src/test/java/myrtleladder/controlplane/model/OutsideCalls.java
+++ b/src/test/java/myrtleladder/controlplane/model/OutsideCalls.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
 
 /** How a caller from outside reaches control nodes: it follows redirects and gives up in time. */
 final class OutsideCalls {
--- a/src/test/java/myrtleladder/dataplane/ExchangeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ExchangeTest.java
@@ -292,8 +292,8 @@
         ScriptedClient client = request("/u/1");
         Sent sent = links.last();
         sent.user.head(
-                new myrtleladder.io.ResponseHead(
-                        200, new myrtleladder.io.Headers().add(Names.ATTEMPT, "a1"), true));
+                new myrtleladder.http.ResponseHead(
+                        200, new myrtleladder.http.Headers().add(Names.ATTEMPT, "a1"), true));
         assertEquals(502, client.status);
     }
 
--- a/src/test/java/myrtleladder/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -1,8 +1,8 @@
 package myrtleladder.dataplane;
 
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ServerExchange;
 
 /** A client's request and what came back. */
 final class ScriptedClient implements ServerExchange {
--- a/src/test/java/myrtleladder/dataplane/ScriptedLinks.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedLinks.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResponseHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ResponseHead;
 
 /** Connections to upstreams that do what a test says. */
 final class ScriptedLinks implements UpstreamLinks {
--- a/src/test/java/myrtleladder/io/HttpTest.java
+++ b/src/test/java/myrtleladder/http/HttpTest.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,6 +12,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import myrtleladder.eventloop.EventLoop;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/myrtleladder/process/NodeSettingsTest.java
+++ b/src/test/java/myrtleladder/process/NodeSettingsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/myrtleladder/process/ProgramCommandTest.java
+++ b/src/test/java/myrtleladder/process/ProgramCommandTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 import org.junit.jupiter.api.Test;
 
 /** Exit codes of the fleet's programs. */
--- a/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
+++ b/src/test/java/myrtleladder/protocol/MessageCompatibilityTest.java
@@ -13,9 +13,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.stream.Stream;
-import myrtleladder.io.IoException;
-import myrtleladder.io.ResultCode;
 import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.result.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -60,8 +59,9 @@
 
     @Test
     void theByteAfterTheLastTypeIsRefused() {
-        IoException refused =
-                assertThrows(IoException.class, () -> MessageCodec.decode(new byte[] {19}));
+        MessageFormatException refused =
+                assertThrows(
+                        MessageFormatException.class, () -> MessageCodec.decode(new byte[] {19}));
         assertEquals(ResultCode.BAD_MESSAGE, refused.code());
     }
 
--- a/src/test/java/myrtleladder/replication/ManualScheduler.java
+++ b/src/test/java/myrtleladder/replication/ManualScheduler.java
@@ -1,7 +1,7 @@
 package myrtleladder.replication;
 
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.TimerQueue;
+import myrtleladder.scheduler.Scheduler;
+import myrtleladder.scheduler.TimerQueue;
 
 /** A clock that moves only when told to. */
 public final class ManualScheduler implements Scheduler {
--- a/src/test/java/myrtleladder/io/ResultCodeTest.java
+++ b/src/test/java/myrtleladder/result/ResultCodeTest.java
@@ -1,4 +1,4 @@
-package myrtleladder.io;
+package myrtleladder.result;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
