--- a/src/main/java/myrtleladder/eventloop/EventLoop.java
+++ b/src/main/java/myrtleladder/eventloop/EventLoop.java
@@ -98,6 +98,7 @@
         }
     }
 
+    /** Returns the transport on which connections of this loop are opened. */
     public TCPNIOTransport transport() {
         return transport;
     }
