--- a/src/main/java/myrtleladder/protocol/BalancerAddress.java
+++ b/src/main/java/myrtleladder/protocol/BalancerAddress.java
@@ -1,8 +1,11 @@
 package myrtleladder.protocol;
 
-/** A balancer with the address at which others of the fleet reach it. */
+/**
+ * A balancer with the address of its internal port, as the primary lists it in a {@link
+ * PollResponse}.
+ */
 public final class BalancerAddress {
-    /** Its name. */
+    /** Name of the balancer. */
     public String name = "";
 
     /** Host and port of the internal protocol. */
--- a/src/main/java/myrtleladder/protocol/BalancerHeartbeat.java
+++ b/src/main/java/myrtleladder/protocol/BalancerHeartbeat.java
@@ -1,11 +1,14 @@
 package myrtleladder.protocol;
 
-/** A heartbeat of a process to one of its monitors. */
+/**
+ * Sent by a balancer to the two balancers that follow it on the ring of hashed names. The receiver
+ * notes the time and reports the sender as alive with its next {@link PollRequest}.
+ */
 public final class BalancerHeartbeat implements Message {
-    /** The process. */
+    /** Name of the sending balancer. */
     public String balancer = "";
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static BalancerHeartbeat of(String balancer) {
         BalancerHeartbeat message = new BalancerHeartbeat();
         message.balancer = balancer;
--- a/src/main/java/myrtleladder/protocol/CachedPrompt.java
+++ b/src/main/java/myrtleladder/protocol/CachedPrompt.java
@@ -1,14 +1,17 @@
 package myrtleladder.protocol;
 
-/** A shared beginning of prompts that an upstream was sent and so keeps. */
+/**
+ * A prompt prefix that was sent to an upstream, which therefore has it in its cache. Part of {@link
+ * LoadReport} and {@link FleetLoads}.
+ */
 public final class CachedPrompt {
-    /** A hash of the beginning, part by part. */
+    /** Hash of the prefix, chained over its parts. */
     public long prefixHash;
 
-    /** The upstream, see {@link UpstreamLoad#keyOf}. */
+    /** Key of the upstream, see {@link UpstreamLoad#keyOf}. */
     public int upstreamKey;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static CachedPrompt of(long prefixHash, int upstreamKey) {
         CachedPrompt made = new CachedPrompt();
         made.prefixHash = prefixHash;
--- a/src/main/java/myrtleladder/protocol/FleetLoads.java
+++ b/src/main/java/myrtleladder/protocol/FleetLoads.java
@@ -3,20 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a balancer is told of all others: what they have under way, and what upstreams keep. */
+/**
+ * The load that all other balancers report, and the prompt prefixes that upstreams have in their
+ * cache. Sent by the primary to a balancer, in answer to its {@link LoadReport}.
+ */
 public final class FleetLoads {
-    /** The epoch of the primary that tells it. */
+    /** Epoch of the sending primary. */
     public long epoch;
 
-    /** Whether {@code loads} are known; right after a new primary began they are not. */
+    /** Whether {@code loads} are known; they are not right after a new primary began. */
     public boolean loadsKnown;
 
-    /** The upstreams at which others have something under way; what is not named is idle. */
+    /**
+     * Load of upstreams with requests of other balancers; an upstream that is not listed is idle.
+     */
     public List<UpstreamLoad> loads = new ArrayList<>();
 
-    /** Beginnings of prompts that upstreams keep, as far as they are new to the balancer. */
+    /** Cached prompt prefixes that are new to the balancer. */
     public List<CachedPrompt> cachedPrompts = new ArrayList<>();
 
-    /** How far the balancer knows them with this answer, within the epoch. */
+    /**
+     * Revision of the prompt directory that the balancer has with this response, within the epoch.
+     */
     public long promptRevision;
 }
--- a/src/main/java/myrtleladder/protocol/InFlightRequests.java
+++ b/src/main/java/myrtleladder/protocol/InFlightRequests.java
@@ -1,14 +1,17 @@
 package myrtleladder.protocol;
 
-/** Requests that a balancer has under way at an upstream that leaves. */
+/**
+ * Requests that a balancer has in flight at one draining upstream. Part of {@link PollRequest}; the
+ * primary adds those of all balancers up.
+ */
 public final class InFlightRequests {
-    /** The upstream's incarnation. */
+    /** Id of the incarnation of the upstream. */
     public String instanceId = "";
 
-    /** How many. */
+    /** Number of requests in flight. */
     public int requests;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static InFlightRequests of(String instanceId, int requests) {
         InFlightRequests made = new InFlightRequests();
         made.instanceId = instanceId;
--- a/src/main/java/myrtleladder/protocol/InstanceRecord.java
+++ b/src/main/java/myrtleladder/protocol/InstanceRecord.java
@@ -1,58 +1,65 @@
 package myrtleladder.protocol;
 
-/** An incarnation of an upstream as its heartbeats tell it; instances are not changed once made. */
+/**
+ * The state of one incarnation of an upstream, as its heartbeats report it. Instances are not
+ * changed once created; the {@code with...} methods return copies.
+ */
 public final class InstanceRecord {
     /**
-     * What an instance does; it is lost while its heartbeats stay out, and never comes back from
-     * the others.
+     * Lifecycle of an instance. Written by ordinal, so the order of the constants is part of the
+     * protocol.
      */
     public enum Stage {
+        /** Takes requests. */
         READY,
+        /** Its heartbeats timed out; ready again with the next one. */
         LOST,
+        /** Takes no new requests; never ready again. */
         DRAINING,
+        /** Has departed; never comes back. */
         GONE
     }
 
-    /** The incarnation's id. */
+    /** Id of the incarnation. */
     public String id = "";
 
-    /** The service that it belongs to. */
+    /** Name of the service that it belongs to. */
     public String service = "";
 
     /** Host and port. */
     public String address = "";
 
-    /** Its zone. */
+    /** Name of its zone. */
     public String zone = "";
 
-    /** Requests that it works on at once. */
+    /** Number of requests that it processes at once. */
     public int capacity;
 
-    /** The version of its software. */
+    /** Version of its software. */
     public String version = "";
 
-    /** What it does. */
+    /** Lifecycle stage. */
     public Stage stage = Stage.READY;
 
-    /** The number of the heartbeat that told this. */
+    /** Sequence number of the heartbeat that reported this state. */
     public long heartbeatSequence;
 
-    /** The version of the weights is not told. */
+    /** Value of {@link #weightsVersion} if the upstream does not report one. */
     public static final long UNKNOWN_WEIGHTS_VERSION = -1;
 
-    /** The version of the weights of its model. */
+    /** Version of the weights of its model. */
     public long weightsVersion = UNKNOWN_WEIGHTS_VERSION;
 
-    /** No ordinal was assigned. */
+    /** Value of {@link #ordinal} as long as none is assigned. */
     public static final int UNASSIGNED_ORDINAL = 0;
 
     /**
      * The instance's place among those of its service, from 1; a replacement takes over that of the
-     * instance it replaces. Assigned by the primary, so heartbeats do not tell it.
+     * instance it replaces. Assigned by the primary, so heartbeats do not report it.
      */
     public int ordinal = UNASSIGNED_ORDINAL;
 
-    /** Creates a record from its parts. */
+    /** Creates a record without ordinal and version of weights. */
     public static InstanceRecord of(
             String id,
             String service,
@@ -62,50 +69,53 @@
             String version,
             Stage stage,
             long heartbeatSequence) {
-        InstanceRecord made = new InstanceRecord();
-        made.id = id;
-        made.service = service;
-        made.address = address;
-        made.zone = zone;
-        made.capacity = capacity;
-        made.version = version;
-        made.stage = stage;
-        made.heartbeatSequence = heartbeatSequence;
-        return made;
+        InstanceRecord record = new InstanceRecord();
+        record.id = id;
+        record.service = service;
+        record.address = address;
+        record.zone = zone;
+        record.capacity = capacity;
+        record.version = version;
+        record.stage = stage;
+        record.heartbeatSequence = heartbeatSequence;
+        return record;
     }
 
-    /** The departure of an incarnation of which nothing else is known. */
+    /** Returns a record of a departed incarnation of which only the id is known. */
     public static InstanceRecord departed(String id) {
         return of(id, "", "", "", 0, "", Stage.GONE, 0);
     }
 
-    /** The same at another stage. */
-    public InstanceRecord withStage(Stage other) {
-        InstanceRecord made =
-                of(id, service, address, zone, capacity, version, other, heartbeatSequence);
-        made.ordinal = ordinal;
-        made.weightsVersion = weightsVersion;
-        return made;
+    /** Returns a copy at another stage. */
+    public InstanceRecord withStage(Stage newStage) {
+        InstanceRecord copy =
+                of(id, service, address, zone, capacity, version, newStage, heartbeatSequence);
+        copy.ordinal = ordinal;
+        copy.weightsVersion = weightsVersion;
+        return copy;
     }
 
-    /** The same with a version of the weights. */
-    public InstanceRecord withWeightsVersion(long told) {
-        InstanceRecord made = withStage(stage);
-        made.weightsVersion = told;
-        return made;
+    /** Returns a copy with a version of the weights. */
+    public InstanceRecord withWeightsVersion(long newVersion) {
+        InstanceRecord copy = withStage(stage);
+        copy.weightsVersion = newVersion;
+        return copy;
     }
 
-    /** The same with an ordinal. */
+    /** Returns this record with an ordinal. */
     public InstanceRecord withOrdinal(int assigned) {
         if (assigned == ordinal) {
             return this;
         }
-        InstanceRecord made = withStage(stage);
-        made.ordinal = assigned;
-        return made;
+        InstanceRecord copy = withStage(stage);
+        copy.ordinal = assigned;
+        return copy;
     }
 
-    /** Whether this tells something else than another record, its number apart. */
+    /**
+     * Returns whether something that balancers use differs from another record, which may be null;
+     * the sequence number is not compared.
+     */
     public boolean differsFrom(InstanceRecord other) {
         return other == null
                 || stage != other.stage
@@ -116,17 +126,20 @@
                 || !service.equals(other.service);
     }
 
-    /** Whether the instance leaves or has left. */
+    /** Returns whether the instance is draining or gone. */
     public boolean isLeaving() {
         return stage == Stage.DRAINING || stage == Stage.GONE;
     }
 
-    /** Which of two records of one incarnation holds: a departure, else the later heartbeat. */
+    /**
+     * Merges two records of one incarnation: the one further in its departure wins, else the one
+     * with the later heartbeat. The higher ordinal is kept.
+     */
     public static InstanceRecord latest(InstanceRecord a, InstanceRecord b) {
-        return laterHeard(a, b).withOrdinal(Math.max(a.ordinal, b.ordinal));
+        return latestReported(a, b).withOrdinal(Math.max(a.ordinal, b.ordinal));
     }
 
-    private static InstanceRecord laterHeard(InstanceRecord a, InstanceRecord b) {
+    private static InstanceRecord latestReported(InstanceRecord a, InstanceRecord b) {
         if (a.isLeaving() != b.isLeaving() || a.isLeaving() && a.stage != b.stage) {
             return a.stage.ordinal() > b.stage.ordinal() ? a : b;
         }
--- a/src/main/java/myrtleladder/protocol/JoinResponse.java
+++ b/src/main/java/myrtleladder/protocol/JoinResponse.java
@@ -1,11 +1,11 @@
 package myrtleladder.protocol;
 
-/** The answer to a {@link JoinRequest}: the view that the answering node knows of, null if none. */
+/** The response to a {@link JoinRequest}. */
 public final class JoinResponse implements Message {
-    /** The view. */
+    /** The latest view that the responding node knows, null if none. */
     public View view;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static JoinResponse of(View view) {
         JoinResponse message = new JoinResponse();
         message.view = view;
--- a/src/main/java/myrtleladder/protocol/LeaveRequest.java
+++ b/src/main/java/myrtleladder/protocol/LeaveRequest.java
@@ -1,11 +1,14 @@
 package myrtleladder.protocol;
 
-/** A control node that was asked to end asks to be taken out of the group first. */
+/**
+ * Sent by a control node that was asked to stop, to be removed from the group first. The primary
+ * removes it in a later view. Answered by {@link LeaveResponse}.
+ */
 public final class LeaveRequest implements Message {
-    /** Who leaves. */
+    /** The leaving node. */
     public Member member;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static LeaveRequest of(Member member) {
         LeaveRequest message = new LeaveRequest();
         message.member = member;
--- a/src/main/java/myrtleladder/protocol/LeaveResponse.java
+++ b/src/main/java/myrtleladder/protocol/LeaveResponse.java
@@ -1,14 +1,17 @@
 package myrtleladder.protocol;
 
-/** The answer to a {@link LeaveRequest}. */
+/** The response to a {@link LeaveRequest}. */
 public final class LeaveResponse implements Message {
-    /** Whether neither the vote nor the copy of the member that asks is needed any more. */
+    /**
+     * Whether neither the vote nor the replica of the leaving node is needed any more, so that it
+     * may stop.
+     */
     public boolean released;
 
-    /** The view that the answering node knows of, null if none. */
+    /** The latest view that the responding node knows, null if none. */
     public View view;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static LeaveResponse of(boolean released, View view) {
         LeaveResponse message = new LeaveResponse();
         message.released = released;
--- a/src/main/java/myrtleladder/protocol/LoadReport.java
+++ b/src/main/java/myrtleladder/protocol/LoadReport.java
@@ -4,28 +4,30 @@
 import java.util.List;
 
 /**
- * All that one balancer has under way, and what upstreams keep by what it sent them. Each report
- * replaces the one before, so one that arrives twice counts once.
+ * All that one balancer has in flight, and the prompt prefixes that it sent to upstreams. Part of
+ * {@link PollRequest} and {@link QuotaRequest}; the primary answers with {@link FleetLoads}.
+ *
+ * <p>Each report replaces the one before, so one that arrives twice counts once.
  */
 public final class LoadReport {
-    /** The balancer's name. */
+    /** Name of the balancer. */
     public String balancer = "";
 
-    /** Differs between two processes that have one name. */
+    /** Random number of the process; tells apart two processes of one name. */
     public long processId;
 
-    /** Rises with each report of a process. */
+    /** Sequence number of the report, rising within a process. */
     public long sequence;
 
-    /** The upstreams at which it has something under way. */
+    /** Load of the upstreams at which the balancer has requests in flight. */
     public List<UpstreamLoad> loads = new ArrayList<>();
 
-    /** Beginnings of prompts that it sent to upstreams and has not told yet. */
+    /** Prompt prefixes that it sent to upstreams and has not reported yet. */
     public List<CachedPrompt> cachedPrompts = new ArrayList<>();
 
-    /** The epoch of the last answer. */
+    /** Epoch of the last response that the balancer got. */
     public long epoch;
 
-    /** How far it knows the others' beginnings, within that epoch. */
+    /** Revision of the prompt directory that the balancer has, within that epoch. */
     public long promptRevision;
 }
--- a/src/main/java/myrtleladder/protocol/Member.java
+++ b/src/main/java/myrtleladder/protocol/Member.java
@@ -1,17 +1,18 @@
 package myrtleladder.protocol;
 
 /**
- * A control node: where it is reached by the fleet and by callers from outside, and the identity of
- * its store. A node that loses its disk comes back with another store, and so as another member.
+ * A control node with its addresses and the identity of its store. Two members are equal if their
+ * stores are: a node that loses its disk comes back with another store, and so as another member,
+ * which has no vote until a view admits it.
  */
 public final class Member {
     /** Host and port of the internal protocol. */
     public String address = "";
 
-    /** Host and port of the control interface. */
+    /** Host and port of the control interface, for operators and upstreams. */
     public String controlAddress = "";
 
-    /** Identity of the store. */
+    /** Identity of the store, drawn when the store was created. */
     public String storeId = "";
 
     /** Creates a member from its parts. */
--- a/src/main/java/myrtleladder/protocol/MessageCodec.java
+++ b/src/main/java/myrtleladder/protocol/MessageCodec.java
@@ -6,8 +6,9 @@
 import io.protostuff.runtime.RuntimeSchema;
 import java.util.List;
 
-/** Messages as bytes: one byte for the type, then the fields as Protostuff. */
+/** Encodes messages: one byte for the type, then the fields as Protostuff. Thread-safe. */
 public final class MessageCodec {
+    /** Message types by their type byte; new ones are added at the end. */
     private static final List<Class<? extends Message>> TYPES =
             List.of(
                     StoredState.class,
@@ -29,14 +30,16 @@
                     BalancerHeartbeat.class,
                     LeaveRequest.class,
                     LeaveResponse.class);
-    private static final int BUFFER = 1_024;
+
+    /** Bytes of a buffer of the encoder, which adds further ones as needed. Chosen. */
+    private static final int BUFFER_BYTES = 1_024;
 
     private MessageCodec() {}
 
-    /** A message as bytes. */
+    /** Encodes a message into a new array. */
     public static byte[] encode(Message message) {
         int type = TYPES.indexOf(message.getClass());
-        byte[] fields = fields(message);
+        byte[] fields = encodeFields(message);
         byte[] bytes = new byte[fields.length + 1];
         bytes[0] = (byte) type;
         System.arraycopy(fields, 0, bytes, 1, fields.length);
@@ -44,24 +47,28 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static <T extends Message> byte[] fields(T message) {
+    private static <T extends Message> byte[] encodeFields(T message) {
         Schema<T> schema = RuntimeSchema.getSchema((Class<T>) message.getClass());
-        return ProtostuffIOUtil.toByteArray(message, schema, LinkedBuffer.allocate(BUFFER));
+        return ProtostuffIOUtil.toByteArray(message, schema, LinkedBuffer.allocate(BUFFER_BYTES));
     }
 
-    /** Bytes as a message; what is none is refused. */
+    /**
+     * Decodes a message; the array is not kept.
+     *
+     * @throws MessageFormatException if the type is unknown or the fields can't be read
+     */
     public static Message decode(byte[] bytes) {
         if (bytes.length == 0 || bytes[0] < 0 || bytes[0] >= TYPES.size()) {
             throw new MessageFormatException("unknown type of message", null);
         }
         try {
-            return parse(TYPES.get(bytes[0]), bytes);
-        } catch (RuntimeException e) {
+            return decodeFields(TYPES.get(bytes[0]), bytes);
+        } catch (RuntimeException e) { // the library throws several kinds for malformed input
             throw new MessageFormatException("fields can't be read: " + e.getMessage(), e);
         }
     }
 
-    private static <T extends Message> T parse(Class<T> type, byte[] bytes) {
+    private static <T extends Message> T decodeFields(Class<T> type, byte[] bytes) {
         Schema<T> schema = RuntimeSchema.getSchema(type);
         T message = schema.newMessage();
         ProtostuffIOUtil.mergeFrom(bytes, 1, bytes.length - 1, message, schema);
--- a/src/main/java/myrtleladder/protocol/PollRequest.java
+++ b/src/main/java/myrtleladder/protocol/PollRequest.java
@@ -3,44 +3,50 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A balancer asks for all that is newer than what it has; the answer may wait for news. */
+/**
+ * Sent by a balancer to the primary as a long poll: asks for all that is newer than what the
+ * balancer has, and reports its state.
+ *
+ * <p>The primary answers at once when there is something newer, else after a delay. A node that is
+ * not primary answers at once with the addresses at which to ask. Answered by {@link PollResponse}.
+ */
 public final class PollRequest implements Message {
-    /** The balancer's incarnation. */
+    /** Name of the balancer. */
     public String balancer = "";
 
-    /** Host and port at which others of the fleet reach it. */
+    /** Host and port at which other balancers reach it. */
     public String address = "";
 
-    /** Balancers that it monitors and hears. */
+    /** Names of the balancers that it monitors and whose heartbeats arrive. */
     public List<String> liveBalancers = new ArrayList<>();
 
-    /** The revision of the list of balancers that it has, within the epoch. */
+    /** Revision of the list of balancers that it has, within the epoch. */
     public long balancerListRevision;
 
-    /** Whether it is about to end. */
+    /** Whether the balancer is about to stop. */
     public boolean leaving;
 
-    /** The epoch of the last answer, 0 before the first. */
+    /** Epoch of the last response, 0 before the first. */
     public long epoch;
 
-    /** The number of the configuration in force, 0 for none. */
+    /** Generation of the configuration that it applies, 0 for none. */
     public long generation;
 
-    /** The revision of the upstreams, within the epoch. */
+    /** Revision of the upstream records that it has, within the epoch. */
     public long instanceRevision;
 
-    /** Whether the balancer has had a complete list within the epoch. */
+    /** Whether it got an authoritative list of upstreams within the epoch. */
     public boolean hasAuthoritativeList;
 
-    /** How many balancers there are as far as it knows. */
+    /** Number of balancers as far as it knows. */
     public int balancerCount;
 
-    /** What it has under way at upstreams that leave. */
+    /** Requests that it has in flight at draining upstreams. */
     public List<InFlightRequests> inFlightAtDraining = new ArrayList<>();
 
-    /** Whether news are wanted at once, even if there are none. */
+    /** Whether the response shall be sent at once, even if there is nothing newer. */
     public boolean immediate;
 
-    /** What the balancer has under way, null if it does not say. */
+    /** Load of the balancer, null if it does not report it. */
     public LoadReport loadReport;
 }
--- a/src/main/java/myrtleladder/protocol/PollResponse.java
+++ b/src/main/java/myrtleladder/protocol/PollResponse.java
@@ -3,50 +3,53 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The answer to a {@link PollRequest}. */
+/**
+ * The response to a {@link PollRequest}. The balancer ignores responses of a lower epoch or an
+ * older generation than it has.
+ */
 public final class PollResponse implements Message {
     /**
-     * Whether the answering node is primary; if not, only {@code controlNodeAddresses}, {@code
-     * primaryAddress} and {@code epoch} are told.
+     * Whether the responding node is primary; if not, only {@code controlNodeAddresses}, {@code
+     * primaryAddress} and {@code epoch} are set.
      */
     public boolean fromPrimary;
 
-    /** The primary's address, empty if unknown. */
+    /** Address of the primary's internal port, empty if unknown. */
     public String primaryAddress = "";
 
-    /** Addresses of all control nodes. */
+    /** Addresses of the internal ports of all control nodes. */
     public List<String> controlNodeAddresses = new ArrayList<>();
 
-    /** The epoch; of a node that is not primary, the latest that it knows. */
+    /** Epoch of the primary; of a node that is not primary, the highest that it knows. */
     public long epoch;
 
-    /** The number of the configuration. */
+    /** Generation of the configuration. */
     public long generation;
 
-    /** The document, compressed; empty if the balancer has it. */
+    /** The configuration as compressed JSON, empty if the balancer has this generation. */
     public byte[] document = {};
 
-    /** The revision of the upstreams. */
+    /** Revision of the upstream records that the balancer has with this response. */
     public long instanceRevision;
 
-    /** Whether {@code instances} are all rather than changes. */
+    /** Whether {@code instances} are all upstreams rather than changes. */
     public boolean fullInstanceList;
 
-    /** Whether upstreams that are not known to this node can be taken for gone. */
+    /** Whether upstreams that this node does not know can be taken for gone. */
     public boolean authoritative;
 
-    /** Upstreams, all or those that changed. */
+    /** Records of all upstreams or of those that changed. */
     public List<InstanceRecord> instances = new ArrayList<>();
 
-    /** The revision of the list of balancers. */
+    /** Revision of the list of balancers. */
     public long balancerListRevision;
 
-    /** The balancers, empty if the asking one has them. */
+    /** All balancers, empty if the balancer has this revision. */
     public List<BalancerAddress> balancerList = new ArrayList<>();
 
-    /** How many balancers there are. */
+    /** Number of balancers. */
     public int balancerCount;
 
-    /** What the other balancers have under way, null if that is not known. */
+    /** Load of the other balancers, null if it is not known. */
     public FleetLoads fleetLoads;
 }
--- a/src/main/java/myrtleladder/protocol/PrepareRequest.java
+++ b/src/main/java/myrtleladder/protocol/PrepareRequest.java
@@ -1,17 +1,23 @@
 package myrtleladder.protocol;
 
-/** A candidate asks for the promise of an epoch, or whether it would be given. */
+/**
+ * Phase 1 of Paxos, or a pre-vote. Sent by a candidate to all members of the group.
+ *
+ * <p>The receiver promises the epoch, on its disk, if it is above all that it promised before; from
+ * then on it rejects requests of lower epochs. For a pre-vote it answers whether it would, which it
+ * would not while it hears a primary, and changes nothing. Answered by {@link PrepareResponse}.
+ */
 public final class PrepareRequest implements Message {
-    /** The epoch asked for. */
+    /** Epoch to be promised. */
     public long epoch;
 
-    /** The candidate. */
+    /** The sending candidate. */
     public Member candidate;
 
-    /** Asks only whether a primary is heard of; nothing is promised. */
+    /** Whether this is a pre-vote, for which nothing is promised. */
     public boolean preVote;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static PrepareRequest of(long epoch, Member candidate, boolean preVote) {
         PrepareRequest message = new PrepareRequest();
         message.epoch = epoch;
--- a/src/main/java/myrtleladder/protocol/PrepareResponse.java
+++ b/src/main/java/myrtleladder/protocol/PrepareResponse.java
@@ -3,20 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The answer to a {@link PrepareRequest}. */
+/**
+ * The response to a {@link PrepareRequest}. The candidate counts granted ones for a majority and
+ * merges the upstream records; one that was not granted tells it the epoch to exceed.
+ */
 public final class PrepareResponse implements Message {
-    /** Whether the promise is given. */
+    /** Whether the epoch was promised or, for a pre-vote, would be. */
     public boolean granted;
 
-    /** The highest epoch promised so far. */
+    /** The highest epoch that the responding member promised. */
     public long promisedEpoch;
 
-    /** Who answers. */
+    /** The responding member. */
     public Member member;
 
-    /** The last view accepted, null if none. */
+    /** The last view that it accepted, null if none. */
     public View acceptedView;
 
-    /** The upstreams that the member has heard of. */
+    /** Upstream records that it knows; empty if the epoch was not granted. */
     public List<InstanceRecord> instances = new ArrayList<>();
 }
--- a/src/main/java/myrtleladder/protocol/QuotaRequest.java
+++ b/src/main/java/myrtleladder/protocol/QuotaRequest.java
@@ -1,17 +1,20 @@
 package myrtleladder.protocol;
 
-/** A balancer asks the primary for units of a tenant's quota. */
+/**
+ * Sent by a balancer to the primary, to get units of the quota of a tenant for a request. Answered
+ * by {@link QuotaResponse}.
+ */
 public final class QuotaRequest implements Message {
-    /** The tenant. */
+    /** Name of the tenant. */
     public String tenant = "";
 
-    /** Units that a request counts. */
+    /** Units that the request counts: requests or tokens, as the tenant is configured. */
     public double units;
 
-    /** What the balancer has under way, null if it does not say. */
+    /** Load of the balancer, null if it does not report it. */
     public LoadReport loadReport;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static QuotaRequest of(String tenant, double units) {
         QuotaRequest message = new QuotaRequest();
         message.tenant = tenant;
--- a/src/main/java/myrtleladder/protocol/QuotaResponse.java
+++ b/src/main/java/myrtleladder/protocol/QuotaResponse.java
@@ -1,20 +1,20 @@
 package myrtleladder.protocol;
 
-/** The answer to a {@link QuotaRequest}. */
+/** The response to a {@link QuotaRequest}. */
 public final class QuotaResponse implements Message {
-    /** Whether the answering node is primary. */
+    /** Whether the responding node is primary; if not, nothing else is set. */
     public boolean fromPrimary;
 
-    /** Units granted, at least those asked for or none. */
+    /** Units granted: at least those requested, or none. */
     public double grantedUnits;
 
-    /** Without a grant, milliseconds until there may be one. */
+    /** Without a grant, the time until there may be one, in milliseconds. */
     public long waitMs;
 
-    /** What the other balancers have under way, null if that is not known. */
+    /** Load of the other balancers, null if it is not known. */
     public FleetLoads fleetLoads;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static QuotaResponse of(boolean fromPrimary, double grantedUnits, long waitMs) {
         QuotaResponse message = new QuotaResponse();
         message.fromPrimary = fromPrimary;
--- a/src/main/java/myrtleladder/protocol/ReplicateRequest.java
+++ b/src/main/java/myrtleladder/protocol/ReplicateRequest.java
@@ -1,20 +1,26 @@
 package myrtleladder.protocol;
 
-/** The primary gives a replica the next state. */
+/**
+ * Sent by the primary to the replicas of its view, to store a configuration change before it is
+ * acknowledged to the operator.
+ *
+ * <p>The receiver syncs the new state to its disk if it is a replica of this epoch's view and
+ * promised no higher epoch. Answered by {@link AcknowledgeResponse}.
+ */
 public final class ReplicateRequest implements Message {
-    /** The epoch of the primary. */
+    /** Epoch of the primary. */
     public long epoch;
 
-    /** The document after the change. */
+    /** The configuration after the change, as compressed JSON. */
     public byte[] document = {};
 
-    /** Its number. */
+    /** Generation of the configuration after the change. */
     public long generation;
 
-    /** The digest of the order. */
+    /** Digest of the change request, by which one that arrives again is recognized. */
     public String changeDigest = "";
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static ReplicateRequest of(
             long epoch, byte[] document, long generation, String changeDigest) {
         ReplicateRequest message = new ReplicateRequest();
--- a/src/main/java/myrtleladder/protocol/ResignRequest.java
+++ b/src/main/java/myrtleladder/protocol/ResignRequest.java
@@ -1,11 +1,14 @@
 package myrtleladder.protocol;
 
-/** A primary that is about to end or can't write asks a replica to stand at once. */
+/**
+ * Sent by a primary that is about to stop, or can't write to its disk, to a replica, which starts
+ * an election at once. Answered by {@link AcknowledgeResponse}.
+ */
 public final class ResignRequest implements Message {
-    /** The epoch given up. */
+    /** Epoch of the resigning primary. */
     public long epoch;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static ResignRequest of(long epoch) {
         ResignRequest message = new ResignRequest();
         message.epoch = epoch;
--- a/src/main/java/myrtleladder/protocol/ShareInstancesRequest.java
+++ b/src/main/java/myrtleladder/protocol/ShareInstancesRequest.java
@@ -3,18 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The primary gives the other control nodes what it has heard of upstreams. */
+/**
+ * Sent by the primary to the other control nodes, to hand on what upstreams reported of themselves.
+ *
+ * <p>The receiver merges the records, or rejects them if it knows a higher epoch. Answered by
+ * {@link AcknowledgeResponse}.
+ */
 public final class ShareInstancesRequest implements Message {
-    /** The epoch of the primary. */
+    /** Epoch of the primary. */
     public long epoch;
 
-    /** The records. */
+    /** Upstream records that are new or changed. */
     public List<InstanceRecord> instances = new ArrayList<>();
 
-    /** Whether the answer has to wait until the records are on the disk. */
+    /** Whether the response has to wait until the records are synced to the disk. */
     public boolean syncRequired;
 
-    /** Creates a message from its parts. */
+    /** Creates a message with these fields. */
     public static ShareInstancesRequest of(
             long epoch, List<InstanceRecord> instances, boolean syncRequired) {
         ShareInstancesRequest message = new ShareInstancesRequest();
--- a/src/main/java/myrtleladder/protocol/Snapshot.java
+++ b/src/main/java/myrtleladder/protocol/Snapshot.java
@@ -3,18 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The replicated state: the operator's document and the orders that were taken. */
+/** The replicated state: the configuration and the digests of the change requests that made it. */
 public final class Snapshot {
-    /** How many orders are remembered, so that one that arrives again is known. */
+    /**
+     * Number of remembered digests, by which change requests that arrive again are recognized.
+     * Chosen.
+     */
     public static final int MAX_CHANGE_DIGESTS = 2_000;
 
-    /** The document as compressed JSON, empty before the first. */
+    /** The configuration as compressed JSON, empty before the first. */
     public byte[] document = {};
 
-    /** The operator's number of the document. */
+    /** The operator's number of the configuration. */
     public long generation;
 
-    /** Digests of the orders taken, the oldest first. */
+    /** Digests of the last change requests, the oldest first. */
     public List<String> changeDigests = new ArrayList<>();
 
     /** Creates a snapshot from its parts. */
--- a/src/main/java/myrtleladder/protocol/StoredState.java
+++ b/src/main/java/myrtleladder/protocol/StoredState.java
@@ -3,7 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All that a control node keeps on its disk; instances are not changed once made. */
+/**
+ * All that a control node stores on its disk. Not sent to other nodes, but encoded like a message.
+ *
+ * <p>Instances are not changed once created; the {@code with...} methods return copies.
+ */
 public final class StoredState implements Message {
     /** Identity of this store. */
     public String storeId = "";
@@ -14,12 +18,12 @@
     /** The last view accepted, null if none. */
     public View acceptedView;
 
-    /** The replicated state, as far as this node holds it. */
+    /** The replicated state, as far as this node stores it. */
     public Snapshot snapshot = new Snapshot();
 
     /**
-     * Upstreams as this replica knew them at its last save: a hint for the first moments after a
-     * restart.
+     * Upstream records as this replica knew them at its last save: a hint for the first moments
+     * after a restart.
      */
     public List<InstanceRecord> instances = new ArrayList<>();
 
--- a/src/main/java/myrtleladder/protocol/UpstreamLoad.java
+++ b/src/main/java/myrtleladder/protocol/UpstreamLoad.java
@@ -1,10 +1,10 @@
 package myrtleladder.protocol;
 
-/** What is under way at an upstream. */
+/** Requests in flight at one upstream. Part of {@link LoadReport} and {@link FleetLoads}. */
 public final class UpstreamLoad {
     private static final int POSITIVE = 0x7fffffff;
 
-    /** The upstream's incarnation, see {@link #keyOf}. */
+    /** Key of the incarnation of the upstream, see {@link #keyOf}. */
     public int upstreamKey;
 
     /** Requests that were sent there and have not ended. */
--- a/src/main/java/myrtleladder/protocol/View.java
+++ b/src/main/java/myrtleladder/protocol/View.java
@@ -4,15 +4,22 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Who is primary, who holds copies and who may vote, under the epoch that fences them. */
+/**
+ * A view in the sense of viewstamped replication: the primary, the replicas and the voting group
+ * under the epoch that fences them.
+ *
+ * <p>Invariants: an epoch has one primary at most; the primary is the first replica. A change of
+ * the group is joint: majorities of the group and of the previous one count until a view follows in
+ * which they are equal.
+ */
 public final class View {
-    /** The epoch; each has one primary at most. */
+    /** The epoch. */
     public long epoch;
 
     /** The primary, null before the first. */
     public Member primary;
 
-    /** The members that hold the state, the primary first. */
+    /** The members that store the replicated state, the primary first. */
     public List<Member> replicas = new ArrayList<>();
 
     /** The members that store epochs and vote. */
