--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -11,82 +11,52 @@
 import myrtleladder.result.ResultException;
 
 /** The command line of the control plane. */
-final class ControlCommand {
-    private static final String SYNTAX =
-            "myrtleladder-controlplane serve | check [FILE] | rehearse | store FOLDER";
-    private static final String WORDS =
-            """
-
-serve         serve with the settings that MYRTLELADDER_CONFIG names
-check [FILE]  check a settings file
-rehearse      serve requests of its own on the loopback and end
-store FOLDER  verify the state in a folder and tell what it holds
-
-Exit codes: 0 done, 1 failed with a numbered result, 2 the command line is wrong.""";
-
+final class ControlCommand implements ProgramCommand.Program {
     private ControlCommand() {}
 
+    /** Runs a command line and returns the exit code. */
     static int run(String[] arguments) {
-        return ProgramCommand.run(arguments, SYNTAX, WORDS, ControlCommand::carryOut);
+        return new ProgramCommand(
+                        new ControlCommand(),
+                        new ProgramCommand.Subcommand(
+                                "store",
+                                "store FOLDER",
+                                "verify the state in a folder and tell what it holds",
+                                ControlCommand::verifyStore))
+                .run(arguments);
     }
 
-    private static int carryOut(List<String> words) {
-        switch (words.get(0)) {
-            case "serve" -> serve();
-            case "rehearse" -> {
-                return rehearse();
-            }
-            case "check" -> System.out.println(settings(words) + "\nsettings are sound");
-            case "store" -> {
-                return verify(words);
-            }
-            default -> {
-                return ProgramCommand.unknown(words.get(0));
-            }
-        }
-        return 0;
+    @Override
+    public String name() {
+        return "myrtleladder-controlplane";
     }
 
-    private static NodeSettings settings(List<String> words) {
-        return words.size() > 1
-                ? NodeSettings.read(Path.of(words.get(1)))
-                : NodeSettings.fromEnvironment();
-    }
-
-    private static int rehearse() {
-        try {
-            return Rehearsal.run() ? 0 : 1;
-        } catch (IOException | InterruptedException e) {
-            System.err.println(e);
-            return 1;
-        }
-    }
-
-    private static void serve() {
-        NodeSettings settings = NodeSettings.fromEnvironment();
+    @Override
+    public void serve(NodeSettings settings)
+            throws InterruptedException, ReflectiveOperationException {
         if (settings.control() == null || settings.dataFolder().isEmpty()) {
             throw new SettingsException(
                     ResultCode.SETTINGS_VALUE, "a control node needs listen.control and data_dir");
         }
-        try {
-            Main.serve(settings);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } catch (ReflectiveOperationException e) {
-            throw new SettingsException(ResultCode.USAGE, "this platform has no signals: " + e);
-        }
+        Main.serve(settings);
+    }
+
+    @Override
+    public boolean warmUp() throws IOException, InterruptedException {
+        return Rehearsal.run();
     }
 
-    private static int verify(List<String> words) {
+    /** Prints what each stored generation holds; fails if none can be read. */
+    private static int verifyStore(List<String> words) {
         if (words.size() < 2) {
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
-        int sound = 0;
+        int readable = 0;
         for (GenerationStore.Generation generation :
                 new GenerationStore(Path.of(words.get(1))).generations()) {
             try {
                 StoredState state = GenerationStore.read(generation.file());
-                sound++;
+                readable++;
                 System.out.println(
                         generation.file()
                                 + ": store "
@@ -104,6 +74,6 @@
                 System.out.println(generation.file() + ": " + e.getMessage());
             }
         }
-        return sound > 0 ? 0 : 1;
+        return readable > 0 ? ProgramCommand.SUCCESS_EXIT_CODE : ProgramCommand.FAILURE_EXIT_CODE;
     }
 }
