--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -43,7 +43,7 @@
 
     @Override
     public boolean warmUp() throws IOException, InterruptedException {
-        return Rehearsal.run();
+        return Warmup.run();
     }
 
     /** Prints what each stored generation holds; fails if none can be read. */
@@ -52,13 +52,12 @@
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
         int readable = 0;
-        for (GenerationStore.Generation generation :
-                new GenerationStore(Path.of(words.get(1))).generations()) {
+        for (StateStore.StateFile file : new StateStore(Path.of(words.get(1))).files()) {
             try {
-                StoredState state = GenerationStore.read(generation.file());
+                StoredState state = StateStore.read(file.path());
                 readable++;
                 System.out.println(
-                        generation.file()
+                        file.path()
                                 + ": store "
                                 + state.storeId
                                 + ", promised "
@@ -71,7 +70,7 @@
                                 + state.snapshot.changeDigests.size()
                                 + " orders");
             } catch (ResultException e) {
-                System.out.println(generation.file() + ": " + e.getMessage());
+                System.out.println(file.path() + ": " + e.getMessage());
             }
         }
         return readable > 0 ? ProgramCommand.SUCCESS_EXIT_CODE : ProgramCommand.FAILURE_EXIT_CODE;
--- /dev/null
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -0,0 +1,200 @@
+package myrtleladder.controlplane.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Tag;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Injects a fault at each point of the protocol in turn: before and after each send, arrival, sync
+ * and response, into the node that has reached it.
+ */
+class FaultPointTest {
+    private static final long WINDOW_MS = 2_500;
+    private static final long FAULT_DURATION_MS = 1_500;
+    private static final long RECOVERY_TIMEOUT_MS = 12_000;
+    private static final int POINT_STEP_IN_CI = 12;
+    private static final int PAIR_COUNT = 20_000;
+    private static final int MAX_SHOWN = 5;
+
+    private enum Fault {
+        KILL,
+        WIPE,
+        FREEZE,
+        PARTITION
+    }
+
+    /** What goes on while the points are counted. */
+    private enum Scenario {
+        /** Configuration changes, polls and departures. */
+        CHANGES,
+        /** A machine is added and another one leaves besides. */
+        REPLACEMENT
+    }
+
+    @Test
+    void faultAtSomePointsLosesNothing() {
+        assertEquals(List.of(), singleFaults(POINT_STEP_IN_CI));
+    }
+
+    @Test
+    @Tag("long")
+    void faultAtEachPointLosesNothing() {
+        assertEquals(List.of(), singleFaults(1));
+    }
+
+    @Test
+    @Tag("long")
+    void faultsAtTwoPointsLoseNothingThatWasAcknowledged() {
+        List<String> found =
+                IntStream.range(0, PAIR_COUNT)
+                        .parallel()
+                        .mapToObj(FaultPointTest::twoFaults)
+                        .filter(violation -> !violation.isEmpty())
+                        .limit(MAX_SHOWN)
+                        .toList();
+        assertEquals(List.of(), found);
+    }
+
+    private static List<String> singleFaults(int step) {
+        List<String> found = new ArrayList<>();
+        for (Scenario scenario : Scenario.values()) {
+            for (int size : new int[] {3, 4, 5, 8}) {
+                int points = run(scenario, size, List.of()).pointCount;
+                assertTrue(points > 100, scenario + " has " + points + " points");
+                for (Fault fault : Fault.values()) {
+                    IntStream.range(0, points)
+                            .filter(point -> point % step == size % step)
+                            .parallel()
+                            .mapToObj(
+                                    point ->
+                                            run(
+                                                    scenario,
+                                                    size,
+                                                    List.of(new InjectionPoint(point, fault))))
+                            .filter(run -> !run.violations.isEmpty())
+                            .limit(MAX_SHOWN)
+                            .forEachOrdered(run -> found.add(run.toString()));
+                }
+            }
+        }
+        return found;
+    }
+
+    /** Two losses that overlap may be more than is borne: then only nothing may be lost. */
+    private static String twoFaults(int seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Scenario scenario = Scenario.values()[random.nextInt(Scenario.values().length)];
+        int size = new int[] {3, 4, 5, 8}[random.nextInt(4)];
+        int first = random.nextInt(600);
+        Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
+        Fault other = random.nextBoolean() ? Fault.KILL : Fault.PARTITION;
+        List<InjectionPoint> injections =
+                List.of(
+                        new InjectionPoint(first, fault),
+                        new InjectionPoint(first + 1 + random.nextInt(200), other));
+        Run run = run(scenario, size, injections);
+        return run.violations.isEmpty() ? "" : run.toString();
+    }
+
+    private record InjectionPoint(int point, Fault fault) {}
+
+    /** One run with losses at points that are counted from the beginning of the scenario. */
+    private static final class Run {
+        final SimulatedCluster cluster;
+        final Scenario scenario;
+        final List<InjectionPoint> injections;
+        final List<String> violations = new ArrayList<>();
+        int pointCount;
+
+        Run(Scenario scenario, int size, List<InjectionPoint> injections) {
+            this.scenario = scenario;
+            this.injections = injections;
+            this.cluster = SimulatedCluster.ofSize(size).seed(size).build();
+        }
+
+        void run() {
+            cluster.start();
+            cluster.clock.run(1_500);
+            cluster.onFaultPoint(this::reach);
+            if (scenario == Scenario.REPLACEMENT) {
+                replace();
+            }
+            cluster.clock.run(WINDOW_MS);
+            cluster.onFaultPoint(node -> {});
+            cluster.clock.run(FAULT_DURATION_MS);
+            cluster.heal();
+            cluster.clock.run(2 * SimulatedCluster.CATCH_UP_MS);
+            if (mustRecover()) {
+                cluster.expectAcknowledgement(RECOVERY_TIMEOUT_MS, "after the loss");
+                cluster.expectAllAreMembers("after the loss");
+            }
+            violations.addAll(cluster.history.violations());
+        }
+
+        private void replace() {
+            cluster.addMachine().start(false);
+            SimulatedNode leaving = cluster.nodes().get(0);
+            cluster.clock.schedule(
+                    WINDOW_MS / 2, () -> leaving.terminate(() -> cluster.remove(leaving)));
+        }
+
+        private void reach(SimulatedNode node) {
+            int point = pointCount++;
+            for (InjectionPoint injection : injections) {
+                if (injection.point == point) {
+                    inject(node, injection.fault);
+                }
+            }
+        }
+
+        private void inject(SimulatedNode node, Fault fault) {
+            switch (fault) {
+                case KILL -> node.kill();
+                case WIPE -> node.wipe();
+                case FREEZE -> node.freeze(FAULT_DURATION_MS);
+                case PARTITION -> partition(node);
+                default -> throw new IllegalStateException(fault.toString());
+            }
+        }
+
+        private void partition(SimulatedNode node) {
+            for (SimulatedNode other : cluster.nodes()) {
+                if (other != node) {
+                    cluster.network.partition(node.address, other.address);
+                }
+            }
+        }
+
+        /**
+         * A disk that is lost beside a replacement, or beside another loss, may be one too many.
+         */
+        private boolean mustRecover() {
+            boolean isDiskLost =
+                    injections.stream().anyMatch(injection -> injection.fault == Fault.WIPE);
+            return !isDiskLost || injections.size() == 1 && scenario == Scenario.CHANGES;
+        }
+
+        @Override
+        public String toString() {
+            return scenario
+                    + " of "
+                    + cluster.nodes().size()
+                    + " "
+                    + injections
+                    + ": "
+                    + violations;
+        }
+    }
+
+    private static Run run(Scenario scenario, int size, List<InjectionPoint> injections) {
+        Run run = new Run(scenario, size, injections);
+        run.run();
+        return run;
+    }
+}
