--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -5,9 +5,9 @@
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.ConfigurationDocument;
 import myrtleladder.configuration.Json;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -5,7 +5,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Message;
@@ -14,6 +13,7 @@
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -5,12 +5,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Peers;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Keeps records of upstream instances for members that did not take them, and hands them over once
--- a/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.configuration.ConfigurationException;
-import myrtleladder.result.ResultCode;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
+import myrtleladder.result.ResultCode;
 
 /** Parses the JSON body of an upstream's heartbeat. */
 final class InstanceHeartbeatParser {
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
@@ -11,6 +10,7 @@
 import myrtleladder.protocol.View;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Sends records of upstream instances from the primary to the other control nodes. Heartbeats are
--- a/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
@@ -2,12 +2,12 @@
 
 import java.util.function.BooleanSupplier;
 import myrtleladder.configuration.Json;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.http.ServerExchange;
-import myrtleladder.result.ResultException;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.replication.Replica;
+import myrtleladder.result.ResultException;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles {@code /instances/ID} on the primary: heartbeats of upstreams ({@code PUT}) and their
--- a/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
@@ -1,7 +1,7 @@
 package myrtleladder.controlplane;
 
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Saves the upstream instances a while after they changed, many changes at once: only a restart of
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles the long polls by which balancers learn of the configuration, the upstreams, the other
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Builds responses to polls: each holds what is newer than what the balancer has. Configuration,
--- a/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
@@ -1,10 +1,10 @@
 package myrtleladder.controlplane;
 
 import java.util.function.BooleanSupplier;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles the quota requests of balancers on the primary, and with them the load reports that they
--- a/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -1,11 +1,11 @@
 package myrtleladder.controlplane;
 
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A
--- a/src/main/java/myrtleladder/controlplane/Warmup.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -13,7 +13,6 @@
 import myrtleladder.eventloop.EventLoop;
 import myrtleladder.http.Headers;
 import myrtleladder.http.RequestHead;
-import myrtleladder.result.ResultCode;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.CachedPrompt;
@@ -22,6 +21,7 @@
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.UpstreamLoad;
+import myrtleladder.result.ResultCode;
 import myrtleladder.rpc.OneCall;
 import myrtleladder.rpc.PeerClient;
 
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -12,7 +12,6 @@
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
 import myrtleladder.heartbeat.MembershipAgent;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
@@ -20,6 +19,7 @@
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.Peers;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
--- a/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/MembershipAgent.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.BalancerAddress;
 import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.replication.Peers;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Sends this process' heartbeats to its monitors and remembers those that it monitors. What it
--- a/src/main/java/myrtleladder/replication/Departure.java
+++ b/src/main/java/myrtleladder/replication/Departure.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.LeaveRequest;
 import myrtleladder.protocol.LeaveResponse;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.View;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * The end of a node that was asked to end: it asks the primary to be let go until neither its copy
--- a/src/main/java/myrtleladder/replication/Leadership.java
+++ b/src/main/java/myrtleladder/replication/Leadership.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.HeartbeatRequest;
 import myrtleladder.protocol.Member;
@@ -15,6 +14,7 @@
 import myrtleladder.protocol.ReplicateRequest;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.View;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * What a primary does: it asks the members whether its epoch still holds, hands changes to the
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -8,7 +8,6 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.JoinRequest;
@@ -21,6 +20,7 @@
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
-import myrtleladder.result.ResultCode;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
+import myrtleladder.result.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -5,7 +5,6 @@
 import java.util.function.Consumer;
 import myrtleladder.controlplane.ControlPlane;
 import myrtleladder.http.RequestHead;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
@@ -15,6 +14,7 @@
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.ReplicaOptions;
 import myrtleladder.replication.Storage;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * One process of a control node: the code under test, connected to the simulated clock, disk and
--- a/src/test/java/myrtleladder/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.protocol.StoredState;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Control nodes on one manual clock, with disks, links and a client that remembers what was
