--- a/src/test/java/myrtleladder/dataplane/HeaderForwardingTest.java
+++ b/src/test/java/myrtleladder/dataplane/HeaderForwardingTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import myrtleladder.io.Headers;
+import myrtleladder.http.Headers;
 import org.junit.jupiter.api.Test;
 
 /** Which header fields reach the other side. */
