--- a/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
@@ -58,7 +58,7 @@
                 server(
                         (m, s) -> {
                             decided.await();
-                            RawSockets.answer(s, "500 Oops", "", "");
+                            RawSockets.respond(s, "500 Oops", "", "");
                         });
         Server second = server(SERVE);
         configFile.memorySpanS("2");
@@ -67,11 +67,11 @@
         Client client = client().write(request("POST", "revise", "9000", "Idempotency-Key: k\r\n"));
         RawSockets.next(first.requests);
         // From here on the second alone takes requests.
-        String firstId = "s-" + first.addr();
-        String secondId = "s-" + second.addr();
+        String firstId = "s-" + first.address();
+        String secondId = "s-" + second.address();
         sendChanges(
-                entry(firstId, first.addr(), "Terminating"),
-                entry(secondId, second.addr(), "Ready"));
+                endpointJson(firstId, first.address(), "Terminating"),
+                endpointJson(secondId, second.address(), "Ready"));
         LoopStall stall = stallAfterPickOf(second);
         decided.countDown();
         stall.await();
@@ -112,9 +112,9 @@
         start(upstream);
         Client client = client().write(submit());
         RawSockets.next(upstream.requests);
-        String id = "s-" + upstream.addr();
+        String id = "s-" + upstream.address();
         sendChanges(
-                entry(id, upstream.addr(), "Ready")
+                endpointJson(id, upstream.address(), "Ready")
                         .replace("\"started_ms\":0", "\"started_ms\":1000"));
         restarted.countDown();
         assertEquals(200, client.read().status());
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -77,10 +77,10 @@
                         (m, s) -> {
                             RawSockets.startChunkedResponse(s);
                             told.await();
-                            RawSockets.chunk(s, ready(upstream));
+                            RawSockets.sendChunk(s, readyListJson(upstream));
                             written.countDown();
                         });
-        start(list(0, true), discovery);
+        start(listJson(0, true), discovery);
         Client leaver = client().write(look(FOR_EVER));
         RawSockets.next(discovery.requests);
         while (balancer.status().get().openRequests() == 0) {
@@ -171,7 +171,7 @@
                 server(
                         (m, s) -> {
                             go.await();
-                            RawSockets.answer(s, "200 OK", "", large);
+                            RawSockets.respond(s, "200 OK", "", large);
                         });
         start(upstream);
         try (Socket slow = new Socket()) {
@@ -227,7 +227,7 @@
     @Test
     void clientThatReadsNoResponsesGetsNoMoreOfThemUntilItDoes() throws Exception {
         String large = "x".repeat(60_000);
-        Server upstream = server((m, s) -> RawSockets.answer(s, "200 OK", "", large));
+        Server upstream = server((m, s) -> RawSockets.respond(s, "200 OK", "", large));
         start(upstream);
         Client lazy = client();
         StringBuilder many = new StringBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
@@ -31,24 +31,27 @@
                 server(
                         (m, s) -> {
                             RawSockets.startChunkedResponse(s);
-                            RawSockets.chunk(s, "");
-                            RawSockets.chunk(s, "{broken");
-                            RawSockets.chunk(
+                            RawSockets.sendChunk(s, "");
+                            RawSockets.sendChunk(s, "{broken");
+                            RawSockets.sendChunk(
                                     s,
-                                    list(
+                                    listJson(
                                             42,
                                             false,
-                                            entry("s-" + old.addr(), old.addr(), "Terminating"),
-                                            entry("new", other.addr(), "Ready")));
+                                            endpointJson(
+                                                    "s-" + old.address(),
+                                                    old.address(),
+                                                    "Terminating"),
+                                            endpointJson("new", other.address(), "Ready")));
                         });
         try (LogLines lines = new LogLines(DiscoveryClient.class)) {
-            start(ready(old), discovery);
+            start(readyListJson(old), discovery);
             assertTrue(RawSockets.next(discovery.requests).start().contains("since=41"));
             awaitRequestAt(other);
             String said = lines.next();
             assertTrue(
                     said.startsWith(BadList.CODE)
-                            && said.contains(discovery.addr())
+                            && said.contains(discovery.address())
                             && said.contains(BadList.REMEDY),
                     said);
         }
@@ -59,8 +62,9 @@
         assertEquals(before, old.requests.size());
         // a full list without it: gone; and the id that stays has moved
         Server moved = server(SERVE);
-        RawSockets.chunk(
-                discovery.accepted.get(0), list(43, true, entry("new", moved.addr(), "Ready")));
+        RawSockets.sendChunk(
+                discovery.accepted.get(0),
+                listJson(43, true, endpointJson("new", moved.address(), "Ready")));
         awaitRequestAt(moved);
         before = other.requests.size();
         assertEquals(200, client().write(submit()).read().status());
@@ -77,28 +81,29 @@
                 server(
                         (m, s) -> {
                             RawSockets.startChunkedResponse(s);
-                            RawSockets.chunk(
+                            RawSockets.sendChunk(
                                     s,
                                     "{\n"
                                             + "  \"version\": 42, \"full\": true,\n"
                                             + "  \"note\": \"}]{\\\"\",\n"
                                             + "  \"servers\": [\n"
                                             + "    "
-                                            + entry("one", one.addr(), "Ready")
+                                            + endpointJson("one", one.address(), "Ready")
                                                     .replace(",", ",\n      ")
                                             + "\n  ]\n}");
                         });
-        start(ready(server(SERVE)), discovery);
+        start(readyListJson(server(SERVE)), discovery);
         awaitRequestAt(one);
         Socket watch = discovery.accepted.get(0);
-        RawSockets.chunk(watch, "{\"version\":43,\"full\":true,\"servers\":[");
-        RawSockets.chunk(watch, "");
-        RawSockets.chunk(watch, list(44, true, entry("two", two.addr(), "Ready")));
+        RawSockets.sendChunk(watch, "{\"version\":43,\"full\":true,\"servers\":[");
+        RawSockets.sendChunk(watch, "");
+        RawSockets.sendChunk(
+                watch, listJson(44, true, endpointJson("two", two.address(), "Ready")));
         awaitRequestAt(two);
-        RawSockets.chunk(
+        RawSockets.sendChunk(
                 watch,
                 "{\"version\":45,\"full\":true,\"servers\":[\n      "
-                        + entry("three", three.addr(), "Ready")
+                        + endpointJson("three", three.address(), "Ready")
                         + "]}");
         awaitRequestAt(three);
     }
@@ -118,16 +123,16 @@
                             RawSockets.startChunkedResponse(s);
                             int n = count.getAndIncrement();
                             if (n == 0) {
-                                RawSockets.chunk(s, list(50, false));
+                                RawSockets.sendChunk(s, listJson(50, false));
                                 s.close();
                             } else if (n == 1) {
-                                RawSockets.chunk(s, list(51, false));
+                                RawSockets.sendChunk(s, listJson(51, false));
                                 s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
                             } else if (n == 2) {
-                                RawSockets.chunk(s, list(52, false)); // and not a word more
+                                RawSockets.sendChunk(s, listJson(52, false)); // and not a word more
                             }
                         });
-        start(ready(upstream), discovery);
+        start(readyListJson(upstream), discovery);
         List<String> calls = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             calls.add(RawSockets.next(discovery.requests).start());
@@ -151,17 +156,20 @@
                         (m, s) -> {
                             restart.await();
                             RawSockets.startChunkedResponse(s);
-                            RawSockets.chunk(
+                            RawSockets.sendChunk(
                                     s,
-                                    list(
+                                    listJson(
                                             42,
                                             false,
-                                            entry("s-" + upstream.addr(), upstream.addr(), "Ready")
+                                            endpointJson(
+                                                            "s-" + upstream.address(),
+                                                            upstream.address(),
+                                                            "Ready")
                                                     .replace(
                                                             "\"started_ms\":0",
                                                             "\"started_ms\":1764000000000")));
                         });
-        start(ready(upstream), discovery);
+        start(readyListJson(upstream), discovery);
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
         restart.countDown();
@@ -179,9 +187,9 @@
                         (m, s) -> {
                             tell.await();
                             RawSockets.startChunkedResponse(s);
-                            RawSockets.chunk(s, ready(upstream));
+                            RawSockets.sendChunk(s, readyListJson(upstream));
                         });
-        start(list(0, true), discovery);
+        start(listJson(0, true), discovery);
         String health = "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n";
         Client client = client();
         assertEquals(503, client.write(health).read().status());
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -31,24 +31,28 @@
                         (m, s) -> {
                             if (follows(m)) {
                                 RawSockets.startChunkedResponse(s);
-                                RawSockets.chunk(
+                                RawSockets.sendChunk(
                                         s,
                                         "{\"version\":42,\"full\":false,\"servers\":[{\"id\":\"spo");
-                                RawSockets.chunk(s, "");
+                                RawSockets.sendChunk(s, "");
                             } else if (whole.getAndIncrement() == 0) {
                                 RawSockets.reset(
                                         s); // the first call fails, and so there is another
                             } else {
                                 String list =
-                                        list(42, true, entry("missed", missed.addr(), "Ready"));
-                                RawSockets.answer(s, "200 OK", "", list);
+                                        listJson(
+                                                42,
+                                                true,
+                                                endpointJson("missed", missed.address(), "Ready"));
+                                RawSockets.respond(s, "200 OK", "", list);
                             }
                         });
-        start(list(41, true), discovery);
+        start(listJson(41, true), discovery);
         awaitRequestAt(missed);
         assertEquals(2, whole.get());
-        RawSockets.chunk(
-                discovery.accepted.get(0), list(43, true, entry("later", later.addr(), "Ready")));
+        RawSockets.sendChunk(
+                discovery.accepted.get(0),
+                listJson(43, true, endpointJson("later", later.address(), "Ready")));
         awaitRequestAt(later);
     }
 
@@ -64,26 +68,37 @@
                         (m, s) -> {
                             if (follows(m)) {
                                 RawSockets.startChunkedResponse(s);
-                                RawSockets.chunk(s, "{broken");
-                                RawSockets.chunk(
+                                RawSockets.sendChunk(s, "{broken");
+                                RawSockets.sendChunk(
                                         s,
-                                        list(50, false, entry("current", current.addr(), "Ready")));
+                                        listJson(
+                                                50,
+                                                false,
+                                                endpointJson(
+                                                        "current", current.address(), "Ready")));
                             } else if (whole.getAndIncrement() == 0) {
-                                RawSockets.answer(
+                                RawSockets.respond(
                                         s,
                                         "200 OK",
                                         "",
-                                        list(49, true, entry("old", old.addr(), "Ready")));
+                                        listJson(
+                                                49,
+                                                true,
+                                                endpointJson("old", old.address(), "Ready")));
                             } else {
-                                RawSockets.answer(
+                                RawSockets.respond(
                                         s,
                                         "200 OK",
                                         "",
-                                        list(50, true, entry("current", current.addr(), "Ready")));
+                                        listJson(
+                                                50,
+                                                true,
+                                                endpointJson(
+                                                        "current", current.address(), "Ready")));
                                 taken.countDown();
                             }
                         });
-        start(list(41, true), discovery);
+        start(listJson(41, true), discovery);
         taken.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS);
         awaitRequestAt(current);
         assertEquals(0, old.requests.size());
@@ -102,12 +117,16 @@
                 server(
                         (m, s) -> {
                             RawSockets.startChunkedResponse(s);
-                            RawSockets.chunk(
-                                    s, list(42, true, entry("now", upstream.addr(), "Ready")));
+                            RawSockets.sendChunk(
+                                    s,
+                                    listJson(
+                                            42,
+                                            true,
+                                            endpointJson("now", upstream.address(), "Ready")));
                         });
-        start(list(41, true), before);
+        start(listJson(41, true), before);
         RawSockets.next(before.requests);
-        balancer.reload(config(list(41, true), after));
+        balancer.reload(config(listJson(41, true), after));
         awaitRequestAt(upstream);
         // The first pause after a failed call is shorter than that; nothing else shows that there
         // is none.
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
@@ -24,14 +24,14 @@
     private static final int WARM_UP = 10_000;
     private static final int READS = 40;
 
-    private static String list(int entries) {
-        return list(
+    private static String listJson(int entries) {
+        return listJson(
                 1,
                 true,
                 IntStream.range(0, entries)
                         .mapToObj(
                                 i ->
-                                        entry(
+                                        endpointJson(
                                                 "s-" + Integer.toHexString(0x5be2a07c + i),
                                                 "10.1.0.18:8080",
                                                 "Ready"))
@@ -44,7 +44,7 @@
         CapacityFigures time = new CapacityFigures("discovery, reading a whole list", "us");
         CapacityFigures heap = new CapacityFigures("discovery, heap of a list", "KB");
         for (int entries : ENTRIES) {
-            byte[] line = list(entries).getBytes(StandardCharsets.UTF_8);
+            byte[] line = listJson(entries).getBytes(StandardCharsets.UTF_8);
             bytes.add(entries, line.length / 1_024.0);
             for (int i = 0; i < READS; i++) {
                 read(line);
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -27,7 +27,7 @@
  * script of the test.
  */
 abstract class LoadBalancerFixture {
-    static final Script SERVE = (m, s) -> RawSockets.answer(s, "200 OK", "", "done");
+    static final Script SERVE = (m, s) -> RawSockets.respond(s, "200 OK", "", "done");
     static final Script HANG = (m, s) -> {};
 
     private static final long LAST_ANSWERS_MS = 600_000;
@@ -58,19 +58,22 @@
         eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
+    /** A server that follows a script, closed after the test. */
     Server server(Script script) throws IOException {
         Server server = new Server(script);
         closeables.add(server);
         return server;
     }
 
+    /** A connection to the balancer, closed after the test. */
     Client client() throws IOException {
         Client client = new Client(balancer.address());
         closeables.add(client);
         return client;
     }
 
-    static String entry(String id, String addr, String state) {
+    /** An endpoint as discovery lists it. */
+    static String endpointJson(String id, String addr, String state) {
         return "{\"id\":\""
                 + id
                 + "\",\"addr\":\""
@@ -81,7 +84,8 @@
                 + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    static String list(int version, boolean full, String... entries) {
+    /** An endpoint list, or changes of one, as discovery sends it. */
+    static String listJson(int version, boolean full, String... entries) {
         return "{\"version\":"
                 + version
                 + ",\"full\":"
@@ -91,12 +95,13 @@
                 + "]}";
     }
 
-    static String ready(Server... upstreams) {
-        return list(
+    /** A full list of ready upstreams; their ids are {@code s-} and the address. */
+    static String readyListJson(Server... upstreams) {
+        return listJson(
                 41,
                 true,
                 Arrays.stream(upstreams)
-                        .map(u -> entry("s-" + u.addr(), u.addr(), "Ready"))
+                        .map(u -> endpointJson("s-" + u.address(), u.address(), "Ready"))
                         .toArray(String[]::new));
     }
 
@@ -108,17 +113,20 @@
         balancer.open();
     }
 
+    /** The configuration with what the test has set in {@link #configFile}. */
     BalancerConfig config(String known, Server discovery) throws Exception {
         Path file = folder.resolve("config.json");
-        return BalancerConfig.read(configFile.write(file, known, discovery.addr()));
+        return BalancerConfig.read(configFile.write(file, known, discovery.address()));
     }
 
+    /** Starts a balancer with ready upstreams, whose watch of discovery is open. */
     void start(Server... upstreams) throws Exception {
         discovery = server(HANG);
-        start(ready(upstreams), discovery);
+        start(readyListJson(upstreams), discovery);
         RawSockets.next(discovery.requests);
     }
 
+    /** A request with an id of its own; further header lines end with CR LF. */
     String request(String method, String className, String timeLeftMs, String moreHeaders) {
         return method
                 + " /"
@@ -137,6 +145,7 @@
                 + (method.equals("GET") ? "" : "bid");
     }
 
+    /** A request that may run once at most. */
     String submit() {
         return request("POST", "submit", "9000", "");
     }
@@ -207,7 +216,7 @@
                                                 new TrafficControl.AttemptAdmission() {
                                                     @Override
                                                     public boolean canSend(String id) {
-                                                        if (id.equals("s-" + upstream.addr())
+                                                        if (id.equals("s-" + upstream.address())
                                                                 && !loopStall.isScheduled) {
                                                             loopStall.isScheduled = true;
                                                             eventLoops
@@ -246,9 +255,10 @@
     void sendChanges(String... entries) throws Exception {
         String marker = "told-" + requestsSent++;
         List<String> all = new ArrayList<>(List.of(entries));
-        all.add(entry(marker, "127.0.0.1:1", "Terminating"));
+        all.add(endpointJson(marker, "127.0.0.1:1", "Terminating"));
         RawSockets.startChunkedResponse(discovery.accepted.get(0));
-        RawSockets.chunk(discovery.accepted.get(0), list(42, false, all.toArray(String[]::new)));
+        RawSockets.sendChunk(
+                discovery.accepted.get(0), listJson(42, false, all.toArray(String[]::new)));
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.TIMEOUT_S);
         while (eventLoops
                 .next()
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadProbeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadProbeTest.java
@@ -31,7 +31,7 @@
     }
 
     private static Script reporting(String load) {
-        return (m, s) -> RawSockets.answer(s, "200 OK", "", load);
+        return (m, s) -> RawSockets.respond(s, "200 OK", "", load);
     }
 
     @Test
--- a/src/test/java/myrtleladder/loadbalancer/server/MainTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/MainTest.java
@@ -22,7 +22,7 @@
         assertOneLine(run(file, "serve"));
         Server taken = server(HANG);
         start(taken);
-        Files.writeString(file, Files.readString(file).replace("127.0.0.1:0", taken.addr()));
+        Files.writeString(file, Files.readString(file).replace("127.0.0.1:0", taken.address()));
         assertOneLine(run(file, "serve"));
     }
 
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -90,7 +90,7 @@
         try (Server discovery = new Server((m, s) -> RawSockets.startChunkedResponse(s))) {
             Process process =
                     start(
-                            serve(config("127.0.0.1:" + listen.getPort(), discovery.addr()))
+                            serve(config("127.0.0.1:" + listen.getPort(), discovery.address()))
                                     .redirectError(log));
             try {
                 while (!connects(listen)) {
@@ -122,14 +122,14 @@
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
         try (Server before = new Server((m, s) -> RawSockets.startChunkedResponse(s));
                 Server after = new Server((m, s) -> RawSockets.startChunkedResponse(s))) {
-            Process process = start(serve(config(before.addr())));
+            Process process = start(serve(config(before.address())));
             try (BufferedReader log = process.errorReader()) {
                 await(log, "rehearsed with");
                 assertTrue(RawSockets.next(before.requests).start().contains("follow=1&since=7"));
                 Files.writeString(folder.resolve("config.json"), "{\"listen\":");
                 hangUp(process);
                 await(log, "went on with the old configuration");
-                config(after.addr());
+                config(after.address());
                 hangUp(process);
                 assertTrue(RawSockets.next(after.requests).start().contains("follow=1&since=7"));
                 process.destroy();
--- a/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
@@ -126,7 +126,7 @@
             thread(this::accept);
         }
 
-        String addr() {
+        String address() {
             return "127.0.0.1:" + listening.getLocalPort();
         }
 
@@ -176,13 +176,13 @@
     }
 
     /** Writes an answer with a body. */
-    static void answer(Socket socket, String status, String headers, String body)
+    static void respond(Socket socket, String status, String headers, String body)
             throws IOException {
-        answer(socket, status, headers, body, body.length());
+        respond(socket, status, headers, body, body.length());
     }
 
     /** Writes an answer that claims to have a body of {@code length}. */
-    static void answer(Socket socket, String status, String headers, String body, int length)
+    static void respond(Socket socket, String status, String headers, String body, int length)
             throws IOException {
         OutputStream out = socket.getOutputStream();
         String head = "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + length;
@@ -204,7 +204,7 @@
     }
 
     /** Writes one line of a watch as a chunk. */
-    static void chunk(Socket socket, String line) throws IOException {
+    static void sendChunk(Socket socket, String line) throws IOException {
         String text = line + "\n";
         socket.getOutputStream()
                 .write(
--- a/src/test/java/myrtleladder/loadbalancer/server/RequestForwardingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RequestForwardingTest.java
@@ -64,7 +64,7 @@
         Server upstream =
                 server(
                         (m, s) ->
-                                RawSockets.answer(
+                                RawSockets.respond(
                                         s, "200 OK", "", m.headers().get("x-correlation-id")));
         start(upstream);
         Client client = client().write(submit() + submit() + submit());
--- a/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
@@ -43,7 +43,8 @@
     void unsafeRequestIsNotRetriedAfterAResponseThatProvesNothing(String status, String header)
             throws Exception {
         Script error =
-                (m, s) -> RawSockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
+                (m, s) ->
+                        RawSockets.respond(s, status, header.isEmpty() ? "" : header + "\r\n", "");
         Server one = server(error);
         Server two = server(error);
         start(one, two);
@@ -57,7 +58,8 @@
         Script once =
                 (m, s) -> {
                     if (count.getAndIncrement() == 0) {
-                        RawSockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+                        RawSockets.respond(
+                                s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
                     } else {
                         SERVE.on(m, s);
                     }
@@ -91,7 +93,8 @@
                         (m, s) -> {
                             s.getOutputStream()
                                     .write("HTTP/1.1 102 Processing\r\n\r\n".getBytes("UTF-8"));
-                            RawSockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id"));
+                            RawSockets.respond(
+                                    s, "200 OK", "", m.headers().get("x-correlation-id"));
                         });
         start(upstream);
         Client client = client();
@@ -169,7 +172,7 @@
                         (m, s) -> {
                             boolean first = count.getAndIncrement() == 0;
                             String stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
-                            RawSockets.answer(
+                            RawSockets.respond(
                                     s,
                                     "200 OK",
                                     "",
--- a/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
@@ -23,7 +23,7 @@
         configFile.groupSize(groupSize);
         Server upstream = server(SERVE);
         Server discovery = server(HANG);
-        int served = Warmup.run(config(ready(upstream), discovery));
+        int served = Warmup.run(config(readyListJson(upstream), discovery));
         assertTrue(served >= least && served <= most, "served " + served);
         assertTrue(upstream.accepted.isEmpty());
         assertTrue(discovery.accepted.isEmpty());
@@ -36,7 +36,7 @@
      */
     @Test
     void warmupStartsNoThread() throws Exception {
-        BalancerConfig config = config(ready(server(SERVE)), server(HANG));
+        BalancerConfig config = config(readyListJson(server(SERVE)), server(HANG));
         List<String> makers = new CopyOnWriteArrayList<>();
         InheritableThreadLocal<Boolean> handedOn =
                 new InheritableThreadLocal<>() {
