--- a/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import java.util.Set;
-import myrtleladder.cluster.Balancing;
-import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.cluster.LoadBalancerControl;
+import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.loadbalancer.server.RunningBalancer;
 import myrtleladder.loadbalancer.server.TrafficControl;
 
 /** The balancer as the work on machines knows it: neither knows of the other. */
-record Beside(TrafficControl trafficControl) implements Balancing {
+record Beside(TrafficControl trafficControl) implements LoadBalancerControl {
     /** From now on the work on machines has a say on each attempt. */
-    static void restrain(RunningBalancer balancer, WorkCarrier work) {
+    static void restrain(RunningBalancer balancer, MaintenanceRuntime work) {
         balancer.loop()
                 .execute(
                         () ->
