--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequest.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequest.java
@@ -4,7 +4,7 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.ServerExchange;
 
 /**
  * A request of an operator at {@code /config}.
--- a/src/main/java/myrtleladder/dataplane/Warmup.java
+++ b/src/main/java/myrtleladder/dataplane/Warmup.java
@@ -10,13 +10,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import myrtleladder.configuration.Compression;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.HttpServer;
-import myrtleladder.io.IoException;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ResultCode;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.eventloop.NetworkException;
+import myrtleladder.http.Headers;
+import myrtleladder.http.HttpServer;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.BalancerAddress;
@@ -30,6 +29,7 @@
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.protocol.UpstreamLoad;
+import myrtleladder.result.ResultCode;
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.OneCall;
 
@@ -80,7 +80,7 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new IoException(ResultCode.NO_SOCKET, "no port is free", e);
+            throw new NetworkException(ResultCode.NO_SOCKET, "no port is free", e);
         }
     }
 
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.AcceptViewRequest;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.HeartbeatRequest;
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedExchange.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedExchange.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 import myrtleladder.controlplane.FakeServerExchange;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
 
 /** A request at a control address whose response is passed on. */
 final class SimulatedExchange extends FakeServerExchange {
