--- a/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
@@ -415,20 +415,7 @@
                             null,
                             List.of()));
         }
-        for (Life life : agenda.present()) {
-            boolean lost =
-                    !agreement.view().has(life)
-                            && !present.contains(life.toString())
-                            && !life.equals(me);
-            if (!lost) {
-                unseen.remove(life);
-            } else if (now - unseen.computeIfAbsent(life, l -> now) >= settings.lost()) {
-                propose(
-                        now,
-                        MaintenanceCommand.of(MaintenanceCommand.Kind.GONE, life.name(), null)
-                                .because(Long.toHexString(life.life())));
-            }
-        }
+        markUnreachableSenders(now);
         List<String> failing = out.failing();
         boolean ordered = false;
         for (MaintenanceJob job : agenda.jobs()) {
@@ -463,6 +450,24 @@
         }
     }
 
+    /** Proposes that members which are in no view and were not seen for long count as gone. */
+    private void markUnreachableSenders(long now) {
+        for (Life life : agenda.present()) {
+            boolean lost =
+                    !agreement.view().has(life)
+                            && !present.contains(life.toString())
+                            && !life.equals(me);
+            if (!lost) {
+                unseen.remove(life);
+            } else if (now - unseen.computeIfAbsent(life, l -> now) >= settings.lost()) {
+                propose(
+                        now,
+                        MaintenanceCommand.of(MaintenanceCommand.Kind.GONE, life.name(), null)
+                                .because(Long.toHexString(life.life())));
+            }
+        }
+    }
+
     private void grant(long now, MaintenanceJob job, List<String> failing) {
         boolean silent =
                 agenda.gone().stream()
