--- a/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
+++ b/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
@@ -20,9 +20,9 @@
 import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
 import myrtleladder.testbed.fault.Fault;
+import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.fault.Plan;
-import myrtleladder.testbed.simulation.Explorer;
+import myrtleladder.testbed.simulation.ScheduleExplorer;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -61,11 +61,11 @@
         assertEquals(0, fleet.starved);
     }
 
-    private static Optional<String> play(long seed, Plan plan) {
+    private static Optional<String> play(long seed, FaultPlan plan) {
         SimulatedMaintenanceCluster fleet = settled(seed, 5, 8);
         fleet.hand("m" + seed % 5, fleet.terms("patch", 8, 2));
         fleet.world.follow(
-                new Plan(
+                new FaultPlan(
                         plan.steps().stream()
                                 .filter(s -> !(s.fault() instanceof Fault.StepClock))
                                 .toList()));
@@ -80,7 +80,7 @@
     @Test
     void underDrawnFaultsNothingIsSentToAMachineThatIsOutAndAllComesToItsEnd() {
         var found =
-                Explorer.explore(
+                ScheduleExplorer.explore(
                         1, 12, names(5), 20, 30 * SECOND, MaintenanceCoordinatorTest::play);
         assertTrue(found.isEmpty(), () -> found.orElseThrow().toString());
     }
@@ -90,12 +90,12 @@
     void thousandsOfDrawnFaults() {
         long first = Long.getLong("first", 1_000);
         int plays = Integer.getInteger("plays", 2_000);
-        Optional<Explorer.Finding> found =
+        Optional<ScheduleExplorer.Finding> found =
                 LongStream.range(first, first + plays)
                         .parallel()
                         .mapToObj(
                                 seed ->
-                                        Explorer.explore(
+                                        ScheduleExplorer.explore(
                                                 seed,
                                                 1,
                                                 names(5),
@@ -108,7 +108,7 @@
                 "work, drawn faults | "
                         + plays
                         + " | "
-                        + found.map(Explorer.Finding::toString).orElse("held")
+                        + found.map(ScheduleExplorer.Finding::toString).orElse("held")
                         + " |");
         assertTrue(found.isEmpty());
     }
--- a/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
+++ b/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
@@ -23,8 +23,8 @@
 import myrtleladder.gossip.Membership;
 import myrtleladder.gossip.Meta;
 import myrtleladder.testbed.fault.LinkFault;
-import myrtleladder.testbed.simulation.Core;
-import myrtleladder.testbed.simulation.World;
+import myrtleladder.testbed.simulation.ProtocolCore;
+import myrtleladder.testbed.simulation.SimulatedNetwork;
 
 /**
  * Processes that send to upstreams all the while and agree on work on these, in virtual time; and
@@ -38,7 +38,7 @@
     private static final long REQUESTS = 40_000;
     private static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
 
-    final World world;
+    final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
     final PointFaults<MaintenanceFaultPoint> faults = new PointFaults<>();
@@ -70,7 +70,7 @@
     private FencingToken greatest = new FencingToken(0, 0);
 
     SimulatedMaintenanceCluster(long seed, int members, int machines) {
-        this.world = new World(seed, LAN);
+        this.world = new SimulatedNetwork(seed, LAN);
         this.random = new SplittableRandom(seed);
         this.council =
                 ConsensusSettings.of("dhaka", names(members).subList(0, Math.min(5, members)));
@@ -161,7 +161,7 @@
 
     /** One life with all that it holds. */
     final class Node
-            implements Core, ConsensusNode.Out, Membership.Out, MaintenanceCoordinator.Out {
+            implements ProtocolCore, ConsensusNode.Out, Membership.Out, MaintenanceCoordinator.Out {
         final Life me;
         final ConsensusNode agreement;
         final MaintenanceStateMachine agenda;
@@ -436,7 +436,7 @@
         world.add(
                 name,
                 (p, seed, actions) ->
-                        new Core() {
+                        new ProtocolCore() {
                             @Override
                             public void started(long now) {
                                 actions.timer("now", delay);
