--- a/src/main/java/myrtleladder/cluster/AgreeCarrier.java
+++ b/src/main/java/myrtleladder/cluster/AgreeCarrier.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
+import myrtleladder.consensus.ConsensusEnvironment;
 import myrtleladder.consensus.ConsensusEvent;
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.ConsensusSettings;
@@ -26,7 +27,7 @@
  * A process's agreement, over the datagrams and on the event loop of its membership: what is seen
  * there is who is there, and names have the addresses that their members tell.
  */
-public final class AgreeCarrier implements ConsensusNode.Out {
+public final class AgreeCarrier implements ConsensusEnvironment {
     private static final System.Logger LOG = System.getLogger(AgreeCarrier.class.getName());
 
     private final MemberCarrier members;
@@ -86,7 +87,7 @@
                 .submit(
                         () -> {
                             members.host(carrier);
-                            carrier.agreement.started(carrier.now());
+                            carrier.agreement.start(carrier.now());
                             carrier.lookAround();
                         })
                 .syncUninterruptibly();
@@ -103,11 +104,11 @@
                 me,
                 agreement.term(),
                 agreement.leader(),
-                agreement.decides(now()),
+                agreement.hasQuorum(now()),
                 agreement.view(),
-                agreement.applied(),
-                agreement.waiting(),
-                agreement.refused());
+                agreement.lastApplied(),
+                agreement.pendingCommands(),
+                agreement.droppedDatagrams());
     }
 
     long now() {
@@ -142,14 +143,14 @@
 
     /** Whether a datagram is meant for an agreement, or for what is built upon it. */
     boolean takes(byte[] datagram) {
-        return ConsensusNode.isOurs(datagram)
+        return ConsensusNode.isConsensusDatagram(datagram)
                 || guest != null && MaintenanceCoordinator.isOurs(datagram);
     }
 
     /** A datagram has come that is. */
     void received(byte[] datagram) {
-        if (ConsensusNode.isOurs(datagram)) {
-            agreement.received(now(), datagram);
+        if (ConsensusNode.isConsensusDatagram(datagram)) {
+            agreement.onDatagram(now(), datagram);
             after();
         } else {
             guest.received(datagram);
@@ -184,7 +185,7 @@
                 addresses.put(c.name(), c.address());
             }
         }
-        agreement.present(now(), there);
+        agreement.onMembershipObserved(now(), there);
         if (guest != null) {
             guest.present(
                     there.entrySet().stream()
@@ -204,39 +205,39 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String timer, long delayUs) {
         loop.schedule(
                 () -> {
-                    agreement.due(now(), token);
+                    agreement.onTimer(now(), timer);
                     after();
                 },
-                delay,
+                delayUs,
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public long wall() {
+    public long wallClockUs() {
         return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     }
 
     @Override
-    public void note(ConsensusEvent note) {
+    public void onEvent(ConsensusEvent event) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        fields.put("epoch", note.view().epoch());
-        fields.put("view", note.view().number());
-        fields.put("members", note.view().lives().size());
-        fields.put("why", note.why());
+        fields.put("epoch", event.view().epoch());
+        fields.put("view", event.view().number());
+        fields.put("members", event.view().lives().size());
+        fields.put("why", event.reason());
         LOG.log(
-                note.kind() == ConsensusEvent.Kind.CUT_OFF
-                                || note.kind() == ConsensusEvent.Kind.FOUNDED
+                event.kind() == ConsensusEvent.Kind.CUT_OFF
+                                || event.kind() == ConsensusEvent.Kind.FOUNDED
                         ? System.Logger.Level.WARNING
                         : System.Logger.Level.INFO,
-                "agreement " + note.kind() + ": " + note.why(),
+                "agreement " + event.kind() + ": " + event.reason(),
                 fields);
     }
 
     @Override
-    public void point(FaultPoint point) {
+    public void onFaultPoint(FaultPoint point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/WorkCarrier.java
+++ b/src/main/java/myrtleladder/cluster/WorkCarrier.java
@@ -214,7 +214,7 @@
 
     /** Whether a majority stands behind what is heard here; on the loop. */
     public boolean decides() {
-        return agreement.core().decides(now());
+        return agreement.core().hasQuorum(now());
     }
 
     /** The last job of a machine, null if it has none; on the loop. */
--- a/src/main/java/myrtleladder/consensus/ConsensusEvent.java
+++ b/src/main/java/myrtleladder/consensus/ConsensusEvent.java
@@ -1,22 +1,27 @@
 package myrtleladder.consensus;
 
-/** Something that operators may want to know of an agreement, for the log. */
-public record ConsensusEvent(Kind kind, View view, String why) {
-    /** What has changed. */
+/**
+ * A change in a node's role or view, for the operators' log.
+ *
+ * @param view the view that is committed as far as this node knows
+ * @param reason for people
+ */
+public record ConsensusEvent(Kind kind, View view, String reason) {
+    /** What has changed; operators see these names. */
     public enum Kind {
-        /** This life leads. */
+        /** This node became the leader. */
         LEADS,
-        /** It does so no more. */
+        /** This node is no longer the leader. */
         LEADS_NO_MORE,
-        /** The fleet has begun anew: what was decided before and is not known here is lost. */
+        /** The cluster was bootstrapped anew: what was committed before and is unknown is lost. */
         FOUNDED,
-        /** There is another view. */
+        /** A view was committed. */
         VIEW,
-        /** What this life had is replaced by a snapshot. */
+        /** A snapshot replaced this node's state. */
         RESTORED,
-        /** Nobody with a majority was heard for long: nothing can be decided here. */
+        /** No leader with a quorum was heard for long: nothing can be committed here. */
         CUT_OFF,
-        /** That is over. */
+        /** Contact to a leader with a quorum is back. */
         JOINED
     }
 }
--- a/src/main/java/myrtleladder/consensus/LogEntry.java
+++ b/src/main/java/myrtleladder/consensus/LogEntry.java
@@ -4,56 +4,82 @@
 import java.util.TreeMap;
 
 /**
- * One decree of the log. Of a view only what changes is sent, so that an entry fits into a datagram
- * however large the fleet is; whoever writes it into a log works out the view from the one before.
+ * An entry of the log. Of a view only the changes are sent, so that an entry fits into a datagram
+ * however large the cluster is; the log that it is appended to adds the view that results.
  *
- * @param change lives by name that come in or take the place of another, 0 for names that go
- * @param view with that change; null where it is not worked out, and for other kinds
- * @param by who proposed a command, else null
- * @param number of the proposer's command: taken in once, however often it arrives
- * @param command what is handed to the machine, else null
+ * @param memberChanges processes by name that join or replace another; {@link
+ *     ObservedMembership#ABSENT} for names that leave
+ * @param view the view after these changes; null before it is appended, and for other kinds
+ * @param proposer who proposed a command, else null
+ * @param sequence number of a command among those of its proposer, or number of a view
+ * @param command passed to the state machine, else null
  */
 record LogEntry(
         long index,
         Term term,
         Kind kind,
-        Map<String, Long> change,
+        Map<String, Long> memberChanges,
         View view,
-        Life by,
-        long number,
+        Life proposer,
+        long sequence,
         byte[] command) {
-    /** What it is about. */
+    /** The kind of an entry with its name on the wire. */
     enum Kind {
-        /** A leader begins; what terms before its own left undecided is decided with it. */
-        LEADS,
-        /** The fleet begins anew, with those who founded it. */
-        FOUND,
-        /** The fleet has other members. */
-        VIEW,
-        /** For the machine. */
-        COMMAND
+        /** A leader begins; commits what earlier terms have left (Raft, section 5.4.2). */
+        LEADER_CHANGE("LEADS"),
+        /** The cluster is bootstrapped anew, with those who voted for it. */
+        BOOTSTRAP("FOUND"),
+        /** Members join, leave or are replaced. */
+        VIEW_CHANGE("VIEW"),
+        /** A command for the state machine. */
+        COMMAND("COMMAND");
+
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        String wireName() {
+            return wireName;
+        }
+
+        /**
+         * The kind of that name.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        static Kind ofWireName(String name) {
+            for (Kind kind : values()) {
+                if (kind.wireName.equals(name)) {
+                    return kind;
+                }
+            }
+            throw new IllegalArgumentException("no kind of entry: " + name);
+        }
     }
 
-    boolean hasView() {
-        return kind == Kind.FOUND || kind == Kind.VIEW;
+    boolean isViewChange() {
+        return kind == Kind.BOOTSTRAP || kind == Kind.VIEW_CHANGE;
     }
 
-    /** The same with its view worked out. */
-    LogEntry after(View before) {
-        if (!hasView()) {
+    /** This entry with the view that results when it follows a view. */
+    LogEntry withViewAfter(View before) {
+        if (!isViewChange()) {
             return this;
         }
-        Map<String, Long> lives = new TreeMap<>(kind == Kind.FOUND ? Map.of() : before.lives());
-        change.forEach(
+        boolean isBootstrap = kind == Kind.BOOTSTRAP;
+        Map<String, Long> members = new TreeMap<>(isBootstrap ? Map.of() : before.lives());
+        memberChanges.forEach(
                 (name, life) -> {
-                    if (life == 0) {
-                        lives.remove(name);
+                    if (life == ObservedMembership.ABSENT) {
+                        members.remove(name);
                     } else {
-                        lives.put(name, life);
+                        members.put(name, life);
                     }
                 });
-        long epoch = kind == Kind.FOUND ? term.epoch() : before.epoch();
-        return new LogEntry(
-                index, term, kind, change, new View(epoch, number, lives), by, number, command);
+        long epoch = isBootstrap ? term.epoch() : before.epoch();
+        View after = new View(epoch, sequence, members);
+        return new LogEntry(index, term, kind, memberChanges, after, proposer, sequence, command);
     }
 }
--- a/src/main/java/myrtleladder/consensus/ReplicatedLog.java
+++ b/src/main/java/myrtleladder/consensus/ReplicatedLog.java
@@ -4,24 +4,22 @@
 import java.util.List;
 
 /**
- * The entries of one life from a base on, behind which a snapshot stands for all that came before.
+ * The log of this process from a base index on; a snapshot covers the entries up to the base. Kept
+ * in memory only: a restarted process is a new member.
  */
 final class ReplicatedLog {
     private final List<LogEntry> entries = new ArrayList<>();
-    private long base;
+    private long baseIndex;
     private Term baseTerm = Term.NONE;
     private View baseView = View.NONE;
 
-    long base() {
-        return base;
+    /** The last index that is covered by the snapshot; entries begin after it. */
+    long baseIndex() {
+        return baseIndex;
     }
 
-    Term baseTerm() {
-        return baseTerm;
-    }
-
-    long last() {
-        return base + entries.size();
+    long lastIndex() {
+        return baseIndex + entries.size();
     }
 
     Term lastTerm() {
@@ -32,45 +30,45 @@
         return entries.size();
     }
 
+    /** The entry at an index after the base and up to the last. */
     LogEntry get(long index) {
-        return entries.get((int) (index - base - 1));
+        return entries.get((int) (index - baseIndex - 1));
     }
 
-    /** The term of the entry at a place; null where that is not known. */
+    /** The term at an index; null if it is before the base or after the last entry. */
     Term termAt(long index) {
-        return index == base
-                ? baseTerm
-                : index > base && index <= last() ? get(index).term() : null;
+        if (index == baseIndex) {
+            return baseTerm;
+        }
+        return index > baseIndex && index <= lastIndex() ? get(index).term() : null;
     }
 
-    void add(LogEntry entry) {
-        entries.add(entry.after(view()));
+    void append(LogEntry entry) {
+        entries.add(entry.withViewAfter(view()));
     }
 
-    /** Forgets the entries from a place on: a leader has others there. */
-    void cutFrom(long index) {
-        entries.subList((int) (index - base - 1), entries.size()).clear();
+    /** Removes the entries from an index on: the leader has others there. */
+    void truncateFrom(long index) {
+        entries.subList((int) (index - baseIndex - 1), entries.size()).clear();
     }
 
-    /** Lets a snapshot stand for all up to a place. */
+    /** Removes the entries up to an index, which a snapshot with that view covers. */
     void compact(long index, View view) {
         baseTerm = termAt(index);
         baseView = view;
-        entries.subList(0, (int) (index - base)).clear();
-        base = index;
+        entries.subList(0, (int) (index - baseIndex)).clear();
+        baseIndex = index;
     }
 
+    /** Removes all entries; a snapshot from elsewhere covers everything up to an index. */
     void reset(long index, Term term, View view) {
         entries.clear();
-        base = index;
+        baseIndex = index;
         baseTerm = term;
         baseView = view;
     }
 
-    /**
-     * The newest view that it holds, decided or not: from the moment it is written, its lives
-     * count.
-     */
+    /** The newest view, committed or not: its members count from the moment it is appended. */
     View view() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).view() != null) {
@@ -80,9 +78,8 @@
         return baseView;
     }
 
-    /** Whether the newest view is not decided yet by what is decided up to {@code commit}. */
-    boolean changes(long commit) {
-        for (long i = last(); i > Math.max(base, commit); i--) {
+    boolean hasUncommittedView(long commitIndex) {
+        for (long i = lastIndex(); i > Math.max(baseIndex, commitIndex); i--) {
             if (get(i).view() != null) {
                 return true;
             }
@@ -91,10 +88,11 @@
     }
 
     /**
-     * Whether a log that ends like this holds all that may be decided here (Raft, section 5.4.1).
+     * Whether a log that ends with that entry has everything that may be committed here (Raft,
+     * section 5.4.1).
      */
-    boolean noBetterThan(Term otherTerm, long otherLast) {
-        int order = lastTerm().compareTo(otherTerm);
-        return order < 0 || order == 0 && last() <= otherLast;
+    boolean isCoveredBy(Term otherLastTerm, long otherLastIndex) {
+        int order = lastTerm().compareTo(otherLastTerm);
+        return order < 0 || order == 0 && lastIndex() <= otherLastIndex;
     }
 }
--- a/src/main/java/myrtleladder/consensus/StateMachine.java
+++ b/src/main/java/myrtleladder/consensus/StateMachine.java
@@ -1,19 +1,24 @@
 package myrtleladder.consensus;
 
 /**
- * What is fed by the log: all processes hand theirs the same calls in the same order, so it may
- * look at nothing else, neither a clock nor chance.
+ * The replicated state machine that the log feeds. All processes pass the same calls in the same
+ * order to theirs, so an implementation must be deterministic: it may use neither clock nor chance.
  */
 public interface StateMachine {
-    /** A command has been decided; {@code token} is greater than that of any decided before. */
-    void apply(FencingToken token, Life by, byte[] command);
+    /**
+     * Applies a committed command.
+     *
+     * @param token greater than that of any command committed before
+     * @param proposer who proposed the command
+     */
+    void apply(FencingToken token, Life proposer, byte[] command);
 
-    /** The members have been decided. */
+    /** Applies a committed view. */
     void view(View view);
 
-    /** All that it holds, in a form of its own. */
+    /** The whole state, in a form of the implementation's own. */
     byte[] snapshot();
 
-    /** Takes over what {@link #snapshot} gave elsewhere, in place of all that it held. */
+    /** Replaces the whole state by what {@link #snapshot} returned in another process. */
     void restore(byte[] snapshot);
 }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
@@ -162,15 +162,15 @@
             epochSince = now;
         }
         member |= agreement.view().has(me);
-        if (led != agreement.leads()) {
-            led = agreement.leads();
+        if (led != agreement.isLeader()) {
+            led = agreement.isLeader();
             ledSince = now;
             leaves.clear();
         }
         notice();
         keepAway(now);
         say(now);
-        if (led && agreement.decides(now)) {
+        if (led && agreement.hasQuorum(now)) {
             lead(now);
         }
     }
@@ -190,7 +190,7 @@
 
     /** Whether it goes by what it knows: it has heard a leader with a majority lately. */
     public boolean hasLeave(long now) {
-        return led ? agreement.decides(now) : now < leaveUntil;
+        return led ? agreement.hasQuorum(now) : now < leaveUntil;
     }
 
     /** Whether the fleet knows of this process; before that it had better send to nobody. */
@@ -359,7 +359,7 @@
      */
     private void leaveAsked(long now, Life from, long at) {
         out.point(MaintenanceFaultPoint.LEAVE_ASKED);
-        if (!agreement.leads() || !agreement.decides(now) || !agenda.registered(from)) {
+        if (!agreement.isLeader() || !agreement.hasQuorum(now) || !agenda.registered(from)) {
             return;
         }
         leaves.put(from, now);
@@ -379,12 +379,12 @@
                                 "at",
                                 at,
                                 "upto",
-                                agreement.applied())));
+                                agreement.lastApplied())));
     }
 
     private void leaveTaken(long now, Life from, long at, long upto) {
         out.point(MaintenanceFaultPoint.LEAVE_TAKEN);
-        if (from.equals(agreement.leader()) && agreement.applied() >= upto && at <= now) {
+        if (from.equals(agreement.leader()) && agreement.lastApplied() >= upto && at <= now) {
             leaveUntil = Math.max(leaveUntil, at + settings.leave());
         }
     }
--- a/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
@@ -163,7 +163,7 @@
                         m ->
                                 AgreeCarrier.start(
                                                 m, settings, new MaintenanceStateMachine(), p -> {})
-                                        .note(note));
+                                        .onEvent(note));
         GOLDEN.assertWritten("agreement log line", line.getLevel() + " " + line.getMessage());
         GOLDEN.assertWritten("agreement log fields", line.getParameters()[0].toString());
     }
--- a/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
+++ b/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
@@ -39,12 +39,12 @@
             new ConsensusSettings(
                     "dhaka",
                     names(5),
-                    FIVE.beat(),
-                    FIVE.patience(),
-                    FIVE.stable(),
-                    FIVE.settling(),
+                    FIVE.heartbeatIntervalUs(),
+                    FIVE.electionTimeoutUs(),
+                    FIVE.viewStabilityUs(),
+                    FIVE.bootstrapDelayUs(),
                     8,
-                    FIVE.bytes());
+                    FIVE.maxDatagramBytes());
 
     private static SimulatedConsensusCluster settled(
             long seed, ConsensusSettings settings, int count) {
@@ -139,7 +139,7 @@
         fleet.run(9 * SECOND);
         String leader =
                 fleet.living().stream()
-                        .filter(n -> fleet.nodes.get(n).agreement.leads())
+                        .filter(n -> fleet.nodes.get(n).agreement.isLeader())
                         .findFirst()
                         .orElse("m0");
         if (fleet.world.alive(leader)) {
@@ -261,11 +261,11 @@
             SimulatedConsensusCluster fleet = settled(seed, FIVE, 5);
             String leader = fleet.nodes.get("m0").agreement.leader().name();
             fleet.world.bring(new Fault.Kill(leader));
-            long before = fleet.nodes.get(fleet.living().get(0)).agreement.applied();
+            long before = fleet.nodes.get(fleet.living().get(0)).agreement.lastApplied();
             fleet.run(3 * SECOND);
             for (String n : fleet.living()) {
                 assertTrue(
-                        fleet.nodes.get(n).agreement.applied() > before + 1,
+                        fleet.nodes.get(n).agreement.lastApplied() > before + 1,
                         "seed " + seed + " " + n);
             }
         }
@@ -280,13 +280,13 @@
         SimulatedConsensusCluster fleet = settled(2, FIVE, 5);
         fleet.cut(List.of("m0", "m1"), List.of("m2", "m3", "m4"), true);
         fleet.run(5 * SECOND);
-        long small = fleet.nodes.get("m0").agreement.applied();
+        long small = fleet.nodes.get("m0").agreement.lastApplied();
         fleet.run(60 * SECOND);
         for (String n : List.of("m0", "m1")) {
-            assertFalse(fleet.nodes.get(n).agreement.decides(fleet.world.now()), n);
-            assertEquals(small, fleet.nodes.get(n).agreement.applied(), n);
+            assertFalse(fleet.nodes.get(n).agreement.hasQuorum(fleet.world.now()), n);
+            assertEquals(small, fleet.nodes.get(n).agreement.lastApplied(), n);
         }
-        assertTrue(fleet.nodes.get("m2").agreement.decides(fleet.world.now()));
+        assertTrue(fleet.nodes.get("m2").agreement.hasQuorum(fleet.world.now()));
         assertEquals(3, fleet.nodes.get("m2").agreement.view().lives().size());
         fleet.calm();
         fleet.run(8 * SECOND);
@@ -302,7 +302,7 @@
         fleet.cut(List.of("m2", "m3"), List.of("m4"), true);
         fleet.run(20 * SECOND);
         for (String n : fleet.living()) {
-            assertFalse(fleet.nodes.get(n).agreement.decides(fleet.world.now()), n);
+            assertFalse(fleet.nodes.get(n).agreement.hasQuorum(fleet.world.now()), n);
         }
         fleet.calm();
         fleet.run(5 * SECOND);
@@ -350,9 +350,9 @@
         List<String> others = names(5).stream().filter(n -> !n.equals(leader)).toList();
         fleet.cut(outwards ? List.of(leader) : others, outwards ? others : List.of(leader), false);
         fleet.run(5 * SECOND);
-        assertFalse(fleet.nodes.get(leader).agreement.leads());
+        assertFalse(fleet.nodes.get(leader).agreement.isLeader());
         for (String n : others) {
-            assertTrue(fleet.nodes.get(n).agreement.decides(fleet.world.now()), n);
+            assertTrue(fleet.nodes.get(n).agreement.hasQuorum(fleet.world.now()), n);
         }
     }
 
@@ -362,7 +362,7 @@
         SimulatedConsensusCluster fleet = settled(5, FIVE, 5);
         long before = fleet.nodes.get("m4").machine.digest;
         assertTrue(before != 0);
-        long decided = fleet.nodes.get("m4").agreement.applied();
+        long decided = fleet.nodes.get("m4").agreement.lastApplied();
         List.of("m0", "m1", "m2", "m3").forEach(n -> fleet.world.bring(new Fault.Kill(n)));
         fleet.run(20 * SECOND);
         assertEquals(1, fleet.foundings.size(), "a minority founded");
@@ -370,7 +370,7 @@
         fleet.run(20 * SECOND);
         assertNull(quiet(fleet));
         assertEquals(2, fleet.foundings.size());
-        assertTrue(fleet.nodes.get("m0").agreement.applied() > decided, "the history goes on");
+        assertTrue(fleet.nodes.get("m0").agreement.lastApplied() > decided, "the history goes on");
         assertEquals(List.of(), fleet.broken);
     }
 
@@ -408,10 +408,10 @@
     @Test
     void entriesThatDoNotFollowEachOtherAreRefused() {
         SimulatedConsensusCluster fleet = settled(8, FIVE, 5);
-        long before = fleet.nodes.get("m0").agreement.applied();
+        long before = fleet.nodes.get("m0").agreement.lastApplied();
         fleet.says =
                 m ->
-                        m.with(
+                        m.withEntries(
                                 m.entries().stream()
                                         .map(
                                                 e ->
@@ -419,18 +419,19 @@
                                                                 e.index() + 1,
                                                                 e.term(),
                                                                 e.kind(),
-                                                                e.change(),
+                                                                e.memberChanges(),
                                                                 null,
-                                                                e.by(),
-                                                                e.number(),
+                                                                e.proposer(),
+                                                                e.sequence(),
                                                                 e.command()))
                                         .toList(),
                                 m.offset());
         fleet.run(5 * SECOND);
         for (String n : names(5)) {
             ConsensusNode its = fleet.nodes.get(n).agreement;
-            assertEquals(before, its.applied(), n);
-            assertTrue(its.leads() || its.refused().getOrDefault("malformed", 0L) > 0, n);
+            assertEquals(before, its.lastApplied(), n);
+            assertTrue(
+                    its.isLeader() || its.droppedDatagrams().getOrDefault("malformed", 0L) > 0, n);
         }
         fleet.says = m -> m;
         fleet.run(3 * SECOND);
@@ -464,8 +465,9 @@
         if (mutant) {
             fleet.says =
                     m ->
-                            m.kind() == Message.Kind.SAY || m.kind() == Message.Kind.VOTE
-                                    ? m.says(m.yes(), false, true)
+                            m.kind() == MessageFrame.Kind.PRE_VOTE_RESPONSE
+                                            || m.kind() == MessageFrame.Kind.VOTE_RESPONSE
+                                    ? m.withFlags(m.isPositive(), false, true)
                                     : m;
         }
         fleet.cut(List.of("m3"), List.of("m0", "m1", "m2", "m4"), true);
--- a/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
@@ -32,13 +32,13 @@
     private static final byte[] COMMAND = {0, 1, -1, 'x'};
     private static final Map<String, Long> CHANGE = new TreeMap<>(Map.of("b1", 0x1234L, "b2", 0L));
 
-    private static Message plain(Message.Kind kind) {
-        return Message.of(kind, ME, OTHER, TERM, 17, BEFORE, 42);
+    private static MessageFrame plain(MessageFrame.Kind kind) {
+        return MessageFrame.of(kind, ME, OTHER, TERM, 17, BEFORE, 42);
     }
 
     private static LogEntry entry(LogEntry.Kind kind) {
         boolean command = kind == LogEntry.Kind.COMMAND;
-        boolean view = kind == LogEntry.Kind.FOUND || kind == LogEntry.Kind.VIEW;
+        boolean view = kind == LogEntry.Kind.BOOTSTRAP || kind == LogEntry.Kind.VIEW_CHANGE;
         return new LogEntry(
                 18 + kind.ordinal(),
                 TERM,
@@ -55,82 +55,95 @@
         assertEquals(expected.index(), read.index());
         assertEquals(expected.term(), read.term());
         assertEquals(expected.kind(), read.kind());
-        assertEquals(expected.change(), read.change());
-        assertEquals(expected.by(), read.by());
-        assertEquals(expected.number(), read.number());
+        assertEquals(expected.memberChanges(), read.memberChanges());
+        assertEquals(expected.proposer(), read.proposer());
+        assertEquals(expected.sequence(), read.sequence());
         assertArrayEquals(expected.command(), read.command());
     }
 
-    private static void check(String name, Message m) throws Exception {
-        GOLDEN.assertWritten(name, MessageCodec.write("dhaka", m));
-        Message read = MessageCodec.read(GOLDEN.bytes(name), "dhaka");
+    private static void check(String name, MessageFrame m) throws Exception {
+        GOLDEN.assertWritten(name, MessageEncoder.encode("dhaka", m));
+        MessageFrame read = MessageDecoder.decode(GOLDEN.bytes(name), "dhaka");
         assertEquals(m.kind(), read.kind());
         assertEquals(m.from(), read.from());
         assertEquals(m.to(), read.to());
         assertEquals(m.term(), read.term());
         assertEquals(m.index(), read.index());
-        assertEquals(m.at(), read.at());
+        assertEquals(m.indexTerm(), read.indexTerm());
         assertEquals(m.number(), read.number());
         assertEquals(m.offset(), read.offset());
         assertEquals(m.total(), read.total());
-        assertEquals(m.yes(), read.yes());
-        assertEquals(m.voter(), read.voter());
-        assertEquals(m.ripe(), read.ripe());
-        assertEquals(m.cut(), read.cut());
+        assertEquals(m.isPositive(), read.isPositive());
+        assertEquals(m.isVoter(), read.isVoter());
+        assertEquals(m.isReadyToBootstrap(), read.isReadyToBootstrap());
+        assertEquals(m.memberChanges(), read.memberChanges());
         assertArrayEquals(m.bytes(), read.bytes());
         assertEquals(m.entries().size(), read.entries().size());
         for (int i = 0; i < m.entries().size(); i++) {
             assertSame(m.entries().get(i), read.entries().get(i));
         }
-        assertTrue(MessageCodec.isOurs(GOLDEN.bytes(name)));
+        assertTrue(MessageEncoder.isConsensusDatagram(GOLDEN.bytes(name)));
     }
 
     private static String refusal(String datagram) {
         byte[] bytes = datagram.getBytes(StandardCharsets.UTF_8);
-        return assertThrows(MessageCodec.Refused.class, () -> MessageCodec.read(bytes, "dhaka"))
+        return assertThrows(
+                        MessageDecoder.DecodingException.class,
+                        () -> MessageDecoder.decode(bytes, "dhaka"))
                 .getMessage();
     }
 
     @ParameterizedTest
-    @EnumSource(Message.Kind.class)
-    void eachKindOfMessageKeepsItsBytes(Message.Kind kind) throws Exception {
+    @EnumSource(MessageFrame.Kind.class)
+    void eachKindOfMessageKeepsItsBytes(MessageFrame.Kind kind) throws Exception {
         check("kind " + kind.ordinal(), plain(kind));
     }
 
     @ParameterizedTest
     @EnumSource(LogEntry.Kind.class)
     void eachKindOfEntryKeepsItsBytes(LogEntry.Kind kind) throws Exception {
-        check("entry " + kind.ordinal(), plain(Message.Kind.APPEND).with(List.of(entry(kind)), 16));
+        check(
+                "entry " + kind.ordinal(),
+                plain(MessageFrame.Kind.APPEND_REQUEST).withEntries(List.of(entry(kind)), 16));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
     void eachSetOfFlagsKeepsItsBytes(int flags) throws Exception {
-        Message say = plain(Message.Kind.SAY);
-        check("flags " + flags, say.says((flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0));
+        MessageFrame say = plain(MessageFrame.Kind.PRE_VOTE_RESPONSE);
+        check(
+                "flags " + flags,
+                say.withFlags((flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0));
     }
 
     @Test
     void aFirstWordHasNoReceiverAndNoTerm() throws Exception {
-        check("first word", Message.of(Message.Kind.ASK, ME, null, Term.NONE, -1, Term.NONE, 0));
+        check(
+                "first word",
+                MessageFrame.of(
+                        MessageFrame.Kind.PRE_VOTE_REQUEST, ME, null, Term.NONE, -1, Term.NONE, 0));
     }
 
     @Test
     void aMessageWithAllFieldsKeepsItsBytes() throws Exception {
         check(
                 "all fields",
-                plain(Message.Kind.APPEND)
-                        .with(COMMAND, 1_000, 2_000)
-                        .with(Arrays.stream(LogEntry.Kind.values()).map(k -> entry(k)).toList(), 7)
-                        .with(CHANGE)
-                        .says(true, true, true));
+                plain(MessageFrame.Kind.APPEND_REQUEST)
+                        .withBytes(COMMAND, 1_000, 2_000)
+                        .withEntries(
+                                Arrays.stream(LogEntry.Kind.values()).map(k -> entry(k)).toList(),
+                                7)
+                        .withMemberChanges(CHANGE)
+                        .withFlags(true, true, true));
     }
 
     @Test
     void aPartOfASnapshotKeepsItsBytes() throws Exception {
         byte[] part = new byte[900];
         Arrays.fill(part, (byte) 0xA5);
-        check("part of a snapshot", plain(Message.Kind.SNAPSHOT).with(part, 900, 1_800));
+        check(
+                "part of a snapshot",
+                plain(MessageFrame.Kind.SNAPSHOT_CHUNK).withBytes(part, 900, 1_800));
     }
 
     @Test
@@ -140,24 +153,25 @@
         taken.put(ME, 0L);
         View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", ME.life()));
         GOLDEN.assertWritten(
-                "snapshot", MessageCodec.write(new MessageCodec.Snapshot(view, taken, COMMAND)));
-        MessageCodec.Snapshot read = MessageCodec.snapshot(GOLDEN.bytes("snapshot"));
+                "snapshot", MessageEncoder.encode(new NodeSnapshot(view, taken, COMMAND)));
+        NodeSnapshot read = MessageDecoder.decodeSnapshot(GOLDEN.bytes("snapshot"));
         assertEquals(view, read.view());
-        assertEquals(List.copyOf(taken.entrySet()), List.copyOf(read.taken().entrySet()));
-        assertArrayEquals(COMMAND, read.machine());
+        assertEquals(
+                List.copyOf(taken.entrySet()), List.copyOf(read.appliedSequences().entrySet()));
+        assertArrayEquals(COMMAND, read.stateMachine());
     }
 
     @ParameterizedTest
     @EnumSource(LogEntry.Kind.class)
     void theSizeOfAnEntryIsTheOneThatPackingCountsOn(LogEntry.Kind kind) {
-        String size = Integer.toString(MessageCodec.size(entry(kind)));
+        String size = Integer.toString(MessageEncoder.encodedSize(entry(kind)));
         GOLDEN.assertWritten("size of entry " + kind.ordinal(), size);
     }
 
     @Test
     void aDatagramOfTheGossipIsNotOurs() {
         byte[] gossip = "{\"v\":1,\"fleet\":\"dhaka\"}".getBytes(StandardCharsets.UTF_8);
-        assertFalse(MessageCodec.isOurs(gossip));
+        assertFalse(MessageEncoder.isConsensusDatagram(gossip));
     }
 
     @Test
--- a/src/test/java/myrtleladder/consensus/MessageCodecProperties.java
+++ b/src/test/java/myrtleladder/consensus/MessageCodecProperties.java
@@ -77,7 +77,8 @@
             byte[] bytes) {
         return switch (kind) {
             case COMMAND -> new LogEntry(index, term, kind, Map.of(), null, by, number, bytes);
-            case LEADS -> new LogEntry(index, term, kind, Map.of(), null, null, number, null);
+            case LEADER_CHANGE ->
+                    new LogEntry(index, term, kind, Map.of(), null, null, number, null);
             default -> new LogEntry(index, term, kind, change, null, null, number, null);
         };
     }
@@ -95,19 +96,19 @@
     }
 
     @Provide
-    Arbitrary<Message> messages() {
+    Arbitrary<MessageFrame> messages() {
         Arbitrary<List<LogEntry>> logs = entries().list().ofMaxSize(3);
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
-        Arbitrary<Message> heads =
+        Arbitrary<MessageFrame> heads =
                 Combinators.combine(
-                                Arbitraries.of(Message.Kind.class),
+                                Arbitraries.of(MessageFrame.Kind.class),
                                 lives(),
                                 lives().injectNull(0.3),
                                 terms(),
                                 Arbitraries.longs(),
                                 terms(),
                                 Arbitraries.longs())
-                        .as(Message::of);
+                        .as(MessageFrame::of);
         return Combinators.combine(
                         heads,
                         logs,
@@ -117,31 +118,31 @@
                         Arbitraries.integers().between(0, 7))
                 .as(
                         (m, log, b, offset, cut, is) ->
-                                m.with(log, offset)
-                                        .with(b, offset, offset)
-                                        .with(cut)
-                                        .says((is & 1) != 0, (is & 2) != 0, (is & 4) != 0));
+                                m.withEntries(log, offset)
+                                        .withBytes(b, offset, offset)
+                                        .withMemberChanges(cut)
+                                        .withFlags((is & 1) != 0, (is & 2) != 0, (is & 4) != 0));
     }
 
     @Property(tries = 500, seed = "18")
-    void whatIsWrittenIsReadAsTheSame(@ForAll("messages") Message message) throws Exception {
-        byte[] datagram = MessageCodec.write(FLEET, message);
-        assertTrue(ConsensusNode.isOurs(datagram));
-        Message read = MessageCodec.read(datagram, FLEET);
-        assertArrayEquals(datagram, MessageCodec.write(FLEET, read));
+    void whatIsWrittenIsReadAsTheSame(@ForAll("messages") MessageFrame message) throws Exception {
+        byte[] datagram = MessageEncoder.encode(FLEET, message);
+        assertTrue(ConsensusNode.isConsensusDatagram(datagram));
+        MessageFrame read = MessageDecoder.decode(datagram, FLEET);
+        assertArrayEquals(datagram, MessageEncoder.encode(FLEET, read));
         assertEquals(message.from(), read.from());
-        assertEquals(message.cut(), read.cut());
+        assertEquals(message.memberChanges(), read.memberChanges());
         assertArrayEquals(message.bytes(), read.bytes());
     }
 
     /** Broken on the way, or made up: refused by a reason, and a process that hears it goes on. */
     @Property(tries = 500, seed = "18")
     void whatIsBrokenIsRefused(
-            @ForAll("messages") Message message,
+            @ForAll("messages") MessageFrame message,
             @ForAll @IntRange(max = 2_000) int at,
             @ForAll byte other,
             @ForAll boolean cut) {
-        byte[] whole = MessageCodec.write(FLEET, message);
+        byte[] whole = MessageEncoder.encode(FLEET, message);
         byte[] datagram = cut ? Arrays.copyOf(whole, at % whole.length) : whole.clone();
         if (!cut) {
             datagram[at % datagram.length] = other;
@@ -152,26 +153,26 @@
                         new Life("a", 1),
                         1,
                         NOTHING,
-                        new ConsensusNode.Out() {
+                        new ConsensusEnvironment() {
                             @Override
                             public void send(String name, byte[] bytes) {}
 
                             @Override
-                            public void timer(String token, long delay) {}
+                            public void scheduleTimer(String timer, long delayUs) {}
 
                             @Override
-                            public long wall() {
+                            public long wallClockUs() {
                                 return 0;
                             }
 
                             @Override
-                            public void note(ConsensusEvent note) {}
+                            public void onEvent(ConsensusEvent event) {}
                         });
-        agreement.started(0);
-        agreement.received(1, datagram);
+        agreement.start(0);
+        agreement.onDatagram(1, datagram);
         assertTrue(
-                !cut || agreement.refused().values().stream().mapToLong(v -> v).sum() == 1,
-                () -> "refused " + agreement.refused());
-        assertEquals(0, agreement.applied());
+                !cut || agreement.droppedDatagrams().values().stream().mapToLong(v -> v).sum() == 1,
+                () -> "refused " + agreement.droppedDatagrams());
+        assertEquals(0, agreement.lastApplied());
     }
 }
--- a/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
+++ b/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
@@ -52,7 +52,7 @@
      * What is left of a message on its way: a mutant of the protocol, for those who look if it is
      * seen.
      */
-    UnaryOperator<Message> says = UnaryOperator.identity();
+    UnaryOperator<MessageFrame> says = UnaryOperator.identity();
 
     SimulatedConsensusCluster(long seed, ConsensusSettings settings) {
         this.world = new SimulatedNetwork(seed, LAN);
@@ -110,19 +110,19 @@
             if (!n.agreement.view().lives().equals(there)) {
                 return p + " holds " + n.agreement.view() + ", there are " + there;
             }
-            if (n.machine.digest != digest || n.agreement.waiting() > 0) {
+            if (n.machine.digest != digest || n.agreement.pendingCommands() > 0) {
                 return p
                         + " has "
-                        + n.agreement.waiting()
+                        + n.agreement.pendingCommands()
                         + " commands open, at decree "
-                        + n.agreement.applied();
+                        + n.agreement.lastApplied();
             }
         }
         return null;
     }
 
     /** One life with all that it holds. */
-    final class Node implements ProtocolCore, ConsensusNode.Out, Membership.Out {
+    final class Node implements ProtocolCore, ConsensusEnvironment, Membership.Out {
         final Life me;
         final ConsensusNode agreement;
         final Chain machine = new Chain();
@@ -158,7 +158,7 @@
             post.step(
                     () -> {
                         membership.started(now);
-                        agreement.started(now);
+                        agreement.start(now);
                         actions.timer("work", WORK);
                         look(now);
                     });
@@ -168,8 +168,8 @@
         public void received(long now, String from, byte[] message) {
             post.step(
                     () -> {
-                        if (ConsensusNode.isOurs(message)) {
-                            agreement.received(now, message);
+                        if (ConsensusNode.isConsensusDatagram(message)) {
+                            agreement.onDatagram(now, message);
                         } else {
                             membership.received(now, from, message);
                         }
@@ -192,7 +192,7 @@
                             }
                             actions.timer("work", WORK);
                         } else if (token.startsWith("agree:")) {
-                            agreement.due(now, token.substring(6));
+                            agreement.onTimer(now, token.substring(6));
                         } else {
                             membership.due(now, token);
                         }
@@ -207,13 +207,13 @@
                 membership.members().stream()
                         .filter(c -> c.state().present())
                         .forEach(c -> there.put(c.name(), c.life()));
-                agreement.present(now, there);
+                agreement.onMembershipObserved(now, there);
             }
         }
 
         @Override
         public void send(String to, byte[] whole) {
-            if (!ConsensusNode.isOurs(whole)) {
+            if (!ConsensusNode.isConsensusDatagram(whole)) {
                 actions.send(to, whole);
                 return;
             }
@@ -225,21 +225,26 @@
 
         private byte[] mutated(byte[] datagram) {
             try {
-                return MessageCodec.write(
+                return MessageEncoder.encode(
                         settings.fleet(),
-                        says.apply(MessageCodec.read(datagram, settings.fleet())));
-            } catch (MessageCodec.Refused e) {
+                        says.apply(MessageDecoder.decode(datagram, settings.fleet())));
+            } catch (MessageDecoder.DecodingException e) {
                 throw new AssertionError(e);
             }
         }
 
+        @Override
+        public void scheduleTimer(String timer, long delayUs) {
+            timer(timer, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             actions.timer(token.equals("beat") ? "agree:" + token : token, delay);
         }
 
         @Override
-        public long wall() {
+        public long wallClockUs() {
             return 1_700_000_000L * SECOND + actions.wall();
         }
 
@@ -249,20 +254,20 @@
         }
 
         @Override
-        public void note(ConsensusEvent note) {
-            actions.note(note.toString());
-            if (note.kind() == ConsensusEvent.Kind.FOUNDED
-                    && note.view().epoch() > newest.epoch()) {
-                foundings.add(note);
+        public void onEvent(ConsensusEvent event) {
+            actions.note(event.toString());
+            if (event.kind() == ConsensusEvent.Kind.FOUNDED
+                    && event.view().epoch() > newest.epoch()) {
+                foundings.add(event);
                 long left =
                         settings.council().stream()
                                 .filter(c -> world.alive(c) && newest.has(nodes.get(c).me))
                                 .count();
-                if (left >= settings.quorum() && !living().containsAll(settings.council())) {
+                if (left >= settings.quorumSize() && !living().containsAll(settings.council())) {
                     broken.add(
                             me
                                     + " founded "
-                                    + note.view()
+                                    + event.view()
                                     + " though "
                                     + left
                                     + " of "
@@ -270,12 +275,12 @@
                                     + " live");
                 }
             }
-            if (note.kind() == ConsensusEvent.Kind.FOUNDED
-                    || note.kind() == ConsensusEvent.Kind.VIEW) {
-                View its = note.view();
+            if (event.kind() == ConsensusEvent.Kind.FOUNDED
+                    || event.kind() == ConsensusEvent.Kind.VIEW) {
+                View its = event.view();
                 View before = views.putIfAbsent(List.of(its.epoch(), its.number()), its);
-                if (before != null && !before.equals(note.view())) {
-                    broken.add("two views of one number: " + before + " and " + note.view());
+                if (before != null && !before.equals(event.view())) {
+                    broken.add("two views of one number: " + before + " and " + event.view());
                 }
                 boolean newer =
                         its.epoch() > newest.epoch()
@@ -285,7 +290,7 @@
         }
 
         @Override
-        public void point(FaultPoint point) {
+        public void onFaultPoint(FaultPoint point) {
             post.point(point);
         }
 
--- a/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
+++ b/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
@@ -189,7 +189,7 @@
 
     private static String follower(SimulatedMaintenanceCluster fleet) {
         return fleet.living().stream()
-                .filter(n -> !fleet.nodes.get(n).agreement.leads())
+                .filter(n -> !fleet.nodes.get(n).agreement.isLeader())
                 .reduce((a, b) -> b)
                 .orElseThrow();
     }
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -14,6 +14,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import myrtleladder.consensus.ConsensusEnvironment;
 import myrtleladder.consensus.ConsensusEvent;
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.ConsensusSettings;
@@ -118,7 +119,10 @@
 
     /** One life of a process. */
     final class Node
-            implements ProtocolCore, ConsensusNode.Out, Membership.Out, MaintenanceCoordinator.Out {
+            implements ProtocolCore,
+                    ConsensusEnvironment,
+                    Membership.Out,
+                    MaintenanceCoordinator.Out {
         final ConsensusNode agreement;
         final MaintenanceStateMachine agenda = new MaintenanceStateMachine();
         final MaintenanceCoordinator work;
@@ -148,12 +152,12 @@
                     new ConsensusSettings(
                             "dhaka",
                             usual.council(),
-                            usual.beat(),
-                            usual.patience(),
-                            usual.stable(),
-                            usual.settling(),
+                            usual.heartbeatIntervalUs(),
+                            usual.electionTimeoutUs(),
+                            usual.viewStabilityUs(),
+                            usual.bootstrapDelayUs(),
                             16,
-                            usual.bytes());
+                            usual.maxDatagramBytes());
             this.agreement = new ConsensusNode(council, me, seed, agenda, this);
             MaintenanceSettings settings = MaintenanceSettings.of("dhaka", 300_000, 5 * SECOND);
             this.work = new MaintenanceCoordinator(settings, me, agreement, agenda, this);
@@ -168,7 +172,7 @@
                 membership.members().stream()
                         .filter(c -> c.state().present())
                         .forEach(c -> there.put(c.name(), c.life()));
-                agreement.present(now, there);
+                agreement.onMembershipObserved(now, there);
                 Set<Life> present = new HashSet<>();
                 there.forEach((name, life) -> present.add(new Life(name, life)));
                 work.present(present);
@@ -190,7 +194,7 @@
                     at,
                     () -> {
                         membership.started(at);
-                        agreement.started(at);
+                        agreement.start(at);
                         work.started(at);
                         actions.timer("look", SECOND);
                     });
@@ -201,8 +205,8 @@
             step(
                     at,
                     () -> {
-                        if (ConsensusNode.isOurs(message)) {
-                            agreement.received(at, message);
+                        if (ConsensusNode.isConsensusDatagram(message)) {
+                            agreement.onDatagram(at, message);
                         } else if (MaintenanceCoordinator.isOurs(message)) {
                             work.received(at, message);
                         } else {
@@ -221,7 +225,7 @@
                                 waits();
                                 actions.timer("look", SECOND);
                             }
-                            case "beat" -> agreement.due(at, token);
+                            case "beat" -> agreement.onTimer(at, token);
                             case "work" -> work.due(at, token);
                             default -> membership.due(at, token);
                         }
@@ -232,7 +236,7 @@
         public void send(String to, byte[] datagram) {
             String text = new String(datagram, StandardCharsets.UTF_8);
             String layer =
-                    ConsensusNode.isOurs(datagram)
+                    ConsensusNode.isConsensusDatagram(datagram)
                             ? "agreement"
                             : MaintenanceCoordinator.isOurs(datagram) ? "work" : "membership";
             record(layer, process, "sends to " + to + " " + text);
@@ -242,6 +246,11 @@
             actions.send(to, datagram);
         }
 
+        @Override
+        public void scheduleTimer(String timer, long delayUs) {
+            timer(timer, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             String layer =
@@ -253,13 +262,13 @@
         }
 
         @Override
-        public long wall() {
+        public long wallClockUs() {
             return 1_700_000_000L * SECOND + actions.wall();
         }
 
         @Override
         public long wallMillis() {
-            return wall() / 1_000;
+            return wallClockUs() / 1_000;
         }
 
         @Override
@@ -270,13 +279,13 @@
         }
 
         @Override
-        public void note(ConsensusEvent note) {
-            String view = note.view().epoch() + "." + note.view().number() + note.view().lives();
-            record("agreement", process, note.kind().name() + " " + view + " " + note.why());
+        public void onEvent(ConsensusEvent event) {
+            String view = event.view().epoch() + "." + event.view().number() + event.view().lives();
+            record("agreement", process, event.kind().name() + " " + view + " " + event.reason());
         }
 
         @Override
-        public void point(FaultPoint point) {
+        public void onFaultPoint(FaultPoint point) {
             record("agreement", process, "point " + point.ordinal());
         }
 
--- a/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
+++ b/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
@@ -14,6 +14,7 @@
 import java.util.TreeSet;
 import java.util.function.Supplier;
 import myrtleladder.cluster.PointFaults;
+import myrtleladder.consensus.ConsensusEnvironment;
 import myrtleladder.consensus.ConsensusEvent;
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.ConsensusSettings;
@@ -161,7 +162,10 @@
 
     /** One life with all that it holds. */
     final class Node
-            implements ProtocolCore, ConsensusNode.Out, Membership.Out, MaintenanceCoordinator.Out {
+            implements ProtocolCore,
+                    ConsensusEnvironment,
+                    Membership.Out,
+                    MaintenanceCoordinator.Out {
         final Life me;
         final ConsensusNode agreement;
         final MaintenanceStateMachine agenda;
@@ -212,7 +216,7 @@
                             membership.members().stream()
                                     .filter(c -> c.state().present())
                                     .forEach(c -> there.put(c.name(), c.life()));
-                            agreement.present(now, there);
+                            agreement.onMembershipObserved(now, there);
                             Set<Life> lives = new HashSet<>();
                             there.forEach((n, l) -> lives.add(new Life(n, l)));
                             work.present(lives);
@@ -230,7 +234,7 @@
                     at,
                     () -> {
                         membership.started(at);
-                        agreement.started(at);
+                        agreement.start(at);
                         work.started(at);
                         actions.timer("request", REQUESTS);
                     });
@@ -241,9 +245,9 @@
             step(
                     at,
                     () -> {
-                        if (ConsensusNode.isOurs(message)) {
+                        if (ConsensusNode.isConsensusDatagram(message)) {
                             agrees = true;
-                            agreement.received(at, message);
+                            agreement.onDatagram(at, message);
                         } else if (MaintenanceCoordinator.isOurs(message)) {
                             work.received(
                                     at, leaveFromReceipt ? fromReceipt(at, message) : message);
@@ -279,7 +283,7 @@
                             return;
                         } else if (token.equals("beat")) {
                             agrees = true;
-                            agreement.due(at, token);
+                            agreement.onTimer(at, token);
                         } else if (token.equals("work")) {
                             work.due(at, token);
                         } else {
@@ -326,19 +330,24 @@
             post.send(to, datagram);
         }
 
+        @Override
+        public void scheduleTimer(String timer, long delayUs) {
+            timer(timer, delayUs);
+        }
+
         @Override
         public void timer(String token, long delay) {
             actions.timer(token, delay);
         }
 
         @Override
-        public long wall() {
+        public long wallClockUs() {
             return 1_700_000_000L * SECOND + actions.wall();
         }
 
         @Override
         public long wallMillis() {
-            return wall() / 1_000;
+            return wallClockUs() / 1_000;
         }
 
         @Override
@@ -347,8 +356,8 @@
         }
 
         @Override
-        public void note(ConsensusEvent note) {
-            actions.note(note.toString());
+        public void onEvent(ConsensusEvent event) {
+            actions.note(event.toString());
         }
 
         @Override
