--- /dev/null
+++ b/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
@@ -0,0 +1,224 @@
+package myrtleladder.dataplane;
+
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.Map;
+import myrtleladder.io.EventLoop;
+import myrtleladder.io.HttpConnection;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
+
+/**
+ * HTTP/1.1 connections, kept idle for later requests as long as their upstreams keep them. Of idle
+ * ones the last used is acquired first. Confined to the event loop.
+ */
+final class HttpConnectionPool implements ConnectionPool {
+    /** Longest time for which a connection is kept idle; chosen. */
+    private static final long MAX_IDLE_MS = 4_000;
+
+    /** Idle time up to which a connection counts as recently used; chosen. */
+    private static final long RECENTLY_USED_MS = 1_200;
+
+    /** How long before the upstream's own timeout an idle connection is closed; chosen. */
+    private static final long KEEP_ALIVE_MARGIN_MS = 900;
+
+    /** Most idle connections to one upstream; chosen. */
+    private static final int MAX_IDLE_CONNECTIONS = 24;
+
+    private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
+
+    private final EventLoop loop;
+    private final Map<Upstream, ArrayDeque<PooledHttpConnection>> idle = new HashMap<>();
+    private final Map<Upstream, Integer> open = new HashMap<>();
+
+    HttpConnectionPool(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    @Override
+    public int openConnections(Upstream upstream) {
+        return open.getOrDefault(upstream, 0);
+    }
+
+    @Override
+    public int idleConnections(Upstream upstream) {
+        ArrayDeque<PooledHttpConnection> connections = idle.get(upstream);
+        return connections == null ? 0 : connections.size();
+    }
+
+    @Override
+    public PooledConnection acquire(
+            Upstream upstream, ResponseListener listener, boolean recentlyUsedOnly) {
+        PooledHttpConnection reused = pollIdle(upstream, recentlyUsedOnly);
+        if (reused != null) {
+            reused.listener = listener;
+            listener.onConnectionReady(reused);
+            return reused;
+        }
+        PooledHttpConnection created = new PooledHttpConnection(upstream, listener);
+        open.merge(upstream, 1, Integer::sum);
+        String address = upstream.record().address;
+        int colon = address.lastIndexOf(':');
+        String host = address.substring(0, colon);
+        int port = Integer.parseInt(address.substring(colon + 1));
+        created.connection = HttpConnection.connect(loop, host, port, created);
+        return created;
+    }
+
+    /** The last used idle connection that may still be used, null if there is none. */
+    private PooledHttpConnection pollIdle(Upstream upstream, boolean recentlyUsedOnly) {
+        ArrayDeque<PooledHttpConnection> connections = idleQueue(upstream);
+        long nowMs = loop.now();
+        PooledHttpConnection connection = connections.pollLast();
+        while (connection != null) {
+            long maxIdleMs = recentlyUsedOnly ? RECENTLY_USED_MS : connection.maxIdleMs;
+            if (connection.canSend() && nowMs - connection.idleSinceMs < maxIdleMs) {
+                return connection;
+            }
+            connection.close();
+            connection = connections.pollLast();
+        }
+        return null;
+    }
+
+    private ArrayDeque<PooledHttpConnection> idleQueue(Upstream upstream) {
+        return idle.computeIfAbsent(upstream, key -> new ArrayDeque<>());
+    }
+
+    /** Closes connections that were idle for too long, and those to leaving upstreams. */
+    @Override
+    public void closeExpired() {
+        long nowMs = loop.now();
+        for (ArrayDeque<PooledHttpConnection> connections : idle.values()) {
+            Iterator<PooledHttpConnection> iterator = connections.iterator();
+            while (iterator.hasNext()) {
+                PooledHttpConnection connection = iterator.next();
+                boolean expired = nowMs - connection.idleSinceMs >= connection.maxIdleMs;
+                if (expired || connection.upstream.record().isLeaving()) {
+                    iterator.remove();
+                    connection.close();
+                }
+            }
+        }
+        idle.values().removeIf(ArrayDeque::isEmpty);
+    }
+
+    /** How long a connection may be idle by the upstream's Keep-Alive field. */
+    private static long maxIdleMs(String keepAlive) {
+        for (String parameter : keepAlive.split(",")) {
+            String trimmed = parameter.trim();
+            if (trimmed.startsWith(KEEP_ALIVE_TIMEOUT)) {
+                return maxIdleMsOfTimeout(trimmed.substring(KEEP_ALIVE_TIMEOUT.length()));
+            }
+        }
+        return MAX_IDLE_MS;
+    }
+
+    private static long maxIdleMsOfTimeout(String seconds) {
+        try {
+            long timeoutMs = Long.parseLong(seconds) * 1_000;
+            return Math.min(MAX_IDLE_MS, Math.max(0, timeoutMs - KEEP_ALIVE_MARGIN_MS));
+        } catch (NumberFormatException e) {
+            return MAX_IDLE_MS;
+        }
+    }
+
+    /** One connection to an upstream; without a listener while it is idle or closed. */
+    private final class PooledHttpConnection implements PooledConnection, HttpConnection.Listener {
+        private final Upstream upstream;
+        private HttpConnection connection;
+        private ResponseListener listener;
+        private long idleSinceMs;
+        private long maxIdleMs = MAX_IDLE_MS;
+        private boolean isCounted = true;
+
+        private PooledHttpConnection(Upstream upstream, ResponseListener listener) {
+            this.upstream = upstream;
+            this.listener = listener;
+        }
+
+        @Override
+        public boolean canSend() {
+            return connection.ready();
+        }
+
+        @Override
+        public void send(RequestHead head, byte[] body) {
+            connection.send(head, body);
+        }
+
+        @Override
+        public void close() {
+            listener = null;
+            connection.close();
+            uncount();
+        }
+
+        private void uncount() {
+            if (isCounted) {
+                isCounted = false;
+                open.merge(upstream, -1, Integer::sum);
+                open.remove(upstream, 0);
+            }
+        }
+
+        @Override
+        public void connected() {
+            if (listener != null) {
+                listener.onConnectionReady(this);
+            }
+        }
+
+        @Override
+        public void head(ResponseHead head) {
+            String keepAlive = head.headers().get("Keep-Alive");
+            if (keepAlive != null) {
+                maxIdleMs = maxIdleMs(keepAlive);
+            }
+            if (listener != null) {
+                listener.onResponseHead(head);
+            }
+        }
+
+        @Override
+        public void body(byte[] bytes) {
+            if (listener != null) {
+                listener.onResponseBody(bytes);
+            }
+        }
+
+        @Override
+        public void end(boolean reusable) {
+            ResponseListener completed = listener;
+            listener = null;
+            boolean hasRoom = idleConnections(upstream) < MAX_IDLE_CONNECTIONS;
+            if (reusable && !upstream.record().isLeaving() && hasRoom) {
+                idleSinceMs = loop.now();
+                idleQueue(upstream).addLast(this);
+            } else {
+                connection.close();
+                uncount();
+            }
+            if (completed != null) {
+                completed.onResponseComplete();
+            }
+        }
+
+        @Override
+        public void closed(boolean everConnected) {
+            uncount();
+            ArrayDeque<PooledHttpConnection> connections = idle.get(upstream);
+            if (connections != null) {
+                connections.remove(this);
+            }
+            ResponseListener interrupted = listener;
+            listener = null;
+            if (interrupted != null && everConnected) {
+                interrupted.onConnectionLost();
+            } else if (interrupted != null) {
+                interrupted.onConnectFailed();
+            }
+        }
+    }
+}
--- a/src/test/java/myrtleladder/dataplane/UrgencyTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -8,8 +8,8 @@
 import myrtleladder.configuration.Route;
 import org.junit.jupiter.api.Test;
 
-/** The rank of a request at a model upstream. */
-class UrgencyTest {
+/** The prefill class of a request at a model upstream. */
+class PrefillPriorityTest {
     private static Route route(int targetMs, int priority) {
         String text =
                 "{\"generation\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
@@ -24,22 +24,22 @@
     }
 
     @Test
-    void whatTakesLittleOfItsObjectiveGoesFirst() {
+    void shortPrefillComparedWithTheTargetGoesFirst() {
         Route route = route(800, 1);
-        assertEquals(0, Urgency.rank(route, 0));
-        assertEquals(0, Urgency.rank(route, 100));
-        assertEquals(1, Urgency.rank(route, 200));
-        assertEquals(2, Urgency.rank(route, 700));
+        assertEquals(0, PrefillPriority.prefillClass(route, 0));
+        assertEquals(0, PrefillPriority.prefillClass(route, 100));
+        assertEquals(1, PrefillPriority.prefillClass(route, 200));
+        assertEquals(2, PrefillPriority.prefillClass(route, 700));
     }
 
     @Test
-    void theSamePromptIsMoreUrgentTheShorterItsObjective() {
-        assertEquals(1, Urgency.rank(route(500, 0), 100));
-        assertEquals(0, Urgency.rank(route(2_000, 0), 100));
+    void samePromptIsALaterClassTheShorterTheTarget() {
+        assertEquals(1, PrefillPriority.prefillClass(route(500, 0), 100));
+        assertEquals(0, PrefillPriority.prefillClass(route(2_000, 0), 100));
     }
 
     @Test
-    void aRouteWithoutAnObjectiveIsNotUrgent() {
-        assertEquals(2, Urgency.rank(route(0, 0), 100));
+    void routeWithoutATargetIsInTheLastClass() {
+        assertEquals(2, PrefillPriority.prefillClass(route(0, 0), 100));
     }
 }
