--- a/src/main/java/myrtleladder/cluster/WorkCarrier.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import myrtleladder.consensus.ConsensusNode;
-import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
 import myrtleladder.maintenance.MaintenanceCoordinator;
+import myrtleladder.maintenance.MaintenanceEnvironment;
 import myrtleladder.maintenance.MaintenanceFaultPoint;
 import myrtleladder.maintenance.MaintenanceJob;
 import myrtleladder.maintenance.MaintenanceSettings;
@@ -26,8 +26,8 @@
  * A process's part in the work on machines, beside its agreement: on the same event loop, by the
  * same datagrams. It sees how upstreams do by what becomes of this process's own attempts.
  */
-public final class WorkCarrier implements MaintenanceCoordinator.Out {
-    private static final System.Logger LOG = System.getLogger(WorkCarrier.class.getName());
+public final class MaintenanceRuntime implements MaintenanceEnvironment {
+    private static final System.Logger LOG = System.getLogger(MaintenanceRuntime.class.getName());
 
     /** An upstream that has not served so many attempts in a row fails. */
     private static final int FAILS = 5;
@@ -47,10 +47,10 @@
 
     private static final double SMOOTH = 0.02;
 
-    private final AgreeCarrier agreement;
+    private final ConsensusRuntime agreement;
     private final MaintenanceStateMachine agenda;
     private final MaintenanceCoordinator work;
-    private final Balancing balancing;
+    private final LoadBalancerControl balancing;
     private final Consumer<? super MaintenanceFaultPoint> points;
     private final Map<String, Integer> notServed = new HashMap<>();
     private final Map<String, Tally> tallies = new HashMap<>();
@@ -71,34 +71,12 @@
         }
     }
 
-    /** A job as operators see it; {@code waits} says for what, null if for nothing. */
-    public record Seen(
-            String machine,
-            String plan,
-            String state,
-            FencingToken permit,
-            long until,
-            boolean reserved,
-            String waits,
-            String why) {}
-
-    /** What a process holds of the work on machines. */
-    public record Look(
-            List<Seen> jobs,
-            String halted,
-            boolean safe,
-            boolean leave,
-            boolean registered,
-            List<String> gone,
-            Map<String, String> refusals,
-            Map<String, Long> refused) {}
-
-    private WorkCarrier(
-            AgreeCarrier agreement,
+    private MaintenanceRuntime(
+            ConsensusRuntime agreement,
             ConsensusNode core,
             MaintenanceStateMachine agenda,
             MaintenanceSettings settings,
-            Balancing balancing,
+            LoadBalancerControl balancing,
             Consumer<? super MaintenanceFaultPoint> points) {
         this.agreement = agreement;
         this.agenda = agenda;
@@ -108,18 +86,18 @@
     }
 
     /** Takes part from now on; {@code agenda} is what the agreement feeds. */
-    public static WorkCarrier start(
-            AgreeCarrier agreement,
+    public static MaintenanceRuntime start(
+            ConsensusRuntime agreement,
             MaintenanceStateMachine agenda,
             MaintenanceSettings settings,
-            Balancing balancing,
+            LoadBalancerControl balancing,
             Consumer<? super MaintenanceFaultPoint> points) {
         return agreement
                 .loop()
                 .submit(
                         () -> {
-                            WorkCarrier carrier =
-                                    new WorkCarrier(
+                            MaintenanceRuntime carrier =
+                                    new MaintenanceRuntime(
                                             agreement,
                                             agreement.core(),
                                             agenda,
@@ -127,7 +105,7 @@
                                             balancing,
                                             points);
                             agreement.host(carrier);
-                            carrier.work.started(carrier.now());
+                            carrier.work.start(carrier.now());
                             return carrier;
                         })
                 .syncUninterruptibly()
@@ -173,37 +151,37 @@
 
     /** Whether the fleet knows of this process. */
     public Future<Boolean> registered() {
-        return agreement.loop().submit(work::registered);
+        return agreement.loop().submit(work::isRegistered);
     }
 
     /** What it holds, as of soon. */
-    public Future<Look> look() {
+    public Future<MaintenanceStatus> look() {
         return agreement
                 .loop()
                 .submit(
                         () -> {
-                            List<Seen> jobs = new ArrayList<>();
+                            List<MaintenanceStatus.JobStatus> jobs = new ArrayList<>();
                             for (MaintenanceJob job : agenda.jobs()) {
                                 jobs.add(
-                                        new Seen(
+                                        new MaintenanceStatus.JobStatus(
                                                 job.machine(),
                                                 job.plan(),
                                                 job.state().name(),
                                                 job.permit(),
                                                 job.until(),
                                                 job.reserved(),
-                                                work.waits(now(), job),
+                                                work.waitReason(job),
                                                 job.why()));
                             }
-                            return new Look(
+                            return new MaintenanceStatus(
                                     jobs,
-                                    agenda.halted(),
+                                    agenda.haltReason(),
                                     agenda.isSafe(),
-                                    work.hasLeave(now()),
-                                    work.registered(),
+                                    work.hasLease(now()),
+                                    work.isRegistered(),
                                     agenda.gone().stream().map(Life::toString).toList(),
                                     agenda.refusals(),
-                                    work.refused());
+                                    work.droppedDatagrams());
                         });
     }
 
@@ -223,7 +201,7 @@
     }
 
     /** All upstreams; on the loop. */
-    public List<Balancing.Upstream> upstreams() {
+    public List<LoadBalancerControl.Upstream> upstreams() {
         return balancing.listed();
     }
 
@@ -236,16 +214,16 @@
     // ---------------------------------------------------------------
 
     void received(byte[] datagram) {
-        work.received(now(), datagram);
+        work.onDatagram(now(), datagram);
     }
 
     void present(Set<Life> lives) {
-        work.present(lives);
+        work.onMembershipObserved(lives);
     }
 
     /** The agreement has been at work. */
     void look(long now) {
-        work.look(now);
+        work.onConsensusChanged(now);
     }
 
     // ---- What the core asks for
@@ -257,22 +235,22 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
-        agreement.loop().schedule(() -> work.due(now(), token), delay, TimeUnit.MICROSECONDS);
+    public void scheduleTimer(String timer, long delayUs) {
+        agreement.loop().schedule(() -> work.onTimer(now(), timer), delayUs, TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMs() {
         return System.currentTimeMillis();
     }
 
     @Override
-    public int inFlight(String upstream) {
+    public int inFlightAttempts(String upstream) {
         return balancing.inFlight(upstream);
     }
 
     @Override
-    public void aside(Set<String> upstreams) {
+    public void setExcludedUpstreams(Set<String> upstreams) {
         Set<String> cold = new HashSet<>(away);
         cold.removeAll(upstreams);
         cold.retainAll(tallies.keySet());
@@ -281,7 +259,7 @@
     }
 
     @Override
-    public List<String> failing() {
+    public List<String> failingUpstreams() {
         Set<String> failing = new HashSet<>();
         balancing.listed().stream().filter(u -> !u.ready()).forEach(u -> failing.add(u.id()));
         notServed.forEach(
@@ -290,18 +268,21 @@
                         failing.add(upstream);
                     }
                 });
-        return failing.stream().sorted().limit(MaintenanceStateMachine.MOST_FAILING).toList();
+        return failing.stream()
+                .sorted()
+                .limit(MaintenanceStateMachine.MAX_FAILING_UPSTREAMS)
+                .toList();
     }
 
     @Override
-    public boolean judged(String upstream) {
+    public boolean canJudge(String upstream) {
         Tally tally = tallies.get(upstream);
         return tally != null
                 && (tally.served + tally.failed >= ENOUGH || now() - tally.since >= LONG_ENOUGH);
     }
 
     @Override
-    public String worse(String upstream) {
+    public String degradation(String upstream) {
         Tally tally = tallies.get(upstream);
         int all = tally.served + tally.failed;
         if (all >= FEWEST && tally.failed > BAD * all) {
@@ -318,7 +299,7 @@
     }
 
     @Override
-    public void moved(MaintenanceJob job) {
+    public void onJobStateChanged(MaintenanceJob job) {
         String upstream = job.part().upstream();
         if (upstream != null) {
             switch (job.state()) {
@@ -348,7 +329,7 @@
     }
 
     @Override
-    public void point(MaintenanceFaultPoint point) {
+    public void onFaultPoint(MaintenanceFaultPoint point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceCommand.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCommand.java
@@ -68,6 +68,12 @@
         return new MaintenanceCommand(kind, name, token, 0, null, null, null, List.of());
     }
 
+    /** Nothing that was permitted before the bootstrap of an epoch can be going on any more. */
+    static MaintenanceCommand safe(String proposer, long epoch) {
+        return new MaintenanceCommand(
+                Kind.SAFE, proposer, null, epoch, null, null, null, List.of());
+    }
+
     MaintenanceCommand because(String why) {
         return new MaintenanceCommand(kind, name, token, at, why, terms, part, down);
     }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
@@ -57,6 +57,12 @@
         return part.machine();
     }
 
+    /** This job at the completion of its plan. */
+    MaintenanceJob planned(FencingToken token) {
+        return new MaintenanceJob(
+                part, plan, token, number, false, false, state, null, null, 0, clear, why);
+    }
+
     MaintenanceJob reserve() {
         return new MaintenanceJob(
                 part, plan, asked, number, true, first, state, ordered, permit, until, clear, why);
--- a/src/main/java/myrtleladder/maintenance/MaintenanceSettings.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceSettings.java
@@ -1,34 +1,62 @@
 package myrtleladder.maintenance;
 
 /**
- * The figures of the work on machines; the same in all processes of a fleet. Times are
- * microseconds.
+ * Settings of maintenance; the same in all processes of a cluster.
  *
- * @param beat between two looks, and between two questions for leave
- * @param leave so long a process may send on after it asked, by its own clock
- * @param attempt so long an attempt is out at most: one that was sent with leave may be that old
- *     after it
- * @param drift two steady clocks go apart by so many parts of a million at most
- * @param lost so long a life that is in no view has to be out of sight before it counts as gone
- * @param longest the longest work; so long nothing is taken out after a founding, since what was
- *     granted before it may be going on
+ * @param fleet name of the cluster; messages of another one are dropped
+ * @param intervalUs time between two requests for a lease, and between two looks at the jobs
+ * @param leaseUs how long a process may send after it requested a lease, by its own clock
+ * @param longestAttemptUs how long an attempt is in flight at most: one that was sent with a lease
+ *     may end that much after it
+ * @param clockDriftPpm how far two steady clocks go apart at most, in parts per million
+ * @param unreachableAfterUs how long a process in no view has to be unseen before it is gone
+ * @param longestMaintenanceUs the longest maintenance; nothing is taken out for so long after a
+ *     bootstrap, since what was permitted before may be going on
  */
 public record MaintenanceSettings(
-        String fleet, long beat, long leave, long attempt, long drift, long lost, long longest) {
-    private static final long MILLION = 1_000_000;
-    private static final long SPARE = 50_000;
+        String fleet,
+        long intervalUs,
+        long leaseUs,
+        long longestAttemptUs,
+        long clockDriftPpm,
+        long unreachableAfterUs,
+        long longestMaintenanceUs) {
+    private static final long PARTS_PER_MILLION = 1_000_000;
 
-    /** What holds unless it is configured otherwise, for work of so many microseconds at most. */
-    public static MaintenanceSettings of(String fleet, long attempt, long longest) {
+    /** Added to the end of a lease for processing; chosen. */
+    private static final long LEASE_MARGIN_US = 50_000;
+
+    /** Default of {@code intervalUs}; chosen. */
+    private static final long DEFAULT_INTERVAL_US = 200_000;
+
+    /** Default of {@code leaseUs}; chosen. */
+    private static final long DEFAULT_LEASE_US = 1_500_000;
+
+    /** Default of {@code clockDriftPpm}; chosen. */
+    private static final long DEFAULT_CLOCK_DRIFT_PPM = 1_000;
+
+    /** Default of {@code unreachableAfterUs}; chosen. */
+    private static final long DEFAULT_UNREACHABLE_AFTER_US = 3_000_000;
+
+    /** The default settings. */
+    public static MaintenanceSettings of(
+            String fleet, long longestAttemptUs, long longestMaintenanceUs) {
         return new MaintenanceSettings(
-                fleet, 200_000, 1_500_000, attempt, 1_000, 3_000_000, longest);
+                fleet,
+                DEFAULT_INTERVAL_US,
+                DEFAULT_LEASE_US,
+                longestAttemptUs,
+                DEFAULT_CLOCK_DRIFT_PPM,
+                DEFAULT_UNREACHABLE_AFTER_US,
+                longestMaintenanceUs);
     }
 
     /**
-     * So long after it was given, by the giver's clock, nothing is out any more that was sent with
-     * it.
+     * How long after a grant, by the clock of who granted it, an attempt may be in flight that was
+     * sent with the lease.
      */
-    long leaveIsOver() {
-        return leave + attempt + 2 * (leave + attempt) * drift / MILLION + SPARE;
+    long leaseExpiryUs() {
+        long inFlightUs = leaseUs + longestAttemptUs;
+        return inFlightUs + 2 * inFlightUs * clockDriftPpm / PARTS_PER_MILLION + LEASE_MARGIN_US;
     }
 }
--- a/src/test/java/myrtleladder/controlplane/GenerationStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state on the disk against torn, missing and damaged files. */
-class GenerationStoreTest {
+/** The state on the disk with torn, missing and damaged files. */
+class StateStoreTest {
     @TempDir Path folder;
 
     private static StoredState state(long promised, int size) {
@@ -34,7 +34,7 @@
     }
 
     private void assertLoads(long promised, int size) {
-        StoredState loaded = new GenerationStore(folder).load();
+        StoredState loaded = new StateStore(folder).load();
         assertEquals(promised, loaded.promisedEpoch);
         assertArrayEquals(state(promised, size).snapshot.document, loaded.snapshot.document);
         assertEquals(List.of("o1", "o2"), loaded.snapshot.changeDigests);
@@ -42,12 +42,12 @@
     }
 
     private Path newest() {
-        return new GenerationStore(folder).generations().get(0).file();
+        return new StateStore(folder).files().get(0).path();
     }
 
     @Test
-    void aFileIsAsLongAsItsStateAndNotMuchMore() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+    void fileIsNotMuchLongerThanItsState() throws Exception {
+        StateStore store = new StateStore(folder);
         for (int size : new int[] {0, 1, 8_000, 60_000, 130_000, 1_100_000}) {
             store.save(state(5, size));
             long length = Files.size(newest());
@@ -57,17 +57,17 @@
     }
 
     @Test
-    void aStateThatEndsWithZerosComesBackWhole() {
+    void stateThatEndsWithZerosIsRestoredCompletely() {
         StoredState zeros =
                 StoredState.of("s", 1, null, Snapshot.of(new byte[70_000], 1, List.of()));
-        new GenerationStore(folder).save(zeros);
-        StoredState loaded = new GenerationStore(folder).load();
+        new StateStore(folder).save(zeros);
+        StoredState loaded = new StateStore(folder).load();
         assertArrayEquals(new byte[70_000], loaded.snapshot.document);
     }
 
     @Test
-    void theNewestStateComesBackAndOldFilesGo() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+    void newestStateIsLoadedAndOldFilesAreRemoved() throws Exception {
+        StateStore store = new StateStore(folder);
         assertNull(store.load());
         for (int i = 1; i <= 10; i++) {
             store.save(state(i, i * 20_000));
@@ -79,16 +79,16 @@
     }
 
     @Test
-    void aFileTornAnywhereIsSetAsideAndTheOneBeforeHolds() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+    void tornFileIsSetAsideAndThePreviousOneLoaded() throws Exception {
+        StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
-        byte[] whole = Files.readAllBytes(newest());
+        byte[] complete = Files.readAllBytes(newest());
         Path file = newest();
-        Path other = new GenerationStore(folder).generations().get(1).file();
+        Path other = new StateStore(folder).files().get(1).path();
         byte[] before = Files.readAllBytes(other);
-        for (int cut = 0; cut < whole.length; cut += 4_096) {
-            Files.write(file, Arrays.copyOf(whole, cut));
+        for (int cut = 0; cut < complete.length; cut += 4_096) {
+            Files.write(file, Arrays.copyOf(complete, cut));
             assertLoads(1, 30_000);
             Files.deleteIfExists(file.resolveSibling(file.getFileName() + ".damaged"));
             Files.write(other, before);
@@ -96,20 +96,20 @@
     }
 
     @Test
-    void missingPagesAreNoticed() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+    void missingPagesAreDetected() throws Exception {
+        StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
         Path file = newest();
-        byte[] whole = Files.readAllBytes(file);
-        for (int page = 0; page < whole.length; page += 4_096) {
-            byte[] torn = whole.clone();
-            Arrays.fill(torn, page, Math.min(whole.length, page + 4_096), (byte) 0);
-            if (Arrays.equals(torn, whole)) {
+        byte[] complete = Files.readAllBytes(file);
+        for (int page = 0; page < complete.length; page += 4_096) {
+            byte[] torn = complete.clone();
+            Arrays.fill(torn, page, Math.min(complete.length, page + 4_096), (byte) 0);
+            if (Arrays.equals(torn, complete)) {
                 continue;
             }
             Files.write(file, torn);
-            long promised = new GenerationStore(folder).load().promisedEpoch;
+            long promised = new StateStore(folder).load().promisedEpoch;
             Path aside = file.resolveSibling(file.getFileName() + ".damaged");
             assertEquals(Files.exists(aside) ? 1 : 2, promised, "page at " + page);
             Files.deleteIfExists(aside);
@@ -117,8 +117,8 @@
     }
 
     @Test
-    void anOldFileWhoseRemovalWasLostDoesNotComeBack() throws Exception {
-        GenerationStore store = new GenerationStore(folder);
+    void oldFileWhoseRemovalWasLostIsNotLoaded() throws Exception {
+        StateStore store = new StateStore(folder);
         store.save(state(1, 100));
         Path first = newest();
         byte[] bytes = Files.readAllBytes(first);
@@ -126,20 +126,21 @@
         store.save(state(3, 100));
         Files.write(first, bytes);
         assertLoads(3, 100);
-        new GenerationStore(folder).load();
-        GenerationStore again = new GenerationStore(folder);
+        new StateStore(folder).load();
+        StateStore again = new StateStore(folder);
         again.load();
         again.save(state(4, 100));
         assertLoads(4, 100);
     }
 
     @Test
-    void whatCannotBeWrittenIsToldByItsNumber() throws Exception {
-        GenerationStore store = new GenerationStore(folder.resolve("sub"));
+    void failedWriteIsReportedWithItsErrorCode() throws Exception {
+        StateStore store = new StateStore(folder.resolve("sub"));
         Files.delete(folder.resolve("sub"));
         Files.write(folder.resolve("sub"), new byte[] {1});
-        StoreException refused = assertThrows(StoreException.class, () -> store.save(state(1, 10)));
-        assertEquals(ResultCode.DISK_WRITE, refused.code());
-        assertTrue(refused.getMessage().startsWith("E300 DISK_WRITE"));
+        StorageException failure =
+                assertThrows(StorageException.class, () -> store.save(state(1, 10)));
+        assertEquals(ResultCode.DISK_WRITE, failure.code());
+        assertTrue(failure.getMessage().startsWith("E300 DISK_WRITE"));
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** What a broken line of discovery held, and calls that cross with others. */
+/** What becomes of changes in a malformed line, and of calls that cross with others. */
 class DiscoveryRepairTest extends LoadBalancerFixture {
     private static final long ASK_AGAIN_MS = 2_000;
 
@@ -19,10 +19,10 @@
     }
 
     /**
-     * What a line held that could not be read was heard of with the next whole list: maybe never.
+     * The changes in a malformed line were once missed until the next full list, maybe for good.
      */
     @Test
-    void afterABrokenLineTheWholeListIsAskedForAndTheWatchGoesOn() throws Exception {
+    void malformedListIsFollowedByAFetchOfTheFullListAndTheWatchGoesOn() throws Exception {
         Server missed = server(SERVE);
         Server later = server(SERVE);
         AtomicInteger whole = new AtomicInteger();
@@ -30,7 +30,7 @@
                 server(
                         (m, s) -> {
                             if (follows(m)) {
-                                RawSockets.beginChunks(s);
+                                RawSockets.startChunkedResponse(s);
                                 RawSockets.chunk(
                                         s,
                                         "{\"version\":42,\"full\":false,\"servers\":[{\"id\":\"spo");
@@ -45,16 +45,16 @@
                             }
                         });
         start(list(41, true), discovery);
-        awaitServedBy(missed);
+        awaitRequestAt(missed);
         assertEquals(2, whole.get());
         RawSockets.chunk(
                 discovery.accepted.get(0), list(43, true, entry("later", later.addr(), "Ready")));
-        awaitServedBy(later);
+        awaitRequestAt(later);
     }
 
-    /** A whole list that was made before the watch's last word would undo that. */
+    /** A full list from before the watch's last change would undo that change. */
     @Test
-    void aWholeListOlderThanWhatTheWatchHasToldIsNotTaken() throws Exception {
+    void fullListOlderThanTheWatchIsIgnored() throws Exception {
         Server old = server(SERVE);
         Server current = server(SERVE);
         AtomicInteger whole = new AtomicInteger();
@@ -63,7 +63,7 @@
                 server(
                         (m, s) -> {
                             if (follows(m)) {
-                                RawSockets.beginChunks(s);
+                                RawSockets.startChunkedResponse(s);
                                 RawSockets.chunk(s, "{broken");
                                 RawSockets.chunk(
                                         s,
@@ -84,31 +84,31 @@
                             }
                         });
         start(list(41, true), discovery);
-        taken.await(RawSockets.PATIENCE_S, TimeUnit.SECONDS);
-        awaitServedBy(current);
+        taken.await(RawSockets.TIMEOUT_S, TimeUnit.SECONDS);
+        awaitRequestAt(current);
         assertEquals(0, old.requests.size());
     }
 
     /**
-     * Reported as failed, the call that a new address had ended cost the good one that took its
-     * place.
+     * The call that a new address had superseded was once reported as failed, which ended the new
+     * one too.
      */
     @Test
-    void theCallThatANewAddressEndsIsNotReportedAsFailed() throws Exception {
-        discoveryMode = "on_request";
+    void callSupersededByANewAddressIsNotReportedAsFailed() throws Exception {
+        configFile.discoveryMode("on_request");
         Server upstream = server(SERVE);
-        Server before = server((m, s) -> RawSockets.beginChunks(s));
+        Server before = server((m, s) -> RawSockets.startChunkedResponse(s));
         Server after =
                 server(
                         (m, s) -> {
-                            RawSockets.beginChunks(s);
+                            RawSockets.startChunkedResponse(s);
                             RawSockets.chunk(
                                     s, list(42, true, entry("now", upstream.addr(), "Ready")));
                         });
         start(list(41, true), before);
         RawSockets.next(before.requests);
-        node.reload(config(list(41, true), after));
-        awaitServedBy(upstream);
+        balancer.reload(config(list(41, true), after));
+        awaitRequestAt(upstream);
         // The first pause after a failed call is shorter than that; nothing else shows that there
         // is none.
         assertNull(after.ended.poll(ASK_AGAIN_MS, TimeUnit.MILLISECONDS), "the new watch ended");
--- a/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
+++ b/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
@@ -153,7 +153,7 @@
     /** A permit once more than half have said to keep away. */
     private static final class OfMost extends MaintenanceStateMachine {
         @Override
-        List<Life> mustBeClear() {
+        List<Life> sendersToDrain() {
             return present().stream()
                     .sorted(Comparator.comparing(Life::name))
                     .limit(present().size() / 2 + 1)
@@ -164,7 +164,7 @@
     /** Who is gone can't send. */
     private static final class WithoutGhosts extends MaintenanceStateMachine {
         @Override
-        public List<Life> mayFallBackOn(MaintenanceJob job) {
+        public List<Life> sendersWithFallback(MaintenanceJob job) {
             return List.of();
         }
     }
@@ -174,7 +174,7 @@
      */
     private static final class CheckedWhenAsked extends MaintenanceStateMachine {
         @Override
-        String hindersPermit(MaintenanceJob job, List<String> down) {
+        String permitViolation(MaintenanceJob job, List<String> down) {
             return null;
         }
     }
@@ -236,7 +236,7 @@
         assertEquals(mutant, !fleet.broken.isEmpty(), fleet.broken::toString);
         if (!mutant) {
             SimulatedMaintenanceCluster.Node node = fleet.nodes.get(asked);
-            assertTrue(node.work.waits(node.now, node.agenda.job("u0")).contains(cut));
+            assertTrue(node.work.waitReason(node.agenda.job("u0")).contains(cut));
             calm(fleet);
             fleet.run(40 * SECOND);
             assertNull(fleet.unfinished());
@@ -262,7 +262,7 @@
         link(fleet, cut, LinkFault.CUT);
         fleet.run(1_600_000);
         SimulatedMaintenanceCluster.Node node = fleet.nodes.get(cut);
-        assertEquals(mutant, node.work.hasLeave(node.now));
+        assertEquals(mutant, node.work.hasLease(node.now));
     }
 
     /** A machine fails by itself while another one drains: that one's turn is put off. */
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -21,10 +21,10 @@
 import myrtleladder.consensus.FaultPoint;
 import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.GossipSettings;
+import myrtleladder.gossip.MemberEvent;
+import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.Membership;
-import myrtleladder.gossip.Meta;
-import myrtleladder.gossip.Settings;
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.simulation.ProtocolCore;
 import myrtleladder.testbed.simulation.SimulatedNetwork;
@@ -121,8 +121,8 @@
     final class Node
             implements ProtocolCore,
                     ConsensusEnvironment,
-                    Membership.Out,
-                    MaintenanceCoordinator.Out {
+                    Membership.Output,
+                    MaintenanceEnvironment {
         final ConsensusNode agreement;
         final MaintenanceStateMachine agenda = new MaintenanceStateMachine();
         final MaintenanceCoordinator work;
@@ -138,12 +138,12 @@
             Life me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
-                            Settings.of("dhaka"),
+                            GossipSettings.of("dhaka"),
                             process,
                             me.life(),
                             0,
                             process,
-                            Meta.NONE,
+                            MemberMetadata.NONE,
                             names(3),
                             seed,
                             this);
@@ -170,20 +170,20 @@
                 changed = false;
                 Map<String, Long> there = new TreeMap<>();
                 membership.members().stream()
-                        .filter(c -> c.state().present())
-                        .forEach(c -> there.put(c.name(), c.life()));
+                        .filter(c -> c.state().isPresent())
+                        .forEach(c -> there.put(c.name(), c.startId()));
                 agreement.onMembershipObserved(now, there);
                 Set<Life> present = new HashSet<>();
                 there.forEach((name, life) -> present.add(new Life(name, life)));
-                work.present(present);
+                work.onMembershipObserved(present);
             }
-            work.look(now);
+            work.onConsensusChanged(now);
         }
 
         /** What all jobs wait for, as operators see it. */
         void waits() {
             for (MaintenanceJob job : agenda.jobs()) {
-                String waits = work.waits(now, job);
+                String waits = work.waitReason(job);
                 record("work", process, job.machine() + " " + job.state().name() + " " + waits);
             }
         }
@@ -193,9 +193,9 @@
             step(
                     at,
                     () -> {
-                        membership.started(at);
+                        membership.start(at);
                         agreement.start(at);
-                        work.started(at);
+                        work.start(at);
                         actions.timer("look", SECOND);
                     });
         }
@@ -207,10 +207,10 @@
                     () -> {
                         if (ConsensusNode.isConsensusDatagram(message)) {
                             agreement.onDatagram(at, message);
-                        } else if (MaintenanceCoordinator.isOurs(message)) {
-                            work.received(at, message);
+                        } else if (MaintenanceCoordinator.isMaintenanceDatagram(message)) {
+                            work.onDatagram(at, message);
                         } else {
-                            membership.received(at, from, message);
+                            membership.onDatagram(at, from, message);
                         }
                     });
         }
@@ -226,8 +226,8 @@
                                 actions.timer("look", SECOND);
                             }
                             case "beat" -> agreement.onTimer(at, token);
-                            case "work" -> work.due(at, token);
-                            default -> membership.due(at, token);
+                            case "work" -> work.onTimer(at, token);
+                            default -> membership.onTimer(at, token);
                         }
                     });
         }
@@ -238,7 +238,9 @@
             String layer =
                     ConsensusNode.isConsensusDatagram(datagram)
                             ? "agreement"
-                            : MaintenanceCoordinator.isOurs(datagram) ? "work" : "membership";
+                            : MaintenanceCoordinator.isMaintenanceDatagram(datagram)
+                                    ? "work"
+                                    : "membership";
             record(layer, process, "sends to " + to + " " + text);
             if (layer.equals("work")) {
                 firsts.putIfAbsent(text.substring(0, text.indexOf(',')), text);
@@ -248,17 +250,12 @@
 
         @Override
         public void scheduleTimer(String timer, long delayUs) {
-            timer(timer, delayUs);
-        }
-
-        @Override
-        public void timer(String token, long delay) {
             String layer =
-                    token.equals("beat")
+                    timer.equals("beat")
                             ? "agreement"
-                            : token.equals("work") ? "work" : "membership";
-            record(layer, process, "timer " + token + " " + delay);
-            actions.timer(token, delay);
+                            : timer.equals("work") ? "work" : "membership";
+            record(layer, process, "timer " + timer + " " + delayUs);
+            actions.timer(timer, delayUs);
         }
 
         @Override
@@ -267,14 +264,14 @@
         }
 
         @Override
-        public long wallMillis() {
+        public long wallClockMs() {
             return wallClockUs() / 1_000;
         }
 
         @Override
-        public void event(Event event) {
+        public void onEvent(MemberEvent event) {
             changed = true;
-            String what = event.kind().name() + " " + event.claim().name() + " " + event.why();
+            String what = event.kind().name() + " " + event.update().name() + " " + event.reason();
             record("membership", process, what);
         }
 
@@ -290,37 +287,37 @@
         }
 
         @Override
-        public void point(MaintenanceFaultPoint point) {
+        public void onFaultPoint(MaintenanceFaultPoint point) {
             record("work", process, "point " + point.ordinal());
         }
 
         @Override
-        public int inFlight(String upstream) {
+        public int inFlightAttempts(String upstream) {
             return 0;
         }
 
         @Override
-        public void aside(Set<String> aside) {
+        public void setExcludedUpstreams(Set<String> aside) {
             record("work", process, "keeps away from " + new TreeSet<>(aside));
         }
 
         @Override
-        public List<String> failing() {
+        public List<String> failingUpstreams() {
             return List.of();
         }
 
         @Override
-        public String worse(String upstream) {
+        public String degradation(String upstream) {
             return null;
         }
 
         @Override
-        public boolean judged(String upstream) {
+        public boolean canJudge(String upstream) {
             return true;
         }
 
         @Override
-        public void moved(MaintenanceJob job) {
+        public void onJobStateChanged(MaintenanceJob job) {
             FencingToken permit = job.permit();
             String its = permit == null ? "none" : permit.epoch() + "." + permit.index();
             String what = job.machine() + " is " + job.state().name() + " " + its + " " + job.why();
--- a/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
+++ b/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
@@ -20,9 +20,9 @@
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
-import myrtleladder.gossip.Event;
+import myrtleladder.gossip.MemberEvent;
+import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.Membership;
-import myrtleladder.gossip.Meta;
 import myrtleladder.testbed.fault.LinkFault;
 import myrtleladder.testbed.simulation.ProtocolCore;
 import myrtleladder.testbed.simulation.SimulatedNetwork;
@@ -152,7 +152,7 @@
                             + " is "
                             + job.state()
                             + ", waits "
-                            + nodes.get(p).work.waits(nodes.get(p).now, job);
+                            + nodes.get(p).work.waitReason(job);
                 }
             }
             held.add(new String(agenda.snapshot(), java.nio.charset.StandardCharsets.UTF_8));
@@ -164,8 +164,8 @@
     final class Node
             implements ProtocolCore,
                     ConsensusEnvironment,
-                    Membership.Out,
-                    MaintenanceCoordinator.Out {
+                    Membership.Output,
+                    MaintenanceEnvironment {
         final Life me;
         final ConsensusNode agreement;
         final MaintenanceStateMachine agenda;
@@ -191,12 +191,12 @@
             this.me = new Life(process, random.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
-                            myrtleladder.gossip.Settings.of("dhaka"),
+                            myrtleladder.gossip.GossipSettings.of("dhaka"),
                             process,
                             me.life(),
                             0,
                             process,
-                            Meta.NONE,
+                            MemberMetadata.NONE,
                             names(3),
                             seed,
                             this);
@@ -214,16 +214,16 @@
                             changed = false;
                             Map<String, Long> there = new TreeMap<>();
                             membership.members().stream()
-                                    .filter(c -> c.state().present())
-                                    .forEach(c -> there.put(c.name(), c.life()));
+                                    .filter(c -> c.state().isPresent())
+                                    .forEach(c -> there.put(c.name(), c.startId()));
                             agreement.onMembershipObserved(now, there);
                             Set<Life> lives = new HashSet<>();
                             there.forEach((n, l) -> lives.add(new Life(n, l)));
-                            work.present(lives);
+                            work.onMembershipObserved(lives);
                         }
                         if (agrees) {
                             agrees = false;
-                            work.look(now);
+                            work.onConsensusChanged(now);
                         }
                     });
         }
@@ -233,9 +233,9 @@
             step(
                     at,
                     () -> {
-                        membership.started(at);
+                        membership.start(at);
                         agreement.start(at);
-                        work.started(at);
+                        work.start(at);
                         actions.timer("request", REQUESTS);
                     });
         }
@@ -248,11 +248,11 @@
                         if (ConsensusNode.isConsensusDatagram(message)) {
                             agrees = true;
                             agreement.onDatagram(at, message);
-                        } else if (MaintenanceCoordinator.isOurs(message)) {
-                            work.received(
+                        } else if (MaintenanceCoordinator.isMaintenanceDatagram(message)) {
+                            work.onDatagram(
                                     at, leaveFromReceipt ? fromReceipt(at, message) : message);
                         } else {
-                            membership.received(at, from, message);
+                            membership.onDatagram(at, from, message);
                         }
                     });
         }
@@ -285,9 +285,9 @@
                             agrees = true;
                             agreement.onTimer(at, token);
                         } else if (token.equals("work")) {
-                            work.due(at, token);
+                            work.onTimer(at, token);
                         } else {
-                            membership.due(at, token);
+                            membership.onTimer(at, token);
                         }
                     });
         }
@@ -297,7 +297,7 @@
          * us.
          */
         private void request() {
-            if (!work.registered()) {
+            if (!work.isRegistered()) {
                 return;
             }
             List<String> may = upstreams.stream().filter(u -> work.maySend(now, u)).toList();
@@ -315,9 +315,9 @@
                                 + " at "
                                 + world.now()
                                 + ", which is out; leave "
-                                + work.hasLeave(now)
+                                + work.hasLease(now)
                                 + ", knows "
-                                + agenda.ofUpstream(to));
+                                + agenda.activeJobOfUpstream(to));
             }
             long takes = random.nextLong(5_000, ATTEMPT);
             inFlight.merge(to, 1, Integer::sum);
@@ -332,12 +332,7 @@
 
         @Override
         public void scheduleTimer(String timer, long delayUs) {
-            timer(timer, delayUs);
-        }
-
-        @Override
-        public void timer(String token, long delay) {
-            actions.timer(token, delay);
+            actions.timer(timer, delayUs);
         }
 
         @Override
@@ -346,12 +341,12 @@
         }
 
         @Override
-        public long wallMillis() {
+        public long wallClockMs() {
             return wallClockUs() / 1_000;
         }
 
         @Override
-        public void event(Event event) {
+        public void onEvent(MemberEvent event) {
             changed = true;
         }
 
@@ -361,32 +356,32 @@
         }
 
         @Override
-        public int inFlight(String upstream) {
+        public int inFlightAttempts(String upstream) {
             return inFlight.getOrDefault(upstream, 0);
         }
 
         @Override
-        public void aside(Set<String> aside) {
+        public void setExcludedUpstreams(Set<String> aside) {
             actions.note("keeps away from " + aside);
         }
 
         @Override
-        public List<String> failing() {
+        public List<String> failingUpstreams() {
             return List.copyOf(failing);
         }
 
         @Override
-        public String worse(String upstream) {
+        public String degradation(String upstream) {
             return null;
         }
 
         @Override
-        public boolean judged(String upstream) {
+        public boolean canJudge(String upstream) {
             return true;
         }
 
         @Override
-        public void moved(MaintenanceJob job) {
+        public void onJobStateChanged(MaintenanceJob job) {
             actions.note(job.machine() + " " + job.state() + " " + job.permit() + " " + job.why());
             if (job.state() == JobState.OUT && told.add(job.permit())) {
                 permitted(job);
@@ -430,7 +425,7 @@
         }
 
         @Override
-        public void point(MaintenanceFaultPoint point) {
+        public void onFaultPoint(MaintenanceFaultPoint point) {
             post.point(point);
         }
     }
