--- a/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
@@ -2,12 +2,12 @@
 
 import java.util.function.BooleanSupplier;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.ServerExchange;
-import myrtleladder.io.SystemException;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.replication.Replica;
+import myrtleladder.result.ResultException;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles {@code /instances/ID} on the primary: heartbeats of upstreams ({@code PUT}) and their
@@ -71,7 +71,7 @@
         InstanceRecord record;
         try {
             record = InstanceHeartbeatParser.parse(id, Json.readObject(exchange.body()));
-        } catch (SystemException e) {
+        } catch (ResultException e) {
             HttpResponses.error(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
             return;
         }
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
-import myrtleladder.io.EventLoop;
+import myrtleladder.eventloop.EventLoop;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.replication.Replica;
 import myrtleladder.signal.Signals;
--- a/src/test/java/myrtleladder/controlplane/model/ExternalClient.java
+++ b/src/test/java/myrtleladder/controlplane/model/ExternalClient.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
 
 /** Sends HTTP requests to control nodes from outside: follows redirects and has a timeout. */
 final class ExternalClient {
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.RequestHead;
+import myrtleladder.http.RequestHead;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
 import myrtleladder.replication.Replica;
