--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -5,12 +5,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.security.SecureRandom;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import java.util.stream.Collectors;
 import myrtleladder.consensus.AgreeSettings;
 import myrtleladder.consensus.Agreement;
 import myrtleladder.consensus.Life;
@@ -21,175 +22,186 @@
 import myrtleladder.maintenance.Work;
 
 /**
- * A process's agreement, over the datagrams and on the event loop of its membership: what is seen
- * there is who is there, and names have the addresses that their members tell.
+ * Runs the consensus of this process by the datagrams and on the event loop of its membership,
+ * which tells which processes are present and at which addresses.
+ *
+ * <p>{@link #start} and {@link #status} may be called by any thread; all other methods only on the
+ * event loop.
  */
 public final class ConsensusRuntime implements Agreement.Out {
     private static final System.Logger LOG = System.getLogger(ConsensusRuntime.class.getName());
 
-    private final MembershipRuntime members;
+    private final MembershipRuntime membership;
     private final EventLoop loop;
-    private final Consumer<? super Point> points;
-    private final Life me;
-    private final Agreement agreement;
+    private final Consumer<? super Point> faultPoints;
+    private final Life self;
+    private final Agreement node;
+
+    /** Addresses of the members that are present, by name. */
     private final Map<String, String> addresses = new TreeMap<>();
-    private boolean lookDue;
 
-    /** What is built upon the agreement; null if nothing is. */
-    private MaintenanceRuntime guest;
+    private boolean isMembershipUpdateScheduled;
+
+    /** Null as long as no maintenance is attached. */
+    private MaintenanceRuntime maintenance;
 
     private ConsensusRuntime(
-            MembershipRuntime members,
+            MembershipRuntime membership,
             AgreeSettings settings,
-            Machine machine,
-            Consumer<? super Point> points) {
-        this.members = members;
-        this.loop = members.loop();
-        this.points = points;
-        MemberUpdate self = members.self();
-        this.me = new Life(self.name(), self.startId());
-        this.agreement = new Agreement(settings, me, new SecureRandom().nextLong(), machine, this);
+            Machine stateMachine,
+            Consumer<? super Point> faultPoints) {
+        this.membership = membership;
+        this.loop = membership.loop();
+        this.faultPoints = faultPoints;
+        this.self = process(membership.self());
+        this.node =
+                new Agreement(settings, self, new SecureRandom().nextLong(), stateMachine, this);
+    }
+
+    private static Life process(MemberUpdate member) {
+        return new Life(member.name(), member.startId());
     }
 
     /**
-     * Takes part from now on. {@code points} hears of each point of fault that is passed; for the
-     * lab.
+     * Takes part in the consensus from now on.
+     *
+     * @param faultPoints gets each fault point that is passed; for the test bed
      */
     public static ConsensusRuntime start(
-            MembershipRuntime members,
+            MembershipRuntime membership,
             AgreeSettings settings,
-            Machine machine,
-            Consumer<? super Point> points) {
-        ConsensusRuntime carrier = new ConsensusRuntime(members, settings, machine, points);
-        carrier.loop
-                .submit(
-                        () -> {
-                            members.host(carrier);
-                            carrier.agreement.started(carrier.now());
-                            carrier.lookAround();
-                        })
-                .syncUninterruptibly();
-        return carrier;
-    }
-
-    /** What it holds, as of soon. */
-    public Future<ConsensusStatus> look() {
-        return loop.submit(this::held);
-    }
-
-    private ConsensusStatus held() {
+            Machine stateMachine,
+            Consumer<? super Point> faultPoints) {
+        ConsensusRuntime runtime =
+                new ConsensusRuntime(membership, settings, stateMachine, faultPoints);
+        runtime.loop.submit(runtime::startOnLoop).syncUninterruptibly();
+        return runtime;
+    }
+
+    private void startOnLoop() {
+        membership.attach(this);
+        node.started(nowUs());
+        updateMembership();
+    }
+
+    /** What this process knows of the consensus, read on the event loop. */
+    public Future<ConsensusStatus> status() {
+        return loop.submit(this::currentStatus);
+    }
+
+    private ConsensusStatus currentStatus() {
         return new ConsensusStatus(
-                me,
-                agreement.term(),
-                agreement.leader(),
-                agreement.decides(now()),
-                agreement.view(),
-                agreement.applied(),
-                agreement.waiting(),
-                agreement.refused());
+                self,
+                node.term(),
+                node.leader(),
+                node.decides(nowUs()),
+                node.view(),
+                node.applied(),
+                node.waiting(),
+                node.refused());
     }
 
-    long now() {
-        return members.now();
+    long nowUs() {
+        return membership.nowUs();
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    Life me() {
-        return me;
-    }
-
-    Agreement core() {
-        return agreement;
+    /** This start of this process. */
+    Life self() {
+        return self;
     }
 
-    /**
-     * Has the work on machines hear its datagrams and what the agreement does; on the event loop.
-     */
-    void host(MaintenanceRuntime work) {
-        guest = work;
-        lookAround();
+    Agreement node() {
+        return node;
     }
 
-    private void after() {
-        if (guest != null) {
-            guest.look(now());
-        }
+    /** From now on maintenance gets its datagrams and learns of progress. */
+    void attach(MaintenanceRuntime attached) {
+        maintenance = attached;
+        updateMembership();
     }
 
-    /** Whether a datagram is meant for an agreement, or for what is built upon it. */
-    boolean takes(byte[] datagram) {
-        return Agreement.isOurs(datagram) || guest != null && Work.isOurs(datagram);
+    /** Whether a datagram is meant for the consensus or for what is attached to it. */
+    boolean accepts(byte[] datagram) {
+        return Agreement.isOurs(datagram) || maintenance != null && Work.isOurs(datagram);
     }
 
-    /** A datagram has come that is. */
-    void received(byte[] datagram) {
+    /** A datagram that is accepted was received. */
+    void onDatagram(byte[] datagram) {
         if (Agreement.isOurs(datagram)) {
-            agreement.received(now(), datagram);
-            after();
+            node.received(nowUs(), datagram);
+            reportProgress();
         } else {
-            guest.received(datagram);
+            maintenance.onDatagram(datagram);
+        }
+    }
+
+    private void reportProgress() {
+        if (maintenance != null) {
+            maintenance.onConsensusProgress(nowUs());
         }
     }
 
-    /** Sends to a process, if it is there. */
-    void sendIfThere(String name, byte[] datagram) {
+    /** Sends to a process; a datagram to one that is not present is dropped. */
+    void sendIfPresent(String name, byte[] datagram) {
         String address = addresses.get(name);
         if (address != null) {
-            members.send(address, datagram);
+            membership.send(address, datagram);
         }
     }
 
-    /**
-     * Something has changed in the picture; looked at once, when the membership is done with it.
-     */
-    void changed() {
-        if (!lookDue) {
-            lookDue = true;
-            loop.execute(this::lookAround);
+    /** The membership has changed: reads it when the membership has finished its step. */
+    void onMembershipChanged() {
+        if (!isMembershipUpdateScheduled) {
+            isMembershipUpdateScheduled = true;
+            loop.execute(this::updateMembership);
         }
     }
 
-    private void lookAround() {
-        lookDue = false;
-        Map<String, Long> there = new TreeMap<>();
+    private void updateMembership() {
+        isMembershipUpdateScheduled = false;
+        Map<String, Long> present = new TreeMap<>();
+        Set<Life> presentProcesses = new HashSet<>();
         addresses.clear();
-        for (MemberUpdate c : members.claims()) {
-            if (c.state().isPresent()) {
-                there.put(c.name(), c.startId());
-                addresses.put(c.name(), c.address());
+        for (MemberUpdate member : membership.members()) {
+            if (member.state().isPresent()) {
+                present.put(member.name(), member.startId());
+                presentProcesses.add(process(member));
+                addresses.put(member.name(), member.address());
             }
         }
-        agreement.present(now(), there);
-        if (guest != null) {
-            guest.present(
-                    there.entrySet().stream()
-                            .map(l -> new Life(l.getKey(), l.getValue()))
-                            .collect(Collectors.toSet()));
-            after();
+        node.present(nowUs(), present);
+        if (maintenance != null) {
+            maintenance.onMembershipChanged(presentProcesses);
+            reportProgress();
         }
     }
 
+    /**
+     * Sends a datagram to a process.
+     *
+     * @throws UncheckedIOException if it is not present
+     */
     @Override
     public void send(String name, byte[] datagram) {
         String address = addresses.get(name);
         if (address == null) {
             throw new UncheckedIOException(new IOException(name + " is not there"));
         }
-        members.send(address, datagram);
+        membership.send(address, datagram);
     }
 
     @Override
-    public void timer(String token, long delay) {
-        loop.schedule(
-                () -> {
-                    agreement.due(now(), token);
-                    after();
-                },
-                delay,
-                TimeUnit.MICROSECONDS);
+    public void timer(String token, long delayUs) {
+        loop.schedule(() -> onTimer(token), delayUs, TimeUnit.MICROSECONDS);
+    }
+
+    private void onTimer(String token) {
+        node.due(nowUs(), token);
+        reportProgress();
     }
 
     @Override
@@ -197,23 +209,23 @@
         return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     }
 
+    /** Logs an event; a new epoch, and the loss of the majority, as a warning. */
     @Override
-    public void note(Note note) {
+    public void note(Note event) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        fields.put("epoch", note.view().epoch());
-        fields.put("view", note.view().number());
-        fields.put("members", note.view().lives().size());
-        fields.put("why", note.why());
+        fields.put("epoch", event.view().epoch());
+        fields.put("view", event.view().number());
+        fields.put("members", event.view().lives().size());
+        fields.put("why", event.why());
+        boolean isWarning = event.kind() == Note.Kind.CUT_OFF || event.kind() == Note.Kind.FOUNDED;
         LOG.log(
-                note.kind() == Note.Kind.CUT_OFF || note.kind() == Note.Kind.FOUNDED
-                        ? System.Logger.Level.WARNING
-                        : System.Logger.Level.INFO,
-                "agreement " + note.kind() + ": " + note.why(),
+                isWarning ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
+                "agreement " + event.kind() + ": " + event.why(),
                 fields);
     }
 
     @Override
     public void point(Point point) {
-        points.accept(point);
+        faultPoints.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/FaultPointTrigger.java
+++ b/src/main/java/myrtleladder/cluster/FaultPointTrigger.java
@@ -11,44 +11,57 @@
 import java.util.function.Consumer;
 
 /**
- * A fault at a point, in a process of the lab: {@code POINT:pass:CRASH:who:file} ends the process
- * there as a kill would, {@code POINT:pass:STAND:who:file} has its event loop stand still. All
- * processes of a fleet are told the same but for who they are; the first one that comes there makes
- * the file, which names it, and the fault is its own.
+ * Causes a fault when a process of the test bed passes a fault point for the n-th time: {@code
+ * POINT:pass:CRASH:process:file} ends the process as a kill would, {@code
+ * POINT:pass:STAND:process:file} stalls its event loop.
+ *
+ * <p>All processes of a fleet are given the same fault, apart from their names. The first that
+ * passes the point creates the file, with its name in it, and the others do nothing. Called on the
+ * event loop alone.
  */
 public final class FaultPointTrigger implements Consumer<Enum<?>> {
-    /** The property that only the lab sets. */
+    /** The system property that only the test bed sets. */
     public static final String PROPERTY = "myrtleladder.testbed.fault";
 
-    /** Longer than any timer of membership or agreement. */
-    private static final long STAND_MS = 12_000;
+    /** Chosen: longer than any timer of membership or consensus. */
+    private static final long STALL_MS = 12_000;
 
-    private static final int KILLED = 137;
+    /** The exit status that a shell reports for SIGKILL (128 + 9). */
+    private static final int KILLED_STATUS = 137;
+
+    /** Parts of the property. */
     private static final int PARTS = 5;
 
+    /** What happens; the names are part of the property. */
     private enum Kind {
+        /** The process ends at once. */
         CRASH,
+        /** The event loop stalls. */
         STAND
     }
 
     private final String point;
     private final Kind kind;
-    private final String who;
+    private final String process;
     private final Path file;
-    private int left;
+    private int passesLeft;
 
-    private FaultPointTrigger(String point, int pass, Kind kind, String who, Path file) {
+    private FaultPointTrigger(String point, int pass, Kind kind, String process, Path file) {
         this.point = point;
-        this.left = pass;
+        this.passesLeft = pass;
         this.kind = kind;
-        this.who = who;
+        this.process = process;
         this.file = file;
     }
 
-    /** Reads the property; without one nothing ever happens. */
+    /**
+     * Parses a value of the property; null gives a consumer that does nothing.
+     *
+     * @throws IllegalArgumentException if the value does not have all parts
+     */
     public static Consumer<Enum<?>> of(String property) {
         if (property == null) {
-            return p -> {};
+            return point -> {};
         }
         String[] parts = property.split(":", PARTS);
         if (parts.length < PARTS) {
@@ -65,22 +78,36 @@
 
     @Override
     public void accept(Enum<?> passed) {
-        if (!passed.name().equals(point) || left == 0 || --left > 0) {
+        if (!passed.name().equals(point) || passesLeft == 0) {
             return;
         }
+        passesLeft--;
+        if (passesLeft == 0 && createFile()) {
+            causeFault();
+        }
+    }
+
+    /** Whether this process is the first of the fleet at the point. */
+    private boolean createFile() {
         try {
-            Files.writeString(file, who, StandardOpenOption.CREATE_NEW);
+            Files.writeString(file, process, StandardOpenOption.CREATE_NEW);
+            return true;
         } catch (FileAlreadyExistsException e) {
-            return; // another process was first
+            return false;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
+    }
+
+    private void causeFault() {
         if (kind == Kind.CRASH) {
-            Runtime.getRuntime().halt(KILLED);
+            Runtime.getRuntime().halt(KILLED_STATUS);
         }
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STAND_MS);
-        for (long rest = until - System.nanoTime(); rest > 0; rest = until - System.nanoTime()) {
-            LockSupport.parkNanos(rest);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STALL_MS);
+        long leftNanos = endNanos - System.nanoTime();
+        while (leftNanos > 0) {
+            LockSupport.parkNanos(leftNanos);
+            leftNanos = endNanos - System.nanoTime();
         }
     }
 }
--- a/src/main/java/myrtleladder/cluster/FleetConfiguration.java
+++ b/src/main/java/myrtleladder/cluster/FleetConfiguration.java
@@ -9,16 +9,18 @@
 /**
  * How a process takes part in its fleet.
  *
- * @param name of the process, the same in all its lives and nobody else's
- * @param listen where it hears the others, and what they are told of it
- * @param seeds addresses at which others may be found
- * @param via addresses to send to in place of those that members tell, as behind a translation of
- *     addresses
+ * @param settings of the membership
+ * @param name of this process, the same at each start and not used by any other
+ * @param listen where it receives datagrams; also the address that others are told
+ * @param seeds addresses at which other members may be found
+ * @param addressTranslations addresses to send to, by the addresses that members publish, as where
+ *     addresses are translated between them
+ * @param metadata what this process publishes about itself
  */
 public record FleetConfiguration(
         GossipSettings settings,
         String name,
         InetSocketAddress listen,
         List<String> seeds,
-        Map<String, String> via,
-        MemberMetadata meta) {}
+        Map<String, String> addressTranslations,
+        MemberMetadata metadata) {}
--- a/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -2,17 +2,14 @@
 
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import myrtleladder.consensus.Agreement;
 import myrtleladder.consensus.Life;
 import myrtleladder.maintenance.Agenda;
 import myrtleladder.maintenance.Job;
@@ -22,220 +19,175 @@
 import myrtleladder.maintenance.WorkSettings;
 
 /**
- * A process's part in the work on machines, beside its agreement: on the same event loop, by the
- * same datagrams. It sees how upstreams do by what becomes of this process's own attempts.
+ * Runs this process's part in the maintenance of machines, on the event loop and by the datagrams
+ * of its consensus. It connects the protocol with the load balancer beside it, whose attempts show
+ * how upstreams do.
+ *
+ * <p>{@link #start}, {@link #status}, {@link #isRegistered} and {@link #submit} may be called by
+ * any thread; all other methods only on the event loop.
  */
 public final class MaintenanceRuntime implements Work.Out {
     private static final System.Logger LOG = System.getLogger(MaintenanceRuntime.class.getName());
 
-    /** An upstream that has not served so many attempts in a row fails. */
-    private static final int FAILS = 5;
-
-    /** So many attempts, or so long, are enough to judge one that is back. */
-    private static final int ENOUGH = 20;
-
-    private static final long LONG_ENOUGH = 10_000_000;
-    private static final int FEWEST = 5;
-    private static final double BAD = 0.5;
-
-    /**
-     * So many times as long as its fellows take is worse; cold upstreams take up to a few times as
-     * long.
-     */
-    private static final double SLOW = 8;
-
-    private static final double SMOOTH = 0.02;
-
-    private final ConsensusRuntime agreement;
-    private final Agenda agenda;
-    private final Work work;
-    private final LoadBalancerControl balancing;
-    private final Consumer<? super WorkPoint> points;
-    private final Map<String, Integer> notServed = new HashMap<>();
-    private final Map<String, Tally> tallies = new HashMap<>();
-    private Set<String> away = Set.of();
-
-    /** What an answer of the others takes, smoothed, in microseconds; 0 until there was one. */
-    private double fellowsTook;
-
-    /** How an upstream does that is back. */
-    private static final class Tally {
-        final long since;
-        int served;
-        int failed;
-        long took;
-
-        Tally(long since) {
-            this.since = since;
-        }
-    }
+    private final ConsensusRuntime consensus;
+    private final Agenda stateMachine;
+    private final Work coordinator;
+    private final LoadBalancerControl loadBalancer;
+    private final Consumer<? super WorkPoint> faultPoints;
+    private final UpstreamTrials trials = new UpstreamTrials();
+    private Set<String> excludedUpstreams = Set.of();
 
     private MaintenanceRuntime(
-            ConsensusRuntime agreement,
-            Agreement core,
-            Agenda agenda,
+            ConsensusRuntime consensus,
+            Agenda stateMachine,
             WorkSettings settings,
-            LoadBalancerControl balancing,
-            Consumer<? super WorkPoint> points) {
-        this.agreement = agreement;
-        this.agenda = agenda;
-        this.balancing = balancing;
-        this.points = points;
-        this.work = new Work(settings, agreement.me(), core, agenda, this);
+            LoadBalancerControl loadBalancer,
+            Consumer<? super WorkPoint> faultPoints) {
+        this.consensus = consensus;
+        this.stateMachine = stateMachine;
+        this.loadBalancer = loadBalancer;
+        this.faultPoints = faultPoints;
+        this.coordinator =
+                new Work(settings, consensus.self(), consensus.node(), stateMachine, this);
     }
 
-    /** Takes part from now on; {@code agenda} is what the agreement feeds. */
+    /**
+     * Takes part in the maintenance from now on.
+     *
+     * @param stateMachine the one that the consensus applies commands to
+     * @param faultPoints gets each fault point that is passed; for the test bed
+     */
     public static MaintenanceRuntime start(
-            ConsensusRuntime agreement,
-            Agenda agenda,
+            ConsensusRuntime consensus,
+            Agenda stateMachine,
             WorkSettings settings,
-            LoadBalancerControl balancing,
-            Consumer<? super WorkPoint> points) {
-        return agreement
+            LoadBalancerControl loadBalancer,
+            Consumer<? super WorkPoint> faultPoints) {
+        return consensus
                 .loop()
                 .submit(
                         () -> {
-                            MaintenanceRuntime carrier =
+                            MaintenanceRuntime runtime =
                                     new MaintenanceRuntime(
-                                            agreement,
-                                            agreement.core(),
-                                            agenda,
+                                            consensus,
+                                            stateMachine,
                                             settings,
-                                            balancing,
-                                            points);
-                            agreement.host(carrier);
-                            carrier.work.started(carrier.now());
-                            return carrier;
+                                            loadBalancer,
+                                            faultPoints);
+                            consensus.attach(runtime);
+                            runtime.coordinator.started(runtime.nowUs());
+                            return runtime;
                         })
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    private long now() {
-        return agreement.now();
+    private long nowUs() {
+        return consensus.nowUs();
     }
 
-    // ---- For the balancer, on the loop
-    // -----------------------------------------------------------------
-
-    /** Whether an attempt may begin now. */
+    /** Whether the load balancer may start an attempt at an upstream now. */
     public boolean maySend(String upstream) {
-        return work.maySend(now(), upstream);
+        return coordinator.maySend(nowUs(), upstream);
     }
 
-    /** An attempt is over after so many microseconds. */
-    public void ended(String upstream, boolean served, long took) {
-        if (served) {
-            notServed.remove(upstream);
-        } else {
-            notServed.merge(upstream, 1, Integer::sum);
-        }
-        Tally tally = tallies.get(upstream);
-        if (tally != null) {
-            tally.served += served ? 1 : 0;
-            tally.failed += served ? 0 : 1;
-            tally.took += served ? took : 0;
-        } else if (served) {
-            fellowsTook += (fellowsTook == 0 ? 1 : SMOOTH) * (took - fellowsTook);
-        }
+    /** An attempt at an upstream has ended. */
+    public void onAttemptEnded(String upstream, boolean wasServed, long latencyUs) {
+        trials.onAttemptEnded(upstream, wasServed, latencyUs);
     }
 
-    // ---- For operators
-    // ---------------------------------------------------------------------------------
-
-    /** Has something done on the loop. */
-    public <T> Future<T> ask(Callable<T> what) {
-        return agreement.loop().submit(what);
+    /** Runs a task on the event loop. */
+    public <T> Future<T> submit(Callable<T> task) {
+        return consensus.loop().submit(task);
     }
 
     /** Whether the fleet knows of this process. */
-    public Future<Boolean> registered() {
-        return agreement.loop().submit(work::registered);
+    public Future<Boolean> isRegistered() {
+        return submit(coordinator::registered);
     }
 
-    /** What it holds, as of soon. */
-    public Future<MaintenanceStatus> look() {
-        return agreement
-                .loop()
-                .submit(
-                        () -> {
-                            List<MaintenanceStatus.JobStatus> jobs = new ArrayList<>();
-                            for (Job job : agenda.jobs()) {
-                                jobs.add(
-                                        new MaintenanceStatus.JobStatus(
-                                                job.machine(),
-                                                job.plan(),
-                                                job.state().name(),
-                                                job.permit(),
-                                                job.until(),
-                                                job.reserved(),
-                                                work.waits(now(), job),
-                                                job.why()));
-                            }
-                            return new MaintenanceStatus(
-                                    jobs,
-                                    agenda.halted(),
-                                    agenda.isSafe(),
-                                    work.hasLeave(now()),
-                                    work.registered(),
-                                    agenda.gone().stream().map(Life::toString).toList(),
-                                    agenda.refusals(),
-                                    work.refused());
-                        });
+    /** What this process knows of the maintenance, read on the event loop. */
+    public Future<MaintenanceStatus> status() {
+        return submit(this::currentStatus);
     }
 
-    /** The epoch of the view; on the loop. */
+    private MaintenanceStatus currentStatus() {
+        List<MaintenanceStatus.JobStatus> jobs = new ArrayList<>();
+        for (Job job : stateMachine.jobs()) {
+            jobs.add(status(job));
+        }
+        return new MaintenanceStatus(
+                jobs,
+                stateMachine.halted(),
+                stateMachine.isSafe(),
+                coordinator.hasLeave(nowUs()),
+                coordinator.registered(),
+                stateMachine.gone().stream().map(Life::toString).toList(),
+                stateMachine.refusals(),
+                coordinator.refused());
+    }
+
+    private MaintenanceStatus.JobStatus status(Job job) {
+        return new MaintenanceStatus.JobStatus(
+                job.machine(),
+                job.plan(),
+                job.state().name(),
+                job.permit(),
+                job.until(),
+                job.reserved(),
+                coordinator.waits(nowUs(), job),
+                job.why());
+    }
+
+    /** The epoch of the agreed view. */
     public long epoch() {
-        return agreement.core().view().epoch();
+        return consensus.node().view().epoch();
     }
 
-    /** Whether a majority stands behind what is heard here; on the loop. */
-    public boolean decides() {
-        return agreement.core().decides(now());
+    /** Whether a majority of the voting members is reached. */
+    public boolean hasMajority() {
+        return consensus.node().decides(nowUs());
     }
 
-    /** The last job of a machine, null if it has none; on the loop. */
+    /** The last job of a machine, null if it has none. */
     public Job job(String machine) {
-        return agenda.job(machine);
+        return stateMachine.job(machine);
     }
 
-    /** All upstreams; on the loop. */
+    /** All upstreams that discovery has reported. */
     public List<LoadBalancerControl.Upstream> upstreams() {
-        return balancing.listed();
+        return loadBalancer.upstreams();
     }
 
-    /** Has steps decided, in this order; on the loop. */
-    public void propose(List<Step> steps) {
-        steps.forEach(s -> work.propose(now(), s));
+    /** Proposes commands in this order; whether they are committed shows in the status. */
+    public void propose(List<Step> commands) {
+        for (Step command : commands) {
+            coordinator.propose(nowUs(), command);
+        }
     }
 
-    // ---- From the agreement, on the loop
-    // ---------------------------------------------------------------
-
-    void received(byte[] datagram) {
-        work.received(now(), datagram);
+    void onDatagram(byte[] datagram) {
+        coordinator.received(nowUs(), datagram);
     }
 
-    void present(Set<Life> lives) {
-        work.present(lives);
+    void onMembershipChanged(Set<Life> presentProcesses) {
+        coordinator.present(presentProcesses);
     }
 
-    /** The agreement has been at work. */
-    void look(long now) {
-        work.look(now);
+    void onConsensusProgress(long nowUs) {
+        coordinator.look(nowUs);
     }
 
-    // ---- What the core asks for
-    // ------------------------------------------------------------------------
-
     @Override
     public void send(String name, byte[] datagram) {
-        agreement.sendIfThere(name, datagram);
+        consensus.sendIfPresent(name, datagram);
     }
 
     @Override
-    public void timer(String token, long delay) {
-        agreement.loop().schedule(() -> work.due(now(), token), delay, TimeUnit.MICROSECONDS);
+    public void timer(String token, long delayUs) {
+        consensus
+                .loop()
+                .schedule(() -> coordinator.due(nowUs(), token), delayUs, TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -245,68 +197,40 @@
 
     @Override
     public int inFlight(String upstream) {
-        return balancing.inFlight(upstream);
+        return loadBalancer.inFlight(upstream);
     }
 
     @Override
     public void aside(Set<String> upstreams) {
-        Set<String> cold = new HashSet<>(away);
-        cold.removeAll(upstreams);
-        cold.retainAll(tallies.keySet());
-        away = Set.copyOf(upstreams);
-        balancing.setAside(away, cold);
+        Set<String> returned = new HashSet<>(excludedUpstreams);
+        returned.removeAll(upstreams);
+        returned.retainAll(trials.onTrial());
+        excludedUpstreams = Set.copyOf(upstreams);
+        loadBalancer.excludeUpstreams(excludedUpstreams, returned);
     }
 
     @Override
     public List<String> failing() {
-        Set<String> failing = new HashSet<>();
-        balancing.listed().stream().filter(u -> !u.ready()).forEach(u -> failing.add(u.id()));
-        notServed.forEach(
-                (upstream, times) -> {
-                    if (times >= FAILS) {
-                        failing.add(upstream);
-                    }
-                });
-        return failing.stream().sorted().limit(Agenda.MOST_FAILING).toList();
+        return trials.failing(loadBalancer.upstreams()).stream()
+                .sorted()
+                .limit(Agenda.MOST_FAILING)
+                .toList();
     }
 
     @Override
     public boolean judged(String upstream) {
-        Tally tally = tallies.get(upstream);
-        return tally != null
-                && (tally.served + tally.failed >= ENOUGH || now() - tally.since >= LONG_ENOUGH);
+        return trials.isComplete(nowUs(), upstream);
     }
 
     @Override
     public String worse(String upstream) {
-        Tally tally = tallies.get(upstream);
-        int all = tally.served + tally.failed;
-        if (all >= FEWEST && tally.failed > BAD * all) {
-            return tally.failed + " of " + all + " attempts failed";
-        }
-        double mean = tally.served < FEWEST ? 0 : (double) tally.took / tally.served;
-        return fellowsTook > 0 && mean > SLOW * fellowsTook
-                ? String.format(
-                        Locale.ROOT,
-                        "answers take %.1f ms, those of its fellows %.1f",
-                        mean / 1e3,
-                        fellowsTook / 1e3)
-                : null;
+        return trials.regression(upstream);
     }
 
+    /** A job has changed its state: begins or ends the trial of its upstream and logs it. */
     @Override
     public void moved(Job job) {
-        String upstream = job.part().upstream();
-        if (upstream != null) {
-            switch (job.state()) {
-                case WARMING -> tallies.put(upstream, new Tally(now()));
-                case DRAINING, OUT, IN, FAILED -> {
-                    tallies.remove(upstream);
-                    notServed.remove(upstream);
-                }
-                default -> {}
-            }
-        }
+        updateTrial(job);
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("machine", job.machine());
         fields.put("plan", job.plan());
@@ -314,18 +238,29 @@
         if (job.permit() != null) {
             fields.put("permit", job.permit().epoch() + "." + job.permit().index());
         }
+        String reason = job.why() == null ? "" : ": " + job.why();
         LOG.log(
                 System.Logger.Level.INFO,
-                "machine "
-                        + job.machine()
-                        + " "
-                        + job.state()
-                        + (job.why() == null ? "" : ": " + job.why()),
+                "machine " + job.machine() + " " + job.state() + reason,
                 fields);
     }
 
+    private void updateTrial(Job job) {
+        String upstream = job.part().upstream();
+        if (upstream == null) {
+            return;
+        }
+        switch (job.state()) {
+            case WARMING -> trials.start(nowUs(), upstream);
+            case DRAINING, OUT, IN, FAILED -> trials.forget(upstream);
+            default -> {
+                // In all other states the upstream goes on as before.
+            }
+        }
+    }
+
     @Override
     public void point(WorkPoint point) {
-        points.accept(point);
+        faultPoints.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/MembershipRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MembershipRuntime.java
@@ -1,17 +1,13 @@
 package myrtleladder.cluster;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.util.NetUtil;
 import io.netty.util.concurrent.Future;
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -27,203 +23,187 @@
 import myrtleladder.gossip.Membership;
 
 /**
- * A process's membership over UDP, on the event loop of the balancer: a loop that can't keep up
- * with its requests is late here as well, and the others see what clients see. What comes beyond a
- * rate is dropped unread, so that a flood costs no more than that.
+ * Runs the membership of this process over UDP, on the event loop of the load balancer: a loop that
+ * can't keep up with its requests is late here as well, so other members see what clients see.
+ *
+ * <p>{@link #start} and {@link #status} may be called by any thread; all other methods only on the
+ * event loop.
  */
 public final class MembershipRuntime implements Membership.Output {
     private static final System.Logger LOG = System.getLogger(MembershipRuntime.class.getName());
 
-    /**
-     * Datagrams that are read in each tenth of a second; a member of a fleet of 5,000 gets some
-     * ten.
-     */
-    private static final int READ_AT_MOST = 200;
+    /** Chosen: a member of a fleet of 5,000 receives about ten in an interval. */
+    private static final int MAX_DATAGRAMS_PER_INTERVAL = 200;
 
-    private static final long TENTH_NANOS = 100_000_000;
+    /** Chosen: a tenth of a second. */
+    private static final long RECEIVE_INTERVAL_NANOS = 100_000_000;
+
+    /** Reason under which operators see the datagrams that exceeded the rate. */
+    private static final String RATE_EXCEEDED = "flood";
+
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final EventLoop loop;
-    private final FleetConfiguration config;
+    private final FleetConfiguration configuration;
     private final Membership membership;
-    private final long origin = System.nanoTime();
+    private final ReceiveRateLimiter rateLimiter =
+            new ReceiveRateLimiter(MAX_DATAGRAMS_PER_INTERVAL, RECEIVE_INTERVAL_NANOS);
+    private final long originNanos = System.nanoTime();
     private Channel channel;
 
-    /** What is built upon the picture; null if nothing is. */
-    private ConsensusRuntime guest;
+    /** Null as long as no consensus is attached. */
+    private ConsensusRuntime consensus;
 
-    private long tenth;
-    private int read;
-    private long dropped;
-
-    private MembershipRuntime(EventLoop loop, FleetConfiguration config) {
+    private MembershipRuntime(EventLoop loop, FleetConfiguration configuration) {
         this.loop = loop;
-        this.config = config;
+        this.configuration = configuration;
         SecureRandom random = new SecureRandom();
         this.membership =
                 new Membership(
-                        config.settings(),
-                        config.name(),
+                        configuration.settings(),
+                        configuration.name(),
                         random.nextLong(),
                         0,
-                        NetUtil.toSocketAddressString(config.listen()),
-                        config.meta(),
-                        config.seeds(),
+                        NetUtil.toSocketAddressString(configuration.listen()),
+                        configuration.metadata(),
+                        configuration.seeds(),
                         random.nextLong(),
                         this);
     }
 
-    /** Takes part from now on, and says at SIGTERM that it goes. */
-    public static MembershipRuntime start(EventLoop loop, FleetConfiguration config) {
-        MembershipRuntime carrier = new MembershipRuntime(loop, config);
-        carrier.channel =
+    /** Joins the fleet; at the end of the process (SIGTERM) the fleet is told that it leaves. */
+    public static MembershipRuntime start(EventLoop loop, FleetConfiguration configuration) {
+        MembershipRuntime runtime = new MembershipRuntime(loop, configuration);
+        runtime.channel =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioDatagramChannel.class)
-                        .handler(carrier.new Ear())
-                        .bind(config.listen())
+                        .handler(new FleetDatagramHandler(runtime.rateLimiter, runtime::onDatagram))
+                        .bind(configuration.listen())
                         .syncUninterruptibly()
                         .channel();
-        loop.submit(() -> carrier.membership.start(carrier.now())).syncUninterruptibly();
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () ->
-                                        loop.submit(() -> carrier.membership.leave(carrier.now()))
-                                                .awaitUninterruptibly()));
-        return carrier;
-    }
-
-    /** What it holds, as of soon. */
-    public Future<MembershipStatus> look() {
-        return loop.submit(
-                () -> {
-                    long now = now();
-                    List<MembershipStatus.ListedMember> members = new ArrayList<>();
-                    membership
-                            .members()
-                            .forEach(
-                                    c ->
-                                            members.add(
-                                                    new MembershipStatus.ListedMember(
-                                                            c,
-                                                            (now - membership.sinceUs(c.name()))
-                                                                    / 1e6)));
-                    Map<String, Long> refused = new LinkedHashMap<>(membership.droppedDatagrams());
-                    if (dropped > 0) {
-                        refused.put("flood", dropped);
-                    }
-                    return new MembershipStatus(
-                            membership.self(),
-                            membership.presentCount(),
-                            membership.healthScore(),
-                            membership.digest(),
-                            refused,
-                            members);
-                });
-    }
-
-    /** The event loop that all of it lives on. */
+        loop.submit(() -> runtime.membership.start(runtime.nowUs())).syncUninterruptibly();
+        Runtime.getRuntime().addShutdownHook(new Thread(runtime::leave));
+        return runtime;
+    }
+
+    private void leave() {
+        loop.submit(() -> membership.leave(nowUs())).awaitUninterruptibly();
+    }
+
+    /** What this process knows of its fleet, read on the event loop. */
+    public Future<MembershipStatus> status() {
+        return loop.submit(this::currentStatus);
+    }
+
+    private MembershipStatus currentStatus() {
+        long nowUs = nowUs();
+        List<MembershipStatus.ListedMember> members = new ArrayList<>();
+        for (MemberUpdate member : membership.members()) {
+            long ageUs = nowUs - membership.sinceUs(member.name());
+            members.add(new MembershipStatus.ListedMember(member, ageUs / MICROS_PER_SECOND));
+        }
+        return new MembershipStatus(
+                membership.self(),
+                membership.presentCount(),
+                membership.healthScore(),
+                membership.digest(),
+                droppedDatagrams(),
+                members);
+    }
+
+    private Map<String, Long> droppedDatagrams() {
+        Map<String, Long> dropped = new LinkedHashMap<>(membership.droppedDatagrams());
+        if (rateLimiter.droppedCount() > 0) {
+            dropped.put(RATE_EXCEEDED, rateLimiter.droppedCount());
+        }
+        return dropped;
+    }
+
+    /** The event loop that all of it is confined to. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Has an agreement hear its datagrams and the changes of the picture; on the event loop. */
-    void host(ConsensusRuntime agreement) {
-        guest = agreement;
+    /** From now on a consensus gets its datagrams and the changes of the membership. */
+    void attach(ConsensusRuntime attached) {
+        consensus = attached;
     }
 
-    /** What this process says of itself. */
+    /** What this process publishes about itself. */
     MemberUpdate self() {
         return membership.self();
     }
 
-    /** What is held of all members; on the event loop. */
-    Collection<MemberUpdate> claims() {
+    /** The latest update on each member. */
+    Collection<MemberUpdate> members() {
         return membership.members();
     }
 
-    /** Microseconds by a clock that never steps. */
-    long now() {
-        return (System.nanoTime() - origin) / 1_000;
+    /** Microseconds of a clock that never steps. */
+    long nowUs() {
+        return (System.nanoTime() - originNanos) / NANOS_PER_MICRO;
+    }
+
+    private void onDatagram(String from, byte[] datagram) {
+        if (consensus != null && consensus.accepts(datagram)) {
+            consensus.onDatagram(datagram);
+        } else {
+            membership.onDatagram(nowUs(), from, datagram);
+        }
     }
 
+    /** Sends a datagram; one to an address that is none is dropped. */
     @Override
     public void send(String address, byte[] datagram) {
-        InetSocketAddress to = parse(config.via().getOrDefault(address, address));
-        if (to != null) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
+        String translated = configuration.addressTranslations().getOrDefault(address, address);
+        InetSocketAddress recipient = parse(translated);
+        if (recipient != null) {
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), recipient));
         }
     }
 
-    /** Numbers alone, since there is no DNS; an address that somebody told wrong is nobody's. */
+    /** Parses a numeric address and port, as no name is ever resolved; null if it is none. */
     private static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
-        byte[] host =
-                colon < 0
-                        ? null
-                        : NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon));
+        if (colon < 0) {
+            return null;
+        }
+        byte[] host = NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon));
+        if (host == null) {
+            return null;
+        }
         try {
-            return host == null
-                    ? null
-                    : new InetSocketAddress(
-                            InetAddress.getByAddress(host),
-                            Integer.parseInt(address.substring(colon + 1)));
+            int port = Integer.parseInt(address.substring(colon + 1));
+            return new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (UnknownHostException | IllegalArgumentException e) {
-            return null;
+            return null; // published by another process, so not an error of this one
         }
     }
 
     @Override
     public void scheduleTimer(String token, long delayUs) {
-        loop.schedule(() -> membership.onTimer(now(), token), delayUs, TimeUnit.MICROSECONDS);
+        loop.schedule(() -> membership.onTimer(nowUs(), token), delayUs, TimeUnit.MICROSECONDS);
     }
 
+    /** Passes a change of the membership on and logs it. */
     @Override
     public void onEvent(MemberEvent event) {
-        if (guest != null) {
-            guest.changed();
+        if (consensus != null) {
+            consensus.onMembershipChanged();
         }
-        MemberUpdate c = event.update();
+        MemberUpdate member = event.update();
         Map<String, Object> fields = new LinkedHashMap<>();
-        fields.put("member", c.name());
-        fields.put("state", c.state());
-        fields.put("incarnation", c.incarnation());
-        fields.put("life", Long.toHexString(c.startId()));
-        fields.put("address", c.address());
+        fields.put("member", member.name());
+        fields.put("state", member.state());
+        fields.put("incarnation", member.incarnation());
+        fields.put("life", Long.toHexString(member.startId()));
+        fields.put("address", member.address());
         fields.put("why", event.reason());
         LOG.log(
                 System.Logger.Level.INFO,
-                "member " + c.name() + " " + event.kind() + ": " + event.reason(),
+                "member " + member.name() + " " + event.kind() + ": " + event.reason(),
                 fields);
     }
-
-    private final class Ear extends SimpleChannelInboundHandler<DatagramPacket> {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            long now = System.nanoTime();
-            if (now - tenth > TENTH_NANOS) {
-                tenth = now;
-                read = 0;
-            }
-            if (++read > READ_AT_MOST) {
-                dropped++;
-                return;
-            }
-            byte[] datagram = ByteBufUtil.getBytes(packet.content());
-            if (guest != null && guest.takes(datagram)) {
-                guest.received(datagram);
-            } else {
-                membership.onDatagram(
-                        now(), NetUtil.toSocketAddressString(packet.sender()), datagram);
-            }
-        }
-
-        /** Whoever sends to a process that is down may be told so; that is no news here. */
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!(cause instanceof IOException)) {
-                LOG.log(System.Logger.Level.ERROR, "dropped a datagram after a failure", cause);
-            }
-        }
-    }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/admin/BalancerMetrics.java
@@ -0,0 +1,171 @@
+package myrtleladder.loadbalancer.admin;
+
+import io.micrometer.core.instrument.FunctionCounter;
+import io.micrometer.core.instrument.Gauge;
+import io.micrometer.core.instrument.Tags;
+import io.micrometer.core.instrument.binder.jvm.JvmMemoryMetrics;
+import io.micrometer.core.instrument.binder.system.FileDescriptorMetrics;
+import io.micrometer.core.instrument.binder.system.ProcessorMetrics;
+import io.micrometer.core.instrument.binder.system.UptimeMetrics;
+import io.micrometer.prometheusmetrics.PrometheusConfig;
+import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
+import io.netty.util.concurrent.Future;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Function;
+import java.util.function.Supplier;
+import java.util.function.ToDoubleFunction;
+import myrtleladder.cluster.ConsensusStatus;
+import myrtleladder.loadbalancer.server.BalancerStatus;
+
+/**
+ * Metrics of one load balancer in the text format of Prometheus. The load balancer counts in plain
+ * fields on its event loop; a scrape reads them by one event.
+ *
+ * <p>Scraped by the thread of the admin server.
+ */
+final class BalancerMetrics implements AutoCloseable {
+    private static final List<String> ANSWERS = List.of("served", "refused", "failed", "left");
+    private static final BalancerStatus NOT_READ_YET =
+            new BalancerStatus(false, 0, 0, 0, 0, 0, Map.of(), Map.of());
+
+    private final PrometheusMeterRegistry registry =
+            new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    private final Supplier<Future<BalancerStatus>> balancer;
+
+    /** Null if no consensus is configured. */
+    private final Supplier<Future<ConsensusStatus>> consensus;
+
+    /** As last read; an older one stays while the event loop is busy, since counters grow. */
+    private volatile BalancerStatus balancerStatus = NOT_READ_YET;
+
+    /** As last read, null if the event loop did not answer. */
+    private volatile ConsensusStatus consensusStatus;
+
+    /**
+     * Registers all metrics.
+     *
+     * @param process value of the label {@code process}
+     * @param consensus null if it is not configured
+     */
+    BalancerMetrics(
+            String process,
+            Supplier<Future<BalancerStatus>> balancer,
+            Supplier<Future<ConsensusStatus>> consensus) {
+        this.balancer = balancer;
+        this.consensus = consensus;
+        registerProcessMetrics(process);
+        registerBalancerMetrics();
+        if (consensus != null) {
+            registerConsensusMetrics();
+        }
+        refresh();
+        registerAttemptMetrics();
+    }
+
+    private void registerProcessMetrics(String process) {
+        registry.config().commonTags("process", process);
+        new JvmMemoryMetrics().bindTo(registry);
+        new FileDescriptorMetrics().bindTo(registry);
+        new ProcessorMetrics().bindTo(registry);
+        new UptimeMetrics().bindTo(registry);
+    }
+
+    private void registerBalancerMetrics() {
+        gauge("yewyoke.ready", "1 if there is a list to serve from", s -> s.isReady() ? 1 : 0);
+        gauge("yewyoke.upstreams", "Upstreams on the list", BalancerStatus::upstreams);
+        gauge(
+                "yewyoke.requests.open",
+                "Requests taken and not ended",
+                BalancerStatus::openRequests);
+        gauge("yewyoke.connections", "Connections to upstreams", BalancerStatus::connections);
+        counter(
+                "yewyoke.connects",
+                "Connections opened to upstreams",
+                Tags.empty(),
+                BalancerStatus::connects);
+        counter("yewyoke.requests", "Requests taken", Tags.empty(), BalancerStatus::requests);
+        for (String answer : ANSWERS) {
+            counter(
+                    "yewyoke.answers",
+                    "Requests by how they ended",
+                    Tags.of("answer", answer),
+                    s -> s.answers().getOrDefault(answer, 0L));
+        }
+    }
+
+    /** Registers a counter for each way in which attempts end, as the first status names them. */
+    private void registerAttemptMetrics() {
+        for (String end : balancerStatus.attempts().keySet()) {
+            counter(
+                    "yewyoke.attempts",
+                    "Attempts by how they ended",
+                    Tags.of("end", end),
+                    s -> s.attempts().getOrDefault(end, 0L));
+        }
+    }
+
+    private void registerConsensusMetrics() {
+        consensusGauge(
+                "yewyoke.agreement.decides",
+                "1 if a majority of the council is heard here",
+                s -> s.decides() ? 1 : 0);
+        consensusGauge(
+                "yewyoke.agreement.leads",
+                "1 if this process leads",
+                s -> s.self().equals(s.leader()) ? 1 : 0);
+        consensusGauge(
+                "yewyoke.agreement.members", "Lives in the view", s -> s.view().lives().size());
+        consensusGauge("yewyoke.agreement.applied", "Decrees known here", ConsensusStatus::applied);
+        consensusGauge(
+                "yewyoke.agreement.waiting",
+                "Commands of this process that are not decided",
+                ConsensusStatus::waiting);
+    }
+
+    private void gauge(String name, String description, ToDoubleFunction<BalancerStatus> value) {
+        Gauge.builder(name, () -> value.applyAsDouble(balancerStatus))
+                .description(description)
+                .register(registry);
+    }
+
+    private void counter(
+            String name, String description, Tags tags, Function<BalancerStatus, Long> value) {
+        FunctionCounter.builder(name, this, metrics -> value.apply(metrics.balancerStatus))
+                .description(description)
+                .tags(tags)
+                .register(registry);
+    }
+
+    /** A gauge of the consensus; not a number while the event loop does not answer. */
+    private void consensusGauge(
+            String name, String description, ToDoubleFunction<ConsensusStatus> value) {
+        Gauge.builder(name, () -> consensusValue(value))
+                .description(description)
+                .register(registry);
+    }
+
+    private double consensusValue(ToDoubleFunction<ConsensusStatus> value) {
+        ConsensusStatus status = consensusStatus;
+        return status == null ? Double.NaN : value.applyAsDouble(status);
+    }
+
+    /** All metrics as text; empty if the load balancer did not answer in time. */
+    Optional<String> scrape() {
+        return refresh() ? Optional.of(registry.scrape()) : Optional.empty();
+    }
+
+    private boolean refresh() {
+        Optional<BalancerStatus> read = EventLoopQueries.await(balancer.get());
+        read.ifPresent(status -> balancerStatus = status);
+        consensusStatus =
+                consensus == null ? null : EventLoopQueries.await(consensus.get()).orElse(null);
+        return read.isPresent();
+    }
+
+    @Override
+    public void close() {
+        registry.close();
+    }
+}
--- a/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
@@ -1,5 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
+import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import myrtleladder.toml.TomlFile;
@@ -8,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks at a configuration of ours without starting anything. */
+/** Checks and shows the operators' configuration without starting anything. */
 @Command(
         name = "config",
         description = "Checks and shows our own configuration.",
@@ -17,7 +18,7 @@
 final class ConfigCommand {
     ConfigCommand() {}
 
-    /** Says what is wrong with a file. */
+    /** Reports what is wrong with a file. */
     @Command(
             name = "check",
             description = "Says what is wrong with a file, by line and key.",
@@ -30,13 +31,13 @@
 
         @Override
         public Integer call() throws Exception {
-            Own.read(file);
+            OperatorConfigurationReader.read(file);
             spec.commandLine().getOut().println(file + ": good");
             return 0;
         }
     }
 
-    /** Shows what is in force with a file, or without one. */
+    /** Shows the configuration in force with a file, or without one. */
     @Command(
             name = "show",
             description = "Shows what is in force with a file, defaults filled in.",
@@ -49,10 +50,13 @@
 
         @Override
         public Integer call() throws Exception {
-            spec.commandLine()
-                    .getOut()
-                    .print(TomlFile.write(file == null ? Own.DEFAULTS : Own.read(file)));
-            spec.commandLine().getOut().flush();
+            OperatorConfiguration configuration =
+                    file == null
+                            ? OperatorConfiguration.DEFAULTS
+                            : OperatorConfigurationReader.read(file);
+            PrintWriter out = spec.commandLine().getOut();
+            out.print(TomlFile.write(configuration));
+            out.flush();
             return 0;
         }
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/JsonLines.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/JsonLogFormatter.java
@@ -13,11 +13,13 @@
 import org.apache.logging.log4j.util.SortedArrayStringMap;
 
 /**
- * One JSON object a line: time, level, process, subsystem, event and fields, as Log4j's layout
- * writes them. It formats for the logger of the platform, which the program writes to anyway: a
- * second logging system would be one more to start.
+ * Formats each log record as one JSON object: time, level, process, subsystem, event, the event's
+ * fields, and an exception's message and stack trace (docs/command.md).
+ *
+ * <p>The layout is Log4j's, called by the JDK's logging, which the program writes to: so no second
+ * logging system has to be started.
  */
-final class JsonLines extends Formatter {
+final class JsonLogFormatter extends Formatter {
     private static final String TEMPLATE =
             """
             {"time": {"$resolver": "timestamp", "pattern":
@@ -28,6 +30,11 @@
              "fields": {"$resolver": "mdc", "flatten": true},
              "error": {"$resolver": "exception", "field": "message"},
              "stack": {"$resolver": "exception", "field": "stackTrace"}}""";
+
+    /** Characters after which a text is cut; chosen, long enough for a stack trace. */
+    private static final int MAX_STRING_LENGTH = 16_384;
+
+    // Log4j's levels under the names that our lines have.
     private static final Level ERROR = Level.forName("error", Level.ERROR.intLevel() + 1);
     private static final Level WARNING = Level.forName("warning", Level.WARN.intLevel() + 1);
     private static final Level INFO = Level.forName("info", Level.INFO.intLevel() + 1);
@@ -35,13 +42,17 @@
 
     private final JsonTemplateLayout layout;
 
-    /** Lines that carry the name of this process. */
-    JsonLines(String process) {
+    /**
+     * Formats lines.
+     *
+     * @param process name of this process in each line
+     */
+    JsonLogFormatter(String process) {
         layout =
                 JsonTemplateLayout.newBuilder()
                         .setConfiguration(new DefaultConfiguration())
                         .setEventTemplate(TEMPLATE)
-                        .setMaxStringLength(16_384)
+                        .setMaxStringLength(MAX_STRING_LENGTH)
                         .setEventTemplateAdditionalFields(
                                 new EventTemplateAdditionalField[] {
                                     EventTemplateAdditionalField.newBuilder()
@@ -54,11 +65,11 @@
 
     @Override
     public String format(LogRecord line) {
-        MutableInstant at = new MutableInstant();
-        at.initFromEpochSecond(line.getInstant().getEpochSecond(), line.getInstant().getNano());
+        MutableInstant time = new MutableInstant();
+        time.initFromEpochSecond(line.getInstant().getEpochSecond(), line.getInstant().getNano());
         return layout.toSerializable(
                 Log4jLogEvent.newBuilder()
-                        .setInstant(at)
+                        .setInstant(time)
                         .setLevel(level(line.getLevel()))
                         .setLoggerName(Subsystems.of(line.getLoggerName()))
                         .setMessage(new SimpleMessage(formatMessage(line)))
@@ -67,29 +78,36 @@
                         .build());
     }
 
-    /** A map among the parameters of a line holds its fields. */
+    /** Collects the fields of an event, which are maps among the parameters of its line. */
     private static SortedArrayStringMap fields(Object[] parameters) {
-        SortedArrayStringMap all = new SortedArrayStringMap();
-        for (Object parameter : parameters == null ? new Object[0] : parameters) {
+        SortedArrayStringMap collected = new SortedArrayStringMap();
+        if (parameters == null) {
+            return collected;
+        }
+        for (Object parameter : parameters) {
             if (parameter instanceof Map<?, ?> fields) {
-                fields.forEach(
-                        (name, value) ->
-                                all.putValue(
-                                        name.toString(),
-                                        value instanceof Number || value instanceof Boolean
-                                                ? value
-                                                : String.valueOf(value)));
+                fields.forEach((name, value) -> collected.putValue(name.toString(), json(value)));
             }
         }
-        return all;
+        return collected;
+    }
+
+    /** Numbers and booleans as such, anything else as text. */
+    private static Object json(Object value) {
+        return value instanceof Number || value instanceof Boolean ? value : String.valueOf(value);
     }
 
     private static Level level(java.util.logging.Level level) {
-        int value = level.intValue();
-        return value >= java.util.logging.Level.SEVERE.intValue()
-                ? ERROR
-                : value >= java.util.logging.Level.WARNING.intValue()
-                        ? WARNING
-                        : value >= java.util.logging.Level.INFO.intValue() ? INFO : DEBUG;
+        int severity = level.intValue();
+        if (severity >= java.util.logging.Level.SEVERE.intValue()) {
+            return ERROR;
+        }
+        if (severity >= java.util.logging.Level.WARNING.intValue()) {
+            return WARNING;
+        }
+        if (severity >= java.util.logging.Level.INFO.intValue()) {
+            return INFO;
+        }
+        return DEBUG;
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
@@ -0,0 +1,202 @@
+package myrtleladder.loadbalancer.admin;
+
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
+import java.util.function.Consumer;
+import myrtleladder.cluster.ConsensusRuntime;
+import myrtleladder.cluster.FaultPointTrigger;
+import myrtleladder.cluster.FleetConfiguration;
+import myrtleladder.cluster.MaintenanceRuntime;
+import myrtleladder.cluster.MembershipRuntime;
+import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.gossip.GossipSettings;
+import myrtleladder.gossip.MemberMetadata;
+import myrtleladder.loadbalancer.server.RunningBalancer;
+import myrtleladder.maintenance.Agenda;
+import myrtleladder.maintenance.WorkSettings;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** Runs one load balancer, with the parts that the operators' configuration switches on. */
+@Command(
+        name = "serve",
+        description = "Runs one balancer until SIGTERM; NODE_CONFIG names the platform's file.",
+        mixinStandardHelpOptions = true)
+final class ServeCommand implements Callable<Integer> {
+    /** Returned while the load balancer serves on its own threads; no command exits with it. */
+    static final int SERVING = -1;
+
+    private static final System.Logger LOG = System.getLogger(ServeCommand.class.getName());
+
+    /** Environment variable with the name of this process in logs and metrics. */
+    private static final String NAME_VARIABLE = "NODE_NAME";
+
+    /** Environment variable with the path of the platform's configuration. */
+    private static final String CONFIGURATION_VARIABLE = "NODE_CONFIG";
+
+    /** What this process can do, as other members see it. */
+    private static final List<String> CAPABILITIES = List.of("serve");
+
+    /** Chosen: the longest deadline of a request that counts. */
+    private static final long LONGEST_ATTEMPT_US = 3_000_000;
+
+    /** Chosen: the platform does not wait for long until a load balancer serves. */
+    private static final long REGISTRATION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
+
+    /** Chosen. */
+    private static final long REGISTRATION_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+
+    @Option(names = "--config", paramLabel = "FILE", description = "our own configuration, as TOML")
+    private Path file;
+
+    @Override
+    public Integer call() throws Exception {
+        OperatorConfiguration configuration =
+                file == null
+                        ? OperatorConfiguration.DEFAULTS
+                        : OperatorConfigurationReader.read(file);
+        String name = processName();
+        if (file != null) {
+            LogConfigurator.configure(configuration.log(), name);
+        }
+        Attachments attachments = attachments(configuration, name);
+        int status =
+                myrtleladder.loadbalancer.server.Main.run(
+                        new String[] {"serve"},
+                        System.getenv(CONFIGURATION_VARIABLE),
+                        System.err,
+                        attachments::start);
+        return status == 0 ? SERVING : status;
+    }
+
+    private static String processName() {
+        String name = System.getenv(NAME_VARIABLE);
+        return name == null ? "pid-" + ProcessHandle.current().pid() : name;
+    }
+
+    private Attachments attachments(OperatorConfiguration configuration, String name)
+            throws BadFile {
+        String adminListen = configuration.admin().listen();
+        InetSocketAddress adminAddress =
+                adminListen == null
+                        ? null
+                        : OperatorConfigurationReader.parseAddress(
+                                file, "admin.listen", adminListen);
+        OperatorConfiguration.FleetSection section = configuration.fleet();
+        if (section == null) {
+            return new Attachments(name, adminAddress, null, null, null);
+        }
+        FleetConfiguration fleet = fleetConfiguration(section, name);
+        if (section.council() == null) {
+            return new Attachments(name, adminAddress, section, fleet, null);
+        }
+        AgreeSettings consensus = AgreeSettings.of(section.name(), section.council());
+        return new Attachments(name, adminAddress, section, fleet, consensus);
+    }
+
+    private FleetConfiguration fleetConfiguration(
+            OperatorConfiguration.FleetSection section, String name) throws BadFile {
+        MemberMetadata metadata =
+                new MemberMetadata(
+                        section.zone() == null ? "" : section.zone(),
+                        Main.Version.text(),
+                        System.currentTimeMillis(),
+                        CAPABILITIES);
+        return new FleetConfiguration(
+                GossipSettings.of(section.name()),
+                section.process() == null ? name : section.process(),
+                OperatorConfigurationReader.parseAddress(file, "fleet.listen", section.listen()),
+                section.seeds() == null ? List.of() : section.seeds(),
+                section.via() == null ? Map.of() : section.via(),
+                metadata);
+    }
+
+    /**
+     * The parts that run beside the load balancer; what is not configured is null.
+     *
+     * @param name of this process in metrics and errors
+     */
+    private record Attachments(
+            String name,
+            InetSocketAddress adminAddress,
+            OperatorConfiguration.FleetSection section,
+            FleetConfiguration fleet,
+            AgreeSettings consensusSettings) {
+
+        /** Starts all of them, before the load balancer serves. */
+        void start(RunningBalancer balancer) {
+            MembershipRuntime membership =
+                    fleet == null ? null : MembershipRuntime.start(balancer.loop(), fleet);
+            ConsensusRuntime consensus = null;
+            MaintenanceRuntime maintenance = null;
+            if (consensusSettings != null) {
+                Consumer<Enum<?>> faultPoints =
+                        FaultPointTrigger.of(System.getProperty(FaultPointTrigger.PROPERTY));
+                Agenda stateMachine = new Agenda();
+                consensus =
+                        ConsensusRuntime.start(
+                                membership, consensusSettings, stateMachine, faultPoints);
+                maintenance =
+                        MaintenanceRuntime.start(
+                                consensus,
+                                stateMachine,
+                                maintenanceSettings(),
+                                new LoadBalancerAdapter(balancer.trafficControl()),
+                                faultPoints);
+            }
+            if (adminAddress != null) {
+                startAdminServer(balancer, membership, consensus, maintenance);
+            }
+            if (maintenance != null) {
+                LoadBalancerAdapter.admitAttemptsBy(maintenance, balancer);
+                awaitRegistration(maintenance);
+            }
+        }
+
+        private WorkSettings maintenanceSettings() {
+            return WorkSettings.of(
+                    section.name(),
+                    LONGEST_ATTEMPT_US,
+                    TimeUnit.SECONDS.toMicros(section.longestWorkS()));
+        }
+
+        private void startAdminServer(
+                RunningBalancer balancer,
+                MembershipRuntime membership,
+                ConsensusRuntime consensus,
+                MaintenanceRuntime maintenance) {
+            MaintenanceRequestHandler requestHandler =
+                    maintenance == null
+                            ? null
+                            : new MaintenanceRequestHandler(
+                                    maintenance, name, section.longestWorkS());
+            AdminServer server =
+                    new AdminServer(
+                            adminAddress,
+                            name,
+                            balancer.status(),
+                            membership,
+                            consensus,
+                            requestHandler);
+            LOG.log(System.Logger.Level.INFO, "operators are answered at " + server.address());
+        }
+
+        /**
+         * Waits until the fleet knows of this process, but not for long: before that it might send
+         * to a machine that is out for maintenance.
+         */
+        private static void awaitRegistration(MaintenanceRuntime maintenance) {
+            long endNanos = System.nanoTime() + REGISTRATION_TIMEOUT_NANOS;
+            while (System.nanoTime() < endNanos
+                    && !maintenance.isRegistered().syncUninterruptibly().getNow()) {
+                LockSupport.parkNanos(REGISTRATION_POLL_NANOS);
+            }
+        }
+    }
+}
--- a/src/test/java/myrtleladder/consensus/AgreementCapacityTest.java
+++ b/src/test/java/myrtleladder/consensus/AgreementCapacityTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.consensus;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import myrtleladder.loadbalancer.policy.CapacityFigures;
--- a/src/test/java/myrtleladder/consensus/AgreementTest.java
+++ b/src/test/java/myrtleladder/consensus/AgreementTest.java
@@ -1,7 +1,7 @@
 package myrtleladder.consensus;
 
 import static myrtleladder.consensus.VirtualAgreement.SECOND;
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -17,8 +17,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
-import myrtleladder.cluster.PointFaults.At;
-import myrtleladder.cluster.PointFaults.Kind;
+import myrtleladder.cluster.FaultPointInjector.Kind;
+import myrtleladder.cluster.FaultPointInjector.ScheduledFault;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.simulation.ScheduleExplorer;
@@ -132,9 +132,9 @@
      * All that an agreement does: a leader dies and comes back, a member stands still for long, one
      * goes.
      */
-    private static VirtualAgreement busy(List<At<Point>> ats) {
+    private static VirtualAgreement busy(List<ScheduledFault<Point>> ats) {
         VirtualAgreement fleet = new VirtualAgreement(1, SHORT).with(6);
-        fleet.faults.arm(ats);
+        fleet.faults.schedule(ats);
         fleet.run(9 * SECOND);
         String leader =
                 fleet.living().stream()
@@ -154,7 +154,7 @@
     void aBusyFleetPassesEachPoint() {
         VirtualAgreement fleet = busy(List.of());
         assertEquals(Optional.empty(), end(fleet));
-        assertEquals(EnumSet.allOf(Point.class), fleet.faults.passes.keySet());
+        assertEquals(EnumSet.allOf(Point.class), fleet.faults.passCounts.keySet());
     }
 
     /** The first pass of most lies in a founding. */
@@ -169,31 +169,31 @@
     @ParameterizedTest
     @EnumSource(Point.class)
     void aFaultAtTheLastPassOfAnyPointBreaksNothing(Point point) {
-        failAt(point, busy(List.of()).faults.passes.get(point));
+        failAt(point, busy(List.of()).faults.passCounts.get(point));
     }
 
     private static void failAt(Point point, int pass) {
         for (Kind kind : Kind.values()) {
-            At<Point> at = new At<>(point, pass, kind);
+            ScheduledFault<Point> at = new ScheduledFault<>(point, pass, kind);
             VirtualAgreement fleet = busy(List.of(at));
             assertEquals(Optional.empty(), end(fleet), at::toString);
-            assertEquals(1, fleet.faults.sprung, at::toString);
+            assertEquals(1, fleet.faults.injectedCount, at::toString);
         }
     }
 
     /** Two faults, one after the other, at points and passes that are drawn. */
     private static Optional<String> pair(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<At<Point>> ats = new ArrayList<>();
+        List<ScheduledFault<Point>> ats = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ats.add(
-                    new At<>(
+                    new ScheduledFault<>(
                             Point.values()[random.nextInt(Point.values().length)],
                             1 + (int) Math.pow(40, random.nextDouble()),
                             Kind.values()[random.nextInt(Kind.values().length)]));
         }
         VirtualAgreement fleet = busy(ats);
-        fleet.faults.arm(
+        fleet.faults.schedule(
                 List.of()); // what has not come by now would come too late to be over in the end
         return end(fleet)
                 .map(
@@ -203,7 +203,7 @@
                                         + ", "
                                         + ats
                                         + ", "
-                                        + fleet.faults.sprung
+                                        + fleet.faults.injectedCount
                                         + " came: "
                                         + wrong);
     }
--- a/src/test/java/myrtleladder/consensus/VirtualAgreement.java
+++ b/src/test/java/myrtleladder/consensus/VirtualAgreement.java
@@ -1,6 +1,6 @@
 package myrtleladder.consensus;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
-import myrtleladder.cluster.PointFaults;
+import myrtleladder.cluster.FaultPointInjector;
 import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.Membership;
@@ -38,7 +38,7 @@
     final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
-    final PointFaults<Point> faults = new PointFaults<>();
+    final FaultPointInjector<Point> faults = new FaultPointInjector<>();
     final AgreeSettings settings;
     final List<Note> foundings = new ArrayList<>();
     long datagrams;
@@ -129,7 +129,7 @@
         private final String process;
         private final Actions actions;
         private final Membership membership;
-        private final PointFaults<Point>.Post post;
+        private final FaultPointInjector<Point>.FaultyProcess faulty;
         private boolean changed = true;
         boolean working = true;
         private int worked;
@@ -137,7 +137,7 @@
         Node(String process, long seed, Actions actions) {
             this.process = process;
             this.actions = actions;
-            this.post = faults.new Post(world, process, actions);
+            this.faulty = faults.new FaultyProcess(world, process, actions);
             this.me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
@@ -155,7 +155,7 @@
 
         @Override
         public void started(long now) {
-            post.step(
+            faulty.step(
                     () -> {
                         membership.start(now);
                         agreement.started(now);
@@ -166,7 +166,7 @@
 
         @Override
         public void received(long now, String from, byte[] message) {
-            post.step(
+            faulty.step(
                     () -> {
                         if (Agreement.isOurs(message)) {
                             agreement.received(now, message);
@@ -179,9 +179,9 @@
 
         @Override
         public void due(long now, String token) {
-            post.step(
+            faulty.step(
                     () -> {
-                        if (post.due(token)) {
+                        if (faulty.onTimer(token)) {
                             return;
                         }
                         if (token.equals("work")) {
@@ -220,7 +220,7 @@
             byte[] datagram = mutated(whole);
             datagrams++;
             bytes += datagram.length;
-            post.send(to, datagram);
+            faulty.send(to, datagram);
         }
 
         private byte[] mutated(byte[] datagram) {
@@ -288,7 +288,7 @@
 
         @Override
         public void point(Point point) {
-            post.point(point);
+            faulty.onFaultPoint(point);
         }
 
         /** A digest of all that was decided, in its order. */
--- a/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
@@ -1,8 +1,8 @@
 package myrtleladder.gossip;
 
-import static myrtleladder.gossip.VirtualFleet.LAN;
-import static myrtleladder.gossip.VirtualFleet.SECOND;
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.LAN_LINK;
+import static myrtleladder.gossip.SimulatedGossipCluster.SECOND_US;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,13 +27,13 @@
     private static final GossipSettings FLEET = GossipSettings.of("dhaka");
     private static final List<String> SEEDS = List.of("m0", "m1", "m2");
 
-    private static VirtualFleet settled(long seed, LinkFault links, int count) {
-        VirtualFleet fleet = new VirtualFleet(seed, links, FLEET, SEEDS);
+    private static SimulatedGossipCluster settled(long seed, LinkFault links, int count) {
+        SimulatedGossipCluster fleet = new SimulatedGossipCluster(seed, links, FLEET, SEEDS);
         names(count).forEach(fleet::add);
         for (int i = 0; i < 60 && fleet.disagreement() != null; i++) {
-            fleet.run(2 * SECOND);
+            fleet.run(2 * SECOND_US);
         }
-        fleet.run(5 * SECOND);
+        fleet.run(5 * SECOND_US);
         fleet.events.clear();
         return fleet;
     }
@@ -44,29 +44,29 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 50, 100, 200, 440, 1_000, 5_000})
     void crash(int count) {
-        VirtualFleet fleet = settled(1, LAN, count);
+        SimulatedGossipCluster fleet = settled(1, LAN_LINK, count);
         assertEquals(null, fleet.disagreement());
-        long datagrams = fleet.datagrams;
-        long bytes = fleet.bytes;
-        fleet.run(10 * SECOND);
-        double sent = (fleet.datagrams - datagrams) / 10.0 / count;
-        double each = (fleet.bytes - bytes) / 10.0 / count;
+        long datagrams = fleet.datagramCount;
+        long bytes = fleet.byteCount;
+        fleet.run(10 * SECOND_US);
+        double sent = (fleet.datagramCount - datagrams) / 10.0 / count;
+        double each = (fleet.byteCount - bytes) / 10.0 / count;
         double[] sums = new double[3];
         for (String victim : List.of("m3", "m5", "m8")) {
-            long at = fleet.world.now();
+            long at = fleet.network.now();
             fleet.events.clear();
-            fleet.world.bring(new Fault.Kill(victim));
-            fleet.run(20 * SECOND);
+            fleet.network.bring(new Fault.Kill(victim));
+            fleet.run(20 * SECOND_US);
             List<Long> knew =
                     fleet.events.stream()
                             .filter(
                                     s ->
                                             s.event().kind() == MemberEvent.Kind.DIED
                                                     && s.event().update().name().equals(victim))
-                            .map(s -> s.at() - at)
+                            .map(s -> s.atUs() - at)
                             .sorted()
                             .toList();
-            assertEquals(fleet.living().size(), knew.size());
+            assertEquals(fleet.livingProcesses().size(), knew.size());
             sums[0] += knew.get(0) / 3e6;
             sums[1] += knew.get(knew.size() / 2) / 3e6;
             sums[2] += knew.get(knew.size() - 1) / 3e6;
@@ -86,17 +86,17 @@
     @ParameterizedTest
     @CsvSource({"0, 0, 0.5", "0.05, 0, 0.5", "0.2, 0, 1", "0.3, 0, 0.5", "0, 2, 0.5"})
     void falseRemovals(double loss, int starved, double hours) {
-        VirtualFleet fleet = settled(2, new LinkFault(false, 200, 300, loss, 0), 20);
-        for (long until = fleet.world.now() + (long) (hours * 3_600 * SECOND);
-                fleet.world.now() < until; ) {
+        SimulatedGossipCluster fleet = settled(2, new LinkFault(false, 200, 300, loss, 0), 20);
+        for (long until = fleet.network.now() + (long) (hours * 3_600 * SECOND_US);
+                fleet.network.now() < until; ) {
             for (String s : names(starved)) {
-                fleet.world.bring(new Fault.Pause(s));
+                fleet.network.bring(new Fault.Pause(s));
             }
-            fleet.run(SECOND);
+            fleet.run(SECOND_US);
             for (String s : names(starved)) {
-                fleet.world.bring(new Fault.Resume(s));
+                fleet.network.bring(new Fault.Resume(s));
             }
-            fleet.run(SECOND);
+            fleet.run(SECOND_US);
         }
         List<String> dead =
                 fleet.events.stream()
@@ -134,10 +134,10 @@
 
     @Test
     void drawnFaultsByTheThousand() {
-        int plays = Integer.getInteger("plays", 10_000);
-        Optional<ScheduleExplorer.Finding> found = MembershipTest.explore(plays);
+        int runs = Integer.getInteger("plays", 10_000);
+        Optional<ScheduleExplorer.Finding> found = MembershipTest.explore(runs);
         System.out.println(
-                "drawn | " + plays + " | " + (found.isEmpty() ? "held" : found.get()) + " |");
+                "drawn | " + runs + " | " + (found.isEmpty() ? "held" : found.get()) + " |");
         assertTrue(found.isEmpty());
     }
 }
--- a/src/test/java/myrtleladder/gossip/MembershipTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipTest.java
@@ -1,8 +1,8 @@
 package myrtleladder.gossip;
 
-import static myrtleladder.gossip.VirtualFleet.LAN;
-import static myrtleladder.gossip.VirtualFleet.SECOND;
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.LAN_LINK;
+import static myrtleladder.gossip.SimulatedGossipCluster.SECOND_US;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -20,53 +20,62 @@
 import myrtleladder.testbed.simulation.ScheduleExplorer;
 import org.junit.jupiter.api.Test;
 
-/** Members in virtual time, with faults between them: they find out who is there, and agree. */
+/** Members in virtual time with faults between them: they find each other and agree. */
 class MembershipTest {
     private static final GossipSettings FLEET = GossipSettings.of("dhaka");
     private static final List<String> SEEDS = List.of("m0", "m1", "m2");
     private static final LinkFault LOSSY = new LinkFault(false, 200, 20_000, 0.3, 0.1);
 
-    private static VirtualFleet fleet(long seed, LinkFault links, int count) {
-        VirtualFleet fleet = new VirtualFleet(seed, links, FLEET, SEEDS);
+    private static SimulatedGossipCluster fleet(long seed, LinkFault links, int count) {
+        SimulatedGossipCluster fleet = new SimulatedGossipCluster(seed, links, FLEET, SEEDS);
         names(count).forEach(fleet::add);
         return fleet;
     }
 
-    /** How a scenario of drawn faults ends: 30 s of them, then 40 s to settle. */
-    private static Optional<String> play(
-            long seed, FaultPlan plan, UnaryOperator<byte[]> hears, UnaryOperator<byte[]> says) {
-        VirtualFleet fleet = new VirtualFleet(seed, LAN, FLEET, SEEDS, hears, says);
+    /** Runs 30 s with random faults and 40 s without; returns what is violated after that. */
+    private static Optional<String> runWithFaults(
+            long seed,
+            FaultPlan plan,
+            UnaryOperator<byte[]> incoming,
+            UnaryOperator<byte[]> outgoing) {
+        SimulatedGossipCluster fleet =
+                new SimulatedGossipCluster(seed, LAN_LINK, FLEET, SEEDS, incoming, outgoing);
         List<String> names = names(7);
         names.forEach(fleet::add);
         fleet.follow(plan);
-        fleet.run(30 * SECOND);
-        fleet.calm();
-        fleet.run(40 * SECOND);
-        return !fleet.broken.isEmpty()
-                ? Optional.of(fleet.broken.get(0))
+        fleet.run(30 * SECOND_US);
+        fleet.endAllFaults();
+        fleet.run(40 * SECOND_US);
+        return !fleet.violations.isEmpty()
+                ? Optional.of(fleet.violations.get(0))
                 : Optional.ofNullable(fleet.disagreement());
     }
 
     private static Optional<ScheduleExplorer.Finding> explore(
-            int plays, UnaryOperator<byte[]> hears, UnaryOperator<byte[]> says) {
+            int runs, UnaryOperator<byte[]> incoming, UnaryOperator<byte[]> outgoing) {
         return ScheduleExplorer.explore(
-                1, plays, names(7), 25, 30 * SECOND, (seed, plan) -> play(seed, plan, hears, says));
+                1,
+                runs,
+                names(7),
+                25,
+                30 * SECOND_US,
+                (seed, plan) -> runWithFaults(seed, plan, incoming, outgoing));
     }
 
-    static Optional<ScheduleExplorer.Finding> explore(int plays) {
-        return explore(plays, UnaryOperator.identity(), UnaryOperator.identity());
+    static Optional<ScheduleExplorer.Finding> explore(int runs) {
+        return explore(runs, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
     @Test
-    void afterTheLastFaultAllAgreeAndNoIncarnationGoesBack() {
+    void afterRandomFaultsAllMembersAgreeAndNoIncarnationDecreases() {
         Optional<ScheduleExplorer.Finding> found = explore(120);
         assertTrue(found.isEmpty(), () -> found.orElseThrow().toString());
     }
 
-    /** Whoever can't hear what is said of him stays dead for the others. */
+    /** Shows that the test before notices members that do not refute. */
     @Test
-    void withoutContradictionAMemberThatStoodStillIsLostForGood() {
-        UnaryOperator<byte[]> deaf =
+    void aStalledMemberThatHearsNoReportsAboutItselfStaysDead() {
+        UnaryOperator<byte[]> deafToReports =
                 datagram -> {
                     GossipDatagram m = read(datagram);
                     List<MemberUpdate> good =
@@ -85,13 +94,13 @@
                                     m.requestedBuckets(),
                                     good));
                 };
-        assertTrue(explore(50, deaf, UnaryOperator.identity()).isPresent());
+        assertTrue(explore(50, deafToReports, UnaryOperator.identity()).isPresent());
     }
 
-    /** A contradiction on the same incarnation is none. */
+    /** Shows that the test before notices refutations without a higher incarnation. */
     @Test
-    void withoutANewIncarnationAContradictionIsNotBelieved() {
-        UnaryOperator<byte[]> flat =
+    void aRefutationWithoutAHigherIncarnationIsIgnored() {
+        UnaryOperator<byte[]> withoutIncarnation =
                 datagram -> {
                     GossipDatagram m = read(datagram);
                     MemberUpdate me =
@@ -118,7 +127,7 @@
                                             .map(c -> c.name().equals(me.name()) ? me : c)
                                             .toList()));
                 };
-        assertTrue(explore(50, UnaryOperator.identity(), flat).isPresent());
+        assertTrue(explore(50, UnaryOperator.identity(), withoutIncarnation).isPresent());
     }
 
     private static GossipDatagram read(byte[] datagram) {
@@ -131,15 +140,15 @@
 
     @Test
     void aCrashIsKnownByAllWithinThreeSecondsAndALeaveWithinOne() {
-        VirtualFleet fleet = fleet(3, LAN, 20);
-        fleet.run(10 * SECOND);
+        SimulatedGossipCluster fleet = fleet(3, LAN_LINK, 20);
+        fleet.run(10 * SECOND_US);
         assertNull(fleet.disagreement());
-        fleet.world.bring(new Fault.Kill("m7"));
-        fleet.run(3 * SECOND);
+        fleet.network.bring(new Fault.Kill("m7"));
+        fleet.run(3 * SECOND_US);
         assertNull(fleet.disagreement());
-        fleet.members.get("m9").leave(fleet.world.now());
-        fleet.run(SECOND);
-        for (String other : fleet.living()) {
+        fleet.members.get("m9").leave(fleet.network.now());
+        fleet.run(SECOND_US);
+        for (String other : fleet.livingProcesses()) {
             assertTrue(
                     fleet.members.get(other).members().stream()
                             .anyMatch(c -> c.name().equals("m9") && c.state() == MemberState.LEFT),
@@ -147,31 +156,29 @@
         }
     }
 
-    /**
-     * With three datagrams of ten lost and some twice, nobody is taken for dead in five minutes.
-     */
+    /** With 30% of the datagrams lost and 10% duplicated, none is declared dead in five minutes. */
     @Test
-    void onLossyLinksNobodyIsTakenForDead() {
-        VirtualFleet fleet = fleet(4, LOSSY, 20);
-        fleet.run(15 * SECOND);
-        long before = fleet.world.now();
-        fleet.run(300 * SECOND);
+    void noMemberIsDeclaredDeadOnLossyLinks() {
+        SimulatedGossipCluster fleet = fleet(4, LOSSY, 20);
+        fleet.run(15 * SECOND_US);
+        long before = fleet.network.now();
+        fleet.run(300 * SECOND_US);
         assertEquals(
                 List.of(),
                 fleet.events.stream()
-                        .filter(s -> s.at() > before && s.event().kind() == MemberEvent.Kind.DIED)
+                        .filter(s -> s.atUs() > before && s.event().kind() == MemberEvent.Kind.DIED)
                         .toList());
     }
 
-    /** 14 of 20 die at one moment and come back under their names while some still suspect them. */
+    /** 14 of 20 are killed at once and restarted while some of the others still suspect them. */
     @Test
-    void sevenInTenThatComeBackAreOtherProcessesUnderTheSameNames() {
-        VirtualFleet fleet = fleet(5, LAN, 20);
-        fleet.run(10 * SECOND);
-        names(14).forEach(n -> fleet.world.bring(new Fault.Kill(n)));
-        fleet.run(2 * SECOND);
-        names(14).forEach(n -> fleet.world.bring(new Fault.Restart(n)));
-        fleet.run(8 * SECOND);
+    void membersThatRestartUnderTheirNamesAreReportedAsRestarted() {
+        SimulatedGossipCluster fleet = fleet(5, LAN_LINK, 20);
+        fleet.run(10 * SECOND_US);
+        names(14).forEach(n -> fleet.network.bring(new Fault.Kill(n)));
+        fleet.run(2 * SECOND_US);
+        names(14).forEach(n -> fleet.network.bring(new Fault.Restart(n)));
+        fleet.run(8 * SECOND_US);
         assertNull(fleet.disagreement());
         Set<String> restarted =
                 fleet.events.stream()
@@ -184,21 +191,19 @@
         assertEquals(Set.copyOf(names(14)), restarted);
     }
 
-    /**
-     * In three parts for 30 s, then healed pair by pair: one picture again, without anybody's help.
-     */
+    /** Three partitions for 30 s that heal one pair after the other end in equal member tables. */
     @Test
-    void partsThatWereCutOffFindEachOtherAgain() {
-        VirtualFleet fleet = fleet(6, LAN, 21);
-        fleet.run(10 * SECOND);
+    void partitionsMergeAfterTheyHeal() {
+        SimulatedGossipCluster fleet = fleet(6, LAN_LINK, 21);
+        fleet.run(10 * SECOND_US);
         cut(fleet, (a, b) -> a % 3 != b % 3, true);
-        fleet.run(30 * SECOND);
+        fleet.run(30 * SECOND_US);
         assertEquals(7, fleet.members.get("m4").presentCount());
         cut(fleet, (a, b) -> a % 3 != b % 3 && a % 3 != 2 && b % 3 != 2, false);
-        fleet.run(5 * SECOND);
+        fleet.run(5 * SECOND_US);
         assertEquals(14, fleet.members.get("m4").presentCount());
         cut(fleet, (a, b) -> a % 3 != b % 3, false);
-        fleet.run(5 * SECOND);
+        fleet.run(5 * SECOND_US);
         assertNull(fleet.disagreement());
     }
 
@@ -206,11 +211,11 @@
         boolean is(int a, int b);
     }
 
-    private static void cut(VirtualFleet fleet, Pair which, boolean on) {
+    private static void cut(SimulatedGossipCluster fleet, Pair which, boolean on) {
         for (int a = 0; a < 21; a++) {
             for (int b = 0; b < 21; b++) {
                 if (a != b && which.is(a, b)) {
-                    fleet.world.bring(
+                    fleet.network.bring(
                             on
                                     ? new Fault.Link("m" + a, "m" + b, LinkFault.CUT)
                                     : new Fault.Heal("m" + a, "m" + b));
@@ -219,23 +224,23 @@
         }
     }
 
-    /** One that stood still for 10 s judges nobody by that, and is back within 5 s. */
+    /** A member stalls for 10 s and is alive for all others 5 s later. */
     @Test
-    void whoStoodStillSuspectsHimselfAndNotTheOthers() {
-        VirtualFleet fleet = fleet(7, LAN, 20);
-        fleet.run(10 * SECOND);
-        fleet.world.bring(new Fault.Pause("m3"));
-        fleet.run(10 * SECOND);
-        long back = fleet.world.now();
-        fleet.world.bring(new Fault.Resume("m3"));
-        fleet.run(5 * SECOND);
+    void aStalledMemberDeclaresNoOtherMemberDead() {
+        SimulatedGossipCluster fleet = fleet(7, LAN_LINK, 20);
+        fleet.run(10 * SECOND_US);
+        fleet.network.bring(new Fault.Pause("m3"));
+        fleet.run(10 * SECOND_US);
+        long back = fleet.network.now();
+        fleet.network.bring(new Fault.Resume("m3"));
+        fleet.run(5 * SECOND_US);
         assertNull(fleet.disagreement());
         assertEquals(
                 List.of(),
                 fleet.events.stream()
                         .filter(
                                 s ->
-                                        s.at() >= back
+                                        s.atUs() >= back
                                                 && s.observer().equals("m3")
                                                 && s.event().kind() == MemberEvent.Kind.DIED)
                         .toList());
@@ -247,16 +252,14 @@
                                                 && s.event().kind() == MemberEvent.Kind.STARVED));
     }
 
-    /**
-     * Two processes under one name: all are told, and when one of them has gone, that it is over.
-     */
+    /** Two processes with one name, of which one ends later. */
     @Test
-    void twoProcessesWithOneNameAreNoticedByAll() {
-        VirtualFleet fleet = fleet(8, LAN, 8);
-        fleet.run(5 * SECOND);
+    void aNameConflictIsReportedByAllMembersUntilItEnds() {
+        SimulatedGossipCluster fleet = fleet(8, LAN_LINK, 8);
+        fleet.run(5 * SECOND_US);
         fleet.add("intruder", "m5");
-        fleet.run(5 * SECOND);
-        for (String process : fleet.living()) {
+        fleet.run(5 * SECOND_US);
+        for (String process : fleet.livingProcesses()) {
             assertTrue(
                     fleet.events.stream()
                             .anyMatch(
@@ -269,10 +272,10 @@
                             .anyMatch(c -> c.name().equals("m5") && c.hasNameConflict()),
                     process);
         }
-        fleet.world.bring(new Fault.Kill("intruder"));
-        fleet.run(15 * SECOND);
+        fleet.network.bring(new Fault.Kill("intruder"));
+        fleet.run(15 * SECOND_US);
         assertNull(fleet.disagreement());
-        for (String process : fleet.living()) {
+        for (String process : fleet.livingProcesses()) {
             assertTrue(
                     fleet.members.get(process).members().stream()
                             .noneMatch(MemberUpdate::hasNameConflict),
@@ -280,20 +283,21 @@
         }
     }
 
-    /** Who joins 200 strong, by seeds of which one is down, is known to all soon. */
+    /** 200 members join by seeds of which one is down. */
     @Test
-    void twoHundredThatJoinAtOnceFindEachOther() {
-        VirtualFleet fleet = new VirtualFleet(9, LAN, FLEET, List.of("nobody", "m0", "m1"));
+    void twoHundredMembersThatJoinAtOnceFindEachOther() {
+        SimulatedGossipCluster fleet =
+                new SimulatedGossipCluster(9, LAN_LINK, FLEET, List.of("nobody", "m0", "m1"));
         names(200).forEach(fleet::add);
-        fleet.run(20 * SECOND);
+        fleet.run(20 * SECOND_US);
         assertNull(fleet.disagreement());
     }
 
-    /** Whatever is not a message of this fleet and format is counted and leaves no trace. */
+    /** Datagrams that are malformed, oversized, or of another fleet or version. */
     @Test
-    void foreignAndBrokenDatagramsChangeNothing() {
-        VirtualFleet fleet = fleet(10, LAN, 3);
-        fleet.run(5 * SECOND);
+    void malformedAndForeignDatagramsAreCountedAndChangeNothing() {
+        SimulatedGossipCluster fleet = fleet(10, LAN_LINK, 3);
+        fleet.run(5 * SECOND_US);
         Membership m = fleet.members.get("m0");
         long digest = m.digest();
         MemberUpdate stranger =
@@ -326,7 +330,7 @@
                         text.replace("ALIVE", "DEAD"),
                         text.replace("\"no\"", "\"nu\""),
                         text + " ".repeat(1_400))) {
-            m.onDatagram(fleet.world.now(), "x", bad.getBytes(StandardCharsets.UTF_8));
+            m.onDatagram(fleet.network.now(), "x", bad.getBytes(StandardCharsets.UTF_8));
             assertEquals(digest, m.digest(), bad);
         }
         assertEquals(
@@ -336,7 +340,7 @@
         assertEquals(
                 Set.of("malformed", "version", "foreign", "oversized"),
                 m.droppedDatagrams().keySet());
-        m.onDatagram(fleet.world.now(), "x", whole);
+        m.onDatagram(fleet.network.now(), "x", whole);
         assertNotEquals(digest, m.digest());
     }
 }
--- a/src/test/java/myrtleladder/gossip/VirtualFleet.java
+++ b/src/test/java/myrtleladder/gossip/SimulatedGossipCluster.java
@@ -14,44 +14,45 @@
 import myrtleladder.testbed.simulation.ProtocolCore;
 import myrtleladder.testbed.simulation.SimulatedNetwork;
 
-/** Memberships as processes of the virtual world; addresses are names. */
-public final class VirtualFleet {
-    static final long SECOND = 1_000_000;
-    static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
+/** Memberships as processes of the virtual network; addresses are names. */
+public final class SimulatedGossipCluster {
+    static final long SECOND_US = 1_000_000;
+    static final LinkFault LAN_LINK = new LinkFault(false, 200, 300, 0, 0);
 
-    final SimulatedNetwork world;
+    final SimulatedNetwork network;
     final Map<String, Membership> members = new LinkedHashMap<>();
-    final List<String> broken = new ArrayList<>();
-    final List<Said> events = new ArrayList<>();
-    long datagrams;
-    long bytes;
+    final List<String> violations = new ArrayList<>();
+    final List<ObservedEvent> events = new ArrayList<>();
+    long datagramCount;
+    long byteCount;
     private final GossipSettings settings;
     private final List<String> seeds;
-    private final UnaryOperator<byte[]> hears;
-    private final UnaryOperator<byte[]> says;
-    private final SplittableRandom lives;
+    private final UnaryOperator<byte[]> incoming;
+    private final UnaryOperator<byte[]> outgoing;
+    private final SplittableRandom startIds;
 
-    /** What one process came to hold, and when. */
-    record Said(long at, String observer, MemberEvent event) {}
+    /** An event that one process reported, and when. */
+    record ObservedEvent(long atUs, String observer, MemberEvent event) {}
 
-    VirtualFleet(long seed, LinkFault links, GossipSettings settings, List<String> seeds) {
+    SimulatedGossipCluster(
+            long seed, LinkFault links, GossipSettings settings, List<String> seeds) {
         this(seed, links, settings, seeds, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
-    /** One whose members hear and say what is left of their messages by these. */
-    VirtualFleet(
+    /** One whose datagrams are changed by these on their way out and in. */
+    SimulatedGossipCluster(
             long seed,
             LinkFault links,
             GossipSettings settings,
             List<String> seeds,
-            UnaryOperator<byte[]> hears,
-            UnaryOperator<byte[]> says) {
-        this.world = new SimulatedNetwork(seed, links);
+            UnaryOperator<byte[]> incoming,
+            UnaryOperator<byte[]> outgoing) {
+        this.network = new SimulatedNetwork(seed, links);
         this.settings = settings;
         this.seeds = seeds;
-        this.hears = hears;
-        this.says = says;
-        this.lives = new SplittableRandom(seed);
+        this.incoming = incoming;
+        this.outgoing = outgoing;
+        this.startIds = new SplittableRandom(seed);
     }
 
     /** Names of so many processes. */
@@ -69,64 +70,65 @@
 
     /** A process whose member has another name than its address, as two under one name have. */
     void add(String process, String name) {
-        world.add(
+        network.add(
                 process,
                 (p, seed, actions) -> {
-                    Hosted hosted = new Hosted(p, actions);
+                    SimulatedMember simulated = new SimulatedMember(p, actions);
                     Membership m =
                             new Membership(
                                     settings,
                                     name,
-                                    lives.nextLong(),
+                                    startIds.nextLong(),
                                     0,
                                     p,
                                     MemberMetadata.NONE,
                                     seeds,
                                     seed,
-                                    hosted);
+                                    simulated);
                     members.put(p, m);
-                    hosted.member = m;
-                    return hosted;
+                    simulated.member = m;
+                    return simulated;
                 });
     }
 
-    void run(long micros) {
-        world.run(world.now() + micros);
+    void run(long durationUs) {
+        network.run(network.now() + durationUs);
     }
 
-    /** All faults are over: links healed, whoever stood still goes on. */
-    void calm() {
-        world.bring(new Fault.HealAll());
+    /** Ends all faults: heals links and resumes processes. */
+    void endAllFaults() {
+        network.bring(new Fault.HealAll());
         members.keySet().stream()
-                .filter(world::alive)
-                .forEach(p -> world.bring(new Fault.Resume(p)));
+                .filter(network::alive)
+                .forEach(p -> network.bring(new Fault.Resume(p)));
     }
 
-    List<String> living() {
-        return members.keySet().stream().filter(world::alive).toList();
+    List<String> livingProcesses() {
+        return members.keySet().stream().filter(network::alive).toList();
     }
 
     /**
-     * What keeps the living from agreeing that they, in these lives, are all there is; null if they
-     * do.
+     * What keeps the living from agreeing that they, in these startIds, are all there is; null if
+     * they do.
      */
     String disagreement() {
-        TreeMap<String, Long> there = new TreeMap<>();
-        living().forEach(
+        TreeMap<String, Long> expected = new TreeMap<>();
+        livingProcesses()
+                .forEach(
                         p ->
-                                there.put(
+                                expected.put(
                                         members.get(p).self().name(),
                                         members.get(p).self().startId()));
-        for (String p : living()) {
+        for (String p : livingProcesses()) {
             TreeMap<String, Long> held = new TreeMap<>();
             members.get(p).members().stream()
                     .filter(c -> c.state() == MemberState.ALIVE)
                     .forEach(c -> held.put(c.name(), c.startId()));
-            if (!held.equals(there)) {
-                TreeSet<String> missing = new TreeSet<>(there.keySet());
+            if (!held.equals(expected)) {
+                TreeSet<String> missing = new TreeSet<>(expected.keySet());
                 missing.removeAll(held.keySet());
                 TreeSet<String> wrong = new TreeSet<>(held.keySet());
-                wrong.removeIf(n -> held.get(n).equals(there.get(n)));
+                wrong.removeIf(n -> held.get(n).equals(expected.get(n)));
                 return p + " misses " + missing + " and is wrong on " + wrong;
             }
         }
@@ -134,10 +136,10 @@
     }
 
     void follow(FaultPlan plan) {
-        world.follow(plan);
+        network.follow(plan);
     }
 
-    private final class Hosted implements ProtocolCore, Membership.Output {
+    private final class SimulatedMember implements ProtocolCore, Membership.Output {
         private final String process;
         private final Actions actions;
         private final Map<String, MemberUpdate> last = new LinkedHashMap<>();
@@ -145,7 +147,7 @@
         private long incarnation;
         private long now;
 
-        Hosted(String process, Actions actions) {
+        SimulatedMember(String process, Actions actions) {
             this.process = process;
             this.actions = actions;
         }
@@ -159,29 +161,30 @@
         @Override
         public void received(long at, String from, byte[] message) {
             now = at;
-            member.onDatagram(at, from, hears.apply(message));
-            look();
+            member.onDatagram(at, from, incoming.apply(message));
+            checkIncarnation();
         }
 
         @Override
         public void due(long at, String token) {
             now = at;
             member.onTimer(at, token);
-            look();
+            checkIncarnation();
         }
 
-        private void look() {
+        private void checkIncarnation() {
             if (member.self().incarnation() < incarnation) {
-                broken.add(process + " went back to incarnation " + member.self().incarnation());
+                violations.add(
+                        process + " went back to incarnation " + member.self().incarnation());
             }
             incarnation = member.self().incarnation();
         }
 
         @Override
         public void send(String address, byte[] datagram) {
-            datagrams++;
-            bytes += datagram.length;
-            actions.send(address, says.apply(datagram));
+            datagramCount++;
+            byteCount += datagram.length;
+            actions.send(address, outgoing.apply(datagram));
         }
 
         @Override
@@ -191,12 +194,12 @@
 
         @Override
         public void onEvent(MemberEvent event) {
-            events.add(new Said(world.now(), process, event));
+            events.add(new ObservedEvent(network.now(), process, event));
             MemberUpdate before = last.put(event.update().name(), event.update());
             if (before != null
                     && before.incarnation() > event.update().incarnation()
                     && !event.update().name().equals(member.self().name())) {
-                broken.add(process + " went back from " + before + " to " + event.update());
+                violations.add(process + " went back from " + before + " to " + event.update());
             }
         }
     }
--- a/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
@@ -47,8 +47,9 @@
                 attempts);
     }
 
-    private static Admin admin(Supplier<Future<BalancerStatus>> balancer) {
-        return new Admin(new InetSocketAddress("127.0.0.1", 0), "b0", balancer, null, null, null);
+    private static AdminServer admin(Supplier<Future<BalancerStatus>> balancer) {
+        return new AdminServer(
+                new InetSocketAddress("127.0.0.1", 0), "b0", balancer, null, null, null);
     }
 
     private static Future<BalancerStatus> known() {
@@ -56,7 +57,7 @@
                 .setSuccess(status());
     }
 
-    private static HttpResponse<String> ask(Admin admin, String method, String path)
+    private static HttpResponse<String> ask(AdminServer admin, String method, String path)
             throws Exception {
         HttpRequest request =
                 HttpRequest.newBuilder(
@@ -68,7 +69,7 @@
 
     @Test
     void figuresHaveTheirNamesLabelsAndValues() throws Exception {
-        try (Admin admin = admin(AdminCompatibilityTest::known)) {
+        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
             HttpResponse<String> answer = ask(admin, "GET", "/metrics");
             StringBuilder lines = new StringBuilder();
             lines.append(answer.headers().firstValue("content-type").orElse("")).append('\n');
@@ -86,7 +87,7 @@
      */
     @Test
     void figuresOfTheProcessHaveTheirNames() throws Exception {
-        try (Admin admin = admin(AdminCompatibilityTest::known)) {
+        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
             TreeSet<String> names = new TreeSet<>();
             ask(admin, "GET", "/metrics")
                     .body()
@@ -99,7 +100,7 @@
 
     @Test
     void everyPathAnswersAsItDid() throws Exception {
-        try (Admin admin = admin(AdminCompatibilityTest::known)) {
+        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
             StringBuilder lines = new StringBuilder();
             for (String asked :
                     new String[] {
@@ -126,7 +127,7 @@
 
     @Test
     void aBalancerThatIsBusyIsAnsweredAsItWas() throws Exception {
-        try (Admin admin = admin(() -> new DefaultPromise<>(GlobalEventExecutor.INSTANCE))) {
+        try (AdminServer admin = admin(() -> new DefaultPromise<>(GlobalEventExecutor.INSTANCE))) {
             HttpResponse<String> answer = ask(admin, "GET", "/metrics");
             Golden.assertMatches(
                     "command/admin-busy.txt", answer.statusCode() + " " + answer.body());
@@ -148,7 +149,7 @@
                 line.setLoggerName(logger);
                 line.setInstant(Instant.ofEpochSecond(1_700_000_000L, 123_456_000));
                 line.setParameters(new Object[] {Map.of("view", 7L), Map.of("why", "silent")});
-                lines.append(new JsonLines("b1").format(line).strip()).append('\n');
+                lines.append(new JsonLogFormatter("b1").format(line).strip()).append('\n');
             }
         }
         Golden.assertMatches("command/log-lines.txt", lines.toString());
@@ -161,7 +162,8 @@
         line.setLoggerName("myrtleladder.loadbalancer.server.Driver");
         line.setInstant(Instant.ofEpochSecond(1_700_000_000L));
         line.setThrown(new IllegalStateException("cause"));
-        JsonNode read = JsonMapper.builder().build().readTree(new JsonLines("b1").format(line));
+        JsonNode read =
+                JsonMapper.builder().build().readTree(new JsonLogFormatter("b1").format(line));
         StringBuilder fields = new StringBuilder();
         read.fields()
                 .forEachRemaining(
--- a/src/test/java/myrtleladder/loadbalancer/admin/CommandLineCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/CommandLineCompatibilityTest.java
@@ -23,7 +23,7 @@
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         CommandLine line =
-                Main.line()
+                Main.commandLine()
                         .setOut(new PrintWriter(out, true))
                         .setErr(new PrintWriter(err, true))
                         .setUsageHelpWidth(100)
--- a/src/test/java/myrtleladder/loadbalancer/admin/CommandTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/CommandTest.java
@@ -41,7 +41,9 @@
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         CommandLine line =
-                Main.line().setOut(new PrintWriter(out, true)).setErr(new PrintWriter(err, true));
+                Main.commandLine()
+                        .setOut(new PrintWriter(out, true))
+                        .setErr(new PrintWriter(err, true));
         int status = line.execute(args);
         return new Said(status, out.toString(), err.toString());
     }
@@ -83,17 +85,17 @@
         assertEquals(0, said.status(), said.err());
         Path shown = Files.writeString(folder.resolve("shown.toml"), said.out());
         assertEquals(
-                new Own(
-                        new Own.LogPart(
-                                Own.LogFormat.JSON,
-                                Own.LogLevel.INFO,
-                                Map.of("node", Own.LogLevel.DEBUG)),
-                        Own.DEFAULTS.admin(),
+                new OperatorConfiguration(
+                        new OperatorConfiguration.LogSection(
+                                OperatorConfiguration.LogFormat.JSON,
+                                OperatorConfiguration.LogLevel.INFO,
+                                Map.of("node", OperatorConfiguration.LogLevel.DEBUG)),
+                        OperatorConfiguration.DEFAULTS.admin(),
                         null),
-                Own.read(shown));
+                OperatorConfigurationReader.read(shown));
         Path nothing =
                 Files.writeString(folder.resolve("nothing.toml"), say("config", "show").out());
-        assertEquals(Own.DEFAULTS, Own.read(nothing));
+        assertEquals(OperatorConfiguration.DEFAULTS, OperatorConfigurationReader.read(nothing));
     }
 
     @ParameterizedTest
@@ -117,7 +119,7 @@
         line.setLoggerName("myrtleladder.loadbalancer.server.Driver");
         line.setParameters(new Object[] {Map.of("view", 7L, "why", "\"silent\"")});
         line.setThrown(new IllegalStateException("gone"));
-        String text = new JsonLines("b1").format(line);
+        String text = new JsonLogFormatter("b1").format(line);
         assertEquals(1, text.lines().count(), text);
         JsonNode read = JsonMapper.builder().build().readTree(text);
         assertEquals(
--- a/src/test/java/myrtleladder/loadbalancer/admin/AgreementOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ConsensusProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,14 +20,14 @@
 
 /** Five processes of the program that agree on who belongs to them, with faults between them. */
 @Timeout(300)
-class AgreementOfProcessesTest {
+class ConsensusProcessesTest {
     private static final String COUNCIL = "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n";
     private static final long MS = 1_000;
     private static final LinkFault LOSSY = new LinkFault(false, 0, 0, 0.2, 0);
     private static final LinkFault SLOW = new LinkFault(false, 150 * MS, 50 * MS, 0, 0);
 
     @TempDir Path folder;
-    private Processes all;
+    private FleetProcesses all;
 
     /** A view of just these, behind which a majority stands. */
     private static Predicate<JsonNode> view(List<String> names) {
@@ -68,7 +68,7 @@
 
     @Test
     void processesAgreeOnOneViewThroughKillsPausesCutsLossAndSlowPeers() throws Exception {
-        all = new Processes(folder, ALL, COUNCIL);
+        all = new FleetProcesses(folder, ALL, COUNCIL);
         all.run(
                 all.layout(),
                 (fleet, relay) -> {
@@ -125,11 +125,11 @@
         relay.bring(new Fault.HealAll());
         agreed("it hears again", ALL, view(ALL));
 
-        Processes.cut(relay, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
+        FleetProcesses.cut(relay, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
         agreed("the larger part", List.of("b2", "b3", "b4"), view(List.of("b2", "b3", "b4")));
         long number = number("b0");
         agreed("the smaller part knows", List.of("b0", "b1"), l -> !l.get("decides").asBoolean());
-        Processes.cut(relay, List.of("b2", "b3"), List.of("b4"));
+        FleetProcesses.cut(relay, List.of("b2", "b3"), List.of("b4"));
         agreed("three parts", ALL, l -> !l.get("decides").asBoolean());
         assertEquals(number, number("b0"), "the smaller part decided");
         relay.bring(new Fault.HealAll());
--- a/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
@@ -50,7 +50,7 @@
     /** What a command prints when it fails. */
     private static String failed(String... args) {
         StringWriter err = new StringWriter();
-        int status = Main.line().setErr(new PrintWriter(err, true)).execute(args);
+        int status = Main.commandLine().setErr(new PrintWriter(err, true)).execute(args);
         assertEquals(2, status, err::toString);
         return err.toString();
     }
@@ -183,8 +183,8 @@
                 NobodyAnswers.CODE,
                 NobodyAnswers.REMEDY,
                 nobody);
-        try (Admin admin =
-                new Admin(
+        try (AdminServer admin =
+                new AdminServer(
                         new InetSocketAddress("127.0.0.1", 0),
                         "b0",
                         () -> new DefaultPromise<>(GlobalEventExecutor.INSTANCE),
--- a/src/test/java/myrtleladder/loadbalancer/admin/PointsOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
  * that is, and when, is chance; the same points are failed at exact passes in virtual time.
  */
 @Timeout(180)
-class PointsOfProcessesTest {
+class FaultPointProcessesTest {
     @TempDir Path folder;
 
     @ParameterizedTest
@@ -53,8 +53,8 @@
     private void fail(Point point, String kind) throws Exception {
         Path here = Files.createDirectory(folder.resolve(point + "-" + kind));
         Path failed = here.resolve("failed");
-        Processes all =
-                new Processes(
+        FleetProcesses all =
+                new FleetProcesses(
                         here,
                         ALL,
                         "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n",
--- a/src/test/java/myrtleladder/loadbalancer/admin/Processes.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
@@ -37,10 +37,10 @@
 import myrtleladder.testbed.proxy.FaultProxy;
 
 /**
- * Processes of the program that are one fleet, with relays between them, and what each of them
- * holds.
+ * Starts processes of the program as one fleet, with fault-injecting proxies between them, and
+ * reads what each of them knows.
  */
-final class Processes {
+final class FleetProcesses {
     static final List<String> ALL = List.of("b0", "b1", "b2", "b3", "b4");
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
@@ -65,7 +65,8 @@
     /**
      * Addresses for some processes; {@code more} goes into the part on the fleet of their files.
      */
-    Processes(Path folder, List<String> names, String more, String... options) throws IOException {
+    FleetProcesses(Path folder, List<String> names, String more, String... options)
+            throws IOException {
         this.folder = folder;
         this.more = more;
         this.options = List.of(options);
@@ -333,7 +334,7 @@
     /** What an operator sees. */
     String shown(String process) {
         StringWriter out = new StringWriter();
-        Main.line()
+        Main.commandLine()
                 .setOut(new PrintWriter(out, true))
                 .execute("fleet", "members", "--at", admin.get(process));
         return out.toString();
--- a/src/test/java/myrtleladder/loadbalancer/admin/WorkOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.Processes.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -33,7 +33,7 @@
  * Five processes that take eight upstreams out for work under traffic, with faults between them.
  */
 @Timeout(240)
-class WorkOfProcessesTest {
+class MaintenanceProcessesTest {
     private static final String FLEET =
             "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n" + "longest-work-s = 3\n";
     private static final long SECOND = 1_000_000;
@@ -41,7 +41,7 @@
     private static final LinkFault LOSSY = new LinkFault(false, 0, 0, 0.2, 0);
 
     @TempDir Path folder;
-    private Processes all;
+    private FleetProcesses all;
 
     private static String plan(int machines, int atOnce, int seconds) {
         StringBuilder plan = new StringBuilder("name = \"patch\"\nat-once = " + atOnce + "\n");
@@ -140,7 +140,7 @@
 
     @Test
     void machinesAreTakenOutUnderTrafficThroughKillsPausesCutsAndLoss() throws Exception {
-        all = new Processes(folder, ALL, FLEET);
+        all = new FleetProcesses(folder, ALL, FLEET);
         all.run(
                 all.layout(MACHINES, 250),
                 (fleet, relay) -> {
@@ -208,7 +208,7 @@
     /** Cuts a process off until the others vote it out: it grants nothing meanwhile. */
     private void cutOff(FaultProxy relay, Worker worker, String cut, String asked)
             throws Exception {
-        Processes.cut(relay, List.of(cut), ALL.stream().filter(n -> !n.equals(cut)).toList());
+        FleetProcesses.cut(relay, List.of(cut), ALL.stream().filter(n -> !n.equals(cut)).toList());
         all.await(
                 "it knows that it is cut off",
                 List.of(cut),
@@ -233,7 +233,7 @@
 
     @Test
     void whatCannotBeTakenIsRefusedByItsType() throws Exception {
-        all = new Processes(folder, ALL, FLEET);
+        all = new FleetProcesses(folder, ALL, FLEET);
         all.run(
                 all.layout(),
                 (fleet, relay) -> {
--- a/src/test/java/myrtleladder/loadbalancer/admin/FleetOfProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MembershipProcessesTest.java
@@ -1,9 +1,9 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.Processes.ALL;
-import static myrtleladder.loadbalancer.admin.Processes.alive;
-import static myrtleladder.loadbalancer.admin.Processes.claim;
-import static myrtleladder.loadbalancer.admin.Processes.is;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.alive;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.claim;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.is;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
@@ -19,12 +19,13 @@
 
 /** Five processes of the program that know each other by UDP, with faults between them. */
 @Timeout(120)
-class FleetOfProcessesTest {
+class MembershipProcessesTest {
     @TempDir Path folder;
 
     @Test
     void processesKnowWhoIsThereThroughKillsPausesCutsAndNamesHeldTwice() throws Exception {
-        Processes all = new Processes(folder, List.of("b0", "b1", "b2", "b3", "b4", "twin"), "");
+        FleetProcesses all =
+                new FleetProcesses(folder, List.of("b0", "b1", "b2", "b3", "b4", "twin"), "");
         all.run(
                 all.layout(),
                 (fleet, relay) -> {
@@ -43,7 +44,7 @@
                 });
     }
 
-    private static void killAndRestart(Processes all, BalancerFleet fleet) throws Exception {
+    private static void killAndRestart(FleetProcesses all, BalancerFleet fleet) throws Exception {
         long life = claim(all.look("b0"), "b4").get("life").asLong();
         fleet.bring(new Fault.Kill("b4"));
         all.await("a kill", List.of("b0", "b1", "b2", "b3"), is("b4", "DEAD"));
@@ -54,7 +55,7 @@
                 is("b4", "ALIVE").and(l -> claim(l, "b4").get("life").asLong() != life));
     }
 
-    private static void pauseAndResume(Processes all, BalancerFleet fleet) throws Exception {
+    private static void pauseAndResume(FleetProcesses all, BalancerFleet fleet) throws Exception {
         long incarnation = claim(all.look("b0"), "b3").get("incarnation").asLong();
         fleet.bring(new Fault.Pause("b3"));
         all.await("a pause", List.of("b0", "b1", "b2", "b4"), is("b3", "DEAD"));
@@ -66,7 +67,7 @@
                         .and(l -> claim(l, "b3").get("incarnation").asLong() > incarnation));
     }
 
-    private static void cutAndHeal(Processes all, FaultProxy relay) throws Exception {
+    private static void cutAndHeal(FleetProcesses all, FaultProxy relay) throws Exception {
         ALL.stream()
                 .filter(n -> !n.equals("b2"))
                 .forEach(n -> relay.bring(new Fault.Link("b2", n, LinkFault.CUT)));
@@ -74,14 +75,14 @@
         relay.bring(new Fault.HealAll());
         all.await("heard again", ALL, alive("b0", "b1", "b2", "b3", "b4"));
 
-        Processes.cut(relay, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
+        FleetProcesses.cut(relay, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
         all.await("the smaller part", List.of("b0", "b1"), alive("b0", "b1"));
         all.await("the larger part", List.of("b2", "b3", "b4"), alive("b2", "b3", "b4"));
         relay.bring(new Fault.HealAll());
         all.await("one again", ALL, alive("b0", "b1", "b2", "b3", "b4"));
     }
 
-    private static void holdANameTwice(Processes all) throws Exception {
+    private static void holdANameTwice(FleetProcesses all) throws Exception {
         try (BalancerProcess twin = all.twin()) {
             twin.start();
             all.await("a name held twice", ALL, l -> claim(l, "b0").get("rival").asBoolean());
--- a/src/test/java/myrtleladder/loadbalancer/admin/OwnCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/OperatorConfigurationCompatibilityTest.java
@@ -12,7 +12,7 @@
  * Pins our own configuration: every key, its default, what is shown of it, and the message for each
  * wrong line. Operators keep these files, and one that was good has to stay good and mean the same.
  */
-class OwnCompatibilityTest {
+class OperatorConfigurationCompatibilityTest {
     @TempDir Path folder;
 
     /**
@@ -21,7 +21,7 @@
     private String read(String text) throws Exception {
         Path file = Files.writeString(folder.resolve("ours.toml"), text);
         try {
-            return Golden.values(Own.read(file));
+            return Golden.values(OperatorConfigurationReader.read(file));
         } catch (OperatorError e) {
             return "refused: "
                     + e.getMessage()
@@ -35,13 +35,15 @@
         String text = Golden.read("command/own.toml");
         Path file = Files.writeString(folder.resolve("ours.toml"), text);
         Golden.assertMatches("command/own-values.txt", read(text) + "\n");
-        Golden.assertMatches("command/own-shown.txt", TomlFile.write(Own.read(file)));
+        Golden.assertMatches(
+                "command/own-shown.txt", TomlFile.write(OperatorConfigurationReader.read(file)));
     }
 
     @Test
     void defaultsAreReadAndShown() throws Exception {
         Golden.assertMatches(
-                "command/own-defaults.txt", read("") + "\n" + TomlFile.write(Own.DEFAULTS));
+                "command/own-defaults.txt",
+                read("") + "\n" + TomlFile.write(OperatorConfiguration.DEFAULTS));
     }
 
     /** Each line by itself left out, mistyped, and with wrong values. */
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -1,6 +1,6 @@
 package myrtleladder.maintenance;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/test/java/myrtleladder/maintenance/VirtualWork.java
+++ b/src/test/java/myrtleladder/maintenance/VirtualWork.java
@@ -1,6 +1,6 @@
 package myrtleladder.maintenance;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import myrtleladder.cluster.PointFaults;
+import myrtleladder.cluster.FaultPointInjector;
 import myrtleladder.consensus.AgreeSettings;
 import myrtleladder.consensus.Agreement;
 import myrtleladder.consensus.Life;
@@ -41,7 +41,7 @@
     final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
-    final PointFaults<WorkPoint> faults = new PointFaults<>();
+    final FaultPointInjector<WorkPoint> faults = new FaultPointInjector<>();
     final List<String> upstreams = new ArrayList<>();
     final AgreeSettings council;
 
@@ -162,7 +162,7 @@
         /** Attempts that this process has out, by upstream. */
         private final Map<String, Integer> inFlight = new TreeMap<>();
 
-        private final PointFaults<WorkPoint>.Post post;
+        private final FaultPointInjector<WorkPoint>.FaultyProcess faulty;
         private boolean changed = true;
         private boolean agrees;
         long now;
@@ -170,7 +170,7 @@
         Node(String process, long seed, Actions actions) {
             this.process = process;
             this.actions = actions;
-            this.post = faults.new Post(world, process, actions);
+            this.faulty = faults.new FaultyProcess(world, process, actions);
             // The end of its last life has reset what that had out.
             outUntil.keySet().removeIf(k -> k.startsWith(process + " "));
             this.me = new Life(process, random.nextLong(1, Long.MAX_VALUE));
@@ -192,7 +192,7 @@
 
         private void step(long at, Runnable what) {
             now = at;
-            post.step(
+            faulty.step(
                     () -> {
                         what.run();
                         if (changed) {
@@ -264,7 +264,7 @@
                             actions.timer("request", REQUESTS);
                         } else if (token.startsWith("ended ")) {
                             inFlight.merge(token.substring(6), -1, Integer::sum);
-                        } else if (post.due(token)) {
+                        } else if (faulty.onTimer(token)) {
                             return;
                         } else if (token.equals("beat")) {
                             agrees = true;
@@ -312,7 +312,7 @@
 
         @Override
         public void send(String to, byte[] datagram) {
-            post.send(to, datagram);
+            faulty.send(to, datagram);
         }
 
         @Override
@@ -416,7 +416,7 @@
 
         @Override
         public void point(WorkPoint point) {
-            post.point(point);
+            faulty.onFaultPoint(point);
         }
     }
 
--- a/src/test/java/myrtleladder/maintenance/WorkTest.java
+++ b/src/test/java/myrtleladder/maintenance/WorkTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.maintenance;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static myrtleladder.maintenance.VirtualWork.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,8 +15,8 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import java.util.stream.LongStream;
-import myrtleladder.cluster.PointFaults.At;
-import myrtleladder.cluster.PointFaults.Kind;
+import myrtleladder.cluster.FaultPointInjector.Kind;
+import myrtleladder.cluster.FaultPointInjector.ScheduledFault;
 import myrtleladder.consensus.Life;
 import myrtleladder.consensus.Token;
 import myrtleladder.testbed.fault.Fault;
@@ -111,17 +111,17 @@
     @ParameterizedTest
     @EnumSource(WorkPoint.class)
     void aFaultAtAnyPointBreaksNothing(WorkPoint point) {
-        for (Kind kind : EnumSet.complementOf(EnumSet.of(Kind.ERROR))) {
-            At<WorkPoint> at = new At<>(point, 1, kind);
+        for (Kind kind : EnumSet.complementOf(EnumSet.of(Kind.SEND_ERROR))) {
+            ScheduledFault<WorkPoint> at = new ScheduledFault<>(point, 1, kind);
             VirtualWork fleet = settled(3, 5, 4);
-            fleet.faults.arm(List.of(at));
+            fleet.faults.schedule(List.of(at));
             fleet.hand("m3", fleet.terms("patch", 4, 2));
             fleet.run(30 * SECOND);
             calm(fleet);
             fleet.run(40 * SECOND);
             assertEquals(List.of(), fleet.broken, at::toString);
             assertNull(fleet.unfinished(), at::toString);
-            assertEquals(1, fleet.faults.sprung, at::toString);
+            assertEquals(1, fleet.faults.injectedCount, at::toString);
         }
     }
 
