--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -12,14 +12,15 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import myrtleladder.consensus.AgreeSettings;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusEnvironment;
+import myrtleladder.consensus.ConsensusEvent;
+import myrtleladder.consensus.ConsensusNode;
+import myrtleladder.consensus.ConsensusSettings;
+import myrtleladder.consensus.FaultPoint;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Machine;
-import myrtleladder.consensus.Note;
-import myrtleladder.consensus.Point;
+import myrtleladder.consensus.StateMachine;
 import myrtleladder.gossip.MemberUpdate;
-import myrtleladder.maintenance.Work;
+import myrtleladder.maintenance.MaintenanceCoordinator;
 
 /**
  * Runs the consensus of this process by the datagrams and on the event loop of its membership,
@@ -28,14 +29,14 @@
  * <p>{@link #start} and {@link #status} may be called by any thread; all other methods only on the
  * event loop.
  */
-public final class ConsensusRuntime implements Agreement.Out {
+public final class ConsensusRuntime implements ConsensusEnvironment {
     private static final System.Logger LOG = System.getLogger(ConsensusRuntime.class.getName());
 
     private final MembershipRuntime membership;
     private final EventLoop loop;
-    private final Consumer<? super Point> faultPoints;
+    private final Consumer<? super FaultPoint> faultPoints;
     private final Life self;
-    private final Agreement node;
+    private final ConsensusNode node;
 
     /** Addresses of the members that are present, by name. */
     private final Map<String, String> addresses = new TreeMap<>();
@@ -47,15 +48,16 @@
 
     private ConsensusRuntime(
             MembershipRuntime membership,
-            AgreeSettings settings,
-            Machine stateMachine,
-            Consumer<? super Point> faultPoints) {
+            ConsensusSettings settings,
+            StateMachine stateMachine,
+            Consumer<? super FaultPoint> faultPoints) {
         this.membership = membership;
         this.loop = membership.loop();
         this.faultPoints = faultPoints;
         this.self = process(membership.self());
         this.node =
-                new Agreement(settings, self, new SecureRandom().nextLong(), stateMachine, this);
+                new ConsensusNode(
+                        settings, self, new SecureRandom().nextLong(), stateMachine, this);
     }
 
     private static Life process(MemberUpdate member) {
@@ -69,9 +71,9 @@
      */
     public static ConsensusRuntime start(
             MembershipRuntime membership,
-            AgreeSettings settings,
-            Machine stateMachine,
-            Consumer<? super Point> faultPoints) {
+            ConsensusSettings settings,
+            StateMachine stateMachine,
+            Consumer<? super FaultPoint> faultPoints) {
         ConsensusRuntime runtime =
                 new ConsensusRuntime(membership, settings, stateMachine, faultPoints);
         runtime.loop.submit(runtime::startOnLoop).syncUninterruptibly();
@@ -80,7 +82,7 @@
 
     private void startOnLoop() {
         membership.attach(this);
-        node.started(nowUs());
+        node.start(nowUs());
         updateMembership();
     }
 
@@ -94,11 +96,11 @@
                 self,
                 node.term(),
                 node.leader(),
-                node.decides(nowUs()),
+                node.hasQuorum(nowUs()),
                 node.view(),
-                node.applied(),
-                node.waiting(),
-                node.refused());
+                node.lastApplied(),
+                node.pendingCommands(),
+                node.droppedDatagrams());
     }
 
     long nowUs() {
@@ -114,7 +116,7 @@
         return self;
     }
 
-    Agreement node() {
+    ConsensusNode node() {
         return node;
     }
 
@@ -126,13 +128,14 @@
 
     /** Whether a datagram is meant for the consensus or for what is attached to it. */
     boolean accepts(byte[] datagram) {
-        return Agreement.isOurs(datagram) || maintenance != null && Work.isOurs(datagram);
+        return ConsensusNode.isConsensusDatagram(datagram)
+                || maintenance != null && MaintenanceCoordinator.isMaintenanceDatagram(datagram);
     }
 
     /** A datagram that is accepted was received. */
     void onDatagram(byte[] datagram) {
-        if (Agreement.isOurs(datagram)) {
-            node.received(nowUs(), datagram);
+        if (ConsensusNode.isConsensusDatagram(datagram)) {
+            node.onDatagram(nowUs(), datagram);
             reportProgress();
         } else {
             maintenance.onDatagram(datagram);
@@ -173,7 +176,7 @@
                 addresses.put(member.name(), member.address());
             }
         }
-        node.present(nowUs(), present);
+        node.onMembershipObserved(nowUs(), present);
         if (maintenance != null) {
             maintenance.onMembershipChanged(presentProcesses);
             reportProgress();
@@ -195,37 +198,39 @@
     }
 
     @Override
-    public void timer(String token, long delayUs) {
+    public void scheduleTimer(String token, long delayUs) {
         loop.schedule(() -> onTimer(token), delayUs, TimeUnit.MICROSECONDS);
     }
 
     private void onTimer(String token) {
-        node.due(nowUs(), token);
+        node.onTimer(nowUs(), token);
         reportProgress();
     }
 
     @Override
-    public long wall() {
+    public long wallClockUs() {
         return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     }
 
     /** Logs an event; a new epoch, and the loss of the majority, as a warning. */
     @Override
-    public void note(Note event) {
+    public void onEvent(ConsensusEvent event) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("epoch", event.view().epoch());
         fields.put("view", event.view().number());
         fields.put("members", event.view().lives().size());
-        fields.put("why", event.why());
-        boolean isWarning = event.kind() == Note.Kind.CUT_OFF || event.kind() == Note.Kind.FOUNDED;
+        fields.put("why", event.reason());
+        boolean isWarning =
+                event.kind() == ConsensusEvent.Kind.CUT_OFF
+                        || event.kind() == ConsensusEvent.Kind.FOUNDED;
         LOG.log(
                 isWarning ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
-                "agreement " + event.kind() + ": " + event.why(),
+                "agreement " + event.kind() + ": " + event.reason(),
                 fields);
     }
 
     @Override
-    public void point(Point point) {
+    public void onFaultPoint(FaultPoint point) {
         faultPoints.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -11,12 +11,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import myrtleladder.consensus.Life;
-import myrtleladder.maintenance.Agenda;
-import myrtleladder.maintenance.Job;
-import myrtleladder.maintenance.Step;
-import myrtleladder.maintenance.Work;
-import myrtleladder.maintenance.WorkPoint;
-import myrtleladder.maintenance.WorkSettings;
+import myrtleladder.maintenance.MaintenanceCoordinator;
+import myrtleladder.maintenance.MaintenanceEnvironment;
+import myrtleladder.maintenance.MaintenanceFaultPoint;
+import myrtleladder.maintenance.MaintenanceJob;
+import myrtleladder.maintenance.MaintenanceSettings;
+import myrtleladder.maintenance.MaintenanceStateMachine;
+import myrtleladder.maintenance.OperatorCommand;
 
 /**
  * Runs this process's part in the maintenance of machines, on the event loop and by the datagrams
@@ -26,29 +27,30 @@
  * <p>{@link #start}, {@link #status}, {@link #isRegistered} and {@link #submit} may be called by
  * any thread; all other methods only on the event loop.
  */
-public final class MaintenanceRuntime implements Work.Out {
+public final class MaintenanceRuntime implements MaintenanceEnvironment {
     private static final System.Logger LOG = System.getLogger(MaintenanceRuntime.class.getName());
 
     private final ConsensusRuntime consensus;
-    private final Agenda stateMachine;
-    private final Work coordinator;
+    private final MaintenanceStateMachine stateMachine;
+    private final MaintenanceCoordinator coordinator;
     private final LoadBalancerControl loadBalancer;
-    private final Consumer<? super WorkPoint> faultPoints;
+    private final Consumer<? super MaintenanceFaultPoint> faultPoints;
     private final UpstreamTrials trials = new UpstreamTrials();
     private Set<String> excludedUpstreams = Set.of();
 
     private MaintenanceRuntime(
             ConsensusRuntime consensus,
-            Agenda stateMachine,
-            WorkSettings settings,
+            MaintenanceStateMachine stateMachine,
+            MaintenanceSettings settings,
             LoadBalancerControl loadBalancer,
-            Consumer<? super WorkPoint> faultPoints) {
+            Consumer<? super MaintenanceFaultPoint> faultPoints) {
         this.consensus = consensus;
         this.stateMachine = stateMachine;
         this.loadBalancer = loadBalancer;
         this.faultPoints = faultPoints;
         this.coordinator =
-                new Work(settings, consensus.self(), consensus.node(), stateMachine, this);
+                new MaintenanceCoordinator(
+                        settings, consensus.self(), consensus.node(), stateMachine, this);
     }
 
     /**
@@ -59,10 +61,10 @@
      */
     public static MaintenanceRuntime start(
             ConsensusRuntime consensus,
-            Agenda stateMachine,
-            WorkSettings settings,
+            MaintenanceStateMachine stateMachine,
+            MaintenanceSettings settings,
             LoadBalancerControl loadBalancer,
-            Consumer<? super WorkPoint> faultPoints) {
+            Consumer<? super MaintenanceFaultPoint> faultPoints) {
         return consensus
                 .loop()
                 .submit(
@@ -75,7 +77,7 @@
                                             loadBalancer,
                                             faultPoints);
                             consensus.attach(runtime);
-                            runtime.coordinator.started(runtime.nowUs());
+                            runtime.coordinator.start(runtime.nowUs());
                             return runtime;
                         })
                 .syncUninterruptibly()
@@ -103,7 +105,7 @@
 
     /** Whether the fleet knows of this process. */
     public Future<Boolean> isRegistered() {
-        return submit(coordinator::registered);
+        return submit(coordinator::isRegistered);
     }
 
     /** What this process knows of the maintenance, read on the event loop. */
@@ -113,21 +115,21 @@
 
     private MaintenanceStatus currentStatus() {
         List<MaintenanceStatus.JobStatus> jobs = new ArrayList<>();
-        for (Job job : stateMachine.jobs()) {
+        for (MaintenanceJob job : stateMachine.jobs()) {
             jobs.add(status(job));
         }
         return new MaintenanceStatus(
                 jobs,
-                stateMachine.halted(),
+                stateMachine.haltReason(),
                 stateMachine.isSafe(),
-                coordinator.hasLeave(nowUs()),
-                coordinator.registered(),
+                coordinator.hasLease(nowUs()),
+                coordinator.isRegistered(),
                 stateMachine.gone().stream().map(Life::toString).toList(),
                 stateMachine.refusals(),
-                coordinator.refused());
+                coordinator.droppedDatagrams());
     }
 
-    private MaintenanceStatus.JobStatus status(Job job) {
+    private MaintenanceStatus.JobStatus status(MaintenanceJob job) {
         return new MaintenanceStatus.JobStatus(
                 job.machine(),
                 job.plan(),
@@ -135,7 +137,7 @@
                 job.permit(),
                 job.until(),
                 job.reserved(),
-                coordinator.waits(nowUs(), job),
+                coordinator.waitReason(job),
                 job.why());
     }
 
@@ -146,11 +148,11 @@
 
     /** Whether a majority of the voting members is reached. */
     public boolean hasMajority() {
-        return consensus.node().decides(nowUs());
+        return consensus.node().hasQuorum(nowUs());
     }
 
     /** The last job of a machine, null if it has none. */
-    public Job job(String machine) {
+    public MaintenanceJob job(String machine) {
         return stateMachine.job(machine);
     }
 
@@ -160,22 +162,22 @@
     }
 
     /** Proposes commands in this order; whether they are committed shows in the status. */
-    public void propose(List<Step> commands) {
-        for (Step command : commands) {
+    public void propose(List<OperatorCommand> commands) {
+        for (OperatorCommand command : commands) {
             coordinator.propose(nowUs(), command);
         }
     }
 
     void onDatagram(byte[] datagram) {
-        coordinator.received(nowUs(), datagram);
+        coordinator.onDatagram(nowUs(), datagram);
     }
 
     void onMembershipChanged(Set<Life> presentProcesses) {
-        coordinator.present(presentProcesses);
+        coordinator.onMembershipObserved(presentProcesses);
     }
 
     void onConsensusProgress(long nowUs) {
-        coordinator.look(nowUs);
+        coordinator.onConsensusChanged(nowUs);
     }
 
     @Override
@@ -184,24 +186,25 @@
     }
 
     @Override
-    public void timer(String token, long delayUs) {
+    public void scheduleTimer(String token, long delayUs) {
         consensus
                 .loop()
-                .schedule(() -> coordinator.due(nowUs(), token), delayUs, TimeUnit.MICROSECONDS);
+                .schedule(
+                        () -> coordinator.onTimer(nowUs(), token), delayUs, TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMs() {
         return System.currentTimeMillis();
     }
 
     @Override
-    public int inFlight(String upstream) {
+    public int inFlightAttempts(String upstream) {
         return loadBalancer.inFlight(upstream);
     }
 
     @Override
-    public void aside(Set<String> upstreams) {
+    public void setExcludedUpstreams(Set<String> upstreams) {
         Set<String> returned = new HashSet<>(excludedUpstreams);
         returned.removeAll(upstreams);
         returned.retainAll(trials.onTrial());
@@ -210,26 +213,26 @@
     }
 
     @Override
-    public List<String> failing() {
+    public List<String> failingUpstreams() {
         return trials.failing(loadBalancer.upstreams()).stream()
                 .sorted()
-                .limit(Agenda.MOST_FAILING)
+                .limit(MaintenanceStateMachine.MAX_FAILING_UPSTREAMS)
                 .toList();
     }
 
     @Override
-    public boolean judged(String upstream) {
+    public boolean canJudge(String upstream) {
         return trials.isComplete(nowUs(), upstream);
     }
 
     @Override
-    public String worse(String upstream) {
+    public String degradation(String upstream) {
         return trials.regression(upstream);
     }
 
     /** A job has changed its state: begins or ends the trial of its upstream and logs it. */
     @Override
-    public void moved(Job job) {
+    public void onJobStateChanged(MaintenanceJob job) {
         updateTrial(job);
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("machine", job.machine());
@@ -245,7 +248,7 @@
                 fields);
     }
 
-    private void updateTrial(Job job) {
+    private void updateTrial(MaintenanceJob job) {
         String upstream = job.part().upstream();
         if (upstream == null) {
             return;
@@ -260,7 +263,7 @@
     }
 
     @Override
-    public void point(WorkPoint point) {
+    public void onFaultPoint(MaintenanceFaultPoint point) {
         faultPoints.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/MaintenancePlanReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MaintenancePlanReader.java
@@ -11,9 +11,9 @@
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadPlan;
 import myrtleladder.error.OperatorError.UnknownMachine;
-import myrtleladder.maintenance.Part;
-import myrtleladder.maintenance.Step;
-import myrtleladder.maintenance.Terms;
+import myrtleladder.maintenance.MachineSpec;
+import myrtleladder.maintenance.OperatorCommand;
+import myrtleladder.maintenance.PlanTerms;
 
 /** Checks a maintenance plan as operators write it and makes the commands that enter it. */
 final class MaintenancePlanReader {
@@ -48,7 +48,7 @@
             @JsonProperty(required = true) String name,
             @JsonProperty("at-once") Integer atOnce,
             @JsonProperty("per-zone") Integer perZone,
-            Terms.Apart apart,
+            PlanTerms.Apart apart,
             @JsonProperty("keep-percent") Integer keepPercent,
             Integer priority,
             String deadline,
@@ -79,8 +79,8 @@
         this.longestWorkS = longestWorkS;
     }
 
-    List<Step> read(PlanRequest request) throws OperatorError {
-        List<Part> machines = machines(request.machines());
+    List<OperatorCommand> read(PlanRequest request) throws OperatorError {
+        List<MachineSpec> machines = machines(request.machines());
         int keepPercent = orDefault(request.keepPercent(), DEFAULT_KEEP_PERCENT);
         if (machines.size() > MAX_MACHINES) {
             throw new BadPlan("machine", "is not within 0 and " + MAX_MACHINES);
@@ -89,13 +89,13 @@
             throw new BadPlan("keep-percent", "is not within 0 and " + MAX_PERCENT);
         }
         int atOnce = orDefault(request.atOnce(), DEFAULT_AT_ONCE);
-        Terms terms =
-                new Terms(
+        PlanTerms terms =
+                new PlanTerms(
                         request.name(),
                         machines.size(),
                         atOnce,
                         orDefault(request.perZone(), atOnce),
-                        request.apart() == null ? Terms.Apart.NOTHING : request.apart(),
+                        request.apart() == null ? PlanTerms.Apart.NOTHING : request.apart(),
                         keepPercent,
                         upstreams.size(),
                         orDefault(request.priority(), DEFAULT_PRIORITY),
@@ -103,14 +103,14 @@
         if (terms.never() != null) {
             throw new BadPlan(request.name(), terms.never());
         }
-        return Step.plan(terms, machines);
+        return OperatorCommand.plan(terms, machines);
     }
 
-    private List<Part> machines(List<MachineRequest> requests) throws OperatorError {
-        List<Part> machines = new ArrayList<>();
+    private List<MachineSpec> machines(List<MachineRequest> requests) throws OperatorError {
+        List<MachineSpec> machines = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (MachineRequest request : requests) {
-            Part machine = machine(request);
+            MachineSpec machine = machine(request);
             if (!names.add(machine.machine())) {
                 throw new BadPlan("machine", machine.machine() + " is named twice");
             }
@@ -119,7 +119,7 @@
         return machines;
     }
 
-    private Part machine(MachineRequest request) throws OperatorError {
+    private MachineSpec machine(MachineRequest request) throws OperatorError {
         String name = requireName("machine", nameOf(request));
         if (request.seconds() < 1 || request.seconds() > longestWorkS) {
             throw new BadPlan(
@@ -131,10 +131,10 @@
         }
         if (request.upstream() == null) {
             String member = requireName("member", request.member());
-            return new Part(name, null, member, 0, 0, 0, request.seconds());
+            return new MachineSpec(name, null, member, 0, 0, 0, request.seconds());
         }
         Upstream upstream = upstream(request.upstream());
-        return new Part(
+        return new MachineSpec(
                 name,
                 request.upstream(),
                 request.member(),
--- a/src/main/java/myrtleladder/loadbalancer/admin/MaintenanceRequestHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MaintenanceRequestHandler.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.Callable;
 import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.cluster.MaintenanceStatus;
-import myrtleladder.consensus.Token;
+import myrtleladder.consensus.FencingToken;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadPlan;
 import myrtleladder.error.OperatorError.NoMajority;
 import myrtleladder.error.OperatorError.OldPermit;
 import myrtleladder.error.OperatorError.PeerBusy;
 import myrtleladder.error.OperatorError.UnknownMachine;
-import myrtleladder.maintenance.Job;
-import myrtleladder.maintenance.State;
-import myrtleladder.maintenance.Step;
+import myrtleladder.maintenance.JobState;
+import myrtleladder.maintenance.MaintenanceJob;
+import myrtleladder.maintenance.OperatorCommand;
 import myrtleladder.toml.TomlFile;
 
 /**
@@ -80,7 +80,7 @@
      * @return a JSON object with the number of commands proposed
      */
     String handle(String action, String body) throws OperatorError, JsonProcessingException {
-        List<Step> commands = commands(action, body);
+        List<OperatorCommand> commands = commands(action, body);
         boolean isProposed =
                 onEventLoop(
                         () -> {
@@ -95,21 +95,21 @@
         return JSON.writeValueAsString(Map.of("steps", commands.size()));
     }
 
-    private List<Step> commands(String action, String body) throws OperatorError {
+    private List<OperatorCommand> commands(String action, String body) throws OperatorError {
         return switch (action) {
             case "" -> plan(body);
             case "done" -> List.of(done(parse(body)));
-            case "halt" -> List.of(Step.halt(String.valueOf(parse(body).why())));
-            case "resume" -> List.of(Step.resume());
-            case "safe" -> List.of(Step.safe(onEventLoop(maintenance::epoch)));
+            case "halt" -> List.of(OperatorCommand.halt(String.valueOf(parse(body).why())));
+            case "resume" -> List.of(OperatorCommand.resume());
+            case "safe" -> List.of(OperatorCommand.safe(onEventLoop(maintenance::epoch)));
             case "withdraw" -> {
                 Request request = parse(body);
-                yield List.of(Step.withdraw(machineOrPlan(request), request.why()));
+                yield List.of(OperatorCommand.withdraw(machineOrPlan(request), request.why()));
             }
-            case "first" -> List.of(Step.first(machineOrPlan(parse(body))));
+            case "first" -> List.of(OperatorCommand.first(machineOrPlan(parse(body))));
             case "ended" -> {
                 String ended = MaintenancePlanReader.requireName("process", parse(body).process());
-                yield List.of(Step.ended(ended));
+                yield List.of(OperatorCommand.ended(ended));
             }
             default ->
                     throw new BadPlan(
@@ -127,7 +127,7 @@
                 "machine or plan", request.machine() == null ? request.plan() : request.machine());
     }
 
-    private List<Step> plan(String body) throws OperatorError {
+    private List<OperatorCommand> plan(String body) throws OperatorError {
         MaintenancePlanReader.PlanRequest request =
                 TomlFile.parse(PLAN, body, MaintenancePlanReader.PlanRequest.class);
         MaintenancePlanReader.requireName("name", request.name());
@@ -136,21 +136,21 @@
     }
 
     /** A worker reports the end of its work, with the permit under which it did it. */
-    private Step done(Request request) throws OperatorError {
+    private OperatorCommand done(Request request) throws OperatorError {
         String machine = MaintenancePlanReader.requireName("machine", request.machine());
         if (request.epoch() == null || request.index() == null) {
             throw new BadPlan("epoch, index", "of the permit are missing");
         }
-        Token permit = new Token(request.epoch(), request.index());
-        Job job =
+        FencingToken permit = new FencingToken(request.epoch(), request.index());
+        MaintenanceJob job =
                 onEventLoop(() -> Optional.ofNullable(maintenance.job(machine)))
                         .orElseThrow(
                                 () -> new UnknownMachine(machine, "has no work on the agenda"));
-        boolean isOut = job.state() == State.OUT || job.state() == State.OVERDUE;
+        boolean isOut = job.state() == JobState.OUT || job.state() == JobState.OVERDUE;
         if (!isOut || !permit.equals(job.permit())) {
             throw new OldPermit(machine, "is " + job.state() + " by " + job.permit());
         }
-        return Step.done(machine, permit);
+        return OperatorCommand.done(machine, permit);
     }
 
     private <T> T onEventLoop(Callable<T> task) throws PeerBusy {
--- a/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.regex.Pattern;
-import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.loadbalancer.admin.OperatorConfiguration.AdminSection;
@@ -115,7 +115,7 @@
             return;
         }
         try {
-            AgreeSettings.of(fleet.name(), council);
+            ConsensusSettings.of(fleet.name(), council);
         } catch (IllegalArgumentException e) {
             throw new BadFile(file, 0, "fleet.council", e.getMessage());
         }
--- a/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
@@ -13,13 +13,13 @@
 import myrtleladder.cluster.FleetConfiguration;
 import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.cluster.MembershipRuntime;
-import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.loadbalancer.server.RunningBalancer;
-import myrtleladder.maintenance.Agenda;
-import myrtleladder.maintenance.WorkSettings;
+import myrtleladder.maintenance.MaintenanceSettings;
+import myrtleladder.maintenance.MaintenanceStateMachine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -96,7 +96,7 @@
         if (section.council() == null) {
             return new Attachments(name, adminAddress, section, fleet, null);
         }
-        AgreeSettings consensus = AgreeSettings.of(section.name(), section.council());
+        ConsensusSettings consensus = ConsensusSettings.of(section.name(), section.council());
         return new Attachments(name, adminAddress, section, fleet, consensus);
     }
 
@@ -127,7 +127,7 @@
             InetSocketAddress adminAddress,
             OperatorConfiguration.FleetSection section,
             FleetConfiguration fleet,
-            AgreeSettings consensusSettings) {
+            ConsensusSettings consensusSettings) {
 
         /** Starts all of them, before the load balancer serves. */
         void start(RunningBalancer balancer) {
@@ -138,7 +138,7 @@
             if (consensusSettings != null) {
                 Consumer<Enum<?>> faultPoints =
                         FaultPointTrigger.of(System.getProperty(FaultPointTrigger.PROPERTY));
-                Agenda stateMachine = new Agenda();
+                MaintenanceStateMachine stateMachine = new MaintenanceStateMachine();
                 consensus =
                         ConsensusRuntime.start(
                                 membership, consensusSettings, stateMachine, faultPoints);
@@ -159,8 +159,8 @@
             }
         }
 
-        private WorkSettings maintenanceSettings() {
-            return WorkSettings.of(
+        private MaintenanceSettings maintenanceSettings() {
+            return MaintenanceSettings.of(
                     section.name(),
                     LONGEST_ATTEMPT_US,
                     TimeUnit.SECONDS.toMicros(section.longestWorkS()));
--- a/src/test/java/myrtleladder/consensus/WireProperties.java
+++ b/src/test/java/myrtleladder/consensus/MessageCodecProperties.java
@@ -20,12 +20,12 @@
  * Whatever is written is read as the same; whatever else comes is refused by a reason, or is no
  * harm.
  */
-class WireProperties {
+class MessageCodecProperties {
     private static final String FLEET = "dhaka";
-    private static final Machine NOTHING =
-            new Machine() {
+    private static final StateMachine NOTHING =
+            new StateMachine() {
                 @Override
-                public void apply(Token token, Life by, byte[] command) {
+                public void apply(FencingToken token, Life by, byte[] command) {
                     throw new AssertionError("a made-up message was decided");
                 }
 
@@ -67,47 +67,48 @@
                 .map(TreeMap::new);
     }
 
-    private static Entry entry(
+    private static LogEntry entry(
             long index,
             Term term,
-            Entry.Kind kind,
+            LogEntry.Kind kind,
             Map<String, Long> change,
             Life by,
             long number,
             byte[] bytes) {
         return switch (kind) {
-            case COMMAND -> new Entry(index, term, kind, Map.of(), null, by, number, bytes);
-            case LEADS -> new Entry(index, term, kind, Map.of(), null, null, number, null);
-            default -> new Entry(index, term, kind, change, null, null, number, null);
+            case COMMAND -> new LogEntry(index, term, kind, Map.of(), null, by, number, bytes);
+            case LEADER_CHANGE ->
+                    new LogEntry(index, term, kind, Map.of(), null, null, number, null);
+            default -> new LogEntry(index, term, kind, change, null, null, number, null);
         };
     }
 
-    private Arbitrary<Entry> entries() {
+    private Arbitrary<LogEntry> entries() {
         return Combinators.combine(
                         Arbitraries.longs().greaterOrEqual(1),
                         terms(),
-                        Arbitraries.of(Entry.Kind.class),
+                        Arbitraries.of(LogEntry.Kind.class),
                         cuts(),
                         lives(),
                         Arbitraries.longs(),
                         Arbitraries.bytes().array(byte[].class).ofMaxSize(40))
-                .as(WireProperties::entry);
+                .as(MessageCodecProperties::entry);
     }
 
     @Provide
-    Arbitrary<Message> messages() {
-        Arbitrary<List<Entry>> logs = entries().list().ofMaxSize(3);
+    Arbitrary<MessageFrame> messages() {
+        Arbitrary<List<LogEntry>> logs = entries().list().ofMaxSize(3);
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
-        Arbitrary<Message> heads =
+        Arbitrary<MessageFrame> heads =
                 Combinators.combine(
-                                Arbitraries.of(Message.Kind.class),
+                                Arbitraries.of(MessageFrame.Kind.class),
                                 lives(),
                                 lives().injectNull(0.3),
                                 terms(),
                                 Arbitraries.longs(),
                                 terms(),
                                 Arbitraries.longs())
-                        .as(Message::of);
+                        .as(MessageFrame::of);
         return Combinators.combine(
                         heads,
                         logs,
@@ -117,61 +118,61 @@
                         Arbitraries.integers().between(0, 7))
                 .as(
                         (m, log, b, offset, cut, is) ->
-                                m.with(log, offset)
-                                        .with(b, offset, offset)
-                                        .with(cut)
-                                        .says((is & 1) != 0, (is & 2) != 0, (is & 4) != 0));
+                                m.withEntries(log, offset)
+                                        .withBytes(b, offset, offset)
+                                        .withMemberChanges(cut)
+                                        .withFlags((is & 1) != 0, (is & 2) != 0, (is & 4) != 0));
     }
 
     @Property(tries = 500, seed = "18")
-    void whatIsWrittenIsReadAsTheSame(@ForAll("messages") Message message) throws Exception {
-        byte[] datagram = Wire.write(FLEET, message);
-        assertTrue(Agreement.isOurs(datagram));
-        Message read = Wire.read(datagram, FLEET);
-        assertArrayEquals(datagram, Wire.write(FLEET, read));
+    void whatIsWrittenIsReadAsTheSame(@ForAll("messages") MessageFrame message) throws Exception {
+        byte[] datagram = MessageEncoder.encode(FLEET, message);
+        assertTrue(ConsensusNode.isConsensusDatagram(datagram));
+        MessageFrame read = MessageDecoder.decode(datagram, FLEET);
+        assertArrayEquals(datagram, MessageEncoder.encode(FLEET, read));
         assertEquals(message.from(), read.from());
-        assertEquals(message.cut(), read.cut());
+        assertEquals(message.memberChanges(), read.memberChanges());
         assertArrayEquals(message.bytes(), read.bytes());
     }
 
     /** Broken on the way, or made up: refused by a reason, and a process that hears it goes on. */
     @Property(tries = 500, seed = "18")
     void whatIsBrokenIsRefused(
-            @ForAll("messages") Message message,
+            @ForAll("messages") MessageFrame message,
             @ForAll @IntRange(max = 2_000) int at,
             @ForAll byte other,
             @ForAll boolean cut) {
-        byte[] whole = Wire.write(FLEET, message);
+        byte[] whole = MessageEncoder.encode(FLEET, message);
         byte[] datagram = cut ? Arrays.copyOf(whole, at % whole.length) : whole.clone();
         if (!cut) {
             datagram[at % datagram.length] = other;
         }
-        Agreement agreement =
-                new Agreement(
-                        AgreeSettings.of(FLEET, List.of("a", "b", "c")),
+        ConsensusNode agreement =
+                new ConsensusNode(
+                        ConsensusSettings.of(FLEET, List.of("a", "b", "c")),
                         new Life("a", 1),
                         1,
                         NOTHING,
-                        new Agreement.Out() {
+                        new ConsensusEnvironment() {
                             @Override
                             public void send(String name, byte[] bytes) {}
 
                             @Override
-                            public void timer(String token, long delay) {}
+                            public void scheduleTimer(String timer, long delayUs) {}
 
                             @Override
-                            public long wall() {
+                            public long wallClockUs() {
                                 return 0;
                             }
 
                             @Override
-                            public void note(Note note) {}
+                            public void onEvent(ConsensusEvent event) {}
                         });
-        agreement.started(0);
-        agreement.received(1, datagram);
+        agreement.start(0);
+        agreement.onDatagram(1, datagram);
         assertTrue(
-                !cut || agreement.refused().values().stream().mapToLong(v -> v).sum() == 1,
-                () -> "refused " + agreement.refused());
-        assertEquals(0, agreement.applied());
+                !cut || agreement.droppedDatagrams().values().stream().mapToLong(v -> v).sum() == 1,
+                () -> "refused " + agreement.droppedDatagrams());
+        assertEquals(0, agreement.lastApplied());
     }
 }
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -14,12 +14,13 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import myrtleladder.consensus.AgreeSettings;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusEnvironment;
+import myrtleladder.consensus.ConsensusEvent;
+import myrtleladder.consensus.ConsensusNode;
+import myrtleladder.consensus.ConsensusSettings;
+import myrtleladder.consensus.FaultPoint;
+import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Note;
-import myrtleladder.consensus.Point;
-import myrtleladder.consensus.Token;
 import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.MemberMetadata;
@@ -91,28 +92,40 @@
 
     /** Hands in a plan of all machines by way of a process. */
     void plan(String process, int atOnce) {
-        Terms terms =
-                new Terms(
-                        "patch", MACHINES, atOnce, atOnce, Terms.Apart.NOTHING, 50, MACHINES, 0, 0);
+        PlanTerms terms =
+                new PlanTerms(
+                        "patch",
+                        MACHINES,
+                        atOnce,
+                        atOnce,
+                        PlanTerms.Apart.NOTHING,
+                        50,
+                        MACHINES,
+                        0,
+                        0);
         Node node = nodes.get(process);
-        node.agreement.propose(node.now, Command.plan(terms).write());
+        node.agreement.propose(node.now, MaintenanceCommand.plan(terms).write());
         for (int i = 0; i < MACHINES; i++) {
-            Part part = new Part("h" + i, "u" + i, null, i % 2, 0, i / 4, 3);
-            node.agreement.propose(node.now, Command.part("patch", part).write());
+            MachineSpec part = new MachineSpec("h" + i, "u" + i, null, i % 2, 0, i / 4, 3);
+            node.agreement.propose(node.now, MaintenanceCommand.part("patch", part).write());
         }
     }
 
     /** Tells a process of operators' or workers' wishes. */
-    void propose(String process, Step step) {
+    void propose(String process, OperatorCommand step) {
         Node node = nodes.get(process);
         node.work.propose(node.now, step);
     }
 
     /** One life of a process. */
-    final class Node implements ProtocolCore, Agreement.Out, Membership.Output, Work.Out {
-        final Agreement agreement;
-        final Agenda agenda = new Agenda();
-        final Work work;
+    final class Node
+            implements ProtocolCore,
+                    ConsensusEnvironment,
+                    Membership.Output,
+                    MaintenanceEnvironment {
+        final ConsensusNode agreement;
+        final MaintenanceStateMachine agenda = new MaintenanceStateMachine();
+        final MaintenanceCoordinator work;
         long now;
         private final String process;
         private final Actions actions;
@@ -134,20 +147,20 @@
                             names(3),
                             seed,
                             this);
-            AgreeSettings usual = AgreeSettings.of("dhaka", names(Math.min(5, members)));
-            AgreeSettings council =
-                    new AgreeSettings(
+            ConsensusSettings usual = ConsensusSettings.of("dhaka", names(Math.min(5, members)));
+            ConsensusSettings council =
+                    new ConsensusSettings(
                             "dhaka",
                             usual.council(),
-                            usual.beat(),
-                            usual.patience(),
-                            usual.stable(),
-                            usual.settling(),
+                            usual.heartbeatIntervalUs(),
+                            usual.electionTimeoutUs(),
+                            usual.viewStabilityUs(),
+                            usual.bootstrapDelayUs(),
                             16,
-                            usual.bytes());
-            this.agreement = new Agreement(council, me, seed, agenda, this);
-            WorkSettings settings = WorkSettings.of("dhaka", 300_000, 5 * SECOND);
-            this.work = new Work(settings, me, agreement, agenda, this);
+                            usual.maxDatagramBytes());
+            this.agreement = new ConsensusNode(council, me, seed, agenda, this);
+            MaintenanceSettings settings = MaintenanceSettings.of("dhaka", 300_000, 5 * SECOND);
+            this.work = new MaintenanceCoordinator(settings, me, agreement, agenda, this);
         }
 
         private void step(long at, Runnable what) {
@@ -159,18 +172,18 @@
                 membership.members().stream()
                         .filter(c -> c.state().isPresent())
                         .forEach(c -> there.put(c.name(), c.startId()));
-                agreement.present(now, there);
+                agreement.onMembershipObserved(now, there);
                 Set<Life> present = new HashSet<>();
                 there.forEach((name, life) -> present.add(new Life(name, life)));
-                work.present(present);
+                work.onMembershipObserved(present);
             }
-            work.look(now);
+            work.onConsensusChanged(now);
         }
 
         /** What all jobs wait for, as operators see it. */
         void waits() {
-            for (Job job : agenda.jobs()) {
-                String waits = work.waits(now, job);
+            for (MaintenanceJob job : agenda.jobs()) {
+                String waits = work.waitReason(job);
                 record("work", process, job.machine() + " " + job.state().name() + " " + waits);
             }
         }
@@ -181,8 +194,8 @@
                     at,
                     () -> {
                         membership.start(at);
-                        agreement.started(at);
-                        work.started(at);
+                        agreement.start(at);
+                        work.start(at);
                         actions.timer("look", SECOND);
                     });
         }
@@ -192,10 +205,10 @@
             step(
                     at,
                     () -> {
-                        if (Agreement.isOurs(message)) {
-                            agreement.received(at, message);
-                        } else if (Work.isOurs(message)) {
-                            work.received(at, message);
+                        if (ConsensusNode.isConsensusDatagram(message)) {
+                            agreement.onDatagram(at, message);
+                        } else if (MaintenanceCoordinator.isMaintenanceDatagram(message)) {
+                            work.onDatagram(at, message);
                         } else {
                             membership.onDatagram(at, from, message);
                         }
@@ -212,8 +225,8 @@
                                 waits();
                                 actions.timer("look", SECOND);
                             }
-                            case "beat" -> agreement.due(at, token);
-                            case "work" -> work.due(at, token);
+                            case "beat" -> agreement.onTimer(at, token);
+                            case "work" -> work.onTimer(at, token);
                             default -> membership.onTimer(at, token);
                         }
                     });
@@ -223,9 +236,11 @@
         public void send(String to, byte[] datagram) {
             String text = new String(datagram, StandardCharsets.UTF_8);
             String layer =
-                    Agreement.isOurs(datagram)
+                    ConsensusNode.isConsensusDatagram(datagram)
                             ? "agreement"
-                            : Work.isOurs(datagram) ? "work" : "membership";
+                            : MaintenanceCoordinator.isMaintenanceDatagram(datagram)
+                                    ? "work"
+                                    : "membership";
             record(layer, process, "sends to " + to + " " + text);
             if (layer.equals("work")) {
                 firsts.putIfAbsent(text.substring(0, text.indexOf(',')), text);
@@ -234,28 +249,23 @@
         }
 
         @Override
-        public void scheduleTimer(String token, long delayUs) {
-            timer(token, delayUs);
-        }
-
-        @Override
-        public void timer(String token, long delay) {
+        public void scheduleTimer(String timer, long delayUs) {
             String layer =
-                    token.equals("beat")
+                    timer.equals("beat")
                             ? "agreement"
-                            : token.equals("work") ? "work" : "membership";
-            record(layer, process, "timer " + token + " " + delay);
-            actions.timer(token, delay);
+                            : timer.equals("work") ? "work" : "membership";
+            record(layer, process, "timer " + timer + " " + delayUs);
+            actions.timer(timer, delayUs);
         }
 
         @Override
-        public long wall() {
+        public long wallClockUs() {
             return 1_700_000_000L * SECOND + actions.wall();
         }
 
         @Override
-        public long wallMillis() {
-            return wall() / 1_000;
+        public long wallClockMs() {
+            return wallClockUs() / 1_000;
         }
 
         @Override
@@ -266,49 +276,49 @@
         }
 
         @Override
-        public void note(Note note) {
-            String view = note.view().epoch() + "." + note.view().number() + note.view().lives();
-            record("agreement", process, note.kind().name() + " " + view + " " + note.why());
+        public void onEvent(ConsensusEvent event) {
+            String view = event.view().epoch() + "." + event.view().number() + event.view().lives();
+            record("agreement", process, event.kind().name() + " " + view + " " + event.reason());
         }
 
         @Override
-        public void point(Point point) {
+        public void onFaultPoint(FaultPoint point) {
             record("agreement", process, "point " + point.ordinal());
         }
 
         @Override
-        public void point(WorkPoint point) {
+        public void onFaultPoint(MaintenanceFaultPoint point) {
             record("work", process, "point " + point.ordinal());
         }
 
         @Override
-        public int inFlight(String upstream) {
+        public int inFlightAttempts(String upstream) {
             return 0;
         }
 
         @Override
-        public void aside(Set<String> aside) {
+        public void setExcludedUpstreams(Set<String> aside) {
             record("work", process, "keeps away from " + new TreeSet<>(aside));
         }
 
         @Override
-        public List<String> failing() {
+        public List<String> failingUpstreams() {
             return List.of();
         }
 
         @Override
-        public String worse(String upstream) {
+        public String degradation(String upstream) {
             return null;
         }
 
         @Override
-        public boolean judged(String upstream) {
+        public boolean canJudge(String upstream) {
             return true;
         }
 
         @Override
-        public void moved(Job job) {
-            Token permit = job.permit();
+        public void onJobStateChanged(MaintenanceJob job) {
+            FencingToken permit = job.permit();
             String its = permit == null ? "none" : permit.epoch() + "." + permit.index();
             String what = job.machine() + " is " + job.state().name() + " " + its + " " + job.why();
             record("work", process, what);
