--- a/src/main/java/myrtleladder/controlplane/ChangeValidation.java
+++ b/src/main/java/myrtleladder/controlplane/ChangeValidation.java
@@ -2,7 +2,7 @@
 
 import myrtleladder.configuration.ConfigurationDocument;
 import myrtleladder.configuration.ConfigurationException;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 
 /**
  * The outcome of checking a configuration change against the committed configuration. The check has
--- a/src/main/java/myrtleladder/controlplane/StateFileFormat.java
+++ b/src/main/java/myrtleladder/controlplane/StateFileFormat.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.zip.CRC32C;
-import myrtleladder.io.ResultCode;
+import myrtleladder.result.ResultCode;
 import org.mapdb.Serializer;
 import org.mapdb.SortedTableMap;
 import org.mapdb.volume.ByteArrayVol;
--- a/src/main/java/myrtleladder/dataplane/DataPlane.java
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * The components of a balancer's data plane, what they share, and their periodic work. Confined to
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -8,8 +8,8 @@
 import myrtleladder.configuration.Service;
 import myrtleladder.configuration.Tenant;
 import myrtleladder.dataplane.RequestCounters.Event;
-import myrtleladder.io.Headers;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
--- a/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
+++ b/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
@@ -1,9 +1,9 @@
 package myrtleladder.dataplane;
 
 import java.io.ByteArrayOutputStream;
-import myrtleladder.io.Headers;
-import myrtleladder.io.ResponseHead;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.ResponseHead;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 
 /**
