--- a/src/main/java/myrtleladder/eventloop/EventLoop.java
+++ b/src/main/java/myrtleladder/eventloop/EventLoop.java
@@ -20,27 +20,39 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * The one thread of a process on which sockets, timers and handed-in tasks run. Timers run between
- * two selections, so that they cost no thread and no wake-up of their own.
+ * The single thread of a process that runs socket events, timers and tasks. Timers run between two
+ * selections, so that they need no thread and no wake-up of their own.
+ *
+ * <p>Threading: {@link #execute} and {@link #stop} may be called on any thread; {@link #schedule}
+ * and all that the loop calls back run on the loop. An unchecked exception of a task or timer is
+ * logged and does not end the loop.
  */
 public final class EventLoop implements Scheduler {
     private static final Logger LOG = LogManager.getLogger(EventLoop.class);
-    // Peers that break the protocol are counted and closed here; the library would log a trace for
-    // each.
-    private static final java.util.logging.Logger LIBRARY =
+    // The library would log a stack trace for each peer that breaks the protocol; the connections'
+    // owners close these.
+    private static final java.util.logging.Logger LIBRARY_LOG =
             java.util.logging.Logger.getLogger("org.glassfish.grizzly");
-    private static final long LONGEST_SELECT = 10_000;
-    private static final int BACKLOG = 1_024;
-    private static final int READ_BUFFER = 16 * 1_024;
+
+    /** Longest selection without a timer. Chosen. */
+    private static final long MAX_SELECT_MS = 10_000;
+
+    /** Connections that the kernel accepts ahead of the loop. Chosen. */
+    private static final int ACCEPT_BACKLOG = 1_024;
+
+    /** Most bytes taken in one read. Chosen. */
+    private static final int READ_BUFFER_BYTES = 16 * 1_024;
 
     private final TimerQueue timers = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final TCPNIOTransport transport;
-    private volatile SelectorRunner runner;
 
-    /** Creates a loop; it runs from {@link #start} on. */
+    /** Set by the first selection; null before. */
+    private volatile SelectorRunner selectorRunner;
+
+    /** Creates a loop, which runs after {@link #start}. */
     public EventLoop() {
-        LIBRARY.setLevel(java.util.logging.Level.OFF);
+        LIBRARY_LOG.setLevel(java.util.logging.Level.OFF);
         TCPNIOTransportBuilder builder = TCPNIOTransportBuilder.newInstance();
         builder.setIOStrategy(SameThreadIOStrategy.getInstance());
         builder.setSelectorRunnersCount(1);
@@ -53,14 +65,18 @@
                         .setPoolName("loop"));
         builder.setTcpNoDelay(true);
         builder.setReuseAddress(true);
-        builder.setServerConnectionBackLog(BACKLOG);
-        builder.setReadBufferSize(READ_BUFFER);
+        builder.setServerConnectionBackLog(ACCEPT_BACKLOG);
+        builder.setReadBufferSize(READ_BUFFER_BYTES);
         builder.setKeepAlive(false);
         transport = builder.build();
         transport.getAsyncQueueIO().getWriter().setMaxPendingBytesPerConnection(-1);
     }
 
-    /** Starts the thread of this loop. */
+    /**
+     * Starts the thread of this loop.
+     *
+     * @throws NetworkException if the transport can't be started
+     */
     public void start() {
         try {
             transport.start();
@@ -70,7 +86,7 @@
         }
     }
 
-    /** Closes all sockets and ends the thread. */
+    /** Closes all sockets and ends the thread; a failure is logged only. */
     public void stop() {
         try {
             transport.shutdownNow();
@@ -85,14 +101,14 @@
     }
 
     @Override
-    public Timer schedule(long delay, Runnable task) {
-        return timers.add(now() + Math.max(0, delay), task);
+    public Timer schedule(long delayMs, Runnable task) {
+        return timers.add(now() + Math.max(0, delayMs), task);
     }
 
-    /** Runs a task on the loop; for callers on other threads. */
+    /** Runs a task on the loop, before the next selection. May be called on any thread. */
     public void execute(Runnable task) {
         tasks.add(task);
-        SelectorRunner current = runner;
+        SelectorRunner current = selectorRunner;
         if (current != null) {
             current.getSelector().wakeup();
         }
@@ -103,20 +119,24 @@
         return transport;
     }
 
-    /** Listens at an address with a chain of filters. */
+    /**
+     * Listens at an address with a chain of filters.
+     *
+     * @throws NetworkException if the address can't be bound
+     */
     public void bind(String host, int port, FilterChain chain) {
         try {
             org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler.builder(transport)
                     .processor(chain)
                     .build()
-                    .bind(new java.net.InetSocketAddress(host, port), BACKLOG);
+                    .bind(new java.net.InetSocketAddress(host, port), ACCEPT_BACKLOG);
         } catch (IOException e) {
             throw new NetworkException(
                     ResultCode.NO_SOCKET, "can't listen at " + host + ":" + port, e);
         }
     }
 
-    private void runDue() {
+    private void runDueTasks() {
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             runSafely(task);
         }
@@ -137,30 +157,31 @@
     /** Runs what is due before each selection and bounds the selection by the next timer. */
     private final class TimedSelectorHandler extends DefaultSelectorHandler {
         TimedSelectorHandler() {
-            super(LONGEST_SELECT, TimeUnit.MILLISECONDS);
+            super(MAX_SELECT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
-        public boolean preSelect(SelectorRunner selectorRunner) throws IOException {
-            runner = selectorRunner;
-            runDue();
-            return super.preSelect(selectorRunner);
+        public boolean preSelect(SelectorRunner runner) throws IOException {
+            selectorRunner = runner;
+            runDueTasks();
+            return super.preSelect(runner);
         }
 
         @Override
-        public Set<SelectionKey> select(SelectorRunner selectorRunner) throws IOException {
-            long due = timers.nextDue();
-            long wait =
-                    due == Long.MAX_VALUE ? LONGEST_SELECT : Math.min(LONGEST_SELECT, due - now());
+        public Set<SelectionKey> select(SelectorRunner runner) throws IOException {
+            long dueMs = timers.nextDue();
+            long waitMs =
+                    dueMs == Long.MAX_VALUE
+                            ? MAX_SELECT_MS
+                            : Math.min(MAX_SELECT_MS, dueMs - now());
             boolean pending =
-                    selectorRunner.getPostponedTasks() != null
-                            && !selectorRunner.getPostponedTasks().isEmpty();
-            if (pending || wait <= 0 || !tasks.isEmpty()) {
-                selectorRunner.getSelector().selectNow();
+                    runner.getPostponedTasks() != null && !runner.getPostponedTasks().isEmpty();
+            if (pending || waitMs <= 0 || !tasks.isEmpty()) {
+                runner.getSelector().selectNow();
             } else {
-                selectorRunner.getSelector().select(wait);
+                runner.getSelector().select(waitMs);
             }
-            return selectorRunner.getSelector().selectedKeys();
+            return runner.getSelector().selectedKeys();
         }
     }
 }
--- a/src/main/java/myrtleladder/eventloop/NetworkException.java
+++ b/src/main/java/myrtleladder/eventloop/NetworkException.java
@@ -3,11 +3,14 @@
 import myrtleladder.result.ResultCode;
 import myrtleladder.result.ResultException;
 
-/** A failure of sockets or peers. */
+/**
+ * A socket that can't be opened ({@link ResultCode#NO_SOCKET}) or a connection that takes no
+ * request ({@link ResultCode#PEER_FAILED}, after which the caller retries on another connection).
+ */
 public final class NetworkException extends ResultException {
     private static final long serialVersionUID = 1;
 
-    /** Creates a failure with its cause, which may be null. */
+    /** Creates an exception with its cause, which may be null. */
     public NetworkException(ResultCode code, String message, Throwable cause) {
         super(code, message, cause);
     }
--- a/src/main/java/myrtleladder/http/Headers.java
+++ b/src/main/java/myrtleladder/http/Headers.java
@@ -5,7 +5,10 @@
 import java.util.function.BiConsumer;
 import org.glassfish.grizzly.http.util.MimeHeaders;
 
-/** Header fields in the order in which they came; names are compared without regard to case. */
+/**
+ * Header fields in the order of their arrival (RFC 9110, section 5). Names are compared without
+ * regard to case. Mutable and not thread-safe.
+ */
 public final class Headers {
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
@@ -19,7 +22,7 @@
         return headers;
     }
 
-    /** Adds a field. */
+    /** Adds a field behind the others. */
     public Headers add(String name, String value) {
         names.add(name);
         values.add(value);
@@ -42,7 +45,7 @@
         }
     }
 
-    /** The first value of a name, null if there is none. */
+    /** Returns the first value of a name, null if there is none. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -52,20 +55,20 @@
         return null;
     }
 
-    /** The first value of a name as a whole number, or the given number if it is none. */
-    public long number(String name, long otherwise) {
+    /** Returns the first value of a name as an integer, or the default if it is missing or none. */
+    public long number(String name, long defaultValue) {
         String value = get(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Long.parseLong(value.trim());
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultValue;
         }
     }
 
-    /** Calls back with each field in order. */
+    /** Calls the consumer with each name and value, in order. */
     public void forEach(BiConsumer<String, String> consumer) {
         for (int i = 0; i < names.size(); i++) {
             consumer.accept(names.get(i), values.get(i));
--- a/src/main/java/myrtleladder/http/HttpConnection.java
+++ b/src/main/java/myrtleladder/http/HttpConnection.java
@@ -24,17 +24,30 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
-/** A client's side of one connection, with one request under way at most. */
+/**
+ * The client's side of one HTTP/1.1 connection (RFC 9112), with one request in flight at most: no
+ * pipelining. Informational responses (1xx) are skipped.
+ *
+ * <p>Threading: confined to the event loop. The body of a request belongs to the connection once
+ * sent; arrays handed to the listener belong to the listener.
+ */
 public final class HttpConnection {
     private static final Attribute<HttpConnection> STATE =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("myrtleladder.client");
+
+    /** Longest response head. Chosen. */
+    private static final int MAX_HEADER_BYTES = 64 * 1_024;
+
     private static final FilterChain CHAIN =
             FilterChainBuilder.stateless()
                     .add(new TransportFilter())
-                    .add(new HttpClientFilter(64 * 1_024))
-                    .add(new AnswerFilter())
+                    .add(new HttpClientFilter(MAX_HEADER_BYTES))
+                    .add(new ResponseFilter())
                     .build();
 
+    /** Lower statuses are informational: another response follows (RFC 9110, section 15.2). */
+    private static final int FIRST_FINAL_STATUS = 200;
+
     private enum State {
         CONNECTING,
         IDLE,
@@ -43,21 +56,28 @@
         CLOSED
     }
 
-    /** What happens to a connection and its request. Each call comes on the loop. */
+    /** Receives the events of a connection, on the event loop. */
     public interface Listener {
-        /** The connection stands. */
+        /** The connection is established and takes a request. */
         void connected();
 
-        /** The head of the answer has come. */
+        /** The final response head arrived. */
         void head(ResponseHead head);
 
-        /** A piece of the answer's body has come. */
+        /** Bytes of the response body arrived, without chunked coding. */
         void body(byte[] bytes);
 
-        /** The answer is whole; {@code reusable} says that the connection takes another request. */
+        /**
+         * The response is complete.
+         *
+         * @param reusable whether the connection takes another request; else it is closed
+         */
         void end(boolean reusable);
 
-        /** The connection ended, before it stood or while an answer was owed, or at rest. */
+        /**
+         * The connection could not be established, or closed while idle or before the response was
+         * complete. Not called after {@link HttpConnection#close}.
+         */
         void closed(boolean everConnected);
     }
 
@@ -71,7 +91,7 @@
         this.listener = listener;
     }
 
-    /** Opens a connection; the listener hears how that went. */
+    /** Connects; the listener is called with the result, never within this call. */
     @SuppressWarnings("rawtypes") // the library's connector names no type
     public static HttpConnection connect(EventLoop loop, String host, int port, Listener listener) {
         HttpConnection created = new HttpConnection(listener);
@@ -101,37 +121,41 @@
         connection = opened;
         STATE.set(opened, this);
         if (!opened.isOpen()) {
-            hasClosed();
+            onConnectionClosed();
             return;
         }
-        become(State.IDLE);
+        transitionTo(State.IDLE);
         listener.connected();
     }
 
     private void failedToOpen() {
         if (state != State.CLOSED) {
-            become(State.CLOSED);
+            transitionTo(State.CLOSED);
             listener.closed(false);
         }
     }
 
-    private void hasClosed() {
+    private void onConnectionClosed() {
         if (state != State.CLOSED) {
-            become(State.CLOSED);
+            transitionTo(State.CLOSED);
             listener.closed(true);
         }
     }
 
-    private void become(State next) {
+    private void transitionTo(State next) {
         state = next;
     }
 
-    /** Whether a request can be sent now. */
+    /** Returns whether a request can be sent now. */
     public boolean ready() {
         return state == State.IDLE && connection.isOpen();
     }
 
-    /** Sends a request with its whole body. */
+    /**
+     * Sends a request with its complete body.
+     *
+     * @throws NetworkException if the connection is closed or a response is still due
+     */
     public void send(RequestHead head, byte[] body) {
         if (!ready()) {
             throw new NetworkException(
@@ -154,16 +178,16 @@
         if (hasBody) {
             builder.contentLength(body.length);
         }
-        become(State.AWAITING_HEAD);
+        transitionTo(State.AWAITING_HEAD);
         HttpRequestPacket request = builder.build();
         Buffer content = body.length == 0 ? Buffers.EMPTY_BUFFER : Buffers.wrap(null, body);
         connection.write(HttpContent.builder(request).content(content).last(true).build());
     }
 
-    /** Ends the connection; the listener hears nothing more. */
+    /** Closes the connection; the listener is not called any more. */
     public void close() {
         if (state != State.CLOSED) {
-            become(State.CLOSED);
+            transitionTo(State.CLOSED);
             if (connection != null) {
                 connection.terminateSilently();
             }
@@ -172,15 +196,15 @@
 
     private void received(HttpContent content) {
         if (state != State.AWAITING_HEAD && state != State.READING_BODY) {
-            drop();
+            terminate();
             return;
         }
         HttpResponsePacket response = (HttpResponsePacket) content.getHttpHeader();
         if (state == State.AWAITING_HEAD) {
-            if (response.getStatus() < 200) {
+            if (response.getStatus() < FIRST_FINAL_STATUS) {
                 return;
             }
-            become(State.READING_BODY);
+            transitionTo(State.READING_BODY);
             framed = response.isChunked() || response.getContentLength() >= 0;
             Headers headers = Headers.copyOf(response.getHeaders());
             reusable = framed && !"close".equalsIgnoreCase(headers.get("Connection"));
@@ -199,29 +223,29 @@
 
     private void finish(boolean broken) {
         if (broken || !framed) {
-            drop();
+            terminate();
             return;
         }
         if (reusable) {
-            become(State.IDLE);
+            transitionTo(State.IDLE);
             listener.end(true);
             return;
         }
-        become(State.CLOSED);
+        transitionTo(State.CLOSED);
         connection.closeSilently();
         listener.end(false);
     }
 
-    private void drop() {
+    private void terminate() {
         if (state != State.CLOSED) {
-            become(State.CLOSED);
+            transitionTo(State.CLOSED);
             connection.terminateSilently();
             listener.closed(true);
         }
     }
 
-    /** Hands the pieces of answers to their connection. */
-    private static final class AnswerFilter extends BaseFilter {
+    /** Passes response content to its connection. */
+    private static final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) throws IOException {
             HttpContent content = ctx.getMessage();
@@ -238,7 +262,7 @@
         public NextAction handleClose(FilterChainContext ctx) throws IOException {
             HttpConnection state = STATE.get(ctx.getConnection());
             if (state != null) {
-                state.hasClosed();
+                state.onConnectionClosed();
             }
             return ctx.getInvokeAction();
         }
@@ -247,7 +271,7 @@
         public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
             HttpConnection state = STATE.get(ctx.getConnection());
             if (state != null) {
-                state.drop();
+                state.terminate();
             } else {
                 ctx.getConnection().terminateSilently();
             }
--- a/src/main/java/myrtleladder/http/HttpExchange.java
+++ b/src/main/java/myrtleladder/http/HttpExchange.java
@@ -12,7 +12,7 @@
 import org.glassfish.grizzly.http.util.HttpStatus;
 import org.glassfish.grizzly.memory.Buffers;
 
-/** A request read whole and its answer, on a connection of the library. */
+/** A complete request and its response on a connection of Grizzly. Confined to the event loop. */
 final class HttpExchange implements ServerExchange {
     static final byte[] NO_BYTES = {};
 
@@ -46,17 +46,19 @@
                         query == null || query.isEmpty() ? path : path + "?" + query,
                         headers);
         String connection = headers.get("Connection");
-        // the library takes what follows an offer to upgrade for a part of that request
-        boolean asked = connection != null && connection.equalsIgnoreCase("close");
-        this.keepAlive = !asked && !request.isUpgrade();
+        // Grizzly takes what follows a request with Upgrade for a part of that request
+        boolean closeRequested = connection != null && connection.equalsIgnoreCase("close");
+        this.keepAlive = !closeRequested && !request.isUpgrade();
     }
 
-    boolean tooLarge() {
+    boolean isTooLarge() {
         return tooLarge;
     }
 
-    /** Whether the request line is one of HTTP/1.x with a plain method and an absolute path. */
-    boolean wellFormed() {
+    /**
+     * Returns whether the request line is HTTP/1.0 or 1.1 with a method of letters and origin form.
+     */
+    boolean isWellFormed() {
         Protocol protocol = request.getProtocol();
         boolean version = protocol == Protocol.HTTP_1_1 || protocol == Protocol.HTTP_1_0;
         boolean method = head.method().chars().allMatch(c -> c >= 'A' && c <= 'Z');
@@ -83,12 +85,12 @@
         if (state != State.UNANSWERED) {
             return;
         }
-        boolean keep = keeps() && headers.get("Connection") == null;
+        boolean keep = canKeepAlive() && headers.get("Connection") == null;
         headers.remove("Connection");
         HttpResponsePacket.Builder builder =
                 builder(status, headers, keep).contentLength(answer.length);
         response = builder.build();
-        become(State.ENDED);
+        transitionTo(State.ENDED);
         write(
                 HttpContent.builder(response)
                         .content(wrap(answer, 0, answer.length))
@@ -103,8 +105,8 @@
         if (state != State.UNANSWERED) {
             return;
         }
-        response = builder(status, headers, keeps()).chunked(true).build();
-        become(State.STREAMING);
+        response = builder(status, headers, canKeepAlive()).chunked(true).build();
+        transitionTo(State.STREAMING);
     }
 
     @Override
@@ -121,8 +123,8 @@
         if (state != State.STREAMING) {
             return;
         }
-        become(State.ENDED);
-        boolean keep = !"close".equalsIgnoreCase(response.getHeader("Connection")) && !closesNow();
+        transitionTo(State.ENDED);
+        boolean keep = !"close".equalsIgnoreCase(response.getHeader("Connection")) && !mustClose();
         write(
                 HttpContent.builder(response).content(wrap(NO_BYTES, 0, 0)).last(true).build(),
                 !keep);
@@ -132,7 +134,7 @@
     @Override
     public void abort() {
         if (state != State.ENDED) {
-            become(State.ENDED);
+            transitionTo(State.ENDED);
             owner.connection().terminateSilently();
             owner.answered(this, false);
         }
@@ -150,24 +152,26 @@
 
     void gone() {
         if (state != State.ENDED) {
-            become(State.ENDED);
+            transitionTo(State.ENDED);
             if (onGone != null) {
                 onGone.run();
             }
         }
     }
 
-    private void become(State next) {
+    private void transitionTo(State next) {
         state = next;
     }
 
-    /** The server closes although the head of the answer, sent before, did not say so. */
-    private boolean closesNow() {
-        return owner.server().closing() && !owner.hasWaiting();
+    /**
+     * Returns whether the connection closes although the head, sent before, did not announce it.
+     */
+    private boolean mustClose() {
+        return owner.server().isClosing() && !owner.hasPipelined();
     }
 
-    private boolean keeps() {
-        return keepAlive && !owner.server().closing();
+    private boolean canKeepAlive() {
+        return keepAlive && !owner.server().isClosing();
     }
 
     private HttpResponsePacket.Builder builder(int status, Headers headers, boolean keep) {
--- a/src/main/java/myrtleladder/http/HttpServer.java
+++ b/src/main/java/myrtleladder/http/HttpServer.java
@@ -21,33 +21,49 @@
 import org.glassfish.grizzly.http.KeepAlive;
 
 /**
- * An HTTP/1.1 server at one address; each whole request is handed on as a {@link ServerExchange}.
+ * An HTTP/1.1 server (RFC 9112) at one address. Passes each complete request to the handler as a
+ * {@link ServerExchange}; answers malformed ones with 400 and those with too large a body with 413.
+ *
+ * <p>Grizzly's own server is not used because it stops reading while a response is due, so that a
+ * client that disconnects is not noticed.
+ *
+ * <p>Threading: confined to the event loop, which also calls the handler.
  */
 public final class HttpServer {
-    private static final int MOST_HEADER_BYTES = 64 * 1_024;
-    private static final int MOST_HEADERS = 100;
+    /** Longest request head. Chosen. */
+    private static final int MAX_HEADER_BYTES = 64 * 1_024;
+
+    /** Most header fields of a request or response. Chosen. */
+    private static final int MAX_HEADERS = 100;
+
+    /** Longest request body until {@link #limitBody} is called. Chosen. */
+    private static final long DEFAULT_MAX_BODY_BYTES = 8L * 1_024 * 1_024;
+
     private static final Attribute<ServerConnection> STATE =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("myrtleladder.server");
 
     private final EventLoop loop;
     private final Consumer<ServerExchange> handler;
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
-    private long mostBodyBytes = 8L * 1_024 * 1_024;
+    private long maxBodyBytes = DEFAULT_MAX_BODY_BYTES;
     private boolean closing;
     private String keepAlive;
 
-    /** Listens at an address. */
-    @SuppressWarnings(
-            "deprecation") // the library offers no other constructor that takes the bounds
+    /**
+     * Listens at an address.
+     *
+     * @throws myrtleladder.eventloop.NetworkException if it can't be bound
+     */
+    @SuppressWarnings("deprecation") // no other constructor takes the limits
     public HttpServer(EventLoop loop, String host, int port, Consumer<ServerExchange> handler) {
         this.loop = loop;
         this.handler = handler;
-        KeepAlive forever = new KeepAlive();
-        forever.setIdleTimeoutInSeconds(-1);
-        forever.setMaxRequestsCount(-1);
+        KeepAlive unlimited = new KeepAlive();
+        unlimited.setIdleTimeoutInSeconds(-1);
+        unlimited.setMaxRequestsCount(-1);
         HttpServerFilter codec =
                 new HttpServerFilter(
-                        true, MOST_HEADER_BYTES, null, forever, null, MOST_HEADERS, MOST_HEADERS);
+                        true, MAX_HEADER_BYTES, null, unlimited, null, MAX_HEADERS, MAX_HEADERS);
         codec.setAllowPayloadForUndefinedHttpMethods(true);
         loop.bind(
                 host,
@@ -60,17 +76,17 @@
                         .build());
     }
 
-    /** Bounds the body of a request; a larger one is answered with 413. */
+    /** Limits the body of a request; a larger one is answered with 413. */
     public void limitBody(long bytes) {
-        mostBodyBytes = bytes;
+        maxBodyBytes = bytes;
     }
 
-    /** Sets the value of the Keep-Alive field of all answers, null for none. */
+    /** Sets the value of the Keep-Alive field of all responses, null for none. */
     public void announceKeepAlive(String value) {
         keepAlive = value;
     }
 
-    /** From now on each answer closes its connection, and so do connections at rest. */
+    /** Closes idle connections now, and the others after their current response. */
     public void closeGracefully() {
         closing = true;
         for (ServerConnection connection : copyOfConnections()) {
@@ -78,19 +94,24 @@
         }
     }
 
-    /** Closes connections at rest for too long, and those whose request takes too long to come. */
-    public void closeIdle(long longestRest, long longestReceipt) {
+    /**
+     * Closes connections that exceed a limit.
+     *
+     * @param maxIdleMs longest time without a request
+     * @param maxReceiveMs longest time from the first to the last byte of a request
+     */
+    public void closeIdle(long maxIdleMs, long maxReceiveMs) {
         long now = loop.now();
         for (ServerConnection connection : copyOfConnections()) {
-            if (now - connection.receivingSince() > longestReceipt) {
+            if (now - connection.receivingSinceMs() > maxReceiveMs) {
                 connection.terminate();
-            } else if (now - connection.restingSince() > longestRest) {
+            } else if (now - connection.idleSinceMs() > maxIdleMs) {
                 connection.closeIfIdle();
             }
         }
     }
 
-    /** Number of requests that still wait for the end of their answer. */
+    /** Returns the number of connections with an unfinished request or response. */
     public int unanswered() {
         int count = 0;
         for (ServerConnection connection : connections) {
@@ -103,7 +124,7 @@
         return loop.now();
     }
 
-    boolean closing() {
+    boolean isClosing() {
         return closing;
     }
 
@@ -133,16 +154,16 @@
         return state;
     }
 
-    /** Notes that bytes have come, before anything is made of them. */
+    /** Notes the arrival of bytes before they are parsed. */
     private final class ArrivalFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) throws IOException {
-            stateOf(ctx.getConnection()).arrived();
+            stateOf(ctx.getConnection()).onBytesArrived();
             return ctx.getInvokeAction();
         }
     }
 
-    /** Collects the pieces of a request and follows the connection's life. */
+    /** Passes request content and lifecycle events to their connection. */
     private final class RequestFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext ctx) throws IOException {
@@ -155,7 +176,7 @@
             HttpContent content = ctx.getMessage();
             ServerConnection state = stateOf(ctx.getConnection());
             HttpRequestPacket request = (HttpRequestPacket) content.getHttpHeader();
-            state.received(request, content, mostBodyBytes);
+            state.received(request, content, maxBodyBytes);
             return ctx.getStopAction();
         }
 
--- a/src/main/java/myrtleladder/http/RequestHead.java
+++ b/src/main/java/myrtleladder/http/RequestHead.java
@@ -1,8 +1,14 @@
 package myrtleladder.http;
 
-/** Method, target and header fields of a request. */
+/**
+ * Request line and header fields of a request (RFC 9112, section 3).
+ *
+ * @param method the method, in upper case
+ * @param target the request target in origin form: path and query
+ * @param headers the header fields
+ */
 public record RequestHead(String method, String target, Headers headers) {
-    /** The path of the target, without its query. */
+    /** Returns the path of the target, without its query. */
     public String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
--- a/src/main/java/myrtleladder/http/ResponseHead.java
+++ b/src/main/java/myrtleladder/http/ResponseHead.java
@@ -1,7 +1,11 @@
 package myrtleladder.http;
 
 /**
- * Status and header fields of an answer; {@code framed} says that its end can be told from its
- * bytes, by a length or by chunks, and does not depend on the connection's end.
+ * Status and header fields of a response.
+ *
+ * @param status the status code
+ * @param headers the header fields
+ * @param framed whether the body ends by Content-Length or chunked coding (RFC 9112, section 6.3)
+ *     rather than with the connection; if not, its completeness can't be known
  */
 public record ResponseHead(int status, Headers headers, boolean framed) {}
--- a/src/main/java/myrtleladder/http/ServerConnection.java
+++ b/src/main/java/myrtleladder/http/ServerConnection.java
@@ -1,42 +1,48 @@
 package myrtleladder.http;
 
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * A client's connection: the request being read, the one being answered, and those that wait behind
- * it.
+ * A client's connection: the request that is being read, the one that is being answered, and the
+ * pipelined ones behind it, which are answered in order (RFC 9112, section 9.3.2).
+ *
+ * <p>Threading: confined to the event loop.
  */
 final class ServerConnection {
-    private static final int MOST_WAITING = 16;
+    /** Pipelined requests behind the current one; with more the connection is closed. Chosen. */
+    private static final int MAX_PIPELINED = 16;
+
+    /** Value of {@link #receivingSinceMs} while no request is incomplete. */
     private static final long NOT_RECEIVING = Long.MAX_VALUE;
 
     private final HttpServer server;
     private final Connection<?> connection;
-    private final ArrayDeque<HttpExchange> waiting = new ArrayDeque<>();
+    private final ArrayDeque<HttpExchange> pipelined = new ArrayDeque<>();
     private HttpRequestPacket reading;
     private byte[] body = HttpExchange.NO_BYTES;
     private boolean tooLarge;
     private HttpExchange current;
-    private long restingSince;
-    private long receivingSince = NOT_RECEIVING;
+    private long idleSinceMs;
+    private long receivingSinceMs = NOT_RECEIVING;
 
     ServerConnection(HttpServer server, Connection<?> connection) {
         this.server = server;
         this.connection = connection;
-        this.restingSince = server.now();
+        this.idleSinceMs = server.now();
     }
 
-    void arrived() {
-        if (receivingSince == NOT_RECEIVING) {
-            receivingSince = server.now();
+    void onBytesArrived() {
+        if (receivingSinceMs == NOT_RECEIVING) {
+            receivingSinceMs = server.now();
         }
     }
 
-    void received(HttpRequestPacket request, HttpContent content, long mostBodyBytes) {
+    void received(HttpRequestPacket request, HttpContent content, long maxBodyBytes) {
         if (reading == null) {
             reading = request;
             body = HttpExchange.NO_BYTES;
@@ -44,28 +50,28 @@
         }
         Buffer buffer = content.getContent();
         if (buffer != null && buffer.hasRemaining()) {
-            append(buffer, mostBodyBytes);
+            append(buffer, maxBodyBytes);
         }
-        if (content.isLast() || whole()) {
+        if (content.isLast() || isUpgradeComplete()) {
             complete();
         }
     }
 
-    /** The library does not tell the end of a request that offers to upgrade the connection. */
-    private boolean whole() {
+    /** Grizzly does not report the end of a request with Upgrade, so its length is compared. */
+    private boolean isUpgradeComplete() {
         return reading.isUpgrade()
                 && !reading.isChunked()
                 && !tooLarge
                 && body.length >= Math.max(0, reading.getContentLength());
     }
 
-    private void append(Buffer buffer, long mostBodyBytes) {
+    private void append(Buffer buffer, long maxBodyBytes) {
         int more = buffer.remaining();
-        if (tooLarge || body.length + more > mostBodyBytes) {
+        if (tooLarge || body.length + more > maxBodyBytes) {
             tooLarge = true;
             return;
         }
-        byte[] longer = java.util.Arrays.copyOf(body, body.length + more);
+        byte[] longer = Arrays.copyOf(body, body.length + more);
         buffer.get(longer, body.length, more);
         body = longer;
     }
@@ -73,11 +79,11 @@
     private void complete() {
         HttpExchange exchange = new HttpExchange(this, reading, body, tooLarge);
         reading = null;
-        receivingSince = NOT_RECEIVING;
+        receivingSinceMs = NOT_RECEIVING;
         body = HttpExchange.NO_BYTES;
         if (current != null) {
-            waiting.add(exchange);
-            if (waiting.size() > MOST_WAITING) {
+            pipelined.add(exchange);
+            if (pipelined.size() > MAX_PIPELINED) {
                 connection.terminateSilently();
             }
             return;
@@ -87,11 +93,11 @@
 
     private void begin(HttpExchange exchange) {
         current = exchange;
-        if (!exchange.wellFormed()) {
+        if (!exchange.isWellFormed()) {
             exchange.respond(400, new Headers().add("Connection", "close"), HttpExchange.NO_BYTES);
             return;
         }
-        if (exchange.tooLarge()) {
+        if (exchange.isTooLarge()) {
             exchange.respond(413, new Headers(), HttpExchange.NO_BYTES);
             return;
         }
@@ -103,11 +109,11 @@
             return;
         }
         current = null;
-        restingSince = server.now();
+        idleSinceMs = server.now();
         if (!keep) {
             return;
         }
-        HttpExchange next = waiting.poll();
+        HttpExchange next = pipelined.poll();
         if (next != null) {
             begin(next);
         }
@@ -115,7 +121,7 @@
 
     void closed() {
         server.forget(this);
-        waiting.clear();
+        pipelined.clear();
         HttpExchange ended = current;
         current = null;
         if (ended != null) {
@@ -123,22 +129,22 @@
         }
     }
 
-    /** Whether a request that was read waits behind the current one. */
-    boolean hasWaiting() {
-        return !waiting.isEmpty();
+    /** Returns whether a pipelined request waits behind the current one. */
+    boolean hasPipelined() {
+        return !pipelined.isEmpty();
     }
 
     boolean isIdle() {
-        return current == null && receivingSince == NOT_RECEIVING;
+        return current == null && receivingSinceMs == NOT_RECEIVING;
     }
 
-    /** When the first byte of a request came that is not whole yet. */
-    long receivingSince() {
-        return current == null ? receivingSince : NOT_RECEIVING;
+    /** Returns when the first byte of the incomplete request onBytesArrived, in milliseconds. */
+    long receivingSinceMs() {
+        return current == null ? receivingSinceMs : NOT_RECEIVING;
     }
 
-    long restingSince() {
-        return isIdle() ? restingSince : server.now();
+    long idleSinceMs() {
+        return isIdle() ? idleSinceMs : server.now();
     }
 
     void closeIfIdle() {
--- a/src/main/java/myrtleladder/http/ServerExchange.java
+++ b/src/main/java/myrtleladder/http/ServerExchange.java
@@ -1,34 +1,42 @@
 package myrtleladder.http;
 
-/** One request at a server and the answer that it is owed. */
+/**
+ * One complete request at a server and its response: either {@link #respond}, or {@link #begin},
+ * any number of {@link #write} and {@link #end}. Calls in another state have no effect.
+ *
+ * <p>Threading: confined to the event loop. Arrays that are passed in belong to the exchange from
+ * then on and must not be changed.
+ */
 public interface ServerExchange {
-    /** Method, target and headers. */
+    /** Returns method, target and header fields. */
     RequestHead head();
 
-    /** The whole body. */
+    /** Returns the complete body, not a copy; empty if there is none. */
     byte[] body();
 
-    /** The address of the caller. */
+    /** Returns the address of the client's end of the connection. */
     String caller();
 
-    /** Sends a whole answer. */
+    /** Sends a complete response; {@code headers} is changed. */
     void respond(int status, Headers headers, byte[] body);
 
-    /** Begins an answer whose body follows in pieces. */
+    /** Begins a response with chunked body; its head is sent with the first chunk. */
     void begin(int status, Headers headers);
 
-    /** Sends a piece of the body. */
+    /** Sends a chunk of the body; an empty one is ignored. */
     void write(byte[] bytes, int offset, int length);
 
-    /** Ends the body. */
+    /** Sends the last chunk. */
     void end();
 
-    /** Breaks the connection off, so that the answer can't pass for whole. */
+    /** Closes the connection, so that the client can't take the response for complete. */
     void abort();
 
-    /** Whether the caller's connection still stands. */
+    /** Returns whether the client's connection is open. */
     boolean open();
 
-    /** Sets what is to be done once if the caller's connection ends before the answer does. */
+    /**
+     * Sets the callback that runs once if the client's connection closes before the response ends.
+     */
     void onGone(Runnable task);
 }
--- a/src/main/java/myrtleladder/result/ResultCode.java
+++ b/src/main/java/myrtleladder/result/ResultCode.java
@@ -1,6 +1,9 @@
 package myrtleladder.result;
 
-/** Numbered results of the fleet's programs; the table in docs/errors.md has a row for each. */
+/**
+ * Numbered results of the fleet's programs. Operators look the number up in docs/errors.md, which
+ * has a row for each; numbers and names never change.
+ */
 public enum ResultCode {
     /** The settings file can't be found or read. */
     NO_SETTINGS(100),
@@ -12,7 +15,7 @@
     USAGE(103),
     /** A socket can't be opened. */
     NO_SOCKET(110),
-    /** A peer did not answer in time or broke off. */
+    /** A connection to a peer takes no request. */
     PEER_FAILED(111),
     /** A message of the internal protocol can't be read. */
     BAD_MESSAGE(112),
@@ -26,7 +29,7 @@
     UNKNOWN_SERVICE(203),
     /** Two routes share host name and prefix. */
     SAME_PLACE(204),
-    /** The weights of a route add up to nothing. */
+    /** The weights of a route add up to 0. */
     NO_WEIGHT(205),
     /** A route has no time-out above 0. */
     NO_TIMEOUT(206),
@@ -47,12 +50,12 @@
         this.number = number;
     }
 
-    /** The code as it begins a message. */
+    /** Returns the code as it begins a message, such as {@code E102 SETTINGS_VALUE}. */
     public String label() {
         return "E" + number + " " + name();
     }
 
-    /** The number by which operators look the result up. */
+    /** Returns the number by which operators look the result up. */
     public int number() {
         return number;
     }
--- /dev/null
+++ b/src/main/java/myrtleladder/result/package-info.java
@@ -0,0 +1,2 @@
+/** Numbered results and the base of the exceptions that carry one. */
+package myrtleladder.result;
--- a/src/main/java/myrtleladder/scheduler/Scheduler.java
+++ b/src/main/java/myrtleladder/scheduler/Scheduler.java
@@ -1,18 +1,23 @@
 package myrtleladder.scheduler;
 
 /**
- * A steady clock and timers whose tasks run one at a time, on the thread that runs everything else.
+ * A monotonic clock and timers. Code that takes its time from here runs on a manual clock in tests.
+ *
+ * <p>Threading: to be called on the event loop only; tasks run there, one at a time.
  */
 public interface Scheduler {
-    /** Milliseconds of a clock that only advances. */
+    /** Returns the milliseconds of a monotonic clock, whose origin is arbitrary. */
     long now();
 
-    /** Runs a task once after a delay in milliseconds. */
-    Timer schedule(long delay, Runnable task);
+    /**
+     * Runs a task once after a delay in milliseconds; a negative delay counts as 0. Never runs it
+     * within this call.
+     */
+    Timer schedule(long delayMs, Runnable task);
 
-    /** A scheduled task that may be called off. */
+    /** A scheduled task that can be cancelled. */
     interface Timer {
-        /** Calls the task off; without effect once it has run. */
+        /** Cancels the task; without effect once it has run. */
         void cancel();
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/scheduler/package-info.java
@@ -0,0 +1,2 @@
+/** Injected time: the clock and timers that protocols use, without sockets. */
+package myrtleladder.scheduler;
--- /dev/null
+++ b/src/main/java/myrtleladder/signal/package-info.java
@@ -0,0 +1,2 @@
+/** Handling of process signals. */
+package myrtleladder.signal;
