--- a/src/main/java/myrtleladder/configuration/ClientLimits.java
+++ b/src/main/java/myrtleladder/configuration/ClientLimits.java
@@ -1,22 +1,33 @@
 package myrtleladder.configuration;
 
-/** Bounds on what a client may send and on how long it may take or rest. */
+/**
+ * Limits on clients; the defaults are chosen.
+ *
+ * @param maxHeaderBytes {@code max_header_bytes} of a request; default 16 KiB
+ * @param maxBodyBytes {@code max_body_bytes} of a request; default 4 MiB
+ * @param headerTimeoutMs {@code header_timeout_ms} for a request to arrive; default 3000
+ * @param idleTimeoutMs {@code idle_timeout_ms} of a connection without a request; default 15000
+ */
 public record ClientLimits(
         long maxHeaderBytes, long maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
-    private static final long HEADER_BYTES = 16_384;
-    private static final long BODY_BYTES = 4L * 1_024 * 1_024;
-    private static final long HEADER_TIMEOUT = 3_000;
-    private static final long IDLE_TIMEOUT = 15_000;
+    private static final long DEFAULT_HEADER_BYTES = 16_384;
+    private static final long DEFAULT_BODY_BYTES = 4L * 1_024 * 1_024;
+    private static final long DEFAULT_HEADER_TIMEOUT_MS = 3_000;
+    private static final long DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
     static ClientLimits read(Fields root) {
         if (!root.has("limits")) {
-            return new ClientLimits(HEADER_BYTES, BODY_BYTES, HEADER_TIMEOUT, IDLE_TIMEOUT);
+            return new ClientLimits(
+                    DEFAULT_HEADER_BYTES,
+                    DEFAULT_BODY_BYTES,
+                    DEFAULT_HEADER_TIMEOUT_MS,
+                    DEFAULT_IDLE_TIMEOUT_MS);
         }
         Fields fields = root.object("limits");
         return new ClientLimits(
-                fields.number("max_header_bytes", HEADER_BYTES),
-                fields.number("max_body_bytes", BODY_BYTES),
-                fields.number("header_timeout_ms", HEADER_TIMEOUT),
-                fields.number("idle_timeout_ms", IDLE_TIMEOUT));
+                fields.number("max_header_bytes", DEFAULT_HEADER_BYTES),
+                fields.number("max_body_bytes", DEFAULT_BODY_BYTES),
+                fields.number("header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS),
+                fields.number("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS));
     }
 }
--- a/src/main/java/myrtleladder/configuration/Compression.java
+++ b/src/main/java/myrtleladder/configuration/Compression.java
@@ -6,14 +6,19 @@
 import java.util.zip.Inflater;
 import myrtleladder.result.ResultCode;
 
-/** Documents as they are stored and sent: their JSON names the same fields hundreds of times. */
+/**
+ * Compresses documents for the store and the protocol (zlib, RFC 1950); their JSON repeats the same
+ * field names. Thread-safe; arrays that are passed in are not changed.
+ */
 public final class Compression {
-    private static final int BUFFER = 8 * 1_024;
-    private static final int MOST = 64 * 1_024 * 1_024;
+    private static final int BUFFER_BYTES = 8 * 1_024;
+
+    /** Longest document that is decompressed, against damaged or forged input. Chosen. */
+    private static final int MAX_DOCUMENT_BYTES = 64 * 1_024 * 1_024;
 
     private Compression() {}
 
-    /** Compresses bytes; none stay none. */
+    /** Compresses bytes; an empty array stays empty. */
     public static byte[] deflate(byte[] bytes) {
         if (bytes.length == 0) {
             return bytes;
@@ -23,7 +28,7 @@
             deflater.setInput(bytes);
             deflater.finish();
             ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length / 4);
-            byte[] buffer = new byte[BUFFER];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
                 out.write(buffer, 0, deflater.deflate(buffer));
             }
@@ -33,7 +38,11 @@
         }
     }
 
-    /** Restores what was compressed. */
+    /**
+     * Decompresses bytes; an empty array stays empty.
+     *
+     * @throws ConfigurationException if the bytes are damaged or the document is too long
+     */
     public static byte[] inflate(byte[] bytes) {
         if (bytes.length == 0) {
             return bytes;
@@ -42,11 +51,11 @@
         try {
             inflater.setInput(bytes);
             ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length * 4);
-            byte[] buffer = new byte[BUFFER];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 boolean stuck = count == 0 && !inflater.finished();
-                if (stuck || out.size() > MOST) {
+                if (stuck || out.size() > MAX_DOCUMENT_BYTES) {
                     throw new ConfigurationException(
                             ResultCode.CONFIGURATION_SYNTAX, "a stored document is damaged");
                 }
--- a/src/main/java/myrtleladder/configuration/Configuration.java
+++ b/src/main/java/myrtleladder/configuration/Configuration.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import myrtleladder.result.ResultCode;
 
-/** A checked configuration, ready to route by. */
+/** A checked configuration with its routing table. Immutable once read. */
 public final class Configuration {
     private final long generation;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
@@ -32,7 +32,9 @@
     }
 
     /**
-     * Reads and checks a whole document; what is invalid is refused with the place of the fault.
+     * Reads and checks a complete document.
+     *
+     * @throws ConfigurationException if it is invalid
      */
     public static Configuration read(Map<String, Object> tree) {
         return new Configuration(Fields.of("configuration", tree));
@@ -54,11 +56,11 @@
     }
 
     private void readRoutes(Fields root) {
-        Set<String> places = new HashSet<>();
+        Set<String> routeKeys = new HashSet<>();
         for (Fields fields : root.objects("routes")) {
             Route route = Route.read(fields);
             check(fields.path(), route);
-            if (!places.add(route.hostname().toLowerCase() + " " + route.pathPrefix())) {
+            if (!routeKeys.add(route.hostname().toLowerCase() + " " + route.pathPrefix())) {
                 throw new ConfigurationException(
                         ResultCode.SAME_PLACE,
                         fields.path() + " has host and prefix of another route");
@@ -95,12 +97,12 @@
         }
     }
 
-    /** The number under which the operator sent this configuration. */
+    /** Returns the number that the operator gave this configuration. */
     public long generation() {
         return generation;
     }
 
-    /** The route with the longest prefix that begins the path, null if there is none. */
+    /** Returns the route with the longest matching path prefix, null if there is none. */
     public Route route(String host, String path) {
         if (host == null) {
             return null;
@@ -115,27 +117,27 @@
         return null;
     }
 
-    /** A service by its name, null if there is none. */
+    /** Returns a service by its name, null if there is none. */
     public Service service(String name) {
         return services.get(name);
     }
 
-    /** All services. */
+    /** Returns all services. */
     public Iterable<Service> services() {
         return services.values();
     }
 
-    /** The tenant that holds a key, null if nobody does. */
+    /** Returns the tenant with an API key, null if there is none. */
     public Tenant tenant(String key) {
         return key == null ? null : tenantsByKey.get(key);
     }
 
-    /** All tenants. */
+    /** Returns all tenants. */
     public List<Tenant> tenants() {
         return tenants;
     }
 
-    /** Bounds on clients. */
+    /** Returns the limits on clients. */
     public ClientLimits limits() {
         return limits;
     }
--- a/src/main/java/myrtleladder/configuration/Fields.java
+++ b/src/main/java/myrtleladder/configuration/Fields.java
@@ -6,7 +6,8 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * Typed access to the fields of a JSON object; what is missing or mistyped is refused by its path.
+ * Typed access to the fields of a JSON object. Methods throw {@link ConfigurationException} with
+ * the path of the field if it is missing, has no default, or has the wrong type.
  */
 final class Fields {
     private final String path;
@@ -24,9 +25,9 @@
         return new Fields(path, map);
     }
 
-    static ConfigurationException wrong(String path, String wanted) {
+    static ConfigurationException wrong(String path, String expected) {
         return new ConfigurationException(
-                ResultCode.CONFIGURATION_FIELD, path + " is not " + wanted);
+                ResultCode.CONFIGURATION_FIELD, path + " is not " + expected);
     }
 
     String path() {
@@ -44,18 +45,18 @@
         throw wrong(path + "." + name, "a text");
     }
 
-    String text(String name, String otherwise) {
-        return has(name) ? text(name) : otherwise;
+    String text(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
-    long number(String name, long otherwise) {
-        return Math.round(decimal(name, otherwise));
+    long number(String name, long defaultValue) {
+        return Math.round(decimal(name, defaultValue));
     }
 
-    double decimal(String name, double otherwise) {
+    double decimal(String name, double defaultValue) {
         Object value = values.get(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (value instanceof Number number) {
             return number.doubleValue();
--- a/src/main/java/myrtleladder/configuration/Json.java
+++ b/src/main/java/myrtleladder/configuration/Json.java
@@ -9,13 +9,20 @@
 import java.util.Map;
 import myrtleladder.result.ResultCode;
 
-/** Reads and writes JSON objects as trees that keep the order of their fields. */
+/**
+ * Reads and writes JSON objects as trees of maps and lists that keep the order of their fields.
+ * Thread-safe.
+ */
 public final class Json {
     private static final DslJson<Object> LIBRARY = new DslJson<>(new DslJson.Settings<>());
 
     private Json() {}
 
-    /** Reads a document that has to be one object and nothing behind it. */
+    /**
+     * Reads a document, which has to be one object with nothing behind it.
+     *
+     * @throws ConfigurationException with {@code CONFIGURATION_SYNTAX} if it is none
+     */
     public static Map<String, Object> readObject(byte[] bytes) {
         try {
             JsonReader<Object> reader = LIBRARY.newReader(bytes);
@@ -40,7 +47,7 @@
         }
     }
 
-    /** Writes a tree. */
+    /** Writes a tree as UTF-8 without white space. */
     public static byte[] write(Map<String, Object> tree) {
         JsonWriter writer = LIBRARY.newWriter();
         try {
--- a/src/main/java/myrtleladder/configuration/Route.java
+++ b/src/main/java/myrtleladder/configuration/Route.java
@@ -3,8 +3,22 @@
 import java.util.List;
 
 /**
- * A route of the operator's configuration. {@code retries} is the most upstreams that one try may
- * be sent to, {@code gapAimMs} the longest pause between events that still counts as in time.
+ * A route: which requests go to which services, and how.
+ *
+ * @param name {@code name}
+ * @param hostname {@code hostname}, compared without regard to case
+ * @param pathPrefix {@code path_prefix}; the longest that matches wins
+ * @param type {@code type}; default non_idempotent
+ * @param timeoutMs {@code timeout_ms}, above 0
+ * @param targetLatencyMs {@code target_latency_ms}; default 1000
+ * @param priority {@code priority}; default 0
+ * @param retries {@code retries}: most upstreams that one attempt may be sent to; default 1
+ * @param open {@code public}: whether requests need no key; default false
+ * @param sessionAffinity {@code session_affinity}; default false
+ * @param resumable {@code resumable}: whether a broken stream may be resumed; default false
+ * @param gapAimMs {@code gap_aim_ms}: longest pause between events that counts as in time; default
+ *     0
+ * @param shares {@code traffic_split}, or {@code backend} with all of the traffic
  */
 public record Route(
         String name,
@@ -21,14 +35,19 @@
         long gapAimMs,
         List<Share> shares) {
 
-    /** What may be repeated, and how the answer comes. */
+    /** Whether requests are idempotent, and whether answers are streamed. */
     public enum Type {
         IDEMPOTENT,
         NON_IDEMPOTENT,
         STREAMING
     }
 
-    /** The part of a route's requests that goes to one service. */
+    /**
+     * The part of a route's requests that goes to one service.
+     *
+     * @param service {@code backend}, the name of the service
+     * @param weight {@code weight}, relative to the sum of all; 0 and more
+     */
     public record Share(String service, double weight) {}
 
     /** Whether a request may run more than once. */
--- a/src/main/java/myrtleladder/configuration/Service.java
+++ b/src/main/java/myrtleladder/configuration/Service.java
@@ -1,9 +1,22 @@
 package myrtleladder.configuration;
 
-/** A service; {@code engine} says that its upstreams run a language model. */
+/**
+ * A service: a set of upstreams that are equivalent.
+ *
+ * @param name {@code name}
+ * @param healthCheck {@code health_check}, the path of the probe; default {@code /healthz}
+ * @param maxConnections {@code max_connections} to one upstream; default 100
+ * @param engine {@code engine} of upstreams that run a language model, null for others
+ */
 public record Service(String name, String healthCheck, int maxConnections, Engine engine) {
 
-    /** A model's upstream: places in its batch, memory for tokens, and tokens in one event. */
+    /**
+     * A language model.
+     *
+     * @param capacity {@code capacity}: requests in one batch; default 1
+     * @param kvTokens {@code kv_tokens}: tokens that the key-value cache holds; default 0
+     * @param stride {@code stride}: tokens in one event of the answer; default 1
+     */
     public record Engine(int capacity, long kvTokens, int stride) {}
 
     static Service read(Fields fields) {
--- a/src/main/java/myrtleladder/configuration/Tenant.java
+++ b/src/main/java/myrtleladder/configuration/Tenant.java
@@ -2,7 +2,17 @@
 
 import java.util.List;
 
-/** A tenant with its keys and its quota over all balancers together; a rate of 0 means no limit. */
+/**
+ * A tenant with its keys and its quota, which holds over all balancers together.
+ *
+ * @param name {@code name}
+ * @param keys {@code api_keys} by which its requests are recognized
+ * @param priority {@code priority}; default 0
+ * @param countsTokens whether {@code unit} is tokens rather than requests, the default
+ * @param plainTokens {@code plain_tokens}: units of a request without a prompt; default 1
+ * @param ratePerSecond {@code rate_per_s}, in units; 0, the default, means no limit
+ * @param burst {@code burst}, in units; default 0
+ */
 public record Tenant(
         String name,
         List<String> keys,
--- a/src/main/java/myrtleladder/process/NodeSettings.java
+++ b/src/main/java/myrtleladder/process/NodeSettings.java
@@ -12,7 +12,28 @@
 import java.util.Map;
 import myrtleladder.result.ResultCode;
 
-/** What the platform tells a process, checked whole; fields that are not known are ignored. */
+/**
+ * The settings file that the platform writes for a process, as TOML. Immutable; checked when read.
+ * Unknown fields are ignored.
+ *
+ * @param nodeName {@code node_name}, unique in the fleet
+ * @param role {@code role}: balancer or control
+ * @param ip {@code ip}, the address at which the internal protocol listens
+ * @param zone {@code zone} of the machine
+ * @param region {@code region} of the machine; empty if missing
+ * @param regionOfZone {@code zones}: regions by their zones
+ * @param firstPort first of {@code port_range}, the port of the internal protocol
+ * @param seeds {@code seeds}: internal addresses of control nodes
+ * @param bootstrap {@code bootstrap}: whether this node may form the first group; default false
+ * @param heartbeatMs {@code heartbeat_ms}, from 1 to 600000
+ * @param dataFolder {@code data_dir}; empty if missing
+ * @param frontend {@code listen.frontend}, null if missing
+ * @param readiness {@code listen.readiness}, null if missing
+ * @param control {@code listen.control}, null if missing
+ * @param toleratedMachines {@code fault_tolerance.machines}; default 0
+ * @param limits {@code limits} of the machine
+ * @param bounds {@code bounds} of the rules
+ */
 public record NodeSettings(
         String nodeName,
         String role,
@@ -34,10 +55,28 @@
     /** The environment variable that names the settings file. */
     public static final String VARIABLE = "MYRTLELADDER_CONFIG";
 
-    /** What the machine gives. */
+    /**
+     * Resources of the machine.
+     *
+     * @param memoryMb {@code memory_mb} in MB; default 256
+     * @param descriptors {@code max_fds}; default 1024
+     */
     public record Limits(int memoryMb, int descriptors) {}
 
-    /** Figures of the rules. */
+    /**
+     * Limits and budgets.
+     *
+     * @param drainMs {@code drain_ms}; default 2000
+     * @param configMs {@code config_ms}; default 2000
+     * @param graceMs {@code grace_s}; default 8 s
+     * @param budgetRatio {@code budget_ratio}, retries to requests; default 0.1
+     * @param budgetWindowMs {@code budget_window_s}; default 10 s
+     * @param budgetSlack {@code budget_slack}, in retries; default 0
+     * @param contactMs {@code contact_ms}; default 3000
+     * @param quotaOverage {@code quota_overage}, as a fraction; default 0
+     * @param quotaSlack {@code quota_slack}; default 0
+     * @param catchUpMs {@code catch_up_s}; default 4 s
+     */
     public record Bounds(
             long drainMs,
             long configMs,
@@ -50,7 +89,11 @@
             double quotaSlack,
             long catchUpMs) {}
 
-    /** Reads the file that the environment names; the file may have changed since the start. */
+    /**
+     * Reads and checks the file that the environment names, as it is now.
+     *
+     * @throws SettingsException if it can't be read, is no TOML, or a setting is missing or invalid
+     */
     public static NodeSettings fromEnvironment() {
         String file = System.getenv(VARIABLE);
         if (file == null || file.isEmpty()) {
@@ -59,7 +102,11 @@
         return read(Path.of(file));
     }
 
-    /** Reads and checks a file. */
+    /**
+     * Reads and checks a file.
+     *
+     * @throws SettingsException as {@link #fromEnvironment}
+     */
     public static NodeSettings read(Path file) {
         String text;
         try {
@@ -70,7 +117,11 @@
         return parse(text);
     }
 
-    /** Reads and checks a text. */
+    /**
+     * Parses and checks a text.
+     *
+     * @throws SettingsException as {@link #fromEnvironment}
+     */
     public static NodeSettings parse(String text) {
         JsonNode root;
         try {
@@ -133,12 +184,12 @@
         return value.asText();
     }
 
-    private static long number(JsonNode node, String name, long least, long most) {
+    private static long number(JsonNode node, String name, long min, long max) {
         JsonNode value = node.path(name);
-        if (!value.isNumber() || value.asLong() < least || value.asLong() > most) {
+        if (!value.isNumber() || value.asLong() < min || value.asLong() > max) {
             throw new SettingsException(
                     ResultCode.SETTINGS_VALUE,
-                    name + " is not a number from " + least + " to " + most);
+                    name + " is not a number from " + min + " to " + max);
         }
         return value.asLong();
     }
--- /dev/null
+++ b/src/main/java/myrtleladder/process/package-info.java
@@ -0,0 +1,2 @@
+/** What the programs of the fleet have in common: settings and command line. */
+package myrtleladder.process;
--- a/src/main/java/myrtleladder/rpc/MessageServer.java
+++ b/src/main/java/myrtleladder/rpc/MessageServer.java
@@ -9,28 +9,41 @@
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.result.ResultException;
 
-/** Takes the calls of other processes of the fleet. */
+/**
+ * Receives the messages of other processes of the fleet: one POST each, with the message in the
+ * body. Answers 200 with a response message, 503 if the handler has none, and 400 if the message
+ * can't be decoded.
+ *
+ * <p>Threading: confined to the event loop.
+ */
 public final class MessageServer {
     private static final byte[] NO_BYTES = {};
 
-    /** Who answers messages. */
+    /** Handles messages on the event loop. */
     public interface Handler {
-        /** Handles a message; the answer, or null for none, is handed over once, now or later. */
+        /**
+         * Handles a message. Passes the response, or null for none, to the consumer once, now or
+         * later.
+         */
         void receive(Message message, Consumer<Message> answer);
     }
 
     private final Handler handler;
-    private long refused;
+    private long undecodable;
 
-    /** Listens at an address. */
+    /**
+     * Listens at an address.
+     *
+     * @throws myrtleladder.eventloop.NetworkException if it can't be bound
+     */
     public MessageServer(EventLoop loop, String host, int port, Handler handler) {
         this.handler = handler;
         new HttpServer(loop, host, port, this::handle);
     }
 
-    /** How many calls could not be read. */
+    /** Returns the number of messages that could not be decoded. */
     public long refused() {
-        return refused;
+        return undecodable;
     }
 
     private void handle(ServerExchange exchange) {
@@ -38,7 +51,7 @@
         try {
             message = MessageCodec.decode(exchange.body());
         } catch (ResultException e) {
-            refused++;
+            undecodable++;
             exchange.respond(400, new Headers(), NO_BYTES);
             return;
         }
--- a/src/main/java/myrtleladder/rpc/OneCall.java
+++ b/src/main/java/myrtleladder/rpc/OneCall.java
@@ -5,7 +5,10 @@
 import myrtleladder.http.RequestHead;
 import myrtleladder.http.ResponseHead;
 
-/** A request on a connection of its own, whose answer is only read. */
+/**
+ * Sends one request on a connection of its own and ignores the response; the connection is closed
+ * after it. Confined to the event loop.
+ */
 public final class OneCall implements HttpConnection.Listener {
     private final RequestHead head;
     private final byte[] body;
@@ -16,7 +19,7 @@
         this.body = body;
     }
 
-    /** Sends a request. */
+    /** Connects and sends a request; failures are ignored. */
     public static void send(EventLoop loop, String host, int port, RequestHead head, byte[] body) {
         OneCall call = new OneCall(head, body);
         call.connection = HttpConnection.connect(loop, host, port, call);
@@ -29,12 +32,12 @@
 
     @Override
     public void head(ResponseHead answer) {
-        // only the end matters
+        // the response is ignored
     }
 
     @Override
     public void body(byte[] bytes) {
-        // only the end matters
+        // the response is ignored
     }
 
     @Override
@@ -44,6 +47,6 @@
 
     @Override
     public void closed(boolean everConnected) {
-        // nothing is left to do
+        // a failed request is not retried
     }
 }
--- a/src/main/java/myrtleladder/rpc/PeerClient.java
+++ b/src/main/java/myrtleladder/rpc/PeerClient.java
@@ -1,6 +1,7 @@
 package myrtleladder.rpc;
 
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -15,14 +16,25 @@
 import myrtleladder.result.ResultException;
 import myrtleladder.scheduler.Scheduler;
 
-/** Calls between the fleet's processes over connections that are kept for the next call. */
+/**
+ * Sends messages to other processes of the fleet over pooled connections, one call in flight on
+ * each. A call that fails in any way, also by timeout, gives a null response; calls are not
+ * retried.
+ *
+ * <p>Threading: confined to the event loop.
+ */
 public final class PeerClient implements Peers {
-    static final String PATH = "/message";
-    private static final int MOST_IDLE = 4;
+    /** Request target of all messages. */
+    private static final String PATH = "/message";
+
+    /** Most idle connections to one address; further ones are closed. Chosen. */
+    private static final int MAX_IDLE_PER_ADDRESS = 4;
+
+    private static final int STATUS_OK = 200;
     private static final byte[] NO_BYTES = {};
 
     private final EventLoop loop;
-    private final Map<String, ArrayDeque<Call>> idle = new HashMap<>();
+    private final Map<String, ArrayDeque<Call>> idleByAddress = new HashMap<>();
 
     /** Creates a client on a loop. */
     public PeerClient(EventLoop loop) {
@@ -32,22 +44,22 @@
     @Override
     public void call(String address, Message message, long timeoutMs, Consumer<Message> answer) {
         byte[] bytes = MessageCodec.encode(message);
-        ArrayDeque<Call> free = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
+        ArrayDeque<Call> free = idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
         Call call = free.pollLast();
         while (call != null && !call.connection.ready()) {
             call = free.pollLast();
         }
         if (call == null) {
             call = new Call(address);
-            call.begin(bytes, timeoutMs, answer);
+            call.start(bytes, timeoutMs, answer);
             call.connect();
         } else {
-            call.begin(bytes, timeoutMs, answer);
+            call.start(bytes, timeoutMs, answer);
             call.send();
         }
     }
 
-    /** A connection with one call on it at most. */
+    /** A connection with one call in flight at most. */
     private final class Call implements HttpConnection.Listener {
         private final String address;
         private HttpConnection connection;
@@ -61,11 +73,11 @@
             this.address = address;
         }
 
-        void begin(byte[] bytes, long timeoutMs, Consumer<Message> consumer) {
+        void start(byte[] bytes, long timeoutMs, Consumer<Message> consumer) {
             request = bytes;
             received = NO_BYTES;
             answer = consumer;
-            timer = loop.schedule(timeoutMs, this::timedOut);
+            timer = loop.schedule(timeoutMs, this::onTimeout);
         }
 
         void connect() {
@@ -83,7 +95,7 @@
             connection.send(new RequestHead("POST", PATH, headers), request);
         }
 
-        private void timedOut() {
+        private void onTimeout() {
             connection.close();
             finish(null);
         }
@@ -115,25 +127,25 @@
 
         @Override
         public void body(byte[] bytes) {
-            byte[] longer = java.util.Arrays.copyOf(received, received.length + bytes.length);
+            byte[] longer = Arrays.copyOf(received, received.length + bytes.length);
             System.arraycopy(bytes, 0, longer, received.length, bytes.length);
             received = longer;
         }
 
         @Override
         public void end(boolean reusable) {
-            ArrayDeque<Call> free = idle.get(address);
-            if (reusable && free.size() < MOST_IDLE) {
+            ArrayDeque<Call> free = idleByAddress.get(address);
+            if (reusable && free.size() < MAX_IDLE_PER_ADDRESS) {
                 free.addLast(this);
             } else if (reusable) {
                 connection.close();
             }
             Message message = null;
-            if (status == 200) {
+            if (status == STATUS_OK) {
                 try {
                     message = MessageCodec.decode(received);
                 } catch (ResultException e) {
-                    message = null;
+                    message = null; // as any other failed call
                 }
             }
             finish(message);
@@ -141,7 +153,7 @@
 
         @Override
         public void closed(boolean everConnected) {
-            idle.get(address).remove(this);
+            idleByAddress.get(address).remove(this);
             finish(null);
         }
     }
--- a/src/main/java/myrtleladder/signal/Signals.java
+++ b/src/main/java/myrtleladder/signal/Signals.java
@@ -3,14 +3,20 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals such as HUP, which ends a JVM that does not handle it. The platform offers nothing but
- * {@code sun.misc.Signal} for that; it is reached by name since the compiler warns of any use and
- * warnings are errors here.
+ * Handles signals such as HUP, which ends a JVM without a handler. The platform has nothing but
+ * {@code sun.misc.Signal} for that; it is called by reflection since the compiler warns of any use
+ * and warnings are errors here.
  */
 public final class Signals {
     private Signals() {}
 
-    /** Runs the action at each signal of a name from now on, on a thread of the JVM's. */
+    /**
+     * Sets the handler of a signal.
+     *
+     * @param name the name of the signal without SIG, such as HUP
+     * @param action runs at each signal, on a thread of the JVM
+     * @throws ReflectiveOperationException if the platform has no such signal or no signals
+     */
     public static void on(String name, Runnable action) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
