--- a/src/main/java/myrtleladder/configuration/Tenant.java
+++ b/src/main/java/myrtleladder/configuration/Tenant.java
@@ -9,7 +9,7 @@
  * @param keys {@code api_keys} by which its requests are recognized
  * @param priority {@code priority}; default 0
  * @param countsTokens whether {@code unit} is tokens rather than requests, the default
- * @param plainTokens {@code plain_tokens}: units of a request without a prompt; default 1
+ * @param plainTokens {@code plain_tokens}: units of a request whose tokens are not known; default 1
  * @param ratePerSecond {@code rate_per_s}, in units; 0, the default, means no limit
  * @param burst {@code burst}, in units; default 0
  */
