--- a/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
@@ -130,10 +130,6 @@
         return forger;
     }
 
-    long catchUpMs() {
-        return CATCH_UP_MS;
-    }
-
     List<Member> seeds() {
         return seeds;
     }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -57,7 +57,7 @@
                                 cluster.tolerated,
                                 isBootstrap,
                                 cluster.seeds(),
-                                cluster.catchUpMs()),
+                                SimulatedCluster.CATCH_UP_MS),
                         node.disk().load(),
                         newStore,
                         this,
