--- a/src/test/java/myrtleladder/controlplane/model/FaultInjector.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultInjector.java
@@ -171,7 +171,8 @@
         victims.forEach(v -> added.add(cluster.addMachine()));
         added.forEach(a -> a.start(false));
         long caughtUpAtMs = cluster.clock.now() + SimulatedCluster.CATCH_UP_MS;
-        cluster.clock.run(random.nextBoolean() ? 1_000 : SimulatedCluster.CATCH_UP_MS + random.nextInt(500));
+        cluster.clock.run(
+                random.nextBoolean() ? 1_000 : SimulatedCluster.CATCH_UP_MS + random.nextInt(500));
         int[] remaining = {victims.size()};
         for (SimulatedNode victim : victims) {
             victim.terminate(
