--- /dev/null
+++ b/src/main/java/myrtleladder/replication/CandidateState.java
@@ -0,0 +1,326 @@
+package myrtleladder.replication;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import myrtleladder.protocol.InstanceRecord;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
+import myrtleladder.protocol.View;
+
+/**
+ * The role of a candidate: one attempt to install a view. It collects promises of its epoch from
+ * majorities of the base view's groups (Paxos phase 1, after an optional pre-vote), chooses the
+ * replicas among those that promised, and lets {@link ViewInstaller} install the view.
+ *
+ * <p>Invariants: an epoch is asked for only after this node has saved its own promise; the view is
+ * based on the last view that any member of the majorities accepted, and only a replica of that one
+ * goes on; the group changes only if the base view is known to be in effect. Confined to the event
+ * loop; created by {@link QuorumState} alone, for one attempt each.
+ */
+final class CandidateState implements RoleState {
+    /** The phases of an attempt in their order. The names appear in the log. */
+    enum Phase {
+        /** Asks without binding anyone whether a majority would promise. */
+        PRE_VOTE,
+        /** Saves its own promise. */
+        SAVING,
+        /** Collects promises. */
+        PREPARING,
+        /** Sends the state to the replicas of the view. */
+        INSTALLING,
+        /** Collects the acceptance of the view. */
+        ACCEPTING,
+        /** The view is installed, or the attempt was given up. */
+        ENDED
+    }
+
+    /** No time yet at which the promises of majorities were complete. */
+    private static final long NOT_REACHED_MS = 0;
+
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final ReconfigurationPlan plan;
+    private final boolean baseInEffect;
+    private final boolean withPreVote;
+    private final long startedAtMs;
+    private final Map<Member, PrepareResponse> promises = new HashMap<>();
+    private final Set<String> askedAddresses = new HashSet<>();
+    private Phase phase = Phase.PRE_VOTE;
+    private long epoch;
+    private long majorityReachedAtMs = NOT_REACHED_MS;
+    private long askedAtMs;
+    private boolean baseReplaced;
+    private View base;
+
+    /**
+     * Creates an attempt; {@link #begin} starts it.
+     *
+     * @param plan the group that is wanted
+     * @param baseInEffect whether the view to start from is known to be in effect, so that its
+     *     group may change
+     * @param withPreVote whether to ask first if a majority would promise
+     */
+    CandidateState(
+            ReplicaContext context,
+            QuorumState quorum,
+            ReconfigurationPlan plan,
+            boolean baseInEffect,
+            boolean withPreVote) {
+        this.context = context;
+        this.quorum = quorum;
+        this.plan = plan;
+        this.baseInEffect = baseInEffect;
+        this.withPreVote = withPreVote;
+        this.startedAtMs = context.nowMs();
+        View accepted = context.storedState().accepted;
+        this.base = accepted == null ? context.view() : accepted;
+        this.epoch = nextEpoch();
+    }
+
+    @Override
+    public Replica.State state() {
+        return Replica.State.CANDIDATE;
+    }
+
+    /** Starts the attempt. */
+    void begin() {
+        if (withPreVote) {
+            enter(Phase.PRE_VOTE);
+            askAll();
+            evaluatePreVotes();
+        } else {
+            prepare();
+        }
+    }
+
+    @Override
+    public void close() {
+        enter(Phase.ENDED);
+    }
+
+    @Override
+    public void poll(long nowMs) {
+        if (phase == Phase.PRE_VOTE
+                && nowMs - askedAtMs >= ReplicationTiming.PRE_VOTE_RETRY_INTERVAL_MS) {
+            // A member that heard a primary a moment ago may not hear it any more.
+            askedAddresses.clear();
+        }
+        if (phase == Phase.PRE_VOTE || phase == Phase.PREPARING) {
+            askAll();
+            evaluatePromises();
+        }
+        if (phase != Phase.ENDED && nowMs - startedAtMs > ReplicationTiming.CANDIDACY_TIMEOUT_MS) {
+            quorum.onCandidacyFailed("the attempt took too long at " + phase, true);
+        }
+    }
+
+    /** Begins a phase. */
+    void enter(Phase next) {
+        phase = next;
+    }
+
+    /** Returns whether the attempt is in a phase. */
+    boolean isIn(Phase expected) {
+        return phase == expected;
+    }
+
+    /** Returns an epoch above all known ones; lower epochs are always rejected. */
+    private long nextEpoch() {
+        return Math.max(context.views().highestEpoch(), context.storedState().promised) + 1;
+    }
+
+    private void askAll() {
+        if (askedAddresses.isEmpty()) {
+            askedAtMs = context.nowMs();
+        }
+        ask(base.group);
+        ask(base.previous);
+        if (phase == Phase.PREPARING) {
+            ask(plan.nextGroup());
+        }
+    }
+
+    /** Asks those members for a promise, or a pre-vote, that have not been asked. */
+    private void ask(List<Member> members) {
+        boolean preVote = phase == Phase.PRE_VOTE;
+        long askedEpoch = epoch;
+        long sentAtMs = context.nowMs();
+        for (Member member : members) {
+            if (member.address.equals(context.self().address)
+                    || !askedAddresses.add(member.address)) {
+                continue;
+            }
+            context.peers()
+                    .call(
+                            member.address,
+                            PrepareRequest.of(askedEpoch, context.self(), preVote),
+                            ReplicationTiming.REQUEST_TIMEOUT_MS,
+                            answer ->
+                                    onAnswer(
+                                            member.address, askedEpoch, preVote, sentAtMs, answer));
+        }
+    }
+
+    private void onAnswer(
+            String address, long askedEpoch, boolean preVote, long sentAtMs, Message answer) {
+        if (answer instanceof PrepareResponse response && response.member != null) {
+            onPrepareResponse(response, preVote, sentAtMs);
+        } else if (askedEpoch == epoch) {
+            askedAddresses.remove(address);
+        }
+    }
+
+    private void onPrepareResponse(PrepareResponse response, boolean preVote, long sentAtMs) {
+        if (phase != (preVote ? Phase.PRE_VOTE : Phase.PREPARING)) {
+            return;
+        }
+        context.views().observeEpoch(response.promised);
+        if (response.accepted != null) {
+            quorum.onViewLearned(response.accepted);
+        }
+        if (response.granted) {
+            promises.put(response.member, response);
+            if (!preVote) {
+                context.contacts().onAcknowledged(response.member, sentAtMs);
+            }
+        } else if (response.promised >= epoch) {
+            // The next attempt begins above the epoch that this member promised.
+            quorum.onCandidacyFailed("epoch " + response.promised + " is ahead", true);
+            return;
+        }
+        if (preVote) {
+            evaluatePreVotes();
+        } else {
+            evaluatePromises();
+        }
+    }
+
+    /** Returns the members that promised, this node included. */
+    private Set<Member> promisingMembers() {
+        Set<Member> members = new LinkedHashSet<>(promises.keySet());
+        members.add(context.self());
+        return members;
+    }
+
+    private void evaluatePreVotes() {
+        if (phase == Phase.PRE_VOTE && base.hasMajority(promisingMembers())) {
+            prepare();
+        }
+    }
+
+    private void prepare() {
+        enter(Phase.SAVING);
+        promises.clear();
+        askedAddresses.clear();
+        epoch = Math.max(epoch, nextEpoch());
+        context.persistentState()
+                .save(context.storedState().withPromised(epoch), this::onOwnPromiseSaved);
+    }
+
+    private void onOwnPromiseSaved(boolean saved) {
+        if (!saved || phase != Phase.SAVING) {
+            return;
+        }
+        enter(Phase.PREPARING);
+        askAll();
+        evaluatePromises();
+    }
+
+    /** Returns the last view that may have committed changes, null if nobody accepted any. */
+    private View lastAccepted() {
+        View last = context.storedState().accepted;
+        for (PrepareResponse promise : promises.values()) {
+            if (promise.accepted != null && (last == null || promise.accepted.epoch > last.epoch)) {
+                last = promise.accepted;
+            }
+        }
+        return last;
+    }
+
+    private void evaluatePromises() {
+        if (phase != Phase.PREPARING) {
+            return;
+        }
+        View last = lastAccepted();
+        if (last == null) {
+            return;
+        }
+        if (!last.replicas.contains(context.self())) {
+            quorum.onNotEligible(last);
+            return;
+        }
+        if (last.epoch > base.epoch) {
+            base = last;
+            baseReplaced = true;
+            askAll();
+        }
+        Set<Member> promising = promisingMembers();
+        if (!base.hasMajority(promising) || !last.hasMajority(promising)) {
+            return;
+        }
+        if (haveEnoughPromised()) {
+            chooseView();
+        }
+    }
+
+    /** Returns whether all have promised, or no more are waited for. */
+    private boolean haveEnoughPromised() {
+        long nowMs = context.nowMs();
+        if (majorityReachedAtMs == NOT_REACHED_MS) {
+            majorityReachedAtMs = nowMs;
+        }
+        return promises.size() >= askedAddresses.size()
+                || nowMs - majorityReachedAtMs >= ReplicationTiming.PROMISE_GATHERING_MS;
+    }
+
+    private void chooseView() {
+        boolean canChangeGroup = canChangeGroup();
+        List<Member> group = canChangeGroup ? plan.nextGroup(promises::containsKey) : base.group;
+        List<Member> previous = canChangeGroup ? base.group : base.previous;
+        Optional<List<Member>> replicas =
+                new ReplicaSelection(context, promises.keySet()).select(base.replicas, group);
+        if (replicas.isEmpty()) {
+            return; // more members may promise before the attempt times out
+        }
+        install(View.of(epoch, context.self(), replicas.get(), group, previous));
+    }
+
+    /**
+     * Returns whether the group may change. Only a view that is known to be in effect can have a
+     * successor with another group; otherwise two different groups might follow one view.
+     */
+    private boolean canChangeGroup() {
+        return baseInEffect && !baseReplaced;
+    }
+
+    private void install(View view) {
+        enter(Phase.INSTALLING);
+        for (Member joiner : plan.joining()) {
+            if (!promises.containsKey(joiner)) {
+                context.membershipRequests().withdrawJoin(joiner);
+            }
+        }
+        new ViewInstaller(context, quorum, this, view).begin();
+    }
+
+    /**
+     * Returns the upstreams that the members that promised and this node know, the latest of each.
+     */
+    List<InstanceRecord> inheritedInstances() {
+        Map<String, InstanceRecord> latest = new LinkedHashMap<>();
+        for (PrepareResponse promise : promises.values()) {
+            promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
+        }
+        context.instances().get().forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
+        return new ArrayList<>(latest.values());
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/ChangeReplicator.java
@@ -0,0 +1,122 @@
+package myrtleladder.replication;
+
+import java.util.function.Consumer;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.ReplicateRequest;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.View;
+
+/**
+ * Replicates the changes of a primary, one at a time.
+ *
+ * <p>Invariant: a change is reported as committed only after every replica of the view has saved
+ * it, or after a view that carries it was installed. Confined to the event loop; used by {@link
+ * PrimaryState} alone.
+ */
+final class ChangeReplicator {
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final ViewChangeTrigger viewChangeTrigger;
+    private PendingChange pending;
+
+    /** A change that not all replicas have acknowledged. */
+    private static final class PendingChange {
+        final Consumer<Boolean> onCommitted;
+        int missingAcknowledgements;
+
+        PendingChange(int missingAcknowledgements, Consumer<Boolean> onCommitted) {
+            this.missingAcknowledgements = missingAcknowledgements;
+            this.onCommitted = onCommitted;
+        }
+    }
+
+    ChangeReplicator(
+            ReplicaContext context, QuorumState quorum, ViewChangeTrigger viewChangeTrigger) {
+        this.context = context;
+        this.quorum = quorum;
+        this.viewChangeTrigger = viewChangeTrigger;
+    }
+
+    /** Returns whether a change is in flight. */
+    boolean isChangeInFlight() {
+        return pending != null;
+    }
+
+    /** Saves a change here and sends it to the other replicas; none may be in flight. */
+    void submit(
+            byte[] document, long generation, String changeDigest, Consumer<Boolean> onCommitted) {
+        View view = context.view();
+        Snapshot next = context.storedState().snapshot.with(document, generation, changeDigest);
+        PendingChange change = new PendingChange(view.replicas.size(), onCommitted);
+        pending = change;
+        context.persistentState()
+                .save(
+                        context.storedState().withSnapshot(next),
+                        saved -> onReplicaAnswered(change, saved, context.self()));
+        ReplicateRequest request =
+                ReplicateRequest.of(view.epoch, document, generation, changeDigest);
+        for (Member member : view.replicas) {
+            if (!context.isSelf(member)) {
+                send(change, request, member);
+            }
+        }
+    }
+
+    /** Ends the change in flight, if there is one, with a known or unknown outcome. */
+    void finish(boolean committed) {
+        PendingChange change = pending;
+        pending = null;
+        if (change != null) {
+            change.onCommitted.accept(committed);
+        }
+    }
+
+    private void send(PendingChange change, ReplicateRequest request, Member member) {
+        long sentAtMs = context.nowMs();
+        context.peers()
+                .call(
+                        member.address,
+                        request,
+                        ReplicationTiming.STORAGE_TIMEOUT_MS,
+                        answer -> {
+                            boolean acknowledged =
+                                    answer instanceof AcknowledgeResponse response
+                                            && response.taken
+                                            && member.equals(response.member);
+                            if (acknowledged) {
+                                context.contacts().onAcknowledged(member, sentAtMs);
+                            }
+                            if (answer instanceof AcknowledgeResponse response
+                                    && response.promised > context.storedState().promised) {
+                                quorum.onHigherEpochPromised(response.promised);
+                            }
+                            onReplicaAnswered(change, acknowledged, member);
+                        });
+    }
+
+    private void onReplicaAnswered(PendingChange change, boolean acknowledged, Member member) {
+        if (pending != change || !quorum.isPrimary()) {
+            return;
+        }
+        if (!acknowledged) {
+            replace(member);
+            return;
+        }
+        change.missingAcknowledgements--;
+        if (change.missingAcknowledgements == 0) {
+            pending = null;
+            // Before the callback, which may submit the next change at once.
+            viewChangeTrigger.changeViewIfDue();
+            change.onCommitted.accept(true);
+        }
+    }
+
+    /** Starts a view without a replica that failed; a failed save of this node is handled there. */
+    private void replace(Member member) {
+        if (!context.isSelf(member)) {
+            context.unresponsiveReplicas().add(member);
+            quorum.transitionToCandidate(false, "replica " + member + " does not take a change");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/FollowerState.java
@@ -0,0 +1,66 @@
+package myrtleladder.replication;
+
+import myrtleladder.protocol.View;
+
+/**
+ * The role of a member that follows a primary or waits for one. It becomes a candidate once the
+ * election timeout has passed without contact, if it is a replica. Confined to the event loop.
+ */
+final class FollowerState implements RoleState {
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final JoinRequester joinRequester;
+
+    FollowerState(ReplicaContext context, QuorumState quorum, JoinRequester joinRequester) {
+        this.context = context;
+        this.quorum = quorum;
+        this.joinRequester = joinRequester;
+    }
+
+    @Override
+    public Replica.State state() {
+        return Replica.State.FOLLOWER;
+    }
+
+    @Override
+    public void poll(long nowMs) {
+        boolean voter = context.views().isVoter();
+        if (!voter || lacksPrimary(nowMs)) {
+            joinRequester.poll(nowMs);
+        }
+        if (voter && isEligible() && mayBecomeCandidate(nowMs)) {
+            quorum.transitionToCandidate(true, "no primary is heard");
+        }
+    }
+
+    private boolean lacksPrimary(long nowMs) {
+        return context.electionTimer().millisSinceContact(nowMs)
+                > ReplicationTiming.PRIMARY_LOOKUP_TIMEOUT_MS;
+    }
+
+    /**
+     * Returns whether this node is a replica of the last view known or stored. Whether a later view
+     * exists is known to the members that promise.
+     */
+    private boolean isEligible() {
+        View accepted = context.storedState().accepted;
+        return context.views().isReplica()
+                || accepted != null && accepted.replicas.contains(context.self());
+    }
+
+    private boolean mayBecomeCandidate(long nowMs) {
+        ElectionTimer timer = context.electionTimer();
+        return !timer.isSuppressed(nowMs)
+                && !context.persistentState().isStalled()
+                && timer.hasExpired(nowMs, electionDelayMs());
+    }
+
+    /** Returns what is added to the election timeout by rank and for a node that is leaving. */
+    private long electionDelayMs() {
+        View view = context.view();
+        int position = view.replicas.indexOf(context.self());
+        int rank = position >= 0 ? position : view.replicas.size();
+        long leavingDelayMs = quorum.isLeaving() ? ReplicationTiming.LEAVING_ELECTION_DELAY_MS : 0;
+        return leavingDelayMs + rank * ReplicationTiming.ELECTION_TIMEOUT_PER_RANK_MS;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/JoinRequester.java
@@ -0,0 +1,54 @@
+package myrtleladder.replication;
+
+import java.util.Optional;
+import myrtleladder.protocol.JoinRequest;
+import myrtleladder.protocol.JoinResponse;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.View;
+
+/**
+ * Asks other nodes for the current view and, if this node is no member of it, to be admitted.
+ * Confined to the event loop; polled by {@link JoiningState} and {@link FollowerState}.
+ */
+final class JoinRequester {
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final PeerAddressRotation addresses;
+    private long lastRequestMs;
+
+    JoinRequester(ReplicaContext context, QuorumState quorum) {
+        this.context = context;
+        this.quorum = quorum;
+        this.addresses = new PeerAddressRotation(context.self(), context.options().seedAddresses());
+    }
+
+    /** Sends a request if one is due; a node that is leaving sends none. */
+    void poll(long nowMs) {
+        boolean due = nowMs - lastRequestMs >= ReplicationTiming.JOIN_RETRY_INTERVAL_MS;
+        if (due && !quorum.isLeaving()) {
+            lastRequestMs = nowMs;
+            addresses.next(context.view(), primaryAddress()).ifPresent(this::sendRequest);
+        }
+    }
+
+    /** Returns the address of the known primary unless it is that of this machine. */
+    private Optional<String> primaryAddress() {
+        View view = context.view();
+        Member primary = view == null ? null : view.primary;
+        boolean elsewhere = primary != null && !primary.address.equals(context.self().address);
+        return elsewhere ? Optional.of(primary.address) : Optional.empty();
+    }
+
+    private void sendRequest(String address) {
+        context.peers()
+                .call(
+                        address,
+                        JoinRequest.of(context.self()),
+                        ReplicationTiming.REQUEST_TIMEOUT_MS,
+                        answer -> {
+                            if (answer instanceof JoinResponse response && response.view != null) {
+                                quorum.onViewLearned(response.view);
+                            }
+                        });
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/LeaveRequester.java
@@ -0,0 +1,117 @@
+package myrtleladder.replication;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import myrtleladder.protocol.LeaveRequest;
+import myrtleladder.protocol.LeaveResponse;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.View;
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+
+/**
+ * Takes this node out of the group before its process ends: asks the primary to be released until
+ * neither its copy of the state nor its vote is needed, or until the deadline.
+ *
+ * <p>Confined to the event loop. Started once, by {@link Replica#leave}; the callback runs exactly
+ * once.
+ */
+final class LeaveRequester {
+    private static final Logger LOG = LogManager.getLogger(Replica.class);
+
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final PeerAddressRotation addresses;
+    private boolean started;
+    private boolean ended;
+    private long deadlineMs;
+    private Consumer<Boolean> onEnded;
+
+    LeaveRequester(ReplicaContext context, QuorumState quorum) {
+        this.context = context;
+        this.quorum = quorum;
+        this.addresses = new PeerAddressRotation(context.self(), context.options().seedAddresses());
+    }
+
+    /** Returns whether this node was asked to leave. */
+    boolean isStarted() {
+        return started;
+    }
+
+    /**
+     * Resigns if this node is the primary, then asks to be released; without effect if it was
+     * started before.
+     *
+     * @param timeoutMs after which the node ends even if the group has not released it
+     * @param whenEnded takes whether the group released this node
+     */
+    void start(long timeoutMs, Consumer<Boolean> whenEnded) {
+        if (started) {
+            return;
+        }
+        started = true;
+        deadlineMs = context.nowMs() + timeoutMs;
+        onEnded = whenEnded;
+        if (quorum.isPrimary()) {
+            quorum.resign("asked to end");
+        }
+        requestRelease();
+    }
+
+    private void requestRelease() {
+        if (ended) {
+            return;
+        }
+        if (context.nowMs() >= deadlineMs) {
+            end(false);
+            return;
+        }
+        Optional<String> address = addresses.next(context.view(), primaryAddress());
+        if (address.isPresent()) {
+            sendRequest(address.get());
+        } else {
+            end(false); // no other node could take anything over
+        }
+        context.scheduler()
+                .schedule(ReplicationTiming.LEAVE_RETRY_INTERVAL_MS, this::requestRelease);
+    }
+
+    /** Returns the address of the known primary unless that is this member. */
+    private Optional<String> primaryAddress() {
+        View view = context.view();
+        Member primary = view == null ? null : view.primary;
+        boolean other = primary != null && !context.isSelf(primary);
+        return other ? Optional.of(primary.address) : Optional.empty();
+    }
+
+    private void sendRequest(String address) {
+        context.peers()
+                .call(
+                        address,
+                        LeaveRequest.of(context.self()),
+                        ReplicationTiming.REQUEST_TIMEOUT_MS,
+                        answer -> {
+                            if (answer instanceof LeaveResponse response) {
+                                onResponse(response);
+                            }
+                        });
+    }
+
+    private void onResponse(LeaveResponse response) {
+        if (ended) {
+            return;
+        }
+        if (response.view != null) {
+            quorum.onViewLearned(response.view);
+        }
+        if (response.released) {
+            end(true);
+        }
+    }
+
+    private void end(boolean released) {
+        ended = true;
+        LOG.info("leaves; released by the group: {}", released);
+        onEnded.accept(released);
+    }
+}
--- a/src/main/java/myrtleladder/replication/MemberContacts.java
+++ b/src/main/java/myrtleladder/replication/MemberContacts.java
@@ -8,42 +8,45 @@
 import myrtleladder.protocol.Member;
 
 /**
- * When each member last answered a primary. An answer counts from the moment at which its question
- * was sent, so that one that is read late, after a freeze too, proves nothing about the time since.
+ * When each member last acknowledged a request of this node.
+ *
+ * <p>Invariant: an acknowledgement counts from the sending of its request, so one that is read
+ * late, even after the process was paused, proves nothing about the time since. Confined to the
+ * event loop.
  */
 final class MemberContacts {
-    private final Map<Member, Long> answeredAt = new HashMap<>();
-    private final Map<Member, Long> watchedSince = new HashMap<>();
+    private final Map<Member, Long> acknowledgedAtMs = new HashMap<>();
+    private final Map<Member, Long> watchedSinceMs = new HashMap<>();
 
-    /** A member answered a question that was sent at the given time. */
-    void answered(Member member, long sentAt) {
-        answeredAt.merge(member, sentAt, Math::max);
+    /** Takes the acknowledgement of a request that was sent at the given time. */
+    void onAcknowledged(Member member, long sentAtMs) {
+        acknowledgedAtMs.merge(member, sentAtMs, Math::max);
     }
 
-    /** Members whose silence counts from now on, if it does not yet. */
-    void watch(Collection<Member> members, long now) {
-        watchedSince.keySet().retainAll(members);
-        members.forEach(member -> watchedSince.putIfAbsent(member, now));
+    /** Watches these members and no others, each from now on unless it is watched already. */
+    void watch(Collection<Member> members, long nowMs) {
+        watchedSinceMs.keySet().retainAll(members);
+        members.forEach(member -> watchedSinceMs.putIfAbsent(member, nowMs));
     }
 
-    /** Forgets all answers: this process stood still, or leads no more. */
-    void clear(long now) {
-        answeredAt.clear();
-        watchedSince.replaceAll((member, since) -> now);
+    /** Drops all acknowledgements; watched members are watched from now on. */
+    void clear(long nowMs) {
+        acknowledgedAtMs.clear();
+        watchedSinceMs.replaceAll((member, sinceMs) -> nowMs);
     }
 
-    /** How long a member has been silent. */
-    long silence(Member member, long now) {
-        long since = watchedSince.getOrDefault(member, now);
-        return now - Math.max(since, answeredAt.getOrDefault(member, since));
+    /** Returns the time since a member was last in contact, 0 if it is not watched. */
+    long millisSinceContact(Member member, long nowMs) {
+        long sinceMs = watchedSinceMs.getOrDefault(member, nowMs);
+        return nowMs - Math.max(sinceMs, acknowledgedAtMs.getOrDefault(member, sinceMs));
     }
 
-    /** The members that answered a question sent at the given time or later. */
-    List<Member> answeredSince(long time) {
+    /** Returns the members that acknowledged a request sent at the given time or later. */
+    List<Member> acknowledgedSince(long timeMs) {
         List<Member> members = new ArrayList<>();
-        answeredAt.forEach(
-                (member, at) -> {
-                    if (at >= time) {
+        acknowledgedAtMs.forEach(
+                (member, atMs) -> {
+                    if (atMs >= timeMs) {
                         members.add(member);
                     }
                 });
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -1,13 +1,9 @@
 package myrtleladder.replication;
 
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import java.util.stream.Collectors;
 import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
@@ -25,30 +21,35 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Primary-backup replication with witnesses. A change is committed once every replica of the
- * current view has synced it. A view is installed under a new epoch by a member that is a replica
- * of the last view, once the replicas have the whole state and a majority of the group has stored
- * it; from the promise of an epoch on a member takes nothing from lower ones.
+ * A node of primary-backup replication with voting members that store epochs only.
+ *
+ * <p>A change is committed once every replica of the current view has saved it. A member that is a
+ * replica of the last view installs the next one under a new epoch, once the replicas have the
+ * complete state and majorities of the group and of the group before it have saved the view. From
+ * the promise of an epoch on, a member rejects requests of lower ones.
+ *
+ * <p>This class is the entry point; {@link QuorumState} holds the role. Confined to the event loop
+ * of the scheduler, which also runs all callbacks.
  */
 public final class Replica {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
 
-    /** What this node is at the moment. */
+    /** The role of a node. The names are visible to operators in the status and the log. */
     public enum State {
-        /** Outside of the group: it asks to be admitted. */
+        /** Outside of the group: asks to be admitted. */
         JOINING,
-        /** A member that hears a primary or waits for one. */
+        /** A member that follows a primary or waits for one. */
         FOLLOWER,
-        /** It tries to install a view. */
+        /** Attempts to install a view. */
         CANDIDATE,
-        /** It leads the view that holds. */
+        /** Leads the view that is in effect. */
         PRIMARY
     }
 
-    /** Who hears of changes of the role. */
+    /** Is notified of changes of the role, on the event loop. */
     public interface Listener {
         /**
-         * This node is primary of a new epoch; {@code instances} are the upstreams that others
+         * This node is primary of a new epoch; {@code instances} are the upstreams that the members
          * knew.
          */
         void becamePrimary(Collection<InstanceRecord> instances);
@@ -56,37 +57,24 @@
         /** This node is primary no more. */
         void lostPrimacy();
 
-        /** A candidate handed over its upstreams along with the state. */
+        /** A candidate sent the upstreams that it knows along with the state. */
         void inherit(Collection<InstanceRecord> instances);
     }
 
-    private final ReplicaOptions options;
-    private final Scheduler scheduler;
-    private final Peers peers;
-    private final Listener listener;
-    private final Supplier<List<InstanceRecord>> instances;
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final VoterRequestHandler voterRequestHandler;
+    private final RolePoller rolePoller;
     private final List<InstanceRecord> instancesAtStart;
-    private final StateKeeper keeper;
-    private final Voter voter;
-    private final Leadership leadership;
-    private final Map<Member, Long> avoidUntil = new HashMap<>();
-    private final Member self;
-    private State state = State.JOINING;
-    private View known;
-    private Candidacy candidacy;
-    private Departure departure;
     private boolean identityStored;
-    private boolean leading;
-    private long highestSeen;
-    private long lastHeard;
-    private long primaryHeardAt = Long.MIN_VALUE / 2;
-    private long lastTick;
-    private long lastJoin;
-    private long patience = ReplicaTimes.FIRST_PATIENCE;
-    private long suppressedUntil;
-    private int joinTurn;
-
-    /** Creates a replica from what its disk held, null for an empty one. */
+
+    /**
+     * Creates a replica; {@link #start} lets it take part.
+     *
+     * @param onDisk what the storage holds, null if it is empty
+     * @param newStore the identity of the store if it is empty
+     * @param instances the upstreams that this node knows now
+     */
     public Replica(
             ReplicaOptions options,
             StoredState onDisk,
@@ -96,50 +84,35 @@
             Peers peers,
             Listener listener,
             Supplier<List<InstanceRecord>> instances) {
-        this.options = options;
-        this.scheduler = scheduler;
-        this.peers = peers;
-        this.listener = listener;
-        this.instances = instances;
-        StoredState first = onDisk == null ? firstState(newStore) : onDisk;
-        this.instancesAtStart = first.instances;
-        this.keeper = new StateKeeper(first, storage, scheduler, instances, this::diskFailed);
-        this.self = Member.of(options.self().address, options.self().control, first.store);
-        this.voter = new Voter(this);
-        this.leadership = new Leadership(this, scheduler);
-        this.known = first.accepted;
+        StoredState initial = onDisk == null ? InitialState.create(options, newStore) : onDisk;
+        Member self = Member.of(options.self().address, options.self().control, initial.store);
+        ViewTracker views = new ViewTracker(self, initial.accepted);
+        this.context =
+                new ReplicaContext(
+                        options,
+                        self,
+                        scheduler,
+                        peers,
+                        instances,
+                        views,
+                        new PersistentState(
+                                initial, storage, scheduler, instances, views, this::onSaveFailed),
+                        new ElectionTimer(scheduler),
+                        new MemberContacts(),
+                        new MembershipRequests(),
+                        new UnresponsiveReplicas(scheduler));
+        this.quorum = new QuorumState(context, listener);
+        this.voterRequestHandler = new VoterRequestHandler(context, quorum, listener);
+        this.rolePoller = new RolePoller(context, quorum);
+        this.instancesAtStart = initial.instances;
         this.identityStored = onDisk != null;
     }
 
-    /**
-     * On the first start of the system the seeds are the group, under identities that all can tell.
-     */
-    private StoredState firstState(String newStore) {
-        boolean seed =
-                options.seeds().stream().anyMatch(s -> s.address.equals(options.self().address));
-        if (!options.bootstrap() || !seed) {
-            return StoredState.of(newStore, 0, null, new Snapshot());
-        }
-        List<Member> group =
-                options.seeds().stream()
-                        .map(s -> Member.of(s.address, s.control, firstStore(s)))
-                        .toList();
-        return StoredState.of(
-                firstStore(options.self()),
-                0,
-                View.of(0, null, group, group, group),
-                new Snapshot());
-    }
-
-    private static String firstStore(Member seed) {
-        return "first-" + seed.address;
-    }
-
-    /** Begins to take part. */
+    /** Starts to take part. Called once. */
     public void start() {
-        lastHeard = scheduler.now();
-        lastTick = lastHeard;
-        StoredState stored = stored();
+        context.electionTimer().restart();
+        rolePoller.initialize();
+        StoredState stored = context.storedState();
         LOG.info(
                 "replica starts: store {} promised {} view {} generation {}",
                 stored.store,
@@ -149,494 +122,187 @@
         storeIdentity();
     }
 
-    /** Nothing is said to others before they could know this node again. */
+    /** Saves the identity of the store; before that, nothing is sent to or answered to others. */
     private void storeIdentity() {
-        saveState(
-                stored(),
-                ok -> {
-                    if (!ok && !identityStored) {
-                        scheduler.schedule(ReplicaTimes.SUPPRESSED, this::storeIdentity);
-                        return;
-                    }
-                    identityStored = true;
-                    if (inGroup()) {
-                        become(State.FOLLOWER, "in the group");
-                    }
-                    tick();
-                });
+        context.persistentState().save(context.storedState(), this::onIdentitySaved);
     }
 
-    // ---- What others may ask
-    // -------------------------------------------------------------------------
+    private void onIdentitySaved(boolean saved) {
+        if (!saved && !identityStored) {
+            context.scheduler()
+                    .schedule(ReplicationTiming.IDENTITY_SAVE_RETRY_DELAY_MS, this::storeIdentity);
+            return;
+        }
+        identityStored = true;
+        if (context.views().isVoter()) {
+            quorum.transitionToFollower("in the group");
+        }
+        rolePoller.poll();
+    }
 
-    /** What this node is. */
+    private void onSaveFailed() {
+        quorum.onSaveFailed();
+    }
+
+    /** Returns the role of this node. */
     public State state() {
-        return state;
+        return quorum.state();
     }
 
-    /** The view that holds as far as this node knows, null if it knows none. */
+    /** Returns the latest view that this node knows, null if it knows none. */
     public View view() {
-        return known;
+        return context.view();
     }
 
-    /** This node. */
+    /** Returns this node. */
     public Member self() {
-        return self;
+        return context.self();
     }
 
-    /** The epoch promised last. */
+    /** Returns the epoch promised last. */
     public long epoch() {
-        return stored().promised;
+        return context.storedState().promised;
     }
 
-    /** The replicated state; committed if this node is primary and no change is under way. */
+    /**
+     * Returns the replicated state; committed if this node is primary and no change is in flight.
+     */
     public Snapshot snapshot() {
-        return stored().snapshot;
+        return context.storedState().snapshot;
     }
 
-    /** Upstreams as the disk held them at the start. */
+    /** Returns the upstreams that the storage held at the start. */
     public List<InstanceRecord> instancesAtStart() {
         return instancesAtStart;
     }
 
     /**
-     * Whether a majority confirmed this primary a short while ago. A primary that installs another
-     * view of its own still leads the one before: nobody else may while the members hear of it.
+     * Returns whether a majority confirmed this primary a short while ago. A primary that installs
+     * another view of its own still leads the one before.
      */
     public boolean recentlyConfirmed() {
-        boolean leads = state == State.PRIMARY || state == State.CANDIDATE && leading;
-        return leads && leadership.recentlyConfirmed();
+        return quorum.hasPrimacy() && quorum.primaryState().isRecentlyConfirmed();
     }
 
-    /** The primary if it was heard itself a short while ago, else null. */
+    /** Returns the primary if this node is it or heard it a short while ago, else null. */
     public Member primary() {
-        if (state == State.PRIMARY) {
-            return self;
+        if (quorum.isPrimary()) {
+            return context.self();
         }
         boolean heard =
-                scheduler.now() - primaryHeardAt < ReplicaTimes.PATIENCE + ReplicaTimes.HEARTBEAT;
-        return known != null && heard ? known.primary : null;
+                context.electionTimer()
+                        .hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_REDIRECT_VALIDITY_MS);
+        return context.view() != null && heard ? context.view().primary : null;
     }
 
-    /** Whether a change is under way. */
+    /** Returns whether a change or an attempt to install a view is in flight. */
     public boolean busy() {
-        return leadership.changing() || state == State.CANDIDATE;
+        return quorum.primaryState().isChangeInFlight() || quorum.isCandidate();
     }
 
-    /** Whether this node was asked to end and waits until it may. */
+    /** Returns whether this node was asked to leave the group. */
     public boolean leaving() {
-        return departure != null;
+        return quorum.isLeaving();
     }
 
-    // ---- Orders of this process
-    // --------------------------------------------------------------------
-
-    /** Asks a majority whether this node is still primary; the answer is handed over once. */
-    public void confirm(Consumer<Boolean> done) {
-        if (state == State.PRIMARY) {
-            leadership.confirm(done);
+    /** Asks a majority whether this node is still primary; the callback runs once. */
+    public void confirm(Consumer<Boolean> onConfirmed) {
+        if (quorum.isPrimary()) {
+            quorum.primaryState().confirm(onConfirmed);
         } else {
-            done.accept(false);
+            onConfirmed.accept(false);
         }
     }
 
     /**
-     * Takes a change. It is told true once every replica has synced it, false if that is not known;
-     * then it may be in force later or not.
+     * Submits a change.
+     *
+     * @param generation the operator's number of the document
+     * @param changeDigest identifies the change request, so that a repeated one is known
+     * @param onCommitted takes true once every replica has saved the change, false if the outcome
+     *     is unknown: the change may take effect later or not; called once
      */
-    public void submit(byte[] document, long generation, String order, Consumer<Boolean> done) {
-        if (state != State.PRIMARY || leadership.changing()) {
-            done.accept(false);
+    public void submit(
+            byte[] document, long generation, String changeDigest, Consumer<Boolean> onCommitted) {
+        if (!quorum.isPrimary() || quorum.primaryState().isChangeInFlight()) {
+            onCommitted.accept(false);
         } else {
-            leadership.submit(document, generation, order, done);
+            quorum.primaryState().submit(document, generation, changeDigest, onCommitted);
         }
     }
 
-    /** Writes what is known of upstreams along with the state, if this node holds copies. */
+    /** Saves the known upstreams if this node is a replica and no other save is in flight. */
     public void saveInstances() {
-        if (holdsCopy() && keeper.idle()) {
-            saveState(stored(), ok -> {});
+        if (context.views().isReplica() && context.persistentState().isIdle()) {
+            context.persistentState().save(context.storedState(), saved -> {});
         }
     }
 
-    /** Writes what is known of upstreams and tells when it is on the disk, false if it is not. */
-    public void saveInstancesNow(Consumer<Boolean> done) {
-        if (holdsCopy()) {
-            saveState(stored(), done);
+    /**
+     * Saves the known upstreams.
+     *
+     * @param onSaved takes whether they are durable, false if this node is no replica; called once
+     */
+    public void saveInstancesNow(Consumer<Boolean> onSaved) {
+        if (context.views().isReplica()) {
+            context.persistentState().save(context.storedState(), onSaved);
         } else {
-            done.accept(false);
-        }
-    }
-
-    /** Gives the role up and asks the next replica to take it. */
-    public void resign(String why) {
-        suppressedUntil = scheduler.now() + ReplicaTimes.SUPPRESSED;
-        boolean was = state == State.PRIMARY;
-        Member successor = was ? successor() : null;
-        become(State.FOLLOWER, why);
-        lastHeard = scheduler.now();
-        if (successor != null) {
-            peers.call(
-                    successor.address,
-                    ResignRequest.of(known.epoch),
-                    ReplicaTimes.CALL,
-                    answer -> {});
+            onSaved.accept(false);
         }
     }
 
-    private Member successor() {
-        Member leaving = null;
-        for (Member replica : known.replicas) {
-            if (replica.equals(self)) {
-                continue;
-            }
-            if (!leadership.leaves(replica)) {
-                return replica;
-            }
-            leaving = replica;
-        }
-        return leaving;
+    /** Gives up the role and asks the next replica to take over. */
+    public void resign(String reason) {
+        quorum.resign(reason);
     }
 
     /**
-     * Leaves the group before this process ends: another node leads, copy and vote are handed over.
-     * {@code ended} is run once, when nothing depends on this node any more or the time is over.
+     * Leaves the group before this process ends: another node becomes primary, this node's copy of
+     * the state and its vote are replaced. Without effect if called before.
+     *
+     * @param timeoutMs after which this node ends whether it was released or not, in milliseconds
+     * @param onEnded takes whether the group released this node; called once
      */
-    public void leave(long withinMs, Consumer<Boolean> ended) {
-        if (departure != null) {
-            return;
-        }
-        departure =
-                new Departure(
-                        self,
-                        scheduler,
-                        peers,
-                        this::view,
-                        seedAddresses(),
-                        withinMs,
-                        new Departure.Listener() {
-                            @Override
-                            public void learned(View view) {
-                                learn(view);
-                            }
-
-                            @Override
-                            public void ended(boolean released) {
-                                LOG.info("leaves; released by the group: {}", released);
-                                ended.accept(released);
-                            }
-                        });
-        if (state == State.PRIMARY) {
-            resign("asked to end");
-        }
-        departure.begin();
-    }
-
-    private Set<String> seedAddresses() {
-        return options.seeds().stream().map(s -> s.address).collect(Collectors.toSet());
-    }
-
-    // ---- Changes of state
-    // ----------------------------------------------------------------------------
-
-    private void become(State next, String why) {
-        if (state == next) {
-            return;
-        }
-        State before = state;
-        state = next;
-        LOG.info("{} -> {} epoch {}: {}", before, next, stored().promised, why);
-        if (next != State.CANDIDATE && candidacy != null) {
-            candidacy.end();
-            candidacy = null;
-        }
-        if (next == State.FOLLOWER || next == State.JOINING) {
-            leadership.ended();
-            if (leading) {
-                leading = false;
-                listener.lostPrimacy();
-            }
-        }
-    }
-
-    private boolean holdsCopy() {
-        return known != null && known.replicas.contains(self);
-    }
-
-    void saveState(StoredState next, Consumer<Boolean> done) {
-        keeper.save(next, holdsCopy(), done);
-    }
-
-    /** Writes a state that makes this node a replica of the view that is to follow. */
-    void saveCopy(StoredState next, Consumer<Boolean> done) {
-        keeper.save(next, true, done);
-    }
-
-    boolean diskStuck() {
-        return keeper.stuck();
-    }
-
-    private void diskFailed() {
-        suppressedUntil = scheduler.now() + ReplicaTimes.SUPPRESSED;
-        if (state == State.PRIMARY || state == State.CANDIDATE) {
-            resign("the disk does not take the state");
-        }
-    }
-
-    private boolean inGroup() {
-        return known != null && known.group.contains(self);
-    }
-
-    // ---- Time
-    // ----------------------------------------------------------------------------------------
-
-    private void tick() {
-        long now = scheduler.now();
-        scheduler.schedule(ReplicaTimes.TICK, this::tick);
-        if (now - lastTick > ReplicaTimes.FROZEN) {
-            lastHeard = now; // this process stood still: the silence was its own
-            leadership.stoodStill(now);
-        }
-        lastTick = now;
-        switch (state) {
-            case PRIMARY -> leadership.time(now);
-            case CANDIDATE -> candidacy.tick(now);
-            default -> follow(now);
-        }
-    }
-
-    private void follow(long now) {
-        boolean member = inGroup();
-        if ((!member || now - lastHeard > ReplicaTimes.LOOK_ROUND)
-                && departure == null
-                && now - lastJoin >= ReplicaTimes.JOIN) {
-            lastJoin = now;
-            join();
-        }
-        if (member && mayStand() && now >= suppressedUntil && !diskStuck()) {
-            if (now - lastHeard > patience + extraPatience()) {
-                stand(true, "no primary is heard");
-            }
-        }
+    public void leave(long timeoutMs, Consumer<Boolean> onEnded) {
+        quorum.leaveRequester().start(timeoutMs, onEnded);
     }
 
     /**
-     * A replica of the last view known or stored; whoever promises knows whether a later one is.
+     * Handles a request of another node.
+     *
+     * @param answer takes the answer, null if there is to be none; called once
+     * @return whether it is a request of this protocol
      */
-    private boolean mayStand() {
-        View accepted = stored().accepted;
-        return holdsCopy() || accepted != null && accepted.replicas.contains(self);
-    }
-
-    private long extraPatience() {
-        int rank = known.replicas.indexOf(self);
-        int place = rank >= 0 ? rank : known.replicas.size();
-        long leaving = departure == null ? 0 : ReplicaTimes.LEAVING_PATIENCE;
-        return leaving + place * ReplicaTimes.PATIENCE_BY_RANK;
-    }
-
-    /** Asks who leads, and to be admitted if this node is no member. */
-    private void join() {
-        List<String> others = NodeAddresses.others(self, known, seedAddresses());
-        if (others.isEmpty()) {
-            return;
-        }
-        Member primary = known == null ? null : known.primary;
-        boolean named = primary != null && !primary.address.equals(self.address);
-        String target =
-                named && joinTurn % 2 == 0
-                        ? primary.address
-                        : others.get(joinTurn / 2 % others.size());
-        joinTurn++;
-        peers.call(
-                target,
-                JoinRequest.of(self),
-                ReplicaTimes.CALL,
-                answer -> {
-                    if (answer instanceof JoinResponse reply && reply.view != null) {
-                        learn(reply.view);
-                    }
-                });
-    }
-
-    private void learn(View view) {
-        if (known == null || view.epoch > known.epoch) {
-            known = view;
-            if (state == State.FOLLOWER && !inGroup()) {
-                become(State.JOINING, "not in the group of " + view);
-            } else if (state == State.JOINING && inGroup()) {
-                become(State.FOLLOWER, "in the group of " + view);
-            }
-        }
-    }
-
-    // ---- A new view
-    // ----------------------------------------------------------------------------------
-
-    void stand(boolean trial, String why) {
-        boolean chosen = state == State.PRIMARY;
-        GroupPlan plan = chosen ? leadership.plan() : GroupPlan.unchanged(known.group);
-        become(State.CANDIDATE, why);
-        lastHeard = scheduler.now();
-        candidacy = new Candidacy(this, plan, chosen, trial);
-        candidacy.begin();
-    }
-
-    void lost(String why, boolean soon) {
-        lastHeard = scheduler.now();
-        patience = soon ? ReplicaTimes.RETRY : ReplicaTimes.PATIENCE;
-        become(inGroup() ? State.FOLLOWER : State.JOINING, why);
-    }
-
-    /** Another member holds a later copy: this one stands back for a while. */
-    void notEligible(View last) {
-        learn(last);
-        suppressedUntil = scheduler.now() + ReplicaTimes.NOT_ELIGIBLE;
-        lost("not a replica of " + last, false);
-    }
-
-    void won(View view, Collection<InstanceRecord> inherited) {
-        known = view;
-        lastHeard = scheduler.now();
-        patience = ReplicaTimes.PATIENCE;
-        become(State.PRIMARY, view.toString());
-        leading = true;
-        leadership.began(view);
-        listener.becamePrimary(inherited);
-    }
-
-    void deposed(long epoch) {
-        lastHeard = scheduler.now();
-        become(State.FOLLOWER, "epoch " + epoch + " was promised to another");
-    }
-
-    StoredState stored() {
-        return keeper.stored();
-    }
-
-    /** The highest epoch heard of; an attempt below it would be refused for ever. */
-    long highestEpoch() {
-        long ofView = known == null ? 0 : known.epoch;
-        return Math.max(Math.max(highestSeen, ofView), stored().promised);
-    }
-
-    void saw(long epoch) {
-        highestSeen = Math.max(highestSeen, epoch);
-    }
-
-    void answered(Member member, long sentAt) {
-        leadership.answered(member, sentAt);
-    }
-
-    void absent(Member joiner) {
-        leadership.absent(joiner);
-    }
-
-    Scheduler scheduler() {
-        return scheduler;
-    }
-
-    Peers peers() {
-        return peers;
-    }
-
-    ReplicaOptions options() {
-        return options;
-    }
-
-    List<InstanceRecord> instances() {
-        return instances.get();
-    }
-
-    void inherit(Collection<InstanceRecord> records) {
-        listener.inherit(records);
-    }
-
-    boolean avoided(Member member) {
-        return leadership.leaves(member) || avoidUntil.getOrDefault(member, 0L) > scheduler.now();
-    }
-
-    void avoidNow(Member member) {
-        avoidUntil.put(member, scheduler.now() + ReplicaTimes.SUPPRESSED);
-    }
-
-    void know(View view) {
-        learn(view);
-    }
-
-    // ---- What the voter tells
-    // ----------------------------------------------------------------------
-
-    /** Whether a primary other than the given candidate was heard a short while ago. */
-    boolean hears(Member candidate) {
-        if (state == State.PRIMARY) {
-            return leadership.recentlyConfirmed();
-        }
-        return scheduler.now() - primaryHeardAt < ReplicaTimes.FIRST_PATIENCE
-                && state == State.FOLLOWER
-                && known.primary != null
-                && !known.primary.equals(candidate)
-                && stored().promised <= known.epoch;
-    }
-
-    /** An epoch is about to be promised to a candidate. */
-    void yieldTo(long epoch, Member candidate) {
-        lastHeard = scheduler.now();
-        if (state == State.PRIMARY || state == State.CANDIDATE) {
-            become(State.FOLLOWER, "epoch " + epoch + " is prepared by " + candidate);
-        }
-    }
-
-    void heardFromCandidate() {
-        lastHeard = scheduler.now();
-    }
-
-    /** Follows the primary of a view, whose own message told it. */
-    void adopt(View view) {
-        learn(view);
-        lastHeard = scheduler.now();
-        primaryHeardAt = lastHeard;
-        patience = ReplicaTimes.PATIENCE;
-        if (state != State.FOLLOWER && view.group.contains(self)) {
-            become(State.FOLLOWER, "follows " + view.primary);
-        }
-    }
-
-    // ---- Messages
-    // ------------------------------------------------------------------------------------
-
-    /** Takes a message of another node; the answer, if there is to be one, is handed over once. */
     public boolean receive(Message message, Consumer<Message> answer) {
         if (!identityStored) {
             answer.accept(null);
-        } else if (message instanceof ResignRequest resign) {
-            resigned(resign, answer);
-        } else if (message instanceof JoinRequest join) {
-            joined(join, answer);
-        } else if (message instanceof LeaveRequest leave) {
-            boolean released = state == State.PRIMARY && leadership.leave(leave.member);
-            answer.accept(LeaveResponse.of(released, known));
+        } else if (message instanceof ResignRequest request) {
+            handleResign(request, answer);
+        } else if (message instanceof JoinRequest request) {
+            handleJoin(request, answer);
+        } else if (message instanceof LeaveRequest request) {
+            handleLeave(request, answer);
         } else {
-            return voter.receive(message, answer);
+            return voterRequestHandler.handle(message, answer);
         }
         return true;
     }
 
-    private void resigned(ResignRequest message, Consumer<Message> answer) {
-        answer.accept(AcknowledgeResponse.of(true, stored().promised, self));
-        boolean next = known != null && known.epoch == message.epoch && holdsCopy();
-        if (next
-                && departure == null
-                && state == State.FOLLOWER
-                && scheduler.now() >= suppressedUntil) {
-            stand(false, "the primary resigned");
-        }
+    private void handleResign(ResignRequest request, Consumer<Message> answer) {
+        answer.accept(AcknowledgeResponse.of(true, epoch(), context.self()));
+        quorum.onPrimaryResigned(request.epoch);
     }
 
-    private void joined(JoinRequest message, Consumer<Message> answer) {
-        if (state == State.PRIMARY) {
-            leadership.join(message.member);
+    private void handleJoin(JoinRequest request, Consumer<Message> answer) {
+        if (quorum.isPrimary()) {
+            quorum.primaryState().onJoinRequested(request.member);
         }
-        answer.accept(JoinResponse.of(known));
+        answer.accept(JoinResponse.of(context.view()));
+    }
+
+    private void handleLeave(LeaveRequest request, Consumer<Message> answer) {
+        boolean released =
+                quorum.isPrimary() && quorum.primaryState().onLeaveRequested(request.member);
+        answer.accept(LeaveResponse.of(released, context.view()));
     }
 }
--- a/src/main/java/myrtleladder/replication/ReplicaOptions.java
+++ b/src/main/java/myrtleladder/replication/ReplicaOptions.java
@@ -1,32 +1,53 @@
 package myrtleladder.replication;
 
 import java.util.List;
+import java.util.Set;
+import java.util.stream.Collectors;
 import myrtleladder.protocol.Member;
 
 /**
- * What a replica is told at its start. {@code self} has an empty store if the disk tells which;
- * {@code tolerated} is the number of members that may be lost at one time; {@code seeds} are
- * addresses; a machine that has been back for {@code catchUpMs} has to count as a member again.
+ * The configuration of a replica.
+ *
+ * @param self the addresses of this node; the store may be empty, the storage tells it
+ * @param toleratedFailures the number of members that may be lost at one time
+ * @param bootstrap whether this is the first start of the system, so that the seeds are the group
+ * @param seeds the addresses of nodes to ask at first
+ * @param catchUpMs within which a machine that is back has to be a member again, in milliseconds
  */
 public record ReplicaOptions(
-        Member self, int tolerated, boolean bootstrap, List<Member> seeds, long catchUpMs) {
-    private static final double SILENT_PART = 0.375;
-    private static final long LEAST_SILENT = 800;
-    private static final long MOST_SILENT = 3_000;
-
-    /** The number of copies that an acknowledged change has. */
-    public int copies() {
-        return tolerated + 1;
+        Member self, int toleratedFailures, boolean bootstrap, List<Member> seeds, long catchUpMs) {
+    /** Part of the catch-up time after which a member has timed out. Chosen. */
+    private static final double MEMBER_TIMEOUT_FRACTION = 0.375;
+
+    /** Lower bound of the member timeout. Chosen. */
+    private static final long MINIMUM_MEMBER_TIMEOUT_MS = 800;
+
+    /** Upper bound of the member timeout. Chosen. */
+    private static final long MAXIMUM_MEMBER_TIMEOUT_MS = 3_000;
+
+    /** Returns the number of replicas that save a change before it is acknowledged. */
+    public int replicaCount() {
+        return toleratedFailures + 1;
+    }
+
+    /**
+     * Returns the size of the smallest group that keeps a majority after the tolerated failures.
+     */
+    public int minimumGroupSize() {
+        return 2 * toleratedFailures + 1;
     }
 
-    /** The fewest members with whose majority the tolerated losses can be borne. */
-    public int leastGroup() {
-        return 2 * tolerated + 1;
+    /**
+     * Returns the time without contact, in milliseconds, after which a member may be removed from
+     * the group; well below the catch-up time.
+     */
+    public long memberTimeoutMs() {
+        long timeoutMs = Math.round(catchUpMs * MEMBER_TIMEOUT_FRACTION);
+        return Math.max(MINIMUM_MEMBER_TIMEOUT_MS, Math.min(MAXIMUM_MEMBER_TIMEOUT_MS, timeoutMs));
     }
 
-    /** After which silence a member may be left out of the group, well inside the catch-up time. */
-    public long memberSilentMs() {
-        long part = Math.round(catchUpMs * SILENT_PART);
-        return Math.max(LEAST_SILENT, Math.min(MOST_SILENT, part));
+    /** Returns the addresses of the seeds. */
+    Set<String> seedAddresses() {
+        return seeds.stream().map(seed -> seed.address).collect(Collectors.toSet());
     }
 }
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/ReplicaSelection.java
@@ -0,0 +1,58 @@
+package myrtleladder.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import myrtleladder.protocol.Member;
+
+/**
+ * Chooses the replicas of a candidate's view among the members that promised: this node, then
+ * preferred replicas of the base view, then other preferred members of the group, and only if these
+ * are too few those that are leaving or unresponsive.
+ */
+final class ReplicaSelection {
+    private final ReplicaContext context;
+    private final Set<Member> promising;
+
+    ReplicaSelection(ReplicaContext context, Set<Member> promising) {
+        this.context = context;
+        this.promising = promising;
+    }
+
+    /**
+     * Returns the replicas with this node first, empty if too few members promised.
+     *
+     * @param baseReplicas the replicas of the view before
+     * @param group the group of the view
+     */
+    Optional<List<Member>> select(List<Member> baseReplicas, List<Member> group) {
+        List<Member> replicas = new ArrayList<>();
+        replicas.add(context.self());
+        for (Member member : baseReplicas) {
+            addIfEligible(replicas, member, group, false);
+        }
+        for (Member member : group) {
+            addIfEligible(replicas, member, group, false);
+        }
+        for (Member member : group) {
+            addIfEligible(replicas, member, group, true);
+        }
+        int count = Math.min(context.options().replicaCount(), group.size());
+        if (replicas.size() < count) {
+            return Optional.empty();
+        }
+        return Optional.of(replicas.subList(0, count));
+    }
+
+    private void addIfEligible(
+            List<Member> replicas, Member member, List<Member> group, boolean includeNotPreferred) {
+        boolean eligible =
+                promising.contains(member)
+                        && group.contains(member)
+                        && (includeNotPreferred || context.isPreferredReplica(member));
+        if (eligible && !replicas.contains(member)) {
+            replicas.add(member);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
@@ -0,0 +1,101 @@
+package myrtleladder.replication;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.Set;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.View;
+
+/**
+ * Decides for a primary when another view is due, because a replica failed or because the group or
+ * the replicas are to change, and starts it. Confined to the event loop; used by {@link
+ * PrimaryState} and {@link ChangeReplicator}.
+ */
+final class ViewChangeTrigger {
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+
+    ViewChangeTrigger(ReplicaContext context, QuorumState quorum) {
+        this.context = context;
+        this.quorum = quorum;
+    }
+
+    /**
+     * Returns the next group as far as it may change now: not before the last change is settled.
+     */
+    ReconfigurationPlan reconfigurationPlan() {
+        View view = context.view();
+        if (!view.settled()) {
+            return ReconfigurationPlan.unchanged(view.group);
+        }
+        Set<Member> joining = context.membershipRequests().joining();
+        joining.removeIf(view.group::contains);
+        return new ReconfigurationPlan(
+                view.group,
+                joining,
+                unresponsiveMembers(view),
+                context.membershipRequests().leaving(),
+                context.options().minimumGroupSize());
+    }
+
+    /** Returns the members without contact for too long, the longest first. */
+    private List<Member> unresponsiveMembers(View view) {
+        long nowMs = context.nowMs();
+        long timeoutMs = context.options().memberTimeoutMs();
+        MemberContacts contacts = context.contacts();
+        return view.group.stream()
+                .filter(
+                        member ->
+                                !context.isSelf(member)
+                                        && contacts.millisSinceContact(member, nowMs) > timeoutMs)
+                .sorted(
+                        Comparator.comparingLong(
+                                member -> -contacts.millisSinceContact(member, nowMs)))
+                .toList();
+    }
+
+    /** Starts a view without a replica that has timed out; returns whether there was one. */
+    boolean replaceUnresponsiveReplica(long nowMs) {
+        for (Member member : context.view().replicas) {
+            if (!context.isSelf(member) && hasTimedOut(member, nowMs)) {
+                context.unresponsiveReplicas().add(member);
+                quorum.transitionToCandidate(false, "replica " + member + " is silent");
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Starts another view if the group or the replicas are to change. */
+    void changeViewIfDue() {
+        if (!quorum.isPrimary()) {
+            return;
+        }
+        View view = context.view();
+        if (!view.settled()) {
+            quorum.transitionToCandidate(false, "the group settles");
+        } else if (reconfigurationPlan().isChange()) {
+            quorum.transitionToCandidate(false, "the group changes");
+        } else if (canReplaceLeavingReplica(view)) {
+            quorum.transitionToCandidate(false, "a replica is about to end");
+        }
+    }
+
+    private boolean canReplaceLeavingReplica(View view) {
+        long nowMs = context.nowMs();
+        MembershipRequests requests = context.membershipRequests();
+        return view.replicas.stream().anyMatch(requests::isLeaving)
+                && view.group.stream().anyMatch(member -> canBecomeReplica(member, view, nowMs));
+    }
+
+    private boolean canBecomeReplica(Member member, View view, long nowMs) {
+        return !view.replicas.contains(member)
+                && context.isPreferredReplica(member)
+                && !hasTimedOut(member, nowMs);
+    }
+
+    private boolean hasTimedOut(Member member, long nowMs) {
+        return context.contacts().millisSinceContact(member, nowMs)
+                > ReplicationTiming.REPLICA_TIMEOUT_MS;
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/ViewInstaller.java
@@ -0,0 +1,121 @@
+package myrtleladder.replication;
+
+import java.util.LinkedHashSet;
+import java.util.Set;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.InstallStateRequest;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.View;
+
+/**
+ * Installs the view of a candidate: first the state at all replicas of the view, then the view
+ * itself at all replicas and at majorities of its group and of the group before it (Paxos phase 2).
+ *
+ * <p>Invariant: no member is asked to accept the view before all its replicas have saved the state.
+ * Confined to the event loop; created by {@link CandidateState} for one view.
+ */
+final class ViewInstaller {
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final CandidateState candidate;
+    private final View view;
+    private final Set<Member> installed = new LinkedHashSet<>();
+    private final Set<Member> accepted = new LinkedHashSet<>();
+
+    ViewInstaller(ReplicaContext context, QuorumState quorum, CandidateState candidate, View view) {
+        this.context = context;
+        this.quorum = quorum;
+        this.candidate = candidate;
+        this.view = view;
+    }
+
+    /** Sends the state to the replicas of the view. */
+    void begin() {
+        installed.add(context.self());
+        for (Member member : view.replicas) {
+            if (!context.isSelf(member)) {
+                sendState(member);
+            }
+        }
+        acceptIfInstalled();
+    }
+
+    private void sendState(Member member) {
+        context.peers()
+                .call(
+                        member.address,
+                        InstallStateRequest.of(
+                                view.epoch,
+                                context.storedState().snapshot,
+                                candidate.inheritedInstances()),
+                        ReplicationTiming.STORAGE_TIMEOUT_MS,
+                        answer -> onStateAnswered(member, answer));
+    }
+
+    private void onStateAnswered(Member member, Message answer) {
+        if (!candidate.isIn(CandidateState.Phase.INSTALLING)) {
+            return;
+        }
+        if (answer instanceof AcknowledgeResponse response
+                && response.taken
+                && member.equals(response.member)) {
+            installed.add(member);
+            acceptIfInstalled();
+        } else {
+            context.unresponsiveReplicas().add(member);
+            quorum.onCandidacyFailed(member + " does not take the state", true);
+        }
+    }
+
+    private void acceptIfInstalled() {
+        if (installed.size() < view.replicas.size()) {
+            return;
+        }
+        candidate.enter(CandidateState.Phase.ACCEPTING);
+        context.persistentState()
+                .save(context.storedState().withAccepted(view), this::onOwnAcceptanceSaved);
+        Set<Member> voters = new LinkedHashSet<>(view.group);
+        voters.addAll(view.previous);
+        long sentAtMs = context.nowMs();
+        for (Member member : voters) {
+            if (!context.isSelf(member)) {
+                context.peers()
+                        .call(
+                                member.address,
+                                AcceptViewRequest.of(view),
+                                ReplicationTiming.REQUEST_TIMEOUT_MS,
+                                answer -> onAcceptanceAnswered(answer, sentAtMs));
+            }
+        }
+    }
+
+    private void onOwnAcceptanceSaved(boolean saved) {
+        if (saved && candidate.isIn(CandidateState.Phase.ACCEPTING)) {
+            accepted.add(context.self());
+            completeIfAccepted();
+        }
+    }
+
+    private void onAcceptanceAnswered(Message answer, long sentAtMs) {
+        if (answer instanceof AcknowledgeResponse response
+                && response.taken
+                && response.member != null) {
+            accepted.add(response.member);
+            context.contacts().onAcknowledged(response.member, sentAtMs);
+            completeIfAccepted();
+        }
+    }
+
+    private void completeIfAccepted() {
+        boolean acceptedByReplicas =
+                accepted.contains(context.self()) && accepted.containsAll(view.replicas);
+        if (candidate.isIn(CandidateState.Phase.ACCEPTING)
+                && acceptedByReplicas
+                && view.hasMajority(accepted)) {
+            candidate.enter(CandidateState.Phase.ENDED);
+            quorum.transitionToPrimary(view, candidate.inheritedInstances());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/ViewTracker.java
@@ -0,0 +1,62 @@
+package myrtleladder.replication;
+
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.View;
+
+/**
+ * The latest view known to this node and the highest epoch that it heard of.
+ *
+ * <p>Invariant: the epoch of the view never decreases, except that a view installed by this node
+ * itself replaces any other. Confined to the event loop; only {@link QuorumState} changes the view.
+ */
+final class ViewTracker {
+    private final Member self;
+    private View view;
+    private long highestObservedEpoch;
+
+    /** Creates a tracker that begins with the view from the disk, null if there is none. */
+    ViewTracker(Member self, View stored) {
+        this.self = self;
+        this.view = stored;
+    }
+
+    /** Returns the latest view, null if none is known. */
+    View view() {
+        return view;
+    }
+
+    /** Returns whether this node is a member of the latest view's group. */
+    boolean isVoter() {
+        return view != null && view.group.contains(self);
+    }
+
+    /** Returns whether this node is a replica of the latest view. */
+    boolean isReplica() {
+        return view != null && view.replicas.contains(self);
+    }
+
+    /** Takes a view that another node reported; returns whether it is later than the known one. */
+    boolean update(View reported) {
+        boolean later = view == null || reported.epoch > view.epoch;
+        if (later) {
+            view = reported;
+        }
+        return later;
+    }
+
+    /** Takes a view that this node installed as its primary. */
+    void install(View installed) {
+        view = installed;
+    }
+
+    /** Takes note of an epoch that another member promised. */
+    void observeEpoch(long epoch) {
+        highestObservedEpoch = Math.max(highestObservedEpoch, epoch);
+    }
+
+    /** Returns the highest epoch of the known view and of what other members promised. */
+    long highestEpoch() {
+        long epochOfView = view == null ? 0 : view.epoch;
+        return Math.max(highestObservedEpoch, epochOfView);
+    }
+}
--- /dev/null
+++ b/src/main/java/myrtleladder/replication/VoterRequestHandler.java
@@ -0,0 +1,165 @@
+package myrtleladder.replication;
+
+import java.util.ArrayList;
+import java.util.function.Consumer;
+import myrtleladder.protocol.AcceptViewRequest;
+import myrtleladder.protocol.AcknowledgeResponse;
+import myrtleladder.protocol.HeartbeatRequest;
+import myrtleladder.protocol.InstallStateRequest;
+import myrtleladder.protocol.Member;
+import myrtleladder.protocol.Message;
+import myrtleladder.protocol.PrepareRequest;
+import myrtleladder.protocol.PrepareResponse;
+import myrtleladder.protocol.ReplicateRequest;
+import myrtleladder.protocol.Snapshot;
+import myrtleladder.protocol.StoredState;
+import myrtleladder.protocol.View;
+
+/**
+ * Answers the requests of candidates and primaries, whatever the role of this node (the acceptor of
+ * Paxos).
+ *
+ * <p>Invariants: once an epoch is promised, requests of lower epochs are rejected; a positive
+ * answer is given only after what it says was saved; no answer (null) if the save failed. Confined
+ * to the event loop; called by {@link Replica} alone.
+ */
+final class VoterRequestHandler {
+    private final ReplicaContext context;
+    private final QuorumState quorum;
+    private final Replica.Listener listener;
+
+    /** The candidate to which this process promised an epoch last, null if none. */
+    private Member promisedTo;
+
+    VoterRequestHandler(ReplicaContext context, QuorumState quorum, Replica.Listener listener) {
+        this.context = context;
+        this.quorum = quorum;
+        this.listener = listener;
+    }
+
+    /** Handles a request; returns whether it is one for a voter. */
+    boolean handle(Message request, Consumer<Message> answer) {
+        if (request instanceof PrepareRequest prepare) {
+            handlePrepare(prepare, answer);
+        } else if (request instanceof InstallStateRequest install) {
+            handleInstallState(install, answer);
+        } else if (request instanceof AcceptViewRequest accept) {
+            handleAcceptView(accept.view, answer);
+        } else if (request instanceof ReplicateRequest replicate) {
+            handleReplicate(replicate, answer);
+        } else if (request instanceof HeartbeatRequest heartbeat) {
+            handleHeartbeat(heartbeat.view, answer);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private void handlePrepare(PrepareRequest request, Consumer<Message> answer) {
+        long promised = stored().promised;
+        if (request.trial) {
+            boolean granted =
+                    request.epoch > promised && !quorum.hasContactToOtherPrimary(request.candidate);
+            answer.accept(prepareResponse(granted));
+        } else if (request.epoch > promised) {
+            promisedTo = request.candidate;
+            quorum.onEpochPrepared(request.epoch, request.candidate);
+            savePromise(stored().withPromised(request.epoch), answer);
+        } else if (request.epoch == promised && request.candidate.equals(promisedTo)) {
+            savePromise(stored(), answer); // a repeated request: the first answer was lost
+        } else {
+            answer.accept(prepareResponse(false));
+        }
+    }
+
+    private void handleInstallState(InstallStateRequest request, Consumer<Message> answer) {
+        if (request.epoch != stored().promised) {
+            answer.accept(acknowledgement(false));
+            return;
+        }
+        context.electionTimer().restart();
+        listener.inherit(request.instances);
+        context.persistentState()
+                .saveAsReplica(
+                        stored().withSnapshot(request.snapshot),
+                        saved -> answer.accept(saved ? acknowledgement(true) : null));
+    }
+
+    private void handleAcceptView(View view, Consumer<Message> answer) {
+        if (view.epoch < stored().promised) {
+            answer.accept(acknowledgement(false));
+            return;
+        }
+        quorum.onPrimaryHeard(view);
+        saveAndAcknowledge(stored().withAccepted(view), answer);
+    }
+
+    private void handleReplicate(ReplicateRequest request, Consumer<Message> answer) {
+        if (!isReplicaOfEpoch(request.epoch)) {
+            answer.accept(acknowledgement(false));
+            return;
+        }
+        context.electionTimer().restart();
+        Snapshot next = stored().snapshot.with(request.document, request.generation, request.order);
+        saveAndAcknowledge(stored().withSnapshot(next), answer);
+    }
+
+    /**
+     * Returns whether this node accepted a view of this epoch as a replica and promised no later.
+     */
+    private boolean isReplicaOfEpoch(long epoch) {
+        View accepted = stored().accepted;
+        return accepted != null
+                && accepted.epoch == epoch
+                && stored().promised == epoch
+                && accepted.replicas.contains(context.self());
+    }
+
+    private void handleHeartbeat(View view, Consumer<Message> answer) {
+        if (view.epoch < stored().promised) {
+            answer.accept(acknowledgement(false));
+            return;
+        }
+        quorum.onPrimaryHeard(view);
+        if (stored().accepted == null || view.epoch > stored().accepted.epoch) {
+            saveAndAcknowledge(stored().withAccepted(view), answer);
+            return;
+        }
+        answer.accept(acknowledgement(true));
+    }
+
+    private StoredState stored() {
+        return context.storedState();
+    }
+
+    private void saveAndAcknowledge(StoredState next, Consumer<Message> answer) {
+        context.persistentState()
+                .save(next, saved -> answer.accept(saved ? acknowledgement(true) : null));
+    }
+
+    private AcknowledgeResponse acknowledgement(boolean taken) {
+        return AcknowledgeResponse.of(taken, stored().promised, context.self());
+    }
+
+    private void savePromise(StoredState next, Consumer<Message> answer) {
+        long epoch = next.promised;
+        context.persistentState()
+                .save(
+                        next,
+                        saved -> {
+                            boolean stillPromised = stored().promised == epoch;
+                            answer.accept(saved ? prepareResponse(stillPromised) : null);
+                        });
+    }
+
+    private PrepareResponse prepareResponse(boolean granted) {
+        PrepareResponse response = new PrepareResponse();
+        response.granted = granted;
+        response.promised = stored().promised;
+        response.member = context.self();
+        response.accepted = stored().accepted;
+        response.instances =
+                granted ? new ArrayList<>(context.instances().get()) : new ArrayList<>();
+        return response;
+    }
+}
--- a/src/test/java/myrtleladder/replication/MemberContactsTest.java
+++ b/src/test/java/myrtleladder/replication/MemberContactsTest.java
@@ -14,28 +14,28 @@
     @Test
     void anAnswerThatIsReadLateProvesNothingAboutTheTimeSince() {
         contacts.watch(List.of(one), 1_000);
-        contacts.answered(one, 1_200);
+        contacts.onAcknowledged(one, 1_200);
         // read at 1,800 or after a freeze: it is as old as its question
-        assertEquals(List.of(), contacts.answeredSince(1_300));
-        assertEquals(List.of(one), contacts.answeredSince(1_200));
+        assertEquals(List.of(), contacts.acknowledgedSince(1_300));
+        assertEquals(List.of(one), contacts.acknowledgedSince(1_200));
     }
 
     @Test
     void silenceCountsFromTheLastAnsweredQuestion() {
         contacts.watch(List.of(one), 1_000);
-        assertEquals(500, contacts.silence(one, 1_500));
-        contacts.answered(one, 1_400);
-        assertEquals(100, contacts.silence(one, 1_500));
+        assertEquals(500, contacts.millisSinceContact(one, 1_500));
+        contacts.onAcknowledged(one, 1_400);
+        assertEquals(100, contacts.millisSinceContact(one, 1_500));
         contacts.watch(List.of(one), 1_500);
-        assertEquals(600, contacts.silence(one, 2_000));
+        assertEquals(600, contacts.millisSinceContact(one, 2_000));
     }
 
     @Test
     void afterThisProcessStoodStillNobodyIsTakenForSilentAndNothingForConfirmed() {
         contacts.watch(List.of(one), 1_000);
-        contacts.answered(one, 1_400);
+        contacts.onAcknowledged(one, 1_400);
         contacts.clear(9_000);
-        assertEquals(0, contacts.silence(one, 9_000));
-        assertEquals(List.of(), contacts.answeredSince(0));
+        assertEquals(0, contacts.millisSinceContact(one, 9_000));
+        assertEquals(List.of(), contacts.acknowledgedSince(0));
     }
 }
--- a/src/test/java/myrtleladder/replication/GroupPlanTest.java
+++ b/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who belongs to the next group, for each size and number of losses that is served. */
-class GroupPlanTest {
+class ReconfigurationPlanTest {
     private static Member member(String name) {
         return Member.of(name + ":1", name + ":2", name);
     }
@@ -21,7 +21,7 @@
     private static List<Member> members(String names) {
         return Arrays.stream(names.split(""))
                 .filter(n -> !n.isEmpty())
-                .map(GroupPlanTest::member)
+                .map(ReconfigurationPlanTest::member)
                 .toList();
     }
 
@@ -31,11 +31,12 @@
 
     private static String next(
             String group, String joining, String silent, String leaving, int least) {
-        GroupPlan plan =
-                new GroupPlan(members(group), set(joining), members(silent), set(leaving), least);
+        ReconfigurationPlan plan =
+                new ReconfigurationPlan(
+                        members(group), set(joining), members(silent), set(leaving), least);
         StringBuilder names = new StringBuilder();
-        plan.next().forEach(m -> names.append(m.store));
-        assertEquals(!names.toString().equals(group), plan.changes());
+        plan.nextGroup().forEach(m -> names.append(m.store));
+        assertEquals(!names.toString().equals(group), plan.isChange());
         return names.toString();
     }
 
@@ -73,8 +74,9 @@
     @Test
     void aMachineWithAnotherStoreReplacesItselfWhateverTheSize() {
         Member wiped = Member.of("c:1", "c:2", "C");
-        GroupPlan plan = new GroupPlan(members("abc"), Set.of(wiped), List.of(), Set.of(), 3);
-        List<Member> next = plan.next();
+        ReconfigurationPlan plan =
+                new ReconfigurationPlan(members("abc"), Set.of(wiped), List.of(), Set.of(), 3);
+        List<Member> next = plan.nextGroup();
         assertEquals(3, next.size());
         assertTrue(next.contains(wiped));
         assertFalse(next.contains(member("c")));
@@ -82,8 +84,9 @@
 
     @Test
     void aJoinerThatDoesNotAnswerIsLeftOutAndSoIsItsSwap() {
-        GroupPlan plan = new GroupPlan(members("abc"), set("d"), members("c"), Set.of(), 3);
-        assertEquals(members("abc"), plan.next(joiner -> false));
+        ReconfigurationPlan plan =
+                new ReconfigurationPlan(members("abc"), set("d"), members("c"), Set.of(), 3);
+        assertEquals(members("abc"), plan.nextGroup(joiner -> false));
     }
 
     /**
@@ -102,7 +105,9 @@
                 borne++;
                 List<Member> silent = new ArrayList<>(group);
                 silent.removeAll(living);
-                group = new GroupPlan(group, Set.of(), silent, Set.of(), 2 * row[1] + 1).next();
+                group =
+                        new ReconfigurationPlan(group, Set.of(), silent, Set.of(), 2 * row[1] + 1)
+                                .nextGroup();
             }
             assertEquals(row[2], borne, row[0] + " machines");
         }
