--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -11,7 +11,7 @@
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.heartbeat.HeartbeatAgent;
 import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.Message;
@@ -41,7 +41,7 @@
     private final Router router;
     private final String balancer;
     private final String address;
-    private final MembershipAgent agent;
+    private final HeartbeatAgent agent;
     private final Supplier<List<String>> seedSource;
     private List<String> seeds;
     private final Map<String, Silence> silences = new HashMap<>();
@@ -68,7 +68,7 @@
             Router router,
             String balancer,
             String address,
-            MembershipAgent agent,
+            HeartbeatAgent agent,
             Supplier<List<String>> seedSource) {
         this.scheduler = scheduler;
         this.peers = peers;
@@ -136,7 +136,7 @@
         poll.complete = complete;
         poll.balancers = balancers;
         poll.address = address;
-        poll.alive = agent.alive();
+        poll.alive = agent.liveMembers();
         poll.memberRevision = memberRevision;
         poll.load = router.fleet().report();
         poll.underWay.addAll(router.directory().underWayAtLeaving());
@@ -226,7 +226,7 @@
         balancers = reply.balancers;
         memberRevision = reply.memberRevision;
         if (!reply.balancerList.isEmpty()) {
-            agent.members(reply.balancerList);
+            agent.setMembers(reply.balancerList);
         }
         router.balancers(reply.balancers);
     }
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import myrtleladder.configuration.ClientLimits;
-import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.heartbeat.HeartbeatAgent;
 import myrtleladder.io.EventLoop;
 import myrtleladder.io.Headers;
 import myrtleladder.io.HttpServer;
@@ -79,7 +79,7 @@
                         (ask, timeout, answer) -> poller.ask(ask, timeout, answer),
                         System.nanoTime());
         PeerClient peers = new PeerClient(loop);
-        MembershipAgent agent = new MembershipAgent(loop, peers, settings.nodeName());
+        HeartbeatAgent agent = new HeartbeatAgent(loop, peers, settings.nodeName());
         poller =
                 new ControlPoller(
                         loop,
@@ -95,7 +95,7 @@
                 internalPort,
                 (message, answer) -> {
                     if (message instanceof BalancerHeartbeat alive) {
-                        agent.heard(alive);
+                        agent.onHeartbeat(alive);
                     }
                     answer.accept(
                             AcknowledgeResponse.of(message instanceof BalancerHeartbeat, 0, null));
--- /dev/null
+++ b/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
@@ -0,0 +1,86 @@
+package myrtleladder.heartbeat;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import myrtleladder.io.Scheduler;
+import myrtleladder.protocol.BalancerAddress;
+import myrtleladder.protocol.BalancerHeartbeat;
+import myrtleladder.replication.Peers;
+
+/**
+ * Sends the heartbeats of this process to its monitors on the ring and records those of the
+ * processes that it monitors itself. The live ones are reported to the primary with the next poll,
+ * so that a process that is partitioned from the control plane still counts as live.
+ *
+ * <p>Confined to the event loop of the scheduler.
+ */
+public final class HeartbeatAgent {
+    /** Number of processes that monitor one. Chosen. */
+    private static final int MONITOR_COUNT = 2;
+
+    /** Interval of heartbeats. Chosen. */
+    private static final long HEARTBEAT_INTERVAL_MS = 600;
+
+    /** A process counts as live this long after its last heartbeat. Chosen. */
+    private static final long LIVENESS_TIMEOUT_MS = 2_000;
+
+    /** Timeout of a heartbeat's acknowledgement, which is not looked at. Chosen. */
+    private static final long REQUEST_TIMEOUT_MS = 400;
+
+    private final Scheduler scheduler;
+    private final Peers peers;
+    private final String selfName;
+    private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
+    private MonitorRing ring = new MonitorRing(List.of());
+
+    /** Creates an agent for the process of the given name. */
+    public HeartbeatAgent(Scheduler scheduler, Peers peers, String selfName) {
+        this.scheduler = scheduler;
+        this.peers = peers;
+        this.selfName = selfName;
+    }
+
+    /** Starts to send heartbeats, the first at once. Called once. */
+    public void start() {
+        sendHeartbeats();
+    }
+
+    private void sendHeartbeats() {
+        scheduler.schedule(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
+        for (BalancerAddress monitor : ring.monitorsOf(selfName, MONITOR_COUNT)) {
+            peers.call(
+                    monitor.address,
+                    BalancerHeartbeat.of(selfName),
+                    REQUEST_TIMEOUT_MS,
+                    answer -> {});
+        }
+    }
+
+    /** Replaces the processes on the ring and forgets the heartbeats of all others. */
+    public void setMembers(List<BalancerAddress> members) {
+        ring = new MonitorRing(members);
+        lastHeartbeatMs
+                .keySet()
+                .removeIf(name -> members.stream().noneMatch(m -> m.name.equals(name)));
+    }
+
+    /** Takes a heartbeat of a process that this one monitors. */
+    public void onHeartbeat(BalancerHeartbeat heartbeat) {
+        lastHeartbeatMs.put(heartbeat.name, scheduler.now());
+    }
+
+    /** Returns the names of the processes whose last heartbeat has not timed out. */
+    public List<String> liveMembers() {
+        long nowMs = scheduler.now();
+        List<String> names = new ArrayList<>();
+        lastHeartbeatMs.forEach(
+                (name, atMs) -> {
+                    if (nowMs - atMs <= LIVENESS_TIMEOUT_MS) {
+                        names.add(name);
+                    }
+                });
+        return names;
+    }
+}
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import myrtleladder.configuration.Compression;
-import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.heartbeat.HeartbeatAgent;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
@@ -35,7 +35,7 @@
                         new RetryBudget(0.2, 10),
                         (ask, timeout, to) -> to.accept(null),
                         1);
-        MembershipAgent agent = new MembershipAgent(clock, (to, message, timeout, back) -> {}, "e");
+        HeartbeatAgent agent = new HeartbeatAgent(clock, (to, message, timeout, back) -> {}, "e");
         poller =
                 new ControlPoller(
                         clock,
