--- a/src/test/java/myrtleladder/controlplane/model/ModelNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/ModelNode.java
@@ -92,7 +92,9 @@
     }
 
     boolean leads() {
-        return running() && replica.state() == Replica.State.PRIMARY && replica.isRecentlyConfirmed();
+        return running()
+                && replica.state() == Replica.State.PRIMARY
+                && replica.isRecentlyConfirmed();
     }
 
     /** The process ends; its machine answers that nobody listens. */
--- a/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
+++ b/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
@@ -62,7 +62,8 @@
                         node.isRunning()
                                 ? node.replica.state().ordinal() + " " + node.replica.epoch()
                                 : "down";
-                String disk = node.disk.content() == null ? "empty" : HEX.formatHex(node.disk.content());
+                String disk =
+                        node.disk.content() == null ? "empty" : HEX.formatHex(node.disk.content());
                 note(cluster, node.address, state + " " + disk, last, digest);
             }
             note(cluster, "client", cluster.acknowledged.toString(), last, digest);
--- a/src/test/java/myrtleladder/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -74,8 +74,7 @@
         }
 
         VirtualCluster start() {
-            return new VirtualCluster(
-                    randomSeed, nodeCount, DEFAULT_SEED_NODES, toleratedFailures);
+            return new VirtualCluster(randomSeed, nodeCount, DEFAULT_SEED_NODES, toleratedFailures);
         }
     }
 
