--- a/src/test/java/myrtleladder/replication/VirtualNetwork.java
+++ b/src/test/java/myrtleladder/replication/VirtualNetwork.java
@@ -88,7 +88,7 @@
         transmit(
                 receiver,
                 call.caller.address,
-                () -> call.complete((Message) MessageCodec.decode(bytes)));
+                () -> call.complete(MessageCodec.decode(bytes)));
     }
 
     private void transmit(String from, String to, Runnable onArrival) {
