--- a/src/main/java/myrtleladder/replication/CandidateState.java
+++ b/src/main/java/myrtleladder/replication/CandidateState.java
@@ -1,15 +1,9 @@
 package myrtleladder.replication;
 
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PrepareRequest;
@@ -52,7 +46,7 @@
     private final boolean baseInEffect;
     private final boolean withPreVote;
     private final long startedAtMs;
-    private final Map<Member, PrepareResponse> promises = new HashMap<>();
+    private final Promises promises;
     private final Set<String> askedAddresses = new HashSet<>();
     private Phase phase = Phase.PRE_VOTE;
     private long epoch;
@@ -80,6 +74,7 @@
         this.plan = plan;
         this.baseInEffect = baseInEffect;
         this.withPreVote = withPreVote;
+        this.promises = new Promises(context);
         this.startedAtMs = context.nowMs();
         View accepted = context.storedState().accepted;
         this.base = accepted == null ? context.view() : accepted;
@@ -188,7 +183,7 @@
             quorum.onViewLearned(response.accepted);
         }
         if (response.granted) {
-            promises.put(response.member, response);
+            promises.add(response);
             if (!preVote) {
                 context.contacts().onAcknowledged(response.member, sentAtMs);
             }
@@ -204,15 +199,8 @@
         }
     }
 
-    /** Returns the members that promised, this node included. */
-    private Set<Member> promisingMembers() {
-        Set<Member> members = new LinkedHashSet<>(promises.keySet());
-        members.add(context.self());
-        return members;
-    }
-
     private void evaluatePreVotes() {
-        if (phase == Phase.PRE_VOTE && base.hasMajority(promisingMembers())) {
+        if (phase == Phase.PRE_VOTE && promises.isMajorityOf(base)) {
             prepare();
         }
     }
@@ -235,22 +223,11 @@
         evaluatePromises();
     }
 
-    /** Returns the last view that may have committed changes, null if nobody accepted any. */
-    private View lastAccepted() {
-        View last = context.storedState().accepted;
-        for (PrepareResponse promise : promises.values()) {
-            if (promise.accepted != null && (last == null || promise.accepted.epoch > last.epoch)) {
-                last = promise.accepted;
-            }
-        }
-        return last;
-    }
-
     private void evaluatePromises() {
         if (phase != Phase.PREPARING) {
             return;
         }
-        View last = lastAccepted();
+        View last = promises.lastAccepted();
         if (last == null) {
             return;
         }
@@ -263,11 +240,8 @@
             baseReplaced = true;
             askAll();
         }
-        Set<Member> promising = promisingMembers();
-        if (!base.hasMajority(promising) || !last.hasMajority(promising)) {
-            return;
-        }
-        if (haveEnoughPromised()) {
+        boolean majorities = promises.isMajorityOf(base) && promises.isMajorityOf(last);
+        if (majorities && haveEnoughPromised()) {
             chooseView();
         }
     }
@@ -278,16 +252,16 @@
         if (majorityReachedAtMs == NOT_REACHED_MS) {
             majorityReachedAtMs = nowMs;
         }
-        return promises.size() >= askedAddresses.size()
+        return promises.count() >= askedAddresses.size()
                 || nowMs - majorityReachedAtMs >= ReplicationTiming.PROMISE_GATHERING_MS;
     }
 
     private void chooseView() {
         boolean canChangeGroup = canChangeGroup();
-        List<Member> group = canChangeGroup ? plan.nextGroup(promises::containsKey) : base.group;
+        List<Member> group = canChangeGroup ? plan.nextGroup(promises::isFrom) : base.group;
         List<Member> previous = canChangeGroup ? base.group : base.previous;
         Optional<List<Member>> replicas =
-                new ReplicaSelection(context, promises.keySet()).select(base.replicas, group);
+                new ReplicaSelection(context, promises.otherMembers()).select(base.replicas, group);
         if (replicas.isEmpty()) {
             return; // more members may promise before the attempt times out
         }
@@ -305,22 +279,10 @@
     private void install(View view) {
         enter(Phase.INSTALLING);
         for (Member joiner : plan.joining()) {
-            if (!promises.containsKey(joiner)) {
+            if (!promises.isFrom(joiner)) {
                 context.membershipRequests().withdrawJoin(joiner);
             }
         }
-        new ViewInstaller(context, quorum, this, view).begin();
-    }
-
-    /**
-     * Returns the upstreams that the members that promised and this node know, the latest of each.
-     */
-    List<InstanceRecord> inheritedInstances() {
-        Map<String, InstanceRecord> latest = new LinkedHashMap<>();
-        for (PrepareResponse promise : promises.values()) {
-            promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
-        }
-        context.instances().get().forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
-        return new ArrayList<>(latest.values());
+        new ViewInstaller(context, quorum, this, view, promises).begin();
     }
 }
--- a/src/main/java/myrtleladder/replication/ViewInstaller.java
+++ b/src/main/java/myrtleladder/replication/ViewInstaller.java
@@ -21,14 +21,16 @@
     private final QuorumState quorum;
     private final CandidateState candidate;
     private final View view;
+    private final Promises promises;
     private final Set<Member> installed = new LinkedHashSet<>();
     private final Set<Member> accepted = new LinkedHashSet<>();
 
-    ViewInstaller(ReplicaContext context, QuorumState quorum, CandidateState candidate, View view) {
+    ViewInstaller(ReplicaContext context, QuorumState quorum, CandidateState candidate, View view, Promises promises) {
         this.context = context;
         this.quorum = quorum;
         this.candidate = candidate;
         this.view = view;
+        this.promises = promises;
     }
 
     /** Sends the state to the replicas of the view. */
@@ -49,7 +51,7 @@
                         InstallStateRequest.of(
                                 view.epoch,
                                 context.storedState().snapshot,
-                                candidate.inheritedInstances()),
+                                promises.inheritedInstances()),
                         ReplicationTiming.STORAGE_TIMEOUT_MS,
                         answer -> onStateAnswered(member, answer));
     }
@@ -115,7 +117,7 @@
                 && acceptedByReplicas
                 && view.hasMajority(accepted)) {
             candidate.enter(CandidateState.Phase.ENDED);
-            quorum.transitionToPrimary(view, candidate.inheritedInstances());
+            quorum.transitionToPrimary(view, promises.inheritedInstances());
         }
     }
 }
--- /dev/null
+++ b/src/test/java/myrtleladder/replication/ElectionTimerTest.java
@@ -0,0 +1,65 @@
+package myrtleladder.replication;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** When a member may become a candidate. */
+class ElectionTimerTest {
+    private final ManualScheduler clock = new ManualScheduler();
+    private final ElectionTimer timer = new ElectionTimer(clock);
+
+    private boolean expiresAfter(long durationMs) {
+        clock.run(durationMs);
+        boolean before = timer.hasExpired(clock.now(), 0);
+        clock.run(1);
+        return !before && timer.hasExpired(clock.now(), 0);
+    }
+
+    @Test
+    void initialTimeoutAppliesUntilAPrimaryWasHeard() {
+        timer.restart();
+        assertTrue(expiresAfter(ReplicationTiming.INITIAL_ELECTION_TIMEOUT_MS));
+    }
+
+    @Test
+    void fullTimeoutAppliesAfterAPrimaryWasHeard() {
+        timer.onPrimaryHeard();
+        assertTrue(expiresAfter(ReplicationTiming.ELECTION_TIMEOUT_MS));
+    }
+
+    @Test
+    void retryTimeoutAppliesAfterAnAttemptThatMaySucceedIfRepeated() {
+        timer.onPrimaryHeard();
+        timer.useRetryTimeout();
+        assertTrue(expiresAfter(ReplicationTiming.ELECTION_RETRY_TIMEOUT_MS));
+    }
+
+    @Test
+    void delayOfTheRankIsAddedToTheTimeout() {
+        timer.onPrimaryHeard();
+        clock.run(ReplicationTiming.ELECTION_TIMEOUT_MS + 100);
+        assertFalse(timer.hasExpired(clock.now(), 100));
+        assertTrue(timer.hasExpired(clock.now(), 99));
+    }
+
+    @Test
+    void contactWithACandidateIsNoContactWithAPrimary() {
+        timer.restart();
+        assertFalse(timer.hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS));
+        timer.onPrimaryHeard();
+        assertTrue(timer.hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS));
+        clock.run(ReplicationTiming.PRIMARY_CONTACT_MS);
+        assertFalse(timer.hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS));
+    }
+
+    @Test
+    void suppressedCandidacyIsPermittedOnceItsTimeHasPassed() {
+        timer.suppress(1_000);
+        clock.run(999);
+        assertTrue(timer.isSuppressed(clock.now()));
+        clock.run(1);
+        assertFalse(timer.isSuppressed(clock.now()));
+    }
+}
--- /dev/null
+++ b/src/test/java/myrtleladder/replication/MembershipRequestsTest.java
@@ -0,0 +1,55 @@
+package myrtleladder.replication;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Set;
+import myrtleladder.protocol.Member;
+import org.junit.jupiter.api.Test;
+
+/** The requests to join and to leave that a primary knows. */
+class MembershipRequestsTest {
+    private static final long START_MS = 1_000;
+
+    private final Member member = Member.of("a:1", "a:2", "a");
+    private final MembershipRequests requests = new MembershipRequests();
+
+    @Test
+    void requestExpiresUnlessItIsRepeated() {
+        long ttlMs = ReplicationTiming.MEMBERSHIP_REQUEST_TTL_MS;
+        requests.join(member, START_MS);
+        requests.expire(START_MS + ttlMs);
+        assertEquals(Set.of(member), requests.joining());
+        requests.join(member, START_MS + ttlMs);
+        requests.expire(START_MS + ttlMs + 1);
+        assertEquals(Set.of(member), requests.joining());
+        requests.expire(START_MS + 2 * ttlMs + 1);
+        assertEquals(Set.of(), requests.joining());
+    }
+
+    @Test
+    void memberThatJoinsAfterARestartIsNotLeavingAnyMore() {
+        requests.leave(member, START_MS);
+        requests.join(member, START_MS + 1);
+        assertFalse(requests.isLeaving(member));
+        assertEquals(Set.of(member), requests.joining());
+    }
+
+    @Test
+    void memberThatLeavesIsNotJoiningAnyMore() {
+        requests.join(member, START_MS);
+        requests.leave(member, START_MS + 1);
+        assertTrue(requests.isLeaving(member));
+        assertEquals(Set.of(), requests.joining());
+    }
+
+    @Test
+    void joinerThatDoesNotAnswerMayAskAgain() {
+        requests.join(member, START_MS);
+        requests.withdrawJoin(member);
+        assertEquals(Set.of(), requests.joining());
+        requests.join(member, START_MS + 1);
+        assertEquals(Set.of(member), requests.joining());
+    }
+}
--- a/src/test/java/myrtleladder/replication/VirtualNetwork.java
+++ b/src/test/java/myrtleladder/replication/VirtualNetwork.java
@@ -85,10 +85,7 @@
             return;
         }
         byte[] bytes = MessageCodec.encode(reply);
-        transmit(
-                receiver,
-                call.caller.address,
-                () -> call.complete(MessageCodec.decode(bytes)));
+        transmit(receiver, call.caller.address, () -> call.complete(MessageCodec.decode(bytes)));
     }
 
     private void transmit(String from, String to, Runnable onArrival) {
