--- a/src/main/java/myrtleladder/replication/ViewInstaller.java
+++ b/src/main/java/myrtleladder/replication/ViewInstaller.java
@@ -25,7 +25,12 @@
     private final Set<Member> installed = new LinkedHashSet<>();
     private final Set<Member> accepted = new LinkedHashSet<>();
 
-    ViewInstaller(ReplicaContext context, QuorumState quorum, CandidateState candidate, View view, Promises promises) {
+    ViewInstaller(
+            ReplicaContext context,
+            QuorumState quorum,
+            CandidateState candidate,
+            View view,
+            Promises promises) {
         this.context = context;
         this.quorum = quorum;
         this.candidate = candidate;
