--- a/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
@@ -68,7 +68,7 @@
 
     /** Takes a heartbeat of a process that this one monitors. */
     public void onHeartbeat(BalancerHeartbeat heartbeat) {
-        lastHeartbeatMs.put(heartbeat.name, scheduler.now());
+        lastHeartbeatMs.put(heartbeat.balancer, scheduler.now());
     }
 
     /** Returns the names of the processes whose last heartbeat has not timed out. */
--- a/src/main/java/myrtleladder/replication/CandidateState.java
+++ b/src/main/java/myrtleladder/replication/CandidateState.java
@@ -76,7 +76,7 @@
         this.withPreVote = withPreVote;
         this.promises = new Promises(context);
         this.startedAtMs = context.nowMs();
-        View accepted = context.storedState().accepted;
+        View accepted = context.storedState().acceptedView;
         this.base = accepted == null ? context.view() : accepted;
         this.epoch = nextEpoch();
     }
@@ -130,7 +130,7 @@
 
     /** Returns an epoch above all known ones; lower epochs are always rejected. */
     private long nextEpoch() {
-        return Math.max(context.views().highestEpoch(), context.storedState().promised) + 1;
+        return Math.max(context.views().highestEpoch(), context.storedState().promisedEpoch) + 1;
     }
 
     private void askAll() {
@@ -138,7 +138,7 @@
             askedAtMs = context.nowMs();
         }
         ask(base.group);
-        ask(base.previous);
+        ask(base.previousGroup);
         if (phase == Phase.PREPARING) {
             ask(plan.nextGroup());
         }
@@ -178,18 +178,18 @@
         if (phase != (preVote ? Phase.PRE_VOTE : Phase.PREPARING)) {
             return;
         }
-        context.views().observeEpoch(response.promised);
-        if (response.accepted != null) {
-            quorum.onViewLearned(response.accepted);
+        context.views().observeEpoch(response.promisedEpoch);
+        if (response.acceptedView != null) {
+            quorum.onViewLearned(response.acceptedView);
         }
         if (response.granted) {
             promises.add(response);
             if (!preVote) {
                 context.contacts().onAcknowledged(response.member, sentAtMs);
             }
-        } else if (response.promised >= epoch) {
+        } else if (response.promisedEpoch >= epoch) {
             // The next attempt begins above the epoch that this member promised.
-            quorum.onCandidacyFailed("epoch " + response.promised + " is ahead", true);
+            quorum.onCandidacyFailed("epoch " + response.promisedEpoch + " is ahead", true);
             return;
         }
         if (preVote) {
@@ -211,7 +211,7 @@
         askedAddresses.clear();
         epoch = Math.max(epoch, nextEpoch());
         context.persistentState()
-                .save(context.storedState().withPromised(epoch), this::onOwnPromiseSaved);
+                .save(context.storedState().withPromisedEpoch(epoch), this::onOwnPromiseSaved);
     }
 
     private void onOwnPromiseSaved(boolean saved) {
@@ -259,7 +259,7 @@
     private void chooseView() {
         boolean canChangeGroup = canChangeGroup();
         List<Member> group = canChangeGroup ? plan.nextGroup(promises::isFrom) : base.group;
-        List<Member> previous = canChangeGroup ? base.group : base.previous;
+        List<Member> previous = canChangeGroup ? base.group : base.previousGroup;
         Optional<List<Member>> replicas =
                 new ReplicaSelection(context, promises.otherMembers()).select(base.replicas, group);
         if (replicas.isEmpty()) {
--- a/src/main/java/myrtleladder/replication/ChangeReplicator.java
+++ b/src/main/java/myrtleladder/replication/ChangeReplicator.java
@@ -47,7 +47,7 @@
     void submit(
             byte[] document, long generation, String changeDigest, Consumer<Boolean> onCommitted) {
         View view = context.view();
-        Snapshot next = context.storedState().snapshot.with(document, generation, changeDigest);
+        Snapshot next = context.storedState().snapshot.withChange(document, generation, changeDigest);
         PendingChange change = new PendingChange(view.replicas.size(), onCommitted);
         pending = change;
         context.persistentState()
@@ -82,14 +82,14 @@
                         answer -> {
                             boolean acknowledged =
                                     answer instanceof AcknowledgeResponse response
-                                            && response.taken
+                                            && response.accepted
                                             && member.equals(response.member);
                             if (acknowledged) {
                                 context.contacts().onAcknowledged(member, sentAtMs);
                             }
                             if (answer instanceof AcknowledgeResponse response
-                                    && response.promised > context.storedState().promised) {
-                                quorum.onHigherEpochPromised(response.promised);
+                                    && response.promisedEpoch > context.storedState().promisedEpoch) {
+                                quorum.onHigherEpochPromised(response.promisedEpoch);
                             }
                             onReplicaAnswered(change, acknowledged, member);
                         });
--- a/src/main/java/myrtleladder/replication/FollowerState.java
+++ b/src/main/java/myrtleladder/replication/FollowerState.java
@@ -43,7 +43,7 @@
      * exists is known to the members that promise.
      */
     private boolean isEligible() {
-        View accepted = context.storedState().accepted;
+        View accepted = context.storedState().acceptedView;
         return context.views().isReplica()
                 || accepted != null && accepted.replicas.contains(context.self());
     }
--- a/src/main/java/myrtleladder/replication/InitialState.java
+++ b/src/main/java/myrtleladder/replication/InitialState.java
@@ -22,7 +22,7 @@
         }
         List<Member> group =
                 options.seeds().stream()
-                        .map(s -> Member.of(s.address, s.control, storeOfSeed(s)))
+                        .map(s -> Member.of(s.address, s.controlAddress, storeOfSeed(s)))
                         .toList();
         View view = View.of(0, null, group, group, group);
         return StoredState.of(storeOfSeed(options.self()), 0, view, new Snapshot());
--- a/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
+++ b/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
@@ -123,9 +123,9 @@
                 || response.member == null) {
             return;
         }
-        if (response.promised > view.epoch) {
-            quorum.onHigherEpochPromised(response.promised);
-        } else if (response.taken) {
+        if (response.promisedEpoch > view.epoch) {
+            quorum.onHigherEpochPromised(response.promisedEpoch);
+        } else if (response.accepted) {
             context.contacts().onAcknowledged(response.member, sentAtMs);
             acknowledged.add(response.member);
         }
--- a/src/main/java/myrtleladder/replication/Promises.java
+++ b/src/main/java/myrtleladder/replication/Promises.java
@@ -63,9 +63,9 @@
      * may have committed changes; null if nobody accepted any.
      */
     View lastAccepted() {
-        View last = context.storedState().accepted;
+        View last = context.storedState().acceptedView;
         for (PrepareResponse promise : granted.values()) {
-            View accepted = promise.accepted;
+            View accepted = promise.acceptedView;
             if (accepted != null && (last == null || accepted.epoch > last.epoch)) {
                 last = accepted;
             }
@@ -77,9 +77,9 @@
     List<InstanceRecord> inheritedInstances() {
         Map<String, InstanceRecord> latest = new LinkedHashMap<>();
         for (PrepareResponse promise : granted.values()) {
-            promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
+            promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
         }
-        context.instances().get().forEach(r -> latest.merge(r.id, r, InstanceRecord::later));
+        context.instances().get().forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
         return new ArrayList<>(latest.values());
     }
 }
--- a/src/main/java/myrtleladder/replication/QuorumState.java
+++ b/src/main/java/myrtleladder/replication/QuorumState.java
@@ -150,7 +150,7 @@
             return false;
         }
         role = next;
-        long epoch = context.storedState().promised;
+        long epoch = context.storedState().promisedEpoch;
         LOG.info("{} -> {} epoch {}: {}", previous.state(), next.state(), epoch, reason);
         previous.close();
         return true;
@@ -234,7 +234,7 @@
                 && role instanceof FollowerState
                 && view.primary != null
                 && !view.primary.equals(candidate)
-                && context.storedState().promised <= view.epoch;
+                && context.storedState().promisedEpoch <= view.epoch;
     }
 
     /** The storage failed to save the state. */
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -85,8 +85,8 @@
             Listener listener,
             Supplier<List<InstanceRecord>> instances) {
         StoredState initial = onDisk == null ? InitialState.create(options, newStore) : onDisk;
-        Member self = Member.of(options.self().address, options.self().control, initial.store);
-        ViewTracker views = new ViewTracker(self, initial.accepted);
+        Member self = Member.of(options.self().address, options.self().controlAddress, initial.storeId);
+        ViewTracker views = new ViewTracker(self, initial.acceptedView);
         this.context =
                 new ReplicaContext(
                         options,
@@ -115,9 +115,9 @@
         StoredState stored = context.storedState();
         LOG.info(
                 "replica starts: store {} promised {} view {} generation {}",
-                stored.store,
-                stored.promised,
-                stored.accepted,
+                stored.storeId,
+                stored.promisedEpoch,
+                stored.acceptedView,
                 stored.snapshot.generation);
         storeIdentity();
     }
@@ -161,7 +161,7 @@
 
     /** Returns the epoch promised last. */
     public long epoch() {
-        return context.storedState().promised;
+        return context.storedState().promisedEpoch;
     }
 
     /**
--- a/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
+++ b/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
@@ -25,7 +25,7 @@
      */
     ReconfigurationPlan reconfigurationPlan() {
         View view = context.view();
-        if (!view.settled()) {
+        if (!view.isGroupStable()) {
             return ReconfigurationPlan.unchanged(view.group);
         }
         Set<Member> joining = context.membershipRequests().joining();
@@ -72,7 +72,7 @@
             return;
         }
         View view = context.view();
-        if (!view.settled()) {
+        if (!view.isGroupStable()) {
             quorum.transitionToCandidate(false, "the group settles");
         } else if (reconfigurationPlan().isChange()) {
             quorum.transitionToCandidate(false, "the group changes");
--- a/src/main/java/myrtleladder/replication/ViewInstaller.java
+++ b/src/main/java/myrtleladder/replication/ViewInstaller.java
@@ -66,7 +66,7 @@
             return;
         }
         if (answer instanceof AcknowledgeResponse response
-                && response.taken
+                && response.accepted
                 && member.equals(response.member)) {
             installed.add(member);
             acceptIfInstalled();
@@ -82,9 +82,9 @@
         }
         candidate.enter(CandidateState.Phase.ACCEPTING);
         context.persistentState()
-                .save(context.storedState().withAccepted(view), this::onOwnAcceptanceSaved);
+                .save(context.storedState().withAcceptedView(view), this::onOwnAcceptanceSaved);
         Set<Member> voters = new LinkedHashSet<>(view.group);
-        voters.addAll(view.previous);
+        voters.addAll(view.previousGroup);
         long sentAtMs = context.nowMs();
         for (Member member : voters) {
             if (!context.isSelf(member)) {
@@ -107,7 +107,7 @@
 
     private void onAcceptanceAnswered(Message answer, long sentAtMs) {
         if (answer instanceof AcknowledgeResponse response
-                && response.taken
+                && response.accepted
                 && response.member != null) {
             accepted.add(response.member);
             context.contacts().onAcknowledged(response.member, sentAtMs);
--- a/src/main/java/myrtleladder/replication/VoterRequestHandler.java
+++ b/src/main/java/myrtleladder/replication/VoterRequestHandler.java
@@ -56,15 +56,15 @@
     }
 
     private void handlePrepare(PrepareRequest request, Consumer<Message> answer) {
-        long promised = stored().promised;
-        if (request.trial) {
+        long promised = stored().promisedEpoch;
+        if (request.preVote) {
             boolean granted =
                     request.epoch > promised && !quorum.hasContactToOtherPrimary(request.candidate);
             answer.accept(prepareResponse(granted));
         } else if (request.epoch > promised) {
             promisedTo = request.candidate;
             quorum.onEpochPrepared(request.epoch, request.candidate);
-            savePromise(stored().withPromised(request.epoch), answer);
+            savePromise(stored().withPromisedEpoch(request.epoch), answer);
         } else if (request.epoch == promised && request.candidate.equals(promisedTo)) {
             savePromise(stored(), answer); // a repeated request: the first answer was lost
         } else {
@@ -73,7 +73,7 @@
     }
 
     private void handleInstallState(InstallStateRequest request, Consumer<Message> answer) {
-        if (request.epoch != stored().promised) {
+        if (request.epoch != stored().promisedEpoch) {
             answer.accept(acknowledgement(false));
             return;
         }
@@ -86,12 +86,12 @@
     }
 
     private void handleAcceptView(View view, Consumer<Message> answer) {
-        if (view.epoch < stored().promised) {
+        if (view.epoch < stored().promisedEpoch) {
             answer.accept(acknowledgement(false));
             return;
         }
         quorum.onPrimaryHeard(view);
-        saveAndAcknowledge(stored().withAccepted(view), answer);
+        saveAndAcknowledge(stored().withAcceptedView(view), answer);
     }
 
     private void handleReplicate(ReplicateRequest request, Consumer<Message> answer) {
@@ -100,7 +100,7 @@
             return;
         }
         context.electionTimer().restart();
-        Snapshot next = stored().snapshot.with(request.document, request.generation, request.order);
+        Snapshot next = stored().snapshot.withChange(request.document, request.generation, request.changeDigest);
         saveAndAcknowledge(stored().withSnapshot(next), answer);
     }
 
@@ -108,21 +108,21 @@
      * Returns whether this node accepted a view of this epoch as a replica and promised no later.
      */
     private boolean isReplicaOfEpoch(long epoch) {
-        View accepted = stored().accepted;
+        View accepted = stored().acceptedView;
         return accepted != null
                 && accepted.epoch == epoch
-                && stored().promised == epoch
+                && stored().promisedEpoch == epoch
                 && accepted.replicas.contains(context.self());
     }
 
     private void handleHeartbeat(View view, Consumer<Message> answer) {
-        if (view.epoch < stored().promised) {
+        if (view.epoch < stored().promisedEpoch) {
             answer.accept(acknowledgement(false));
             return;
         }
         quorum.onPrimaryHeard(view);
-        if (stored().accepted == null || view.epoch > stored().accepted.epoch) {
-            saveAndAcknowledge(stored().withAccepted(view), answer);
+        if (stored().acceptedView == null || view.epoch > stored().acceptedView.epoch) {
+            saveAndAcknowledge(stored().withAcceptedView(view), answer);
             return;
         }
         answer.accept(acknowledgement(true));
@@ -137,17 +137,17 @@
                 .save(next, saved -> answer.accept(saved ? acknowledgement(true) : null));
     }
 
-    private AcknowledgeResponse acknowledgement(boolean taken) {
-        return AcknowledgeResponse.of(taken, stored().promised, context.self());
+    private AcknowledgeResponse acknowledgement(boolean accepted) {
+        return AcknowledgeResponse.of(accepted, stored().promisedEpoch, context.self());
     }
 
     private void savePromise(StoredState next, Consumer<Message> answer) {
-        long epoch = next.promised;
+        long epoch = next.promisedEpoch;
         context.persistentState()
                 .save(
                         next,
                         saved -> {
-                            boolean stillPromised = stored().promised == epoch;
+                            boolean stillPromised = stored().promisedEpoch == epoch;
                             answer.accept(saved ? prepareResponse(stillPromised) : null);
                         });
     }
@@ -155,9 +155,9 @@
     private PrepareResponse prepareResponse(boolean granted) {
         PrepareResponse response = new PrepareResponse();
         response.granted = granted;
-        response.promised = stored().promised;
+        response.promisedEpoch = stored().promisedEpoch;
         response.member = context.self();
-        response.accepted = stored().accepted;
+        response.acceptedView = stored().acceptedView;
         response.instances =
                 granted ? new ArrayList<>(context.instances().get()) : new ArrayList<>();
         return response;
--- a/src/main/java/myrtleladder/testbed/checker/ColdWindow.java
+++ b/src/main/java/myrtleladder/testbed/checker/SlowStartWindow.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /** What a cold upstream was sent within the window of the rule, against what it can bear. */
-public final class ColdWindow {
+public final class SlowStartWindow {
     private final Rules rules;
     private final double capacity;
     private final long startedAt;
@@ -16,7 +16,7 @@
     /**
      * For an upstream that starts now and does {@code capacity} of work in a microsecond when warm.
      */
-    public ColdWindow(Rules rules, double capacity, long now) {
+    public SlowStartWindow(Rules rules, double capacity, long now) {
         this.rules = rules;
         this.capacity = capacity;
         this.startedAt = now;
@@ -29,9 +29,9 @@
         while (sent.peek().at() <= now - rules.fallTime()) {
             total -= sent.poll().work();
         }
-        double warmth = rules.warmth(now - startedAt);
-        return warmth >= 1
+        double slowStartFactor = rules.slowStartFactor(now - startedAt);
+        return slowStartFactor >= 1
                 ? 0
-                : total / (rules.fallMultiple() * warmth * capacity * rules.fallTime());
+                : total / (rules.fallMultiple() * slowStartFactor * capacity * rules.fallTime());
     }
 }
--- a/src/main/java/myrtleladder/testbed/proxy/StreamLink.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
@@ -21,14 +21,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.testbed.fault.Links;
+import myrtleladder.testbed.fault.LinkFaults;
 
 /**
  * One pair of processes over TCP: connections that the first opens to the second. Bytes keep their
  * order, as TCP has it: a lost piece is late by a retransmission; behind a cut all waits until the
  * cut is healed. An end of a connection waits its turn like bytes, so a cut hides it too.
  */
-final class StreamLink {
+final class StreamProxy {
     /** What a lost piece costs: the least retransmission time of common kernels. */
     private static final long RETRANSMIT_MICROS = 200_000;
 
@@ -36,14 +36,15 @@
     private static final int WINDOW = 256 * 1024;
 
     private final EventLoop loop;
-    private final Links links;
+    private final LinkFaults links;
     private final String from;
     private final String to;
     private final InetSocketAddress target;
     private final Set<Side> sides = new LinkedHashSet<>();
     private Channel listening;
 
-    StreamLink(EventLoop loop, Links links, String from, String to, InetSocketAddress target) {
+    StreamProxy(
+            EventLoop loop, LinkFaults links, String from, String to, InetSocketAddress target) {
         this.loop = loop;
         this.links = links;
         this.from = from;
@@ -86,7 +87,7 @@
         near.pipeline().addLast(there);
         sides.add(there);
         sides.add(back);
-        there.connectWhenNotCut();
+        there.connectUnlessPartitioned();
     }
 
     boolean between(String one, String other) {
@@ -111,7 +112,7 @@
     private final class Side extends ChannelInboundHandlerAdapter {
         private final String sender;
         private final String receiver;
-        private final Deque<Piece> onItsWay = new ArrayDeque<>();
+        private final Deque<Chunk> onItsWay = new ArrayDeque<>();
         private SocketChannel channel;
         private Side other;
         private long lastDue;
@@ -128,9 +129,9 @@
         }
 
         /** Bytes, or the end of the connection where {@code bytes} is null. */
-        private record Piece(ByteBuf bytes, long due) {}
+        private record Chunk(ByteBuf bytes, long due) {}
 
-        void connectWhenNotCut() {
+        void connectUnlessPartitioned() {
             if (connecting || links.cut(sender, receiver) || links.cut(receiver, sender)) {
                 return;
             }
@@ -177,17 +178,17 @@
             }
         }
 
-        private void put(ByteBuf piece) {
+        private void put(ByteBuf chunk) {
             long now = System.nanoTime() / 1_000;
-            int size = piece == null ? 0 : piece.readableBytes();
+            int size = chunk == null ? 0 : chunk.readableBytes();
             long[] arrivals =
                     links.cut(sender, receiver)
                             ? new long[] {0}
                             : links.arrivals(now, sender, receiver, size);
             long delay = arrivals.length == 0 ? RETRANSMIT_MICROS : arrivals[0];
             lastDue = Math.max(lastDue, now + delay);
-            onItsWay.add(new Piece(piece, lastDue));
-            bytes += piece == null ? 0 : piece.readableBytes();
+            onItsWay.add(new Chunk(chunk, lastDue));
+            bytes += chunk == null ? 0 : chunk.readableBytes();
             channel.config().setAutoRead(bytes < WINDOW);
             go();
         }
@@ -199,7 +200,7 @@
                 // connecting
             }
             if (other.channel == null) {
-                connectWhenNotCut();
+                connectUnlessPartitioned();
                 return;
             }
             if (broken && !links.cut(sender, receiver)) {
@@ -216,12 +217,12 @@
                     comeAgain(wait);
                     break;
                 }
-                Piece piece = onItsWay.poll();
-                if (piece.bytes() == null) {
+                Chunk chunk = onItsWay.poll();
+                if (chunk.bytes() == null) {
                     end();
                 } else {
-                    bytes -= piece.bytes().readableBytes();
-                    other.channel.write(piece.bytes());
+                    bytes -= chunk.bytes().readableBytes();
+                    other.channel.write(chunk.bytes());
                     wrote = true;
                 }
             }
--- /dev/null
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -0,0 +1,111 @@
+package myrtleladder.dataplane;
+
+import java.util.ArrayList;
+import java.util.List;
+import myrtleladder.io.Headers;
+import myrtleladder.io.RequestHead;
+import myrtleladder.io.ResponseHead;
+
+/** HttpConnectionPool to upstreams that do what a test says. */
+final class ScriptedConnectionPool implements ConnectionPool {
+    final List<SentRequest> sent = new ArrayList<>();
+    boolean refusesConnections;
+    boolean neverConnects;
+
+    /** A request that an upstream received. */
+    final class SentRequest implements PooledConnection {
+        final Upstream upstream;
+        final ResponseListener listener;
+        RequestHead head;
+        boolean closed;
+
+        SentRequest(Upstream upstream, ResponseListener listener) {
+            this.upstream = upstream;
+            this.listener = listener;
+        }
+
+        @Override
+        public boolean canSend() {
+            return true;
+        }
+
+        @Override
+        public void send(RequestHead request, byte[] body) {
+            head = request;
+            sent.add(this);
+        }
+
+        @Override
+        public void close() {
+            closed = true;
+        }
+
+        String header(String name) {
+            return head.headers().get(name);
+        }
+
+        /** The head of an answer that carries the request's id and a signature. */
+        void respondHead(int status, String... fields) {
+            Headers headers =
+                    new Headers()
+                            .add(HeaderNames.ATTEMPT_ID, header(HeaderNames.ATTEMPT_ID))
+                            .add(HeaderNames.UPSTREAM_SIGNATURE, "sig");
+            for (int i = 0; i < fields.length; i += 2) {
+                headers.set(fields[i], fields[i + 1]);
+            }
+            listener.onResponseHead(new ResponseHead(status, headers, true));
+        }
+
+        void rejectAsNotExecuted() {
+            listener.onResponseHead(
+                    new ResponseHead(503, new Headers().add(HeaderNames.NOT_EXECUTED, "1"), true));
+        }
+
+        void sendEvent(long id) {
+            listener.onResponseBody(("id: " + id + "\ndata: x" + id + "\n\n").getBytes());
+        }
+
+        void sendBytes(String text) {
+            listener.onResponseBody(text.getBytes());
+        }
+
+        void completeResponse() {
+            listener.onResponseComplete();
+        }
+
+        void loseConnection() {
+            listener.onConnectionLost();
+        }
+    }
+
+    @Override
+    public PooledConnection acquire(
+            Upstream upstream, ResponseListener listener, boolean recentlyUsedOnly) {
+        SentRequest link = new SentRequest(upstream, listener);
+        if (refusesConnections) {
+            listener.onConnectFailed();
+        } else if (!neverConnects) {
+            listener.onConnectionReady(link);
+        }
+        return link;
+    }
+
+    @Override
+    public int openConnections(Upstream upstream) {
+        return 0;
+    }
+
+    @Override
+    public int idleConnections(Upstream upstream) {
+        return 0;
+    }
+
+    @Override
+    public void closeExpired() {
+        // no connection is kept idle
+    }
+
+    SentRequest lastSent() {
+        return sent.get(sent.size() - 1);
+    }
+}
--- a/src/test/java/myrtleladder/replication/PersistentStateTest.java
+++ b/src/test/java/myrtleladder/replication/PersistentStateTest.java
@@ -37,8 +37,8 @@
 
     @Test
     void stateIsCurrentBeforeItIsDurable() {
-        state.save(initial.withPromised(5), saved -> events.add("saved"));
-        assertEquals(5, state.current().promised);
+        state.save(initial.withPromisedEpoch(5), saved -> events.add("saved"));
+        assertEquals(5, state.current().promisedEpoch);
         assertFalse(state.isIdle());
         assertEquals(List.of(), events);
         pendingSaves.get(0).accept(true);
--- a/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
+++ b/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
@@ -74,7 +74,7 @@
         void assertLeadsTo(String expected) {
             ReconfigurationPlan plan = build();
             StringBuilder letters = new StringBuilder();
-            plan.nextGroup().forEach(member -> letters.append(member.store));
+            plan.nextGroup().forEach(member -> letters.append(member.storeId));
             assertEquals(expected, letters.toString());
             assertEquals(!expected.equals(group), plan.isChange());
         }
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -62,7 +62,7 @@
         commitChange(cluster);
         long replicas =
                 cluster.nodes.values().stream()
-                        .filter(n -> n.replica.snapshot().orders.containsAll(cluster.acknowledged))
+                        .filter(n -> n.replica.snapshot().changeDigests.containsAll(cluster.acknowledged))
                         .count();
         assertEquals(2, replicas);
     }
@@ -102,14 +102,14 @@
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         commitChange(cluster);
         VirtualNode formerPrimary = cluster.primary();
-        String store = formerPrimary.replica.self().store;
+        String store = formerPrimary.replica.self().storeId;
         formerPrimary.killAndWipe();
         cluster.clock.run(500);
         formerPrimary.start(false);
         cluster.clock.run(4_000);
-        assertNotEquals(store, formerPrimary.replica.self().store);
+        assertNotEquals(store, formerPrimary.replica.self().storeId);
         assertTrue(cluster.primary().replica.view().group.contains(formerPrimary.replica.self()));
-        assertTrue(cluster.primary().replica.view().settled());
+        assertTrue(cluster.primary().replica.view().isGroupStable());
         assertRecoversWithoutLoss(cluster);
     }
 
@@ -230,8 +230,8 @@
             AtomicReference<Message> answer = new AtomicReference<>();
             backup.receive(late, answer::set);
             AcknowledgeResponse rejection = (AcknowledgeResponse) answer.get();
-            assertFalse(rejection.taken, late.toString());
-            assertEquals(promised, rejection.promised);
+            assertFalse(rejection.accepted, late.toString());
+            assertEquals(promised, rejection.promisedEpoch);
         }
         assertEquals(snapshot, backup.snapshot());
         assertEquals(knownView, backup.view());
--- a/src/test/java/myrtleladder/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -164,7 +164,7 @@
     }
 
     private void checkHasAll(VirtualNode node, List<String> expected) {
-        if (!node.replica.snapshot().orders.containsAll(expected)) {
+        if (!node.replica.snapshot().changeDigests.containsAll(expected)) {
             violations.add(node.address + " confirmed without " + expected);
         }
     }
@@ -189,9 +189,9 @@
         VirtualNode primary = primary();
         if (primary == null) {
             violations.add("no primary after the faults");
-        } else if (!primary.replica.snapshot().orders.containsAll(acknowledged)) {
+        } else if (!primary.replica.snapshot().changeDigests.containsAll(acknowledged)) {
             List<String> lost = new ArrayList<>(acknowledged);
-            lost.removeAll(primary.replica.snapshot().orders);
+            lost.removeAll(primary.replica.snapshot().changeDigests);
             violations.add("lost " + lost);
         }
         return violations;
