--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -55,7 +55,7 @@
 
     private static int rehearse() {
         try {
-            return Rehearsal.run() ? 0 : 1;
+            return Warmup.run() ? 0 : 1;
         } catch (IOException | InterruptedException e) {
             System.err.println(e);
             return 1;
@@ -82,13 +82,12 @@
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
         int sound = 0;
-        for (GenerationStore.Generation generation :
-                new GenerationStore(Path.of(words.get(1))).generations()) {
+        for (StateStore.StateFile file : new StateStore(Path.of(words.get(1))).files()) {
             try {
-                StoredState state = GenerationStore.read(generation.file());
+                StoredState state = StateStore.read(file.path());
                 sound++;
                 System.out.println(
-                        generation.file()
+                        file.path()
                                 + ": store "
                                 + state.storeId
                                 + ", promised "
@@ -101,7 +100,7 @@
                                 + state.snapshot.changeDigests.size()
                                 + " orders");
             } catch (SystemException e) {
-                System.out.println(generation.file() + ": " + e.getMessage());
+                System.out.println(file.path() + ": " + e.getMessage());
             }
         }
         return sound > 0 ? 0 : 1;
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -10,79 +10,79 @@
 import myrtleladder.protocol.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** What upstreams keep, as the balancers announced it. */
+/** Prompts that upstreams have cached, as the balancers announced them. */
 class PromptDirectoryTest {
     private final PromptDirectory directory = new PromptDirectory();
 
-    private FleetLoads told(long known) {
-        FleetLoads answer = new FleetLoads();
-        directory.tell(answer, known);
-        return answer;
+    private FleetLoads changesSince(long knownRevision) {
+        FleetLoads response = new FleetLoads();
+        directory.addChangesSince(response, knownRevision);
+        return response;
     }
 
-    private static List<Long> prompts(FleetLoads answer) {
-        return answer.cachedPrompts.stream().map(kept -> kept.prefixHash).toList();
+    private static List<Long> prompts(FleetLoads response) {
+        return response.cachedPrompts.stream().map(cached -> cached.prefixHash).toList();
     }
 
     @Test
-    void eachIsToldOnceWhatIsNewToTheBalancer() {
-        directory.take(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
-        FleetLoads first = told(0);
+    void balancerGetsEachAnnouncementOnce() {
+        directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
+        FleetLoads first = changesSince(0);
         assertEquals(List.of(11L, 12L), prompts(first));
-        assertEquals(List.of(), prompts(told(first.promptRevision)));
-        directory.take(List.of(CachedPrompt.of(13, 1)));
-        assertEquals(List.of(13L), prompts(told(first.promptRevision)));
+        assertEquals(List.of(), prompts(changesSince(first.promptRevision)));
+        directory.record(List.of(CachedPrompt.of(13, 1)));
+        assertEquals(List.of(13L), prompts(changesSince(first.promptRevision)));
     }
 
     @Test
-    void anAnnouncementThatArrivesAgainIsKeptOnce() {
-        directory.take(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
-        directory.take(List.of(CachedPrompt.of(11, 1)));
-        assertEquals(List.of(12L, 11L), prompts(told(0)));
-        directory.take(List.of(CachedPrompt.of(11, 3)));
-        assertEquals(List.of(12L, 11L, 11L), prompts(told(0)));
+    void repeatedAnnouncementIsKeptOnce() {
+        directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
+        directory.record(List.of(CachedPrompt.of(11, 1)));
+        assertEquals(List.of(12L, 11L), prompts(changesSince(0)));
+        directory.record(List.of(CachedPrompt.of(11, 3)));
+        assertEquals(List.of(12L, 11L, 11L), prompts(changesSince(0)));
     }
 
     @Test
-    void longNewsAreToldInParts() {
+    void manyAnnouncementsAreSentInParts() {
         List<CachedPrompt> announced = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             announced.add(CachedPrompt.of(i, 1));
         }
-        directory.take(announced);
+        directory.record(announced);
         List<Long> all = new ArrayList<>();
         long known = 0;
         for (int round = 0; round < 3; round++) {
-            FleetLoads part = told(known);
+            FleetLoads part = changesSince(known);
             assertTrue(part.cachedPrompts.size() <= 128);
             all.addAll(prompts(part));
             known = part.promptRevision;
         }
-        assertEquals(announced.stream().map(kept -> kept.prefixHash).toList(), all);
+        assertEquals(announced.stream().map(cached -> cached.prefixHash).toList(), all);
     }
 
     @Test
-    void theOldestGiveWayAndMemoryIsBounded() {
+    void oldestAnnouncementsAreDroppedToBoundMemory() {
         for (int i = 0; i < 20_000; i++) {
-            directory.take(List.of(CachedPrompt.of(i, 1)));
+            directory.record(List.of(CachedPrompt.of(i, 1)));
         }
-        assertEquals(20_000 - 8_192, told(0).cachedPrompts.get(0).prefixHash);
+        assertEquals(20_000 - 8_192, changesSince(0).cachedPrompts.get(0).prefixHash);
     }
 
     @Test
-    void whatABalancerKnowsFromAnotherEpochDoesNotCount() {
-        FleetView view = new FleetView();
-        view.lead(0);
+    void revisionOfAnotherEpochDoesNotCount() {
+        FleetLoadExchange exchange = new FleetLoadExchange();
+        exchange.reset(0);
         LoadReport report = new LoadReport();
         report.balancer = "a";
         report.cachedPrompts.add(CachedPrompt.of(11, 1));
-        view.take(report, 10);
+        exchange.record(report, 10);
         LoadReport other = new LoadReport();
         other.balancer = "b";
         other.epoch = 4;
         other.promptRevision = 1;
-        assertEquals(List.of(11L), prompts(view.tell(other, 5, 20)));
+        assertEquals(List.of(11L), prompts(exchange.responseTo(other, 5, 20)));
         other.epoch = 5;
-        assertEquals(List.of(), prompts(view.tell(other, 5, 20)));
+        assertEquals(List.of(), prompts(exchange.responseTo(other, 5, 20)));
     }
 }
--- /dev/null
+++ b/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
@@ -0,0 +1,94 @@
+package myrtleladder.controlplane;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import myrtleladder.configuration.Configuration;
+import myrtleladder.configuration.Json;
+import myrtleladder.protocol.QuotaRequest;
+import myrtleladder.protocol.QuotaResponse;
+import org.junit.jupiter.api.Test;
+
+/** Quotas that all balancers share. */
+class QuotaAllocatorTest {
+    private static Configuration configuration(int rate, int burst) {
+        String text =
+                "{\"generation\":1,\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\"],"
+                        + "\"unit\":\"tokens\","
+                        + "\"rate_per_s\":"
+                        + rate
+                        + ",\"burst\":"
+                        + burst
+                        + "},{\"name\":\"free\",\"api_keys\":[\"f\"]}]}";
+        return Configuration.read(Json.readObject(text.getBytes(StandardCharsets.UTF_8)));
+    }
+
+    @Test
+    void grantsOverTimeStayWithinRateBurstOverageAndSlack() {
+        QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
+        quotas.configure(configuration(70_000, 112_000), true, 0);
+        double granted = 0;
+        for (long now = 0; now < 8_000; now += 10) {
+            QuotaResponse grant = quotas.grant(QuotaRequest.of("t", 17_000), now);
+            granted += grant.grantedUnits;
+        }
+        double allowed = (70_000 * 8 + 112_000) * 1.1 + 190_000;
+        assertTrue(granted <= allowed, granted + " of " + allowed);
+        assertTrue(granted >= 70_000 * 8 + 112_000, "too little: " + granted);
+    }
+
+    @Test
+    void largeRequestIsGrantedAndLeavesADebt() {
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1_000, 1_000), true, 0);
+        assertEquals(5_000, quotas.grant(QuotaRequest.of("t", 5_000), 0).grantedUnits, 1_000);
+        QuotaResponse empty = quotas.grant(QuotaRequest.of("t", 1), 100);
+        assertEquals(0, empty.grantedUnits);
+        assertTrue(empty.waitMs > 3_000, "waits " + empty.waitMs);
+        assertEquals(1, quotas.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).grantedUnits);
+    }
+
+    @Test
+    void changedQuotaKeepsItsLevelAndNewPrimaryStartsLow() {
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1_000, 1_000), true, 0);
+        quotas.grant(QuotaRequest.of("t", 3_000), 0);
+        quotas.configure(configuration(1_000, 9_000), false, 0);
+        assertEquals(0, quotas.grant(QuotaRequest.of("t", 1), 0).grantedUnits);
+        quotas.clear();
+        quotas.configure(configuration(1_000, 1_000), false, 0);
+        quotas.grant(QuotaRequest.of("t", 400), 0);
+        assertEquals(0, quotas.grant(QuotaRequest.of("t", 1), 0).grantedUnits);
+    }
+
+    @Test
+    void advancesOfAllBalancersStayWithinTheirShareOfTheSlack() {
+        QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
+        quotas.setBalancerCount(56);
+        quotas.configure(configuration(446_000, 446_000), true, 0);
+        double advance = 0;
+        for (int balancer = 0; balancer < 56; balancer++) {
+            advance += quotas.grant(QuotaRequest.of("t", 1_000), 0).grantedUnits - 1_000;
+        }
+        assertTrue(advance <= 0.25 * 190_000 + 1, "advance " + advance);
+        assertTrue(advance > 0, "no advance");
+    }
+
+    @Test
+    void unitsThatArePutBackAreGrantedAgain() {
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1_000, 1_000), true, 0);
+        quotas.grant(QuotaRequest.of("t", 1_000), 0);
+        assertEquals(0, quotas.grant(QuotaRequest.of("t", 400), 0).grantedUnits);
+        quotas.grant(QuotaRequest.of("t", -700), 0);
+        assertEquals(400, quotas.grant(QuotaRequest.of("t", 400), 0).grantedUnits);
+    }
+
+    @Test
+    void tenantWithoutRateIsNotLimited() {
+        QuotaAllocator quotas = new QuotaAllocator(0, 0);
+        quotas.configure(configuration(1, 1), true, 0);
+        assertEquals(1e9, quotas.grant(QuotaRequest.of("free", 1e9), 0).grantedUnits);
+    }
+}
