--- a/src/main/java/myrtleladder/replication/ChangeReplicator.java
+++ b/src/main/java/myrtleladder/replication/ChangeReplicator.java
@@ -47,7 +47,8 @@
     void submit(
             byte[] document, long generation, String changeDigest, Consumer<Boolean> onCommitted) {
         View view = context.view();
-        Snapshot next = context.storedState().snapshot.withChange(document, generation, changeDigest);
+        Snapshot next =
+                context.storedState().snapshot.withChange(document, generation, changeDigest);
         PendingChange change = new PendingChange(view.replicas.size(), onCommitted);
         pending = change;
         context.persistentState()
@@ -88,7 +89,8 @@
                                 context.contacts().onAcknowledged(member, sentAtMs);
                             }
                             if (answer instanceof AcknowledgeResponse response
-                                    && response.promisedEpoch > context.storedState().promisedEpoch) {
+                                    && response.promisedEpoch
+                                            > context.storedState().promisedEpoch) {
                                 quorum.onHigherEpochPromised(response.promisedEpoch);
                             }
                             onReplicaAnswered(change, acknowledged, member);
--- a/src/main/java/myrtleladder/replication/PrimaryState.java
+++ b/src/main/java/myrtleladder/replication/PrimaryState.java
@@ -116,7 +116,9 @@
     boolean onLeaveRequested(Member member) {
         View view = context.view();
         context.membershipRequests().leave(member, context.nowMs());
-        return view.isGroupStable() && !view.group.contains(member) && !view.replicas.contains(member);
+        return view.isGroupStable()
+                && !view.group.contains(member)
+                && !view.replicas.contains(member);
     }
 
     /** Returns the next group as far as it may change now. */
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -85,7 +85,8 @@
             Listener listener,
             Supplier<List<InstanceRecord>> instances) {
         StoredState initial = onDisk == null ? InitialState.create(options, newStore) : onDisk;
-        Member self = Member.of(options.self().address, options.self().controlAddress, initial.storeId);
+        Member self =
+                Member.of(options.self().address, options.self().controlAddress, initial.storeId);
         ViewTracker views = new ViewTracker(self, initial.acceptedView);
         this.context =
                 new ReplicaContext(
--- a/src/main/java/myrtleladder/replication/VoterRequestHandler.java
+++ b/src/main/java/myrtleladder/replication/VoterRequestHandler.java
@@ -100,7 +100,9 @@
             return;
         }
         context.electionTimer().restart();
-        Snapshot next = stored().snapshot.withChange(request.document, request.generation, request.changeDigest);
+        Snapshot next =
+                stored().snapshot
+                        .withChange(request.document, request.generation, request.changeDigest);
         saveAndAcknowledge(stored().withSnapshot(next), answer);
     }
 
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -62,7 +62,12 @@
         commitChange(cluster);
         long replicas =
                 cluster.nodes.values().stream()
-                        .filter(n -> n.replica.snapshot().changeDigests.containsAll(cluster.acknowledged))
+                        .filter(
+                                n ->
+                                        n.replica
+                                                .snapshot()
+                                                .changeDigests
+                                                .containsAll(cluster.acknowledged))
                         .count();
         assertEquals(2, replicas);
     }
