--- a/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 
 /**
--- a/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.BalancerAddress;
 import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.replication.Peers;
--- a/src/main/java/myrtleladder/replication/ElectionTimer.java
+++ b/src/main/java/myrtleladder/replication/ElectionTimer.java
@@ -1,6 +1,6 @@
 package myrtleladder.replication;
 
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * When this node last had contact with a primary or candidate, and when it may become a candidate
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.JoinRequest;
--- a/src/main/java/myrtleladder/replication/ReplicaContext.java
+++ b/src/main/java/myrtleladder/replication/ReplicaContext.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.StoredState;
--- a/src/main/java/myrtleladder/replication/UnresponsiveReplicas.java
+++ b/src/main/java/myrtleladder/replication/UnresponsiveReplicas.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.Member;
 
 /**
--- a/src/test/java/myrtleladder/replication/ManualScheduler.java
+++ b/src/test/java/myrtleladder/replication/ManualScheduler.java
@@ -1,7 +1,7 @@
 package myrtleladder.replication;
 
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.TimerQueue;
+import myrtleladder.scheduler.Scheduler;
+import myrtleladder.scheduler.TimerQueue;
 
 /** A scheduler whose clock the test advances; all times are in milliseconds. */
 public final class ManualScheduler implements Scheduler {
--- a/src/test/java/myrtleladder/replication/VirtualDisk.java
+++ b/src/test/java/myrtleladder/replication/VirtualDisk.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.protocol.StoredState;
 
--- a/src/test/java/myrtleladder/replication/VirtualNode.java
+++ b/src/test/java/myrtleladder/replication/VirtualNode.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.Scheduler;
+import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
