--- a/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.BalancerAddress;
 import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.replication.Peers;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Sends the heartbeats of this process to its monitors on the ring and records those of the
--- a/src/main/java/myrtleladder/replication/PersistentState.java
+++ b/src/main/java/myrtleladder/replication/PersistentState.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.StoredState;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * The state of this node in memory and on its way to the storage.
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.JoinRequest;
@@ -17,6 +16,7 @@
 import myrtleladder.protocol.Snapshot;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
--- a/src/main/java/myrtleladder/replication/ReplicaContext.java
+++ b/src/main/java/myrtleladder/replication/ReplicaContext.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * What the roles of one replica share; it outlives every change of the role. Confined to the event
--- a/src/main/java/myrtleladder/replication/UnresponsiveReplicas.java
+++ b/src/main/java/myrtleladder/replication/UnresponsiveReplicas.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.Member;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Members that failed as replicas a short while ago. A candidate chooses them again only if there
--- a/src/main/java/myrtleladder/replication/package-info.java
+++ b/src/main/java/myrtleladder/replication/package-info.java
@@ -1,8 +1,8 @@
 /**
  * Primary-backup replication of the control plane's state, with voting members that store epochs
  * only. Without I/O: {@link myrtleladder.replication.Peers} sends requests, {@link
- * myrtleladder.replication.Storage} keeps the state and {@link myrtleladder.scheduler.Scheduler} has the
- * time.
+ * myrtleladder.replication.Storage} keeps the state and {@link myrtleladder.scheduler.Scheduler}
+ * has the time.
  *
  * <p>{@link myrtleladder.replication.Replica} is the entry point. {@code QuorumState} alone makes
  * transitions between the roles: {@code JoiningState}, {@code FollowerState}, {@code
--- a/src/test/java/myrtleladder/replication/VirtualDisk.java
+++ b/src/test/java/myrtleladder/replication/VirtualDisk.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.protocol.StoredState;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * The disk of a virtual node. Saves are carried out one after the other, as the thread of the real
--- a/src/test/java/myrtleladder/replication/VirtualNode.java
+++ b/src/test/java/myrtleladder/replication/VirtualNode.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.scheduler.Scheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
+import myrtleladder.scheduler.Scheduler;
 
 /** A process with a replica, which can be killed, paused and started again, and its disk. */
 final class VirtualNode implements Peers, Replica.Listener {
