--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -13,7 +13,7 @@
 import myrtleladder.cluster.FleetConfiguration;
 import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.cluster.MembershipRuntime;
-import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.error.OperatorError.NoFile;
@@ -21,8 +21,8 @@
 import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.loadbalancer.server.RunningBalancer;
-import myrtleladder.maintenance.Agenda;
-import myrtleladder.maintenance.WorkSettings;
+import myrtleladder.maintenance.MaintenanceSettings;
+import myrtleladder.maintenance.MaintenanceStateMachine;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -129,10 +129,10 @@
             InetSocketAddress at =
                     listen == null ? null : Own.address(file, "admin.listen", listen);
             FleetConfiguration fleet = own.fleet() == null ? null : fleet(own.fleet(), name);
-            AgreeSettings council =
+            ConsensusSettings council =
                     fleet == null || own.fleet().council() == null
                             ? null
-                            : AgreeSettings.of(own.fleet().name(), own.fleet().council());
+                            : ConsensusSettings.of(own.fleet().name(), own.fleet().council());
             int status =
                     myrtleladder.loadbalancer.server.Main.run(
                             new String[] {"serve"},
@@ -149,7 +149,7 @@
                 String name,
                 InetSocketAddress at,
                 FleetConfiguration fleet,
-                AgreeSettings council) {
+                ConsensusSettings council) {
             MembershipRuntime members =
                     fleet == null ? null : MembershipRuntime.start(balancer.loop(), fleet);
             ConsensusRuntime agreement = null;
@@ -157,10 +157,10 @@
             if (council != null) {
                 Consumer<Enum<?>> points =
                         FaultPointTrigger.of(System.getProperty(FaultPointTrigger.PROPERTY));
-                Agenda agenda = new Agenda();
+                MaintenanceStateMachine agenda = new MaintenanceStateMachine();
                 agreement = ConsensusRuntime.start(members, council, agenda, points);
-                WorkSettings settings =
-                        WorkSettings.of(
+                MaintenanceSettings settings =
+                        MaintenanceSettings.of(
                                 own.fleet().name(),
                                 LONGEST_ATTEMPT,
                                 1_000_000 * own.fleet().longestWorkS());
--- a/src/test/java/myrtleladder/consensus/VirtualAgreement.java
+++ b/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
@@ -30,7 +30,7 @@
  * what must hold at every moment is looked at with every decree, what must hold in the end when it
  * is asked.
  */
-final class VirtualAgreement {
+final class SimulatedConsensusCluster {
     static final long SECOND = 1_000_000;
     private static final LinkFault LAN = new LinkFault(false, 200, 300, 0, 0);
     private static final long WORK = 1_500_000;
@@ -38,12 +38,12 @@
     final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
-    final PointFaults<Point> faults = new PointFaults<>();
-    final AgreeSettings settings;
-    final List<Note> foundings = new ArrayList<>();
+    final PointFaults<FaultPoint> faults = new PointFaults<>();
+    final ConsensusSettings settings;
+    final List<ConsensusEvent> foundings = new ArrayList<>();
     long datagrams;
     long bytes;
-    private final TreeMap<Token, Long> digests = new TreeMap<>();
+    private final TreeMap<FencingToken, Long> digests = new TreeMap<>();
     private final Map<List<Long>, View> views = new LinkedHashMap<>();
     private final SplittableRandom lives;
     private View newest = View.NONE;
@@ -52,15 +52,15 @@
      * What is left of a message on its way: a mutant of the protocol, for those who look if it is
      * seen.
      */
-    UnaryOperator<Message> says = UnaryOperator.identity();
+    UnaryOperator<MessageFrame> says = UnaryOperator.identity();
 
-    VirtualAgreement(long seed, AgreeSettings settings) {
+    SimulatedConsensusCluster(long seed, ConsensusSettings settings) {
         this.world = new SimulatedNetwork(seed, LAN);
         this.settings = settings;
         this.lives = new SplittableRandom(seed);
     }
 
-    VirtualAgreement with(int count) {
+    SimulatedConsensusCluster with(int count) {
         for (String name : names(count)) {
             world.add(
                     name,
@@ -110,26 +110,26 @@
             if (!n.agreement.view().lives().equals(there)) {
                 return p + " holds " + n.agreement.view() + ", there are " + there;
             }
-            if (n.machine.digest != digest || n.agreement.waiting() > 0) {
+            if (n.machine.digest != digest || n.agreement.pendingCommands() > 0) {
                 return p
                         + " has "
-                        + n.agreement.waiting()
+                        + n.agreement.pendingCommands()
                         + " commands open, at decree "
-                        + n.agreement.applied();
+                        + n.agreement.lastApplied();
             }
         }
         return null;
     }
 
     /** One life with all that it holds. */
-    final class Node implements ProtocolCore, Agreement.Out, Membership.Output {
+    final class Node implements ProtocolCore, ConsensusEnvironment, Membership.Output {
         final Life me;
-        final Agreement agreement;
+        final ConsensusNode agreement;
         final Chain machine = new Chain();
         private final String process;
         private final Actions actions;
         private final Membership membership;
-        private final PointFaults<Point>.Post post;
+        private final PointFaults<FaultPoint>.Post post;
         private boolean changed = true;
         boolean working = true;
         private int worked;
@@ -150,7 +150,7 @@
                             names(3),
                             seed,
                             this);
-            this.agreement = new Agreement(settings, me, seed, machine, this);
+            this.agreement = new ConsensusNode(settings, me, seed, machine, this);
         }
 
         @Override
@@ -158,7 +158,7 @@
             post.step(
                     () -> {
                         membership.start(now);
-                        agreement.started(now);
+                        agreement.start(now);
                         actions.timer("work", WORK);
                         look(now);
                     });
@@ -168,8 +168,8 @@
         public void received(long now, String from, byte[] message) {
             post.step(
                     () -> {
-                        if (Agreement.isOurs(message)) {
-                            agreement.received(now, message);
+                        if (ConsensusNode.isConsensusDatagram(message)) {
+                            agreement.onDatagram(now, message);
                         } else {
                             membership.onDatagram(now, from, message);
                         }
@@ -192,7 +192,7 @@
                             }
                             actions.timer("work", WORK);
                         } else if (token.startsWith("agree:")) {
-                            agreement.due(now, token.substring(6));
+                            agreement.onTimer(now, token.substring(6));
                         } else {
                             membership.onTimer(now, token);
                         }
@@ -207,13 +207,13 @@
                 membership.members().stream()
                         .filter(c -> c.state().isPresent())
                         .forEach(c -> there.put(c.name(), c.startId()));
-                agreement.present(now, there);
+                agreement.onMembershipObserved(now, there);
             }
         }
 
         @Override
         public void send(String to, byte[] whole) {
-            if (!Agreement.isOurs(whole)) {
+            if (!ConsensusNode.isConsensusDatagram(whole)) {
                 actions.send(to, whole);
                 return;
             }
@@ -225,25 +225,21 @@
 
         private byte[] mutated(byte[] datagram) {
             try {
-                return Wire.write(
-                        settings.fleet(), says.apply(Wire.read(datagram, settings.fleet())));
-            } catch (Wire.Refused e) {
+                return MessageEncoder.encode(
+                        settings.fleet(),
+                        says.apply(MessageDecoder.decode(datagram, settings.fleet())));
+            } catch (MessageDecoder.DecodingException e) {
                 throw new AssertionError(e);
             }
         }
 
         @Override
-        public void scheduleTimer(String token, long delayUs) {
-            timer(token, delayUs);
+        public void scheduleTimer(String timer, long delayUs) {
+            actions.timer(timer.equals("beat") ? "agree:" + timer : timer, delayUs);
         }
 
         @Override
-        public void timer(String token, long delay) {
-            actions.timer(token.equals("beat") ? "agree:" + token : token, delay);
-        }
-
-        @Override
-        public long wall() {
+        public long wallClockUs() {
             return 1_700_000_000L * SECOND + actions.wall();
         }
 
@@ -253,19 +249,20 @@
         }
 
         @Override
-        public void note(Note note) {
-            actions.note(note.toString());
-            if (note.kind() == Note.Kind.FOUNDED && note.view().epoch() > newest.epoch()) {
-                foundings.add(note);
+        public void onEvent(ConsensusEvent event) {
+            actions.note(event.toString());
+            if (event.kind() == ConsensusEvent.Kind.FOUNDED
+                    && event.view().epoch() > newest.epoch()) {
+                foundings.add(event);
                 long left =
                         settings.council().stream()
                                 .filter(c -> world.alive(c) && newest.has(nodes.get(c).me))
                                 .count();
-                if (left >= settings.quorum() && !living().containsAll(settings.council())) {
+                if (left >= settings.quorumSize() && !living().containsAll(settings.council())) {
                     broken.add(
                             me
                                     + " founded "
-                                    + note.view()
+                                    + event.view()
                                     + " though "
                                     + left
                                     + " of "
@@ -273,11 +270,12 @@
                                     + " live");
                 }
             }
-            if (note.kind() == Note.Kind.FOUNDED || note.kind() == Note.Kind.VIEW) {
-                View its = note.view();
+            if (event.kind() == ConsensusEvent.Kind.FOUNDED
+                    || event.kind() == ConsensusEvent.Kind.VIEW) {
+                View its = event.view();
                 View before = views.putIfAbsent(List.of(its.epoch(), its.number()), its);
-                if (before != null && !before.equals(note.view())) {
-                    broken.add("two views of one number: " + before + " and " + note.view());
+                if (before != null && !before.equals(event.view())) {
+                    broken.add("two views of one number: " + before + " and " + event.view());
                 }
                 boolean newer =
                         its.epoch() > newest.epoch()
@@ -287,12 +285,12 @@
         }
 
         @Override
-        public void point(Point point) {
+        public void onFaultPoint(FaultPoint point) {
             post.point(point);
         }
 
         /** A digest of all that was decided, in its order. */
-        final class Chain implements Machine {
+        final class Chain implements StateMachine {
             long digest;
             private TreeSet<String> seen = new TreeSet<>();
 
@@ -303,7 +301,7 @@
             }
 
             @Override
-            public void apply(Token token, Life by, byte[] command) {
+            public void apply(FencingToken token, Life by, byte[] command) {
                 String text = new String(command, StandardCharsets.UTF_8);
                 if (!seen.add(text)) {
                     broken.add(me + " took in " + text + " twice");
