--- a/src/main/java/myrtleladder/cluster/MaintenanceStatus.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceStatus.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import myrtleladder.consensus.Token;
+import myrtleladder.consensus.FencingToken;
 
 /**
  * What a process knows of the maintenance of machines, for operators. The names of the components
@@ -48,7 +48,7 @@
                 String machine,
                 String plan,
                 String state,
-                Token permit,
+                FencingToken permit,
                 long until,
                 boolean reserved,
                 String waits,
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -5,9 +5,9 @@
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.ConfigurationDocument;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.Scheduler;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
@@ -52,14 +52,14 @@
     }
 
     /** This node became primary: it goes on from what its replica has. */
-    void becamePrimary() {
+    void onPrimacyGained() {
         isPrimary = true;
         isProcessing = false;
         committed.recover(replica.snapshot());
     }
 
     /** This node is no longer primary: queued requests are sent to the next one. */
-    void lostPrimacy() {
+    void onPrimacyLost() {
         isPrimary = false;
         isProcessing = false;
         while (!queue.isEmpty()) {
@@ -86,7 +86,7 @@
     }
 
     private void processNext() {
-        if (isProcessing || !isPrimary || queue.isEmpty() || replica.busy()) {
+        if (isProcessing || !isPrimary || queue.isEmpty() || replica.isBusy()) {
             return;
         }
         isProcessing = true;
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
@@ -11,6 +10,7 @@
 import myrtleladder.protocol.View;
 import myrtleladder.replication.Peers;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Sends records of upstream instances from the primary to the other control nodes. Heartbeats are
@@ -40,13 +40,13 @@
     }
 
     /** This node is primary of a new view, whose members alone get hints. */
-    void becamePrimary() {
+    void onPrimacyGained() {
         isPrimary = true;
         handoff.retainMembers(replica.view().group);
     }
 
     /** This node is no longer primary: the next one sends the records. */
-    void lostPrimacy() {
+    void onPrimacyLost() {
         isPrimary = false;
         handoff.clear();
     }
@@ -72,7 +72,7 @@
     void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
         ReplicaAcknowledgements pending = new ReplicaAcknowledgements(view.replicas, done);
-        replica.saveInstancesNow(isSaved -> pending.record(replica.self(), isSaved));
+        replica.saveInstances(isSaved -> pending.record(replica.self(), isSaved));
         for (Member member : view.group) {
             if (!member.equals(replica.self())) {
                 boolean isReplica = view.replicas.contains(member);
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
-import myrtleladder.io.EventLoop;
+import myrtleladder.eventloop.EventLoop;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.replication.Replica;
 import myrtleladder.signal.Signals;
@@ -49,7 +49,7 @@
     /** Ends once the group goes on without this node; asked a second time, at once. */
     private static void leave(
             NodeSettings.Bounds bounds, EventLoop loop, Replica replica, CountDownLatch ended) {
-        if (replica.leaving()) {
+        if (replica.isLeaving()) {
             ended.countDown();
             return;
         }
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles the long polls by which balancers learn of the configuration, the upstreams, the other
@@ -51,13 +51,13 @@
     }
 
     /** This node became primary. */
-    void becamePrimary() {
+    void onPrimacyGained() {
         isPrimary = true;
         sendUpdates();
     }
 
     /** This node is no longer primary: balancers that wait are told who is. */
-    void lostPrimacy() {
+    void onPrimacyLost() {
         isPrimary = false;
         List<LongPoll> abandoned = new ArrayList<>(waiting);
         waiting.clear();
@@ -78,7 +78,7 @@
 
     /** Accepts a poll. */
     void handle(PollRequest request, Consumer<Message> responder) {
-        if (!isPrimary || !replica.recentlyConfirmed()) {
+        if (!isPrimary || !replica.isRecentlyConfirmed()) {
             responder.accept(responses.notPrimary());
             return;
         }
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.PollRequest;
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Builds responses to polls: each holds what is newer than what the balancer has. Configuration,
@@ -65,7 +65,7 @@
 
     /** The response to a poll; that of another node than the primary if that is in doubt. */
     PollResponse build(PollRequest request) {
-        if (!replica.recentlyConfirmed()) {
+        if (!replica.isRecentlyConfirmed()) {
             return notPrimary();
         }
         PollResponse response = new PollResponse();
--- a/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -1,11 +1,11 @@
 package myrtleladder.controlplane;
 
 import java.util.function.Consumer;
-import myrtleladder.io.Scheduler;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.replication.Replica;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A
@@ -40,7 +40,7 @@
         }
         request.instances.forEach(record -> instances.merge(record, scheduler.now()));
         if (request.syncRequired) {
-            replica.saveInstancesNow(isSaved -> responder.accept(acknowledgement(isSaved)));
+            replica.saveInstances(isSaved -> responder.accept(acknowledgement(isSaved)));
         } else {
             saves.schedule();
             responder.accept(acknowledgement(true));
--- a/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import myrtleladder.configuration.Json;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 
 /**
--- a/src/main/java/myrtleladder/controlplane/StorageException.java
+++ b/src/main/java/myrtleladder/controlplane/StorageException.java
@@ -1,10 +1,10 @@
 package myrtleladder.controlplane;
 
-import myrtleladder.io.ResultCode;
-import myrtleladder.io.SystemException;
+import myrtleladder.result.ResultCode;
+import myrtleladder.result.ResultException;
 
 /** The state cannot be written to the disk or read from it. */
-public final class StorageException extends SystemException {
+public final class StorageException extends ResultException {
     private static final long serialVersionUID = 1;
 
     /** Creates an exception; {@code cause} may be null. */
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -11,8 +11,7 @@
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.Configuration;
 import myrtleladder.configuration.Json;
-import myrtleladder.heartbeat.MembershipAgent;
-import myrtleladder.io.Scheduler;
+import myrtleladder.heartbeat.HeartbeatAgent;
 import myrtleladder.protocol.LoadReport;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.PollRequest;
@@ -20,6 +19,7 @@
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import myrtleladder.replication.Peers;
+import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
@@ -54,7 +54,7 @@
     private final DataPlane dataPlane;
     private final String balancer;
     private final String address;
-    private final MembershipAgent membershipAgent;
+    private final HeartbeatAgent heartbeatAgent;
     private final Supplier<List<String>> seedSource;
     private final Map<String, Avoidance> avoidances = new HashMap<>();
     private List<String> seeds;
@@ -96,14 +96,14 @@
             DataPlane dataPlane,
             String balancer,
             String address,
-            MembershipAgent membershipAgent,
+            HeartbeatAgent heartbeatAgent,
             Supplier<List<String>> seedSource) {
         this.scheduler = scheduler;
         this.peers = peers;
         this.dataPlane = dataPlane;
         this.balancer = balancer;
         this.address = address;
-        this.membershipAgent = membershipAgent;
+        this.heartbeatAgent = heartbeatAgent;
         this.seedSource = seedSource;
         this.seeds = seedSource.get();
         dataPlane.fleetLoads().setBalancer(balancer);
@@ -179,7 +179,7 @@
         request.hasAuthoritativeList = hasAuthoritativeList;
         request.balancerCount = balancers;
         request.address = address;
-        request.liveBalancers = membershipAgent.alive();
+        request.liveBalancers = heartbeatAgent.liveMembers();
         request.balancerListRevision = memberRevision;
         request.loadReport = dataPlane.fleetLoads().createReport();
         request.inFlightAtDraining.addAll(dataPlane.directory().inFlightAtLeavingUpstreams());
@@ -275,7 +275,7 @@
         balancers = response.balancerCount;
         memberRevision = response.balancerListRevision;
         if (!response.balancerList.isEmpty()) {
-            membershipAgent.members(response.balancerList);
+            heartbeatAgent.setMembers(response.balancerList);
         }
         dataPlane.setBalancers(response.balancerCount);
     }
--- a/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.Set;
-import myrtleladder.io.Headers;
+import myrtleladder.http.Headers;
 
 /**
  * Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). Stateless;
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
 import myrtleladder.configuration.ClientLimits;
-import myrtleladder.heartbeat.MembershipAgent;
-import myrtleladder.io.EventLoop;
-import myrtleladder.io.Headers;
-import myrtleladder.io.HttpServer;
-import myrtleladder.io.ServerExchange;
-import myrtleladder.io.SystemException;
+import myrtleladder.eventloop.EventLoop;
+import myrtleladder.heartbeat.HeartbeatAgent;
+import myrtleladder.http.Headers;
+import myrtleladder.http.HttpServer;
+import myrtleladder.http.ServerExchange;
 import myrtleladder.process.Address;
 import myrtleladder.process.NodeSettings;
 import myrtleladder.protocol.AcknowledgeResponse;
 import myrtleladder.protocol.BalancerHeartbeat;
 import myrtleladder.protocol.Message;
+import myrtleladder.result.ResultException;
 import myrtleladder.rpc.MessageServer;
 import myrtleladder.rpc.PeerClient;
 import myrtleladder.signal.Signals;
@@ -97,7 +97,7 @@
                                 poller.requestQuota(request, timeoutMs, callback),
                         System.nanoTime());
         PeerClient peers = new PeerClient(loop);
-        MembershipAgent agent = new MembershipAgent(loop, peers, settings.nodeName());
+        HeartbeatAgent agent = new HeartbeatAgent(loop, peers, settings.nodeName());
         poller =
                 new ControlPoller(
                         loop,
@@ -114,7 +114,7 @@
         LOG.info("balancer {} at {}", settings.nodeName(), settings.frontend());
     }
 
-    private void startServers(MembershipAgent agent) {
+    private void startServers(HeartbeatAgent agent) {
         new MessageServer(
                 loop,
                 settings.ip(),
@@ -128,10 +128,10 @@
     }
 
     private static void messageReceived(
-            MembershipAgent agent, Message message, Consumer<Message> callback) {
+            HeartbeatAgent agent, Message message, Consumer<Message> callback) {
         boolean isHeartbeat = message instanceof BalancerHeartbeat;
         if (message instanceof BalancerHeartbeat heartbeat) {
-            agent.heard(heartbeat);
+            agent.onHeartbeat(heartbeat);
         }
         callback.accept(AcknowledgeResponse.of(isHeartbeat, 0, null));
     }
@@ -141,7 +141,7 @@
         List<Address> seeds = settings.seeds();
         try {
             seeds = NodeSettings.fromEnvironment().seeds();
-        } catch (SystemException e) {
+        } catch (ResultException e) {
             LOG.warn("the settings file is left: {}", e.getMessage());
         }
         return seeds.stream().map(seed -> seed.host() + ":" + settings.firstPort()).toList();
--- a/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
@@ -32,14 +32,14 @@
     private static final byte[] COMMAND = {0, 1, -1, 'x'};
     private static final Map<String, Long> CHANGE = new TreeMap<>(Map.of("b1", 0x1234L, "b2", 0L));
 
-    private static Message plain(Message.Kind kind) {
-        return Message.of(kind, ME, OTHER, TERM, 17, BEFORE, 42);
+    private static MessageFrame plain(MessageFrame.Kind kind) {
+        return MessageFrame.of(kind, ME, OTHER, TERM, 17, BEFORE, 42);
     }
 
-    private static Entry entry(Entry.Kind kind) {
-        boolean command = kind == Entry.Kind.COMMAND;
-        boolean view = kind == Entry.Kind.FOUND || kind == Entry.Kind.VIEW;
-        return new Entry(
+    private static LogEntry entry(LogEntry.Kind kind) {
+        boolean command = kind == LogEntry.Kind.COMMAND;
+        boolean view = kind == LogEntry.Kind.BOOTSTRAP || kind == LogEntry.Kind.VIEW_CHANGE;
+        return new LogEntry(
                 18 + kind.ordinal(),
                 TERM,
                 kind,
@@ -51,85 +51,99 @@
     }
 
     /** Arrays compare by identity in records, so the parts are compared one by one. */
-    private static void assertSame(Entry expected, Entry read) {
+    private static void assertSame(LogEntry expected, LogEntry read) {
         assertEquals(expected.index(), read.index());
         assertEquals(expected.term(), read.term());
         assertEquals(expected.kind(), read.kind());
-        assertEquals(expected.change(), read.change());
-        assertEquals(expected.by(), read.by());
-        assertEquals(expected.number(), read.number());
+        assertEquals(expected.memberChanges(), read.memberChanges());
+        assertEquals(expected.proposer(), read.proposer());
+        assertEquals(expected.sequence(), read.sequence());
         assertArrayEquals(expected.command(), read.command());
     }
 
-    private static void check(String name, Message m) throws Exception {
-        GOLDEN.assertWritten(name, Wire.write("dhaka", m));
-        Message read = Wire.read(GOLDEN.bytes(name), "dhaka");
+    private static void check(String name, MessageFrame m) throws Exception {
+        GOLDEN.assertWritten(name, MessageEncoder.encode("dhaka", m));
+        MessageFrame read = MessageDecoder.decode(GOLDEN.bytes(name), "dhaka");
         assertEquals(m.kind(), read.kind());
         assertEquals(m.from(), read.from());
         assertEquals(m.to(), read.to());
         assertEquals(m.term(), read.term());
         assertEquals(m.index(), read.index());
-        assertEquals(m.at(), read.at());
+        assertEquals(m.indexTerm(), read.indexTerm());
         assertEquals(m.number(), read.number());
         assertEquals(m.offset(), read.offset());
         assertEquals(m.total(), read.total());
-        assertEquals(m.yes(), read.yes());
-        assertEquals(m.voter(), read.voter());
-        assertEquals(m.ripe(), read.ripe());
-        assertEquals(m.cut(), read.cut());
+        assertEquals(m.isPositive(), read.isPositive());
+        assertEquals(m.isVoter(), read.isVoter());
+        assertEquals(m.isReadyToBootstrap(), read.isReadyToBootstrap());
+        assertEquals(m.memberChanges(), read.memberChanges());
         assertArrayEquals(m.bytes(), read.bytes());
         assertEquals(m.entries().size(), read.entries().size());
         for (int i = 0; i < m.entries().size(); i++) {
             assertSame(m.entries().get(i), read.entries().get(i));
         }
-        assertTrue(Wire.isOurs(GOLDEN.bytes(name)));
+        assertTrue(MessageEncoder.isConsensusDatagram(GOLDEN.bytes(name)));
     }
 
     private static String refusal(String datagram) {
         byte[] bytes = datagram.getBytes(StandardCharsets.UTF_8);
-        return assertThrows(Wire.Refused.class, () -> Wire.read(bytes, "dhaka")).getMessage();
+        return assertThrows(
+                        MessageDecoder.DecodingException.class,
+                        () -> MessageDecoder.decode(bytes, "dhaka"))
+                .getMessage();
     }
 
     @ParameterizedTest
-    @EnumSource(Message.Kind.class)
-    void eachKindOfMessageKeepsItsBytes(Message.Kind kind) throws Exception {
+    @EnumSource(MessageFrame.Kind.class)
+    void eachKindOfMessageKeepsItsBytes(MessageFrame.Kind kind) throws Exception {
         check("kind " + kind.ordinal(), plain(kind));
     }
 
     @ParameterizedTest
-    @EnumSource(Entry.Kind.class)
-    void eachKindOfEntryKeepsItsBytes(Entry.Kind kind) throws Exception {
-        check("entry " + kind.ordinal(), plain(Message.Kind.APPEND).with(List.of(entry(kind)), 16));
+    @EnumSource(LogEntry.Kind.class)
+    void eachKindOfEntryKeepsItsBytes(LogEntry.Kind kind) throws Exception {
+        check(
+                "entry " + kind.ordinal(),
+                plain(MessageFrame.Kind.APPEND_REQUEST).withEntries(List.of(entry(kind)), 16));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
     void eachSetOfFlagsKeepsItsBytes(int flags) throws Exception {
-        Message say = plain(Message.Kind.SAY);
-        check("flags " + flags, say.says((flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0));
+        MessageFrame say = plain(MessageFrame.Kind.PRE_VOTE_RESPONSE);
+        check(
+                "flags " + flags,
+                say.withFlags((flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0));
     }
 
     @Test
     void aFirstWordHasNoReceiverAndNoTerm() throws Exception {
-        check("first word", Message.of(Message.Kind.ASK, ME, null, Term.NONE, -1, Term.NONE, 0));
+        check(
+                "first word",
+                MessageFrame.of(
+                        MessageFrame.Kind.PRE_VOTE_REQUEST, ME, null, Term.NONE, -1, Term.NONE, 0));
     }
 
     @Test
     void aMessageWithAllFieldsKeepsItsBytes() throws Exception {
         check(
                 "all fields",
-                plain(Message.Kind.APPEND)
-                        .with(COMMAND, 1_000, 2_000)
-                        .with(Arrays.stream(Entry.Kind.values()).map(k -> entry(k)).toList(), 7)
-                        .with(CHANGE)
-                        .says(true, true, true));
+                plain(MessageFrame.Kind.APPEND_REQUEST)
+                        .withBytes(COMMAND, 1_000, 2_000)
+                        .withEntries(
+                                Arrays.stream(LogEntry.Kind.values()).map(k -> entry(k)).toList(),
+                                7)
+                        .withMemberChanges(CHANGE)
+                        .withFlags(true, true, true));
     }
 
     @Test
     void aPartOfASnapshotKeepsItsBytes() throws Exception {
         byte[] part = new byte[900];
         Arrays.fill(part, (byte) 0xA5);
-        check("part of a snapshot", plain(Message.Kind.SNAPSHOT).with(part, 900, 1_800));
+        check(
+                "part of a snapshot",
+                plain(MessageFrame.Kind.SNAPSHOT_CHUNK).withBytes(part, 900, 1_800));
     }
 
     @Test
@@ -138,24 +152,26 @@
         taken.put(OTHER, 9L);
         taken.put(ME, 0L);
         View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", ME.life()));
-        GOLDEN.assertWritten("snapshot", Wire.write(new Wire.Snapshot(view, taken, COMMAND)));
-        Wire.Snapshot read = Wire.snapshot(GOLDEN.bytes("snapshot"));
+        GOLDEN.assertWritten(
+                "snapshot", MessageEncoder.encode(new NodeSnapshot(view, taken, COMMAND)));
+        NodeSnapshot read = MessageDecoder.decodeSnapshot(GOLDEN.bytes("snapshot"));
         assertEquals(view, read.view());
-        assertEquals(List.copyOf(taken.entrySet()), List.copyOf(read.taken().entrySet()));
-        assertArrayEquals(COMMAND, read.machine());
+        assertEquals(
+                List.copyOf(taken.entrySet()), List.copyOf(read.appliedSequences().entrySet()));
+        assertArrayEquals(COMMAND, read.stateMachine());
     }
 
     @ParameterizedTest
-    @EnumSource(Entry.Kind.class)
-    void theSizeOfAnEntryIsTheOneThatPackingCountsOn(Entry.Kind kind) {
-        String size = Integer.toString(Wire.size(entry(kind)));
+    @EnumSource(LogEntry.Kind.class)
+    void theSizeOfAnEntryIsTheOneThatPackingCountsOn(LogEntry.Kind kind) {
+        String size = Integer.toString(MessageEncoder.encodedSize(entry(kind)));
         GOLDEN.assertWritten("size of entry " + kind.ordinal(), size);
     }
 
     @Test
     void aDatagramOfTheGossipIsNotOurs() {
         byte[] gossip = "{\"v\":1,\"fleet\":\"dhaka\"}".getBytes(StandardCharsets.UTF_8);
-        assertFalse(Wire.isOurs(gossip));
+        assertFalse(MessageEncoder.isConsensusDatagram(gossip));
     }
 
     @Test
@@ -177,7 +193,7 @@
     void theNamesOfNotesInTheLogStay() {
         assertEquals(
                 "[LEADS, LEADS_NO_MORE, FOUNDED, VIEW, RESTORED, CUT_OFF, JOINED]",
-                Arrays.toString(Note.Kind.values()));
+                Arrays.toString(ConsensusEvent.Kind.values()));
     }
 
     @Test
@@ -189,8 +205,8 @@
     void theFiguresThatHoldUnlessConfiguredStay() {
         List<String> council = List.of("b0", "b1", "b2");
         assertEquals(
-                new AgreeSettings(
+                new ConsensusSettings(
                         "dhaka", council, 200_000, 800_000, 3_000_000, 3_000_000, 256, 1_400),
-                AgreeSettings.of("dhaka", council));
+                ConsensusSettings.of("dhaka", council));
     }
 }
--- a/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
+++ b/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
@@ -1,8 +1,8 @@
 package myrtleladder.controlplane;
 
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.ServerExchange;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
+import myrtleladder.http.ServerExchange;
 
 /**
  * A request whose client expects one complete response and keeps its connection until it comes.
--- a/src/test/java/myrtleladder/controlplane/RecordedExchange.java
+++ b/src/test/java/myrtleladder/controlplane/RecordedExchange.java
@@ -1,8 +1,8 @@
 package myrtleladder.controlplane;
 
 import java.nio.charset.StandardCharsets;
-import myrtleladder.io.Headers;
-import myrtleladder.io.RequestHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.RequestHead;
 
 /** A request at the control address that records its response. */
 final class RecordedExchange extends FakeServerExchange {
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -4,8 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import myrtleladder.controlplane.ControlPlane;
-import myrtleladder.io.RequestHead;
-import myrtleladder.io.Scheduler;
+import myrtleladder.http.RequestHead;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
@@ -15,6 +14,7 @@
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.ReplicaOptions;
 import myrtleladder.replication.Storage;
+import myrtleladder.scheduler.Scheduler;
 
 /**
  * One process of a control node: the code under test, connected to the simulated clock, disk and
@@ -183,18 +183,18 @@
     }
 
     @Override
-    public void becamePrimary(Collection<InstanceRecord> instances) {
+    public void onPrimacyGained(Collection<InstanceRecord> instances) {
         cluster.history.recordPrimary(replica.view().epoch, node.address);
-        plane.becamePrimary(instances);
+        plane.onPrimacyGained(instances);
     }
 
     @Override
-    public void lostPrimacy() {
-        plane.lostPrimacy();
+    public void onPrimacyLost() {
+        plane.onPrimacyLost();
     }
 
     @Override
-    public void inherit(Collection<InstanceRecord> instances) {
-        plane.inherit(instances);
+    public void onInstancesReceived(Collection<InstanceRecord> instances) {
+        plane.onInstancesReceived(instances);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import myrtleladder.dataplane.ScriptedConnectionPool.SentRequest;
-import myrtleladder.io.Headers;
-import myrtleladder.io.ResponseHead;
+import myrtleladder.http.Headers;
+import myrtleladder.http.ResponseHead;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
