--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -11,27 +11,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import myrtleladder.consensus.AgreeSettings;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusEnvironment;
+import myrtleladder.consensus.ConsensusEvent;
+import myrtleladder.consensus.ConsensusNode;
+import myrtleladder.consensus.ConsensusSettings;
+import myrtleladder.consensus.FaultPoint;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Machine;
-import myrtleladder.consensus.Note;
-import myrtleladder.consensus.Point;
+import myrtleladder.consensus.StateMachine;
 import myrtleladder.gossip.MemberUpdate;
-import myrtleladder.maintenance.Work;
+import myrtleladder.maintenance.MaintenanceCoordinator;
 
 /**
  * A process's agreement, over the datagrams and on the event loop of its membership: what is seen
  * there is who is there, and names have the addresses that their members tell.
  */
-public final class ConsensusRuntime implements Agreement.Out {
+public final class ConsensusRuntime implements ConsensusEnvironment {
     private static final System.Logger LOG = System.getLogger(ConsensusRuntime.class.getName());
 
     private final MembershipRuntime members;
     private final EventLoop loop;
-    private final Consumer<? super Point> points;
+    private final Consumer<? super FaultPoint> points;
     private final Life me;
-    private final Agreement agreement;
+    private final ConsensusNode agreement;
     private final Map<String, String> addresses = new TreeMap<>();
     private boolean lookDue;
 
@@ -40,15 +41,16 @@
 
     private ConsensusRuntime(
             MembershipRuntime members,
-            AgreeSettings settings,
-            Machine machine,
-            Consumer<? super Point> points) {
+            ConsensusSettings settings,
+            StateMachine machine,
+            Consumer<? super FaultPoint> points) {
         this.members = members;
         this.loop = members.loop();
         this.points = points;
         MemberUpdate self = members.self();
         this.me = new Life(self.name(), self.startId());
-        this.agreement = new Agreement(settings, me, new SecureRandom().nextLong(), machine, this);
+        this.agreement =
+                new ConsensusNode(settings, me, new SecureRandom().nextLong(), machine, this);
     }
 
     /**
@@ -57,15 +59,15 @@
      */
     public static ConsensusRuntime start(
             MembershipRuntime members,
-            AgreeSettings settings,
-            Machine machine,
-            Consumer<? super Point> points) {
+            ConsensusSettings settings,
+            StateMachine machine,
+            Consumer<? super FaultPoint> points) {
         ConsensusRuntime carrier = new ConsensusRuntime(members, settings, machine, points);
         carrier.loop
                 .submit(
                         () -> {
                             members.host(carrier);
-                            carrier.agreement.started(carrier.now());
+                            carrier.agreement.start(carrier.now());
                             carrier.lookAround();
                         })
                 .syncUninterruptibly();
@@ -82,11 +84,11 @@
                 me,
                 agreement.term(),
                 agreement.leader(),
-                agreement.decides(now()),
+                agreement.hasQuorum(now()),
                 agreement.view(),
-                agreement.applied(),
-                agreement.waiting(),
-                agreement.refused());
+                agreement.lastApplied(),
+                agreement.pendingCommands(),
+                agreement.droppedDatagrams());
     }
 
     long now() {
@@ -101,7 +103,7 @@
         return me;
     }
 
-    Agreement core() {
+    ConsensusNode core() {
         return agreement;
     }
 
@@ -121,13 +123,14 @@
 
     /** Whether a datagram is meant for an agreement, or for what is built upon it. */
     boolean takes(byte[] datagram) {
-        return Agreement.isOurs(datagram) || guest != null && Work.isOurs(datagram);
+        return ConsensusNode.isConsensusDatagram(datagram)
+                || guest != null && MaintenanceCoordinator.isMaintenanceDatagram(datagram);
     }
 
     /** A datagram has come that is. */
     void received(byte[] datagram) {
-        if (Agreement.isOurs(datagram)) {
-            agreement.received(now(), datagram);
+        if (ConsensusNode.isConsensusDatagram(datagram)) {
+            agreement.onDatagram(now(), datagram);
             after();
         } else {
             guest.received(datagram);
@@ -162,7 +165,7 @@
                 addresses.put(c.name(), c.address());
             }
         }
-        agreement.present(now(), there);
+        agreement.onMembershipObserved(now(), there);
         if (guest != null) {
             guest.present(
                     there.entrySet().stream()
@@ -182,38 +185,39 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String timer, long delayUs) {
         loop.schedule(
                 () -> {
-                    agreement.due(now(), token);
+                    agreement.onTimer(now(), timer);
                     after();
                 },
-                delay,
+                delayUs,
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public long wall() {
+    public long wallClockUs() {
         return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     }
 
     @Override
-    public void note(Note note) {
+    public void onEvent(ConsensusEvent event) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        fields.put("epoch", note.view().epoch());
-        fields.put("view", note.view().number());
-        fields.put("members", note.view().lives().size());
-        fields.put("why", note.why());
+        fields.put("epoch", event.view().epoch());
+        fields.put("view", event.view().number());
+        fields.put("members", event.view().lives().size());
+        fields.put("why", event.reason());
         LOG.log(
-                note.kind() == Note.Kind.CUT_OFF || note.kind() == Note.Kind.FOUNDED
+                event.kind() == ConsensusEvent.Kind.CUT_OFF
+                                || event.kind() == ConsensusEvent.Kind.FOUNDED
                         ? System.Logger.Level.WARNING
                         : System.Logger.Level.INFO,
-                "agreement " + note.kind() + ": " + note.why(),
+                "agreement " + event.kind() + ": " + event.reason(),
                 fields);
     }
 
     @Override
-    public void point(Point point) {
+    public void onFaultPoint(FaultPoint point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -12,20 +12,21 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.Life;
-import myrtleladder.maintenance.Agenda;
-import myrtleladder.maintenance.Job;
-import myrtleladder.maintenance.Step;
-import myrtleladder.maintenance.Work;
-import myrtleladder.maintenance.WorkPoint;
-import myrtleladder.maintenance.WorkSettings;
+import myrtleladder.maintenance.MaintenanceCoordinator;
+import myrtleladder.maintenance.MaintenanceEnvironment;
+import myrtleladder.maintenance.MaintenanceFaultPoint;
+import myrtleladder.maintenance.MaintenanceJob;
+import myrtleladder.maintenance.MaintenanceSettings;
+import myrtleladder.maintenance.MaintenanceStateMachine;
+import myrtleladder.maintenance.OperatorCommand;
 
 /**
  * A process's part in the work on machines, beside its agreement: on the same event loop, by the
  * same datagrams. It sees how upstreams do by what becomes of this process's own attempts.
  */
-public final class MaintenanceRuntime implements Work.Out {
+public final class MaintenanceRuntime implements MaintenanceEnvironment {
     private static final System.Logger LOG = System.getLogger(MaintenanceRuntime.class.getName());
 
     /** An upstream that has not served so many attempts in a row fails. */
@@ -47,10 +48,10 @@
     private static final double SMOOTH = 0.02;
 
     private final ConsensusRuntime agreement;
-    private final Agenda agenda;
-    private final Work work;
+    private final MaintenanceStateMachine agenda;
+    private final MaintenanceCoordinator work;
     private final LoadBalancerControl balancing;
-    private final Consumer<? super WorkPoint> points;
+    private final Consumer<? super MaintenanceFaultPoint> points;
     private final Map<String, Integer> notServed = new HashMap<>();
     private final Map<String, Tally> tallies = new HashMap<>();
     private Set<String> away = Set.of();
@@ -72,25 +73,25 @@
 
     private MaintenanceRuntime(
             ConsensusRuntime agreement,
-            Agreement core,
-            Agenda agenda,
-            WorkSettings settings,
+            ConsensusNode core,
+            MaintenanceStateMachine agenda,
+            MaintenanceSettings settings,
             LoadBalancerControl balancing,
-            Consumer<? super WorkPoint> points) {
+            Consumer<? super MaintenanceFaultPoint> points) {
         this.agreement = agreement;
         this.agenda = agenda;
         this.balancing = balancing;
         this.points = points;
-        this.work = new Work(settings, agreement.me(), core, agenda, this);
+        this.work = new MaintenanceCoordinator(settings, agreement.me(), core, agenda, this);
     }
 
     /** Takes part from now on; {@code agenda} is what the agreement feeds. */
     public static MaintenanceRuntime start(
             ConsensusRuntime agreement,
-            Agenda agenda,
-            WorkSettings settings,
+            MaintenanceStateMachine agenda,
+            MaintenanceSettings settings,
             LoadBalancerControl balancing,
-            Consumer<? super WorkPoint> points) {
+            Consumer<? super MaintenanceFaultPoint> points) {
         return agreement
                 .loop()
                 .submit(
@@ -104,7 +105,7 @@
                                             balancing,
                                             points);
                             agreement.host(carrier);
-                            carrier.work.started(carrier.now());
+                            carrier.work.start(carrier.now());
                             return carrier;
                         })
                 .syncUninterruptibly()
@@ -150,7 +151,7 @@
 
     /** Whether the fleet knows of this process. */
     public Future<Boolean> registered() {
-        return agreement.loop().submit(work::registered);
+        return agreement.loop().submit(work::isRegistered);
     }
 
     /** What it holds, as of soon. */
@@ -160,7 +161,7 @@
                 .submit(
                         () -> {
                             List<MaintenanceStatus.JobStatus> jobs = new ArrayList<>();
-                            for (Job job : agenda.jobs()) {
+                            for (MaintenanceJob job : agenda.jobs()) {
                                 jobs.add(
                                         new MaintenanceStatus.JobStatus(
                                                 job.machine(),
@@ -169,18 +170,18 @@
                                                 job.permit(),
                                                 job.until(),
                                                 job.reserved(),
-                                                work.waits(now(), job),
+                                                work.waitReason(job),
                                                 job.why()));
                             }
                             return new MaintenanceStatus(
                                     jobs,
-                                    agenda.halted(),
+                                    agenda.haltReason(),
                                     agenda.isSafe(),
-                                    work.hasLeave(now()),
-                                    work.registered(),
+                                    work.hasLease(now()),
+                                    work.isRegistered(),
                                     agenda.gone().stream().map(Life::toString).toList(),
                                     agenda.refusals(),
-                                    work.refused());
+                                    work.droppedDatagrams());
                         });
     }
 
@@ -191,11 +192,11 @@
 
     /** Whether a majority stands behind what is heard here; on the loop. */
     public boolean decides() {
-        return agreement.core().decides(now());
+        return agreement.core().hasQuorum(now());
     }
 
     /** The last job of a machine, null if it has none; on the loop. */
-    public Job job(String machine) {
+    public MaintenanceJob job(String machine) {
         return agenda.job(machine);
     }
 
@@ -205,7 +206,7 @@
     }
 
     /** Has steps decided, in this order; on the loop. */
-    public void propose(List<Step> steps) {
+    public void propose(List<OperatorCommand> steps) {
         steps.forEach(s -> work.propose(now(), s));
     }
 
@@ -213,16 +214,16 @@
     // ---------------------------------------------------------------
 
     void received(byte[] datagram) {
-        work.received(now(), datagram);
+        work.onDatagram(now(), datagram);
     }
 
     void present(Set<Life> lives) {
-        work.present(lives);
+        work.onMembershipObserved(lives);
     }
 
     /** The agreement has been at work. */
     void look(long now) {
-        work.look(now);
+        work.onConsensusChanged(now);
     }
 
     // ---- What the core asks for
@@ -234,22 +235,22 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
-        agreement.loop().schedule(() -> work.due(now(), token), delay, TimeUnit.MICROSECONDS);
+    public void scheduleTimer(String timer, long delayUs) {
+        agreement.loop().schedule(() -> work.onTimer(now(), timer), delayUs, TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMs() {
         return System.currentTimeMillis();
     }
 
     @Override
-    public int inFlight(String upstream) {
+    public int inFlightAttempts(String upstream) {
         return balancing.inFlight(upstream);
     }
 
     @Override
-    public void aside(Set<String> upstreams) {
+    public void setExcludedUpstreams(Set<String> upstreams) {
         Set<String> cold = new HashSet<>(away);
         cold.removeAll(upstreams);
         cold.retainAll(tallies.keySet());
@@ -258,7 +259,7 @@
     }
 
     @Override
-    public List<String> failing() {
+    public List<String> failingUpstreams() {
         Set<String> failing = new HashSet<>();
         balancing.listed().stream().filter(u -> !u.ready()).forEach(u -> failing.add(u.id()));
         notServed.forEach(
@@ -267,18 +268,21 @@
                         failing.add(upstream);
                     }
                 });
-        return failing.stream().sorted().limit(Agenda.MOST_FAILING).toList();
+        return failing.stream()
+                .sorted()
+                .limit(MaintenanceStateMachine.MAX_FAILING_UPSTREAMS)
+                .toList();
     }
 
     @Override
-    public boolean judged(String upstream) {
+    public boolean canJudge(String upstream) {
         Tally tally = tallies.get(upstream);
         return tally != null
                 && (tally.served + tally.failed >= ENOUGH || now() - tally.since >= LONG_ENOUGH);
     }
 
     @Override
-    public String worse(String upstream) {
+    public String degradation(String upstream) {
         Tally tally = tallies.get(upstream);
         int all = tally.served + tally.failed;
         if (all >= FEWEST && tally.failed > BAD * all) {
@@ -295,7 +299,7 @@
     }
 
     @Override
-    public void moved(Job job) {
+    public void onJobStateChanged(MaintenanceJob job) {
         String upstream = job.part().upstream();
         if (upstream != null) {
             switch (job.state()) {
@@ -325,7 +329,7 @@
     }
 
     @Override
-    public void point(WorkPoint point) {
+    public void onFaultPoint(MaintenanceFaultPoint point) {
         points.accept(point);
     }
 }
--- a/src/test/java/myrtleladder/consensus/AgreementTest.java
+++ b/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.consensus;
 
-import static myrtleladder.consensus.VirtualAgreement.SECOND;
+import static myrtleladder.consensus.SimulatedConsensusCluster.SECOND;
 import static myrtleladder.gossip.VirtualFleet.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -30,38 +30,39 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Agreements in virtual time with faults between them: one history, one view, and on by itself. */
-class AgreementTest {
-    private static final AgreeSettings FIVE = AgreeSettings.of("dhaka", names(5));
-    private static final AgreeSettings THREE_OF_SIX = AgreeSettings.of("dhaka", names(3));
+class ConsensusNodeTest {
+    private static final ConsensusSettings FIVE = ConsensusSettings.of("dhaka", names(5));
+    private static final ConsensusSettings THREE_OF_SIX = ConsensusSettings.of("dhaka", names(3));
 
     /** Keeps so little that whoever was away needs a snapshot. */
-    private static final AgreeSettings SHORT =
-            new AgreeSettings(
+    private static final ConsensusSettings SHORT =
+            new ConsensusSettings(
                     "dhaka",
                     names(5),
-                    FIVE.beat(),
-                    FIVE.patience(),
-                    FIVE.stable(),
-                    FIVE.settling(),
+                    FIVE.heartbeatIntervalUs(),
+                    FIVE.electionTimeoutUs(),
+                    FIVE.viewStabilityUs(),
+                    FIVE.bootstrapDelayUs(),
                     8,
-                    FIVE.bytes());
+                    FIVE.maxDatagramBytes());
 
-    private static VirtualAgreement settled(long seed, AgreeSettings settings, int count) {
-        VirtualAgreement fleet = new VirtualAgreement(seed, settings).with(count);
+    private static SimulatedConsensusCluster settled(
+            long seed, ConsensusSettings settings, int count) {
+        SimulatedConsensusCluster fleet = new SimulatedConsensusCluster(seed, settings).with(count);
         fleet.run(12 * SECOND);
         assertNull(quiet(fleet));
         return fleet;
     }
 
     /** Lets what is proposed be decided; what is wrong then, if anything. */
-    private static String quiet(VirtualAgreement fleet) {
+    private static String quiet(SimulatedConsensusCluster fleet) {
         fleet.nodes.values().forEach(n -> n.working = false);
         fleet.run(3 * SECOND);
         fleet.nodes.values().forEach(n -> n.working = true);
         return fleet.broken.isEmpty() ? fleet.disagreement() : fleet.broken.get(0);
     }
 
-    private static Optional<String> end(VirtualAgreement fleet) {
+    private static Optional<String> end(SimulatedConsensusCluster fleet) {
         fleet.calm();
         names(fleet.nodes.size()).stream()
                 .filter(n -> !fleet.world.alive(n))
@@ -74,8 +75,8 @@
      * The wall clock stays as it is: tokens grow by it when nobody is left who knows the last one.
      */
     private static Optional<String> play(
-            long seed, FaultPlan plan, AgreeSettings settings, int count) {
-        VirtualAgreement fleet = new VirtualAgreement(seed, settings).with(count);
+            long seed, FaultPlan plan, ConsensusSettings settings, int count) {
+        SimulatedConsensusCluster fleet = new SimulatedConsensusCluster(seed, settings).with(count);
         fleet.run(8 * SECOND);
         fleet.world.follow(
                 new FaultPlan(
@@ -121,7 +122,7 @@
         assertTrue(found.isEmpty());
     }
 
-    private static AgreeSettings settings(String who) {
+    private static ConsensusSettings settings(String who) {
         return who.equals("five") ? FIVE : who.equals("short log") ? SHORT : THREE_OF_SIX;
     }
 
@@ -132,13 +133,13 @@
      * All that an agreement does: a leader dies and comes back, a member stands still for long, one
      * goes.
      */
-    private static VirtualAgreement busy(List<At<Point>> ats) {
-        VirtualAgreement fleet = new VirtualAgreement(1, SHORT).with(6);
+    private static SimulatedConsensusCluster busy(List<At<FaultPoint>> ats) {
+        SimulatedConsensusCluster fleet = new SimulatedConsensusCluster(1, SHORT).with(6);
         fleet.faults.arm(ats);
         fleet.run(9 * SECOND);
         String leader =
                 fleet.living().stream()
-                        .filter(n -> fleet.nodes.get(n).agreement.leads())
+                        .filter(n -> fleet.nodes.get(n).agreement.isLeader())
                         .findFirst()
                         .orElse("m0");
         if (fleet.world.alive(leader)) {
@@ -152,30 +153,30 @@
 
     @Test
     void aBusyFleetPassesEachPoint() {
-        VirtualAgreement fleet = busy(List.of());
+        SimulatedConsensusCluster fleet = busy(List.of());
         assertEquals(Optional.empty(), end(fleet));
-        assertEquals(EnumSet.allOf(Point.class), fleet.faults.passes.keySet());
+        assertEquals(EnumSet.allOf(FaultPoint.class), fleet.faults.passes.keySet());
     }
 
     /** The first pass of most lies in a founding. */
     @ParameterizedTest
-    @EnumSource(Point.class)
-    void aFaultAtAnyPointBreaksNothing(Point point) {
+    @EnumSource(FaultPoint.class)
+    void aFaultAtAnyPointBreaksNothing(FaultPoint point) {
         failAt(point, 1);
     }
 
     /** The last pass of most lies in the return of a member. */
     @Tag("long")
     @ParameterizedTest
-    @EnumSource(Point.class)
-    void aFaultAtTheLastPassOfAnyPointBreaksNothing(Point point) {
+    @EnumSource(FaultPoint.class)
+    void aFaultAtTheLastPassOfAnyPointBreaksNothing(FaultPoint point) {
         failAt(point, busy(List.of()).faults.passes.get(point));
     }
 
-    private static void failAt(Point point, int pass) {
+    private static void failAt(FaultPoint point, int pass) {
         for (Kind kind : Kind.values()) {
-            At<Point> at = new At<>(point, pass, kind);
-            VirtualAgreement fleet = busy(List.of(at));
+            At<FaultPoint> at = new At<>(point, pass, kind);
+            SimulatedConsensusCluster fleet = busy(List.of(at));
             assertEquals(Optional.empty(), end(fleet), at::toString);
             assertEquals(1, fleet.faults.sprung, at::toString);
         }
@@ -184,15 +185,15 @@
     /** Two faults, one after the other, at points and passes that are drawn. */
     private static Optional<String> pair(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<At<Point>> ats = new ArrayList<>();
+        List<At<FaultPoint>> ats = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ats.add(
                     new At<>(
-                            Point.values()[random.nextInt(Point.values().length)],
+                            FaultPoint.values()[random.nextInt(FaultPoint.values().length)],
                             1 + (int) Math.pow(40, random.nextDouble()),
                             Kind.values()[random.nextInt(Kind.values().length)]));
         }
-        VirtualAgreement fleet = busy(ats);
+        SimulatedConsensusCluster fleet = busy(ats);
         fleet.faults.arm(
                 List.of()); // what has not come by now would come too late to be over in the end
         return end(fleet)
@@ -214,7 +215,7 @@
         assertEquals(
                 Optional.empty(),
                 LongStream.range(first, first + 10)
-                        .mapToObj(AgreementTest::pair)
+                        .mapToObj(ConsensusNodeTest::pair)
                         .flatMap(Optional::stream)
                         .findFirst());
     }
@@ -227,7 +228,7 @@
         Optional<String> found =
                 LongStream.range(first, first + plays)
                         .parallel()
-                        .mapToObj(AgreementTest::pair)
+                        .mapToObj(ConsensusNodeTest::pair)
                         .flatMap(Optional::stream)
                         .findAny();
         System.out.println(
@@ -245,7 +246,9 @@
                         .map(cells -> cells[1].trim() + " " + cells[2].trim())
                         .toList();
         assertEquals(
-                Arrays.stream(Point.values()).map(p -> "A" + (p.ordinal() + 1) + " " + p).toList(),
+                Arrays.stream(FaultPoint.values())
+                        .map(p -> "A" + (p.ordinal() + 1) + " " + p)
+                        .toList(),
                 listed);
     }
 
@@ -255,14 +258,14 @@
     @Test
     void whenTheLeaderDiesDecreesGoOnWithinThreeSeconds() {
         for (long seed = 1; seed <= 5; seed++) {
-            VirtualAgreement fleet = settled(seed, FIVE, 5);
+            SimulatedConsensusCluster fleet = settled(seed, FIVE, 5);
             String leader = fleet.nodes.get("m0").agreement.leader().name();
             fleet.world.bring(new Fault.Kill(leader));
-            long before = fleet.nodes.get(fleet.living().get(0)).agreement.applied();
+            long before = fleet.nodes.get(fleet.living().get(0)).agreement.lastApplied();
             fleet.run(3 * SECOND);
             for (String n : fleet.living()) {
                 assertTrue(
-                        fleet.nodes.get(n).agreement.applied() > before + 1,
+                        fleet.nodes.get(n).agreement.lastApplied() > before + 1,
                         "seed " + seed + " " + n);
             }
         }
@@ -274,16 +277,16 @@
      */
     @Test
     void inAPartitionTheLargerPartGoesOnAndTheSmallerOneKnows() {
-        VirtualAgreement fleet = settled(2, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(2, FIVE, 5);
         fleet.cut(List.of("m0", "m1"), List.of("m2", "m3", "m4"), true);
         fleet.run(5 * SECOND);
-        long small = fleet.nodes.get("m0").agreement.applied();
+        long small = fleet.nodes.get("m0").agreement.lastApplied();
         fleet.run(60 * SECOND);
         for (String n : List.of("m0", "m1")) {
-            assertFalse(fleet.nodes.get(n).agreement.decides(fleet.world.now()), n);
-            assertEquals(small, fleet.nodes.get(n).agreement.applied(), n);
+            assertFalse(fleet.nodes.get(n).agreement.hasQuorum(fleet.world.now()), n);
+            assertEquals(small, fleet.nodes.get(n).agreement.lastApplied(), n);
         }
-        assertTrue(fleet.nodes.get("m2").agreement.decides(fleet.world.now()));
+        assertTrue(fleet.nodes.get("m2").agreement.hasQuorum(fleet.world.now()));
         assertEquals(3, fleet.nodes.get("m2").agreement.view().lives().size());
         fleet.calm();
         fleet.run(8 * SECOND);
@@ -294,12 +297,12 @@
     /** In parts without a majority nothing is decided; healed, it goes on in the same history. */
     @Test
     void threePartsWithoutAMajorityWaitForEachOther() {
-        VirtualAgreement fleet = settled(3, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(3, FIVE, 5);
         fleet.cut(List.of("m0", "m1"), List.of("m2", "m3", "m4"), true);
         fleet.cut(List.of("m2", "m3"), List.of("m4"), true);
         fleet.run(20 * SECOND);
         for (String n : fleet.living()) {
-            assertFalse(fleet.nodes.get(n).agreement.decides(fleet.world.now()), n);
+            assertFalse(fleet.nodes.get(n).agreement.hasQuorum(fleet.world.now()), n);
         }
         fleet.calm();
         fleet.run(5 * SECOND);
@@ -315,7 +318,7 @@
     @ValueSource(longs = {1, 101, 201})
     void thoseVotedOutBeginNothingAnewWhileAMajorityOfVotersLives(long first) {
         for (long seed = first; seed < first + 20; seed++) {
-            VirtualAgreement fleet = settled(seed, FIVE, 5);
+            SimulatedConsensusCluster fleet = settled(seed, FIVE, 5);
             fleet.cut(List.of("m0", "m1"), List.of("m2", "m3", "m4"), true);
             fleet.run(8 * SECOND);
             fleet.nodes.values().forEach(n -> n.working = false);
@@ -342,24 +345,24 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void aLeaderBehindAOneWayCutIsReplaced(boolean outwards) {
-        VirtualAgreement fleet = settled(4, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(4, FIVE, 5);
         String leader = fleet.nodes.get("m0").agreement.leader().name();
         List<String> others = names(5).stream().filter(n -> !n.equals(leader)).toList();
         fleet.cut(outwards ? List.of(leader) : others, outwards ? others : List.of(leader), false);
         fleet.run(5 * SECOND);
-        assertFalse(fleet.nodes.get(leader).agreement.leads());
+        assertFalse(fleet.nodes.get(leader).agreement.isLeader());
         for (String n : others) {
-            assertTrue(fleet.nodes.get(n).agreement.decides(fleet.world.now()), n);
+            assertTrue(fleet.nodes.get(n).agreement.hasQuorum(fleet.world.now()), n);
         }
     }
 
     /** Most end at once and come back as others: those who live bring along what was decided. */
     @Test
     void whenMostLivesEndAtOnceTheFleetGoesOnWithWhatTheOthersKnow() {
-        VirtualAgreement fleet = settled(5, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(5, FIVE, 5);
         long before = fleet.nodes.get("m4").machine.digest;
         assertTrue(before != 0);
-        long decided = fleet.nodes.get("m4").agreement.applied();
+        long decided = fleet.nodes.get("m4").agreement.lastApplied();
         List.of("m0", "m1", "m2", "m3").forEach(n -> fleet.world.bring(new Fault.Kill(n)));
         fleet.run(20 * SECOND);
         assertEquals(1, fleet.foundings.size(), "a minority founded");
@@ -367,14 +370,14 @@
         fleet.run(20 * SECOND);
         assertNull(quiet(fleet));
         assertEquals(2, fleet.foundings.size());
-        assertTrue(fleet.nodes.get("m0").agreement.applied() > decided, "the history goes on");
+        assertTrue(fleet.nodes.get("m0").agreement.lastApplied() > decided, "the history goes on");
         assertEquals(List.of(), fleet.broken);
     }
 
     /** All end: what was decided is gone with them, and tokens go on growing. */
     @Test
     void whenAllLivesEndTheFleetBeginsAnewWithGreaterTokens() {
-        VirtualAgreement fleet = settled(6, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(6, FIVE, 5);
         names(5).forEach(n -> fleet.world.bring(new Fault.Kill(n)));
         names(5).forEach(n -> fleet.world.bring(new Fault.Restart(n)));
         fleet.run(15 * SECOND);
@@ -388,7 +391,7 @@
      */
     @Test
     void aRollingRestartLosesNoDecree() {
-        VirtualAgreement fleet = settled(7, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(7, FIVE, 5);
         for (String n : names(5)) {
             fleet.world.bring(new Fault.Restart(n));
             fleet.run(10 * SECOND);
@@ -404,30 +407,31 @@
      */
     @Test
     void entriesThatDoNotFollowEachOtherAreRefused() {
-        VirtualAgreement fleet = settled(8, FIVE, 5);
-        long before = fleet.nodes.get("m0").agreement.applied();
+        SimulatedConsensusCluster fleet = settled(8, FIVE, 5);
+        long before = fleet.nodes.get("m0").agreement.lastApplied();
         fleet.says =
                 m ->
-                        m.with(
+                        m.withEntries(
                                 m.entries().stream()
                                         .map(
                                                 e ->
-                                                        new Entry(
+                                                        new LogEntry(
                                                                 e.index() + 1,
                                                                 e.term(),
                                                                 e.kind(),
-                                                                e.change(),
+                                                                e.memberChanges(),
                                                                 null,
-                                                                e.by(),
-                                                                e.number(),
+                                                                e.proposer(),
+                                                                e.sequence(),
                                                                 e.command()))
                                         .toList(),
                                 m.offset());
         fleet.run(5 * SECOND);
         for (String n : names(5)) {
-            Agreement its = fleet.nodes.get(n).agreement;
-            assertEquals(before, its.applied(), n);
-            assertTrue(its.leads() || its.refused().getOrDefault("malformed", 0L) > 0, n);
+            ConsensusNode its = fleet.nodes.get(n).agreement;
+            assertEquals(before, its.lastApplied(), n);
+            assertTrue(
+                    its.isLeader() || its.droppedDatagrams().getOrDefault("malformed", 0L) > 0, n);
         }
         fleet.says = m -> m;
         fleet.run(3 * SECOND);
@@ -436,7 +440,7 @@
 
     @Test
     void aCommandThatFitsInNoDatagramIsRefusedBySize() {
-        VirtualAgreement fleet = settled(8, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(8, FIVE, 5);
         assertTrue(
                 assertThrows(
                                 IllegalArgumentException.class,
@@ -457,12 +461,13 @@
     @ParameterizedTest
     @CsvSource({"false", "true"})
     void aMajorityOfNamesThatIsNoneOfNewLivesFoundsNothing(boolean mutant) {
-        VirtualAgreement fleet = settled(9, FIVE, 5);
+        SimulatedConsensusCluster fleet = settled(9, FIVE, 5);
         if (mutant) {
             fleet.says =
                     m ->
-                            m.kind() == Message.Kind.SAY || m.kind() == Message.Kind.VOTE
-                                    ? m.says(m.yes(), false, true)
+                            m.kind() == MessageFrame.Kind.PRE_VOTE_RESPONSE
+                                            || m.kind() == MessageFrame.Kind.VOTE_RESPONSE
+                                    ? m.withFlags(m.isPositive(), false, true)
                                     : m;
         }
         fleet.cut(List.of("m3"), List.of("m0", "m1", "m2", "m4"), true);
