--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -52,14 +52,14 @@
     }
 
     /** This node became primary: it goes on from what its replica has. */
-    void becamePrimary() {
+    void onPrimacyGained() {
         isPrimary = true;
         isProcessing = false;
         committed.recover(replica.snapshot());
     }
 
     /** This node is no longer primary: queued requests are sent to the next one. */
-    void lostPrimacy() {
+    void onPrimacyLost() {
         isPrimary = false;
         isProcessing = false;
         while (!queue.isEmpty()) {
@@ -86,7 +86,7 @@
     }
 
     private void processNext() {
-        if (isProcessing || !isPrimary || queue.isEmpty() || replica.busy()) {
+        if (isProcessing || !isPrimary || queue.isEmpty() || replica.isBusy()) {
             return;
         }
         isProcessing = true;
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -157,35 +157,35 @@
     }
 
     @Override
-    public void becamePrimary(Collection<InstanceRecord> inherited) {
+    public void onPrimacyGained(Collection<InstanceRecord> inherited) {
         if (!isPrimary) {
             primarySinceMs = scheduler.now();
             quotas.clear();
             fleetLoads.reset(primarySinceMs);
         }
         isPrimary = true;
-        replicator.becamePrimary();
+        replicator.onPrimacyGained();
         instances.recover(inherited, scheduler.now());
-        configurationRequests.becamePrimary();
+        configurationRequests.onPrimacyGained();
         LOG.info(
                 "primary of epoch {} with generation {} and {} upstreams",
                 replica.epoch(),
                 configuration.generation(),
                 instances.all().size());
-        polls.becamePrimary();
+        polls.onPrimacyGained();
         configurationRequests.tick(scheduler.now());
     }
 
     @Override
-    public void lostPrimacy() {
+    public void onPrimacyLost() {
         isPrimary = false;
-        replicator.lostPrimacy();
-        configurationRequests.lostPrimacy();
-        polls.lostPrimacy();
+        replicator.onPrimacyLost();
+        configurationRequests.onPrimacyLost();
+        polls.onPrimacyLost();
     }
 
     @Override
-    public void inherit(Collection<InstanceRecord> records) {
+    public void onInstancesReceived(Collection<InstanceRecord> records) {
         records.forEach(record -> instances.merge(record, scheduler.now()));
     }
 
@@ -195,7 +195,7 @@
     }
 
     private boolean isConfirmedPrimary() {
-        return isPrimary && replica.recentlyConfirmed();
+        return isPrimary && replica.isRecentlyConfirmed();
     }
 
     /** Whether each live instance has had the time to send this primary a heartbeat. */
@@ -219,7 +219,7 @@
     }
 
     private void tickAsPrimary(long nowMs) {
-        if (replica.recentlyConfirmed()) {
+        if (replica.isRecentlyConfirmed()) {
             expireInstances(nowMs);
             assignOrdinals(nowMs);
         }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNode.java
@@ -85,7 +85,7 @@
     boolean isLeading() {
         return isRunning()
                 && replica().state() == Replica.State.PRIMARY
-                && replica().recentlyConfirmed();
+                && replica().isRecentlyConfirmed();
     }
 
     /** Kills the process; the machine refuses connections. */
