--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -40,13 +40,13 @@
     }
 
     /** This node is primary of a new view, whose members alone get hints. */
-    void becamePrimary() {
+    void onPrimacyGained() {
         isPrimary = true;
         handoff.retainMembers(replica.view().group);
     }
 
     /** This node is no longer primary: the next one sends the records. */
-    void lostPrimacy() {
+    void onPrimacyLost() {
         isPrimary = false;
         handoff.clear();
     }
@@ -72,7 +72,7 @@
     void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
         ReplicaAcknowledgements pending = new ReplicaAcknowledgements(view.replicas, done);
-        replica.saveInstancesNow(isSaved -> pending.record(replica.self(), isSaved));
+        replica.saveInstances(isSaved -> pending.record(replica.self(), isSaved));
         for (Member member : view.group) {
             if (!member.equals(replica.self())) {
                 boolean isReplica = view.replicas.contains(member);
--- a/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
@@ -36,6 +36,6 @@
 
     private void save() {
         isScheduled = false;
-        replica.saveInstances();
+        replica.saveInstancesIfIdle();
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -40,7 +40,7 @@
         }
         request.instances.forEach(record -> instances.merge(record, scheduler.now()));
         if (request.syncRequired) {
-            replica.saveInstancesNow(isSaved -> responder.accept(acknowledgement(isSaved)));
+            replica.saveInstances(isSaved -> responder.accept(acknowledgement(isSaved)));
         } else {
             saves.schedule();
             responder.accept(acknowledgement(true));
--- a/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
+++ b/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
@@ -1,7 +1,7 @@
 package myrtleladder.consensus;
 
 import static myrtleladder.consensus.SimulatedConsensusCluster.SECOND;
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -17,8 +17,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
-import myrtleladder.cluster.PointFaults.At;
-import myrtleladder.cluster.PointFaults.Kind;
+import myrtleladder.cluster.FaultPointInjector.Kind;
+import myrtleladder.cluster.FaultPointInjector.ScheduledFault;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.simulation.ScheduleExplorer;
@@ -133,9 +133,9 @@
      * All that an agreement does: a leader dies and comes back, a member stands still for long, one
      * goes.
      */
-    private static SimulatedConsensusCluster busy(List<At<FaultPoint>> ats) {
+    private static SimulatedConsensusCluster busy(List<ScheduledFault<FaultPoint>> ats) {
         SimulatedConsensusCluster fleet = new SimulatedConsensusCluster(1, SHORT).with(6);
-        fleet.faults.arm(ats);
+        fleet.faults.schedule(ats);
         fleet.run(9 * SECOND);
         String leader =
                 fleet.living().stream()
@@ -155,7 +155,7 @@
     void aBusyFleetPassesEachPoint() {
         SimulatedConsensusCluster fleet = busy(List.of());
         assertEquals(Optional.empty(), end(fleet));
-        assertEquals(EnumSet.allOf(FaultPoint.class), fleet.faults.passes.keySet());
+        assertEquals(EnumSet.allOf(FaultPoint.class), fleet.faults.passCounts.keySet());
     }
 
     /** The first pass of most lies in a founding. */
@@ -170,31 +170,31 @@
     @ParameterizedTest
     @EnumSource(FaultPoint.class)
     void aFaultAtTheLastPassOfAnyPointBreaksNothing(FaultPoint point) {
-        failAt(point, busy(List.of()).faults.passes.get(point));
+        failAt(point, busy(List.of()).faults.passCounts.get(point));
     }
 
     private static void failAt(FaultPoint point, int pass) {
         for (Kind kind : Kind.values()) {
-            At<FaultPoint> at = new At<>(point, pass, kind);
+            ScheduledFault<FaultPoint> at = new ScheduledFault<>(point, pass, kind);
             SimulatedConsensusCluster fleet = busy(List.of(at));
             assertEquals(Optional.empty(), end(fleet), at::toString);
-            assertEquals(1, fleet.faults.sprung, at::toString);
+            assertEquals(1, fleet.faults.injectedCount, at::toString);
         }
     }
 
     /** Two faults, one after the other, at points and passes that are drawn. */
     private static Optional<String> pair(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<At<FaultPoint>> ats = new ArrayList<>();
+        List<ScheduledFault<FaultPoint>> ats = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ats.add(
-                    new At<>(
+                    new ScheduledFault<>(
                             FaultPoint.values()[random.nextInt(FaultPoint.values().length)],
                             1 + (int) Math.pow(40, random.nextDouble()),
                             Kind.values()[random.nextInt(Kind.values().length)]));
         }
         SimulatedConsensusCluster fleet = busy(ats);
-        fleet.faults.arm(
+        fleet.faults.schedule(
                 List.of()); // what has not come by now would come too late to be over in the end
         return end(fleet)
                 .map(
@@ -204,7 +204,7 @@
                                         + ", "
                                         + ats
                                         + ", "
-                                        + fleet.faults.sprung
+                                        + fleet.faults.injectedCount
                                         + " came: "
                                         + wrong);
     }
