--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -30,6 +30,12 @@
     private static final int CONTROL_PORT = 8367;
     private static final int SEED_COUNT = 3;
     private static final Duration CALL_TIMEOUT = Duration.ofMillis(1_000);
+
+    /**
+     * How long a process may take to stop after SIGSTOP; chosen for a machine that is overloaded.
+     */
+    private static final long SUSPENSION_TIMEOUT_MS = 10_000;
+
     private static final Duration TIMEOUT = Duration.ofMillis(15_000);
 
     private final HttpClient http =
@@ -103,6 +109,33 @@
         assertTrue(new ProcessBuilder("kill", "-" + signal, pid).start().waitFor() == 0);
     }
 
+    /**
+     * Suspends a node's process and waits until all of its threads have stopped: on a busy machine
+     * they run on for a while after the signal was sent, and the node could still answer.
+     */
+    void suspend(String name) throws IOException, InterruptedException {
+        signal(name, "STOP");
+        Path tasks = Path.of("/proc/" + processes.get(name).pid() + "/task");
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SUSPENSION_TIMEOUT_MS);
+        while (!hasStopped(tasks)) {
+            assertTrue(System.nanoTime() < end, name + " has not stopped");
+            Thread.sleep(1);
+        }
+    }
+
+    /** Whether the state of each thread, the field after its name in brackets, is T (proc(5)). */
+    private static boolean hasStopped(Path tasks) throws IOException {
+        try (Stream<Path> threads = Files.list(tasks)) {
+            for (Path thread : threads.toList()) {
+                String stat = Files.readString(thread.resolve("stat"));
+                if (stat.charAt(stat.lastIndexOf(')') + 2) != 'T') {
+                    return false;
+                }
+            }
+        }
+        return true;
+    }
+
     /** Kills a node; it is no more among those that are called. */
     void kill(String name) throws InterruptedException {
         Process process = processes.remove(name);
@@ -110,7 +143,7 @@
         process.waitFor();
     }
 
-    /** Whether a node that was asked to endNs has done so within a time. */
+    /** Whether a node that was asked to end has done so within a time. */
     boolean hasEnded(String name, long withinMs) throws InterruptedException {
         return processes.get(name).waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
--- a/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -40,7 +40,7 @@
     void leaderThatWasSuspendedShowsNothingStaleWhenItResumes() throws Exception {
         try (ControlProcesses processes = started()) {
             String leader = processes.leader();
-            processes.signal(leader, "STOP");
+            processes.suspend(leader);
             processes.change(1, 2);
             assertNotEquals(leader, processes.leader());
             processes.signal(leader, "CONT");
