--- a/src/main/java/myrtleladder/loadbalancer/policy/ListKind.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ListKind.java
@@ -1,7 +1,7 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * What a list of upstreams is: changes, the whole, the whole as held before a restart, or a failed
+ * What a list of upstreams is: changes, the complete list, the complete list as stored before a restart, or a failed
  * call.
  */
 public enum ListKind {
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: events come in as method calls, decisions go out
+ * The complete interface of the decision module: events come in as method calls, decisions go out
  * through {@link Actions}. {@link UtilisationLoadBalancer} is the implementation.
  *
  * <p>All times are microseconds of one clock that only advances; {@code now} is passed in with each
@@ -13,10 +13,10 @@
  */
 public interface LoadBalancer {
 
-    /** Brings up the instance: sets its first timer. Call it once, before any other event. */
+    /** Starts the instance: sets its first timer. Call it once, before any other event. */
     void start(long now);
 
-    /** The list of upstreams, or changes of it, as discovery told it. */
+    /** The list of upstreams, or changes of it, as discovery reported it. */
     void upstreams(long now, ListKind kind, List<Upstream> entries);
 
     /** A client's request has arrived; one final answer is owed from here on. */
@@ -25,10 +25,10 @@
     /** The end of one attempt. */
     void outcome(long now, AttemptEnd end);
 
-    /** A streamed answer has begun; the attempt belongs to the client from now on. */
+    /** A streamed answer has begun; the attempt is neither cancelled nor retried from now on. */
     void opened(long now, String request, int attempt);
 
-    /** The client has left; nothing is owed for this request any more. */
+    /** The client has disconnected; no answer is owed for this request any more. */
     void clientGone(long now, String request);
 
     /** The result of a probe; {@code load} is null if none came along. */
@@ -46,11 +46,11 @@
         void send(String request, String upstream, long timeout);
 
         /**
-         * Final answer: refused, a further try is harmless. {@code retryAfter} 0 gives no advice.
+         * Final answer: rejected, a retry is harmless. {@code retryAfter} 0 gives no advice.
          */
         void refuse(String request, long retryAfter);
 
-        /** Final answer: failed, nothing promised. */
+        /** Final answer: failed; the request may have run. */
         void fail(String request);
 
         /** Stops waiting for an attempt. */
