--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
@@ -45,9 +45,7 @@
         /** Starts an attempt; {@code timeout} 0 lets it run until the client gives up. */
         void send(String request, String upstream, long timeout);
 
-        /**
-         * Final answer: rejected, a retry is harmless. {@code retryAfter} 0 gives no advice.
-         */
+        /** Final answer: rejected, a retry is harmless. {@code retryAfter} 0 gives no advice. */
         void refuse(String request, long retryAfter);
 
         /** Final answer: failed; the request may have run. */
