--- a/src/main/java/myrtleladder/testbed/checker/Checker.java
+++ b/src/main/java/myrtleladder/testbed/checker/Checker.java
@@ -9,256 +9,245 @@
 import myrtleladder.testbed.checker.Violation.Kind;
 
 /**
- * Follows each request from its client to the upstreams and back. It is told what both ends saw, in
- * the order of time, and finds what breaks a rule. Times are microseconds of one clock.
+ * Follows each request from its client to the upstreams and back, and records each violation of
+ * {@link Rules}. The fake clients, upstreams and discovery report what they see, in the order of
+ * time; all times are microseconds of one clock.
+ *
+ * <p>Not thread-safe: all methods are called by one thread, on sockets by the event loop that the
+ * fleet and its fakes share. A request or upstream has to be reported by {@link #requestSent} or
+ * {@link #upstreamStarted} before other methods name it, except where a method says otherwise.
  */
 public final class Checker {
-    /** Repeats that a class of requests allows. */
+    /** The repeats that a class of requests allows; the names are values of experiment files. */
     public enum Repeat {
-        /** Any number of runs. */
+        /** Idempotent: it may be processed any number of times. */
         FREE,
-        /** Repeats of its key within the memory of the upstreams. */
+        /** It may be repeated while the upstreams remember its key and drop the repeat. */
         KEYED,
-        /** One run; a further attempt only after proof that none has run. */
+        /** It may be sent again only after proof that no earlier attempt was processed. */
         SINGLE
     }
 
     private final Rules rules;
-    private final Map<String, Incarnation> incarnations = new HashMap<>();
-    private final Map<String, Upstream> upstreams = new HashMap<>();
-    private final Set<String> out = new HashSet<>();
+    private final Map<String, TrackedRequest> requests = new HashMap<>();
+    private final Map<String, TrackedUpstream> upstreams = new HashMap<>();
+    private final Set<String> upstreamsUnderMaintenance = new HashSet<>();
     private final List<Violation> violations = new ArrayList<>();
 
-    /** Checks against these figures. */
+    /** A checker of one run, which has seen no request yet. */
     public Checker(Rules rules) {
         this.rules = rules;
     }
 
-    private static final class Incarnation {
-        final Repeat repeat;
-        final long memory;
-        final long deadline;
-        final List<Long> mayHaveRun = new ArrayList<>();
-        final List<String> made = new ArrayList<>();
-        boolean taken;
-        boolean done;
-
-        Incarnation(Repeat repeat, long memory, long deadline) {
-            this.repeat = repeat;
-            this.memory = memory;
-            this.deadline = deadline;
-        }
-    }
-
-    private static final class Upstream {
-        final long startedAt;
-        final SlowStartWindow pushed;
-        final Map<String, Long> notifiedOfDrain = new HashMap<>();
-        boolean overrun;
-
-        Upstream(long startedAt, SlowStartWindow pushed) {
-            this.startedAt = startedAt;
-            this.pushed = pushed;
-        }
-    }
-
-    // ---- What clients see
-    // ------------------------------------------------------------------------------
-
     /**
-     * A client has begun to send; {@code memory} is how long upstreams drop a repeat of a keyed
-     * one.
+     * A client begins to send a request.
+     *
+     * @param keyMemoryUs how long upstreams drop a repeat of a {@link Repeat#KEYED} request
+     * @param deadlineUs when its final response is due
      */
-    public void sent(String id, Repeat repeat, long memory, long deadline) {
-        incarnations.put(id, new Incarnation(repeat, memory, deadline));
+    public void requestSent(String id, Repeat repeat, long keyMemoryUs, long deadlineUs) {
+        requests.put(id, new TrackedRequest(repeat, keyMemoryUs, deadlineUs));
     }
 
-    /** Its last byte is written to a connection that the balancer's machine accepted. */
-    public void taken(String id) {
-        incarnations.get(id).taken = true;
+    /**
+     * The last byte of the request is written to a connection that the balancer's machine accepted.
+     */
+    public void requestAccepted(String id) {
+        requests.get(id).isAccepted = true;
     }
 
-    /** The whole of an answer has come; {@code made} is its body, or null if it was not a 200. */
-    public void answered(long now, String id, String made) {
-        Incarnation incarnation = incarnations.get(id);
-        if (incarnation.done) {
-            broken(Kind.DOUBLE, now, id, "answered a second time");
+    /**
+     * A client has received a complete response.
+     *
+     * @param body the body, or null if the status was not 200
+     */
+    public void responseReceived(long nowUs, String id, String body) {
+        TrackedRequest request = requests.get(id);
+        if (request.isDone) {
+            addViolation(Kind.DOUBLE, nowUs, id, "answered a second time");
             return;
         }
-        incarnation.done = true;
-        if (made != null && !incarnation.made.contains(made)) {
-            broken(Kind.SPOILT, now, id, "served with what no upstream made for it");
+        request.isDone = true;
+        if (body != null && !request.producedBodies.contains(body)) {
+            addViolation(Kind.SPOILT, nowUs, id, "served with what no upstream made for it");
         }
-        if (now > incarnation.deadline + rules.answerSlack()) {
-            broken(
+        if (nowUs > request.deadlineUs + rules.answerSlackUs()) {
+            addViolation(
                     Kind.LOST,
-                    now,
+                    nowUs,
                     id,
-                    "answered " + (now - incarnation.deadline) / 1_000 + " ms after its time");
+                    "answered " + (nowUs - request.deadlineUs) / 1_000 + " ms after its time");
         }
     }
 
     /**
-     * The balancer ended the connection with no whole answer. {@code excused} where that is no
-     * loss: an answer that was begun and could not be finished, or an idle connection that closed
-     * as the request came.
+     * The balancer closed the connection without a complete response.
+     *
+     * @param isExcused whether this is no loss: the response was begun and could not be finished, or
+     *     an idle connection was closed as the request arrived
      */
-    public void partitioned(long now, String id, boolean excused) {
-        Incarnation incarnation = incarnations.get(id);
-        if (!incarnation.done && incarnation.taken && !excused) {
-            broken(Kind.LOST, now, id, "its connection was ended with no answer");
+    public void connectionClosed(long nowUs, String id, boolean isExcused) {
+        TrackedRequest request = requests.get(id);
+        if (!request.isDone && request.isAccepted && !isExcused) {
+            addViolation(Kind.LOST, nowUs, id, "its connection was ended with no answer");
         }
-        incarnation.done = true;
+        request.isDone = true;
     }
 
-    /**
-     * The client has left by itself, or the balancer's process was killed: nothing is owed any
-     * more.
-     */
-    public void left(String id) {
-        incarnations.get(id).done = true;
+    /** The client gave up, or the balancer's process was killed: no response is owed any more. */
+    public void requestAbandoned(String id) {
+        requests.get(id).isDone = true;
     }
 
-    // ---- What upstreams see
-    // ----------------------------------------------------------------------------
-
     /**
-     * An upstream has started; {@code capacity} is the work that it can do in a microsecond, when
-     * warm.
+     * An upstream has started, or started again.
+     *
+     * @param workPerUs work that it processes in a microsecond at full capacity
      */
-    public void started(long now, String upstream, double capacity) {
-        upstreams.put(upstream, new Upstream(now, new SlowStartWindow(rules, capacity, now)));
+    public void upstreamStarted(long nowUs, String upstream, double workPerUs) {
+        SlowStartWindow window = new SlowStartWindow(rules, workPerUs, nowUs);
+        upstreams.put(upstream, new TrackedUpstream(nowUs, window));
     }
 
-    /** Discovery has told a balancer that an upstream drains or is gone; the first time counts. */
-    public void notifiedOfDrain(long now, String balancer, String upstream) {
-        upstreams.get(upstream).notifiedOfDrain.putIfAbsent(balancer, now);
+    /**
+     * Discovery has reported to a balancer that an upstream is draining or removed; the first report
+     * counts.
+     */
+    public void drainReported(long nowUs, String balancer, String upstream) {
+        upstreams.get(upstream).drainReportedAtUs.putIfAbsent(balancer, nowUs);
     }
 
-    /** Work on an upstream's machine begins, or has ended. */
-    public void out(String upstream, boolean begins) {
-        if (begins) {
-            out.add(upstream);
+    /** Maintenance of an upstream's machine begins or has ended. */
+    public void setUnderMaintenance(String upstream, boolean isUnderMaintenance) {
+        if (isUnderMaintenance) {
+            upstreamsUnderMaintenance.add(upstream);
         } else {
-            out.remove(upstream);
+            upstreamsUnderMaintenance.remove(upstream);
         }
     }
 
-    /** The first byte of an attempt has come to an upstream. */
-    public void attempt(long now, String balancer, String upstream, String id, double work) {
-        Upstream up = upstreams.get(upstream);
-        Long notified = up.notifiedOfDrain.get(balancer);
-        if (notified != null && now > notified + rules.drainGrace()) {
-            broken(
+    /**
+     * The first byte of an attempt has arrived at an upstream. The request may be unknown: that is a
+     * violation.
+     *
+     * @param work what it takes to process the attempt, in the unit of {@link #upstreamStarted}
+     */
+    public void attemptReceived(
+            long nowUs, String balancer, String upstream, String id, double work) {
+        TrackedUpstream target = upstreams.get(upstream);
+        Long reportedAtUs = target.drainReportedAtUs.get(balancer);
+        if (reportedAtUs != null && nowUs > reportedAtUs + rules.drainGraceUs()) {
+            addViolation(
                     Kind.AFTER_DRAIN,
-                    now,
+                    nowUs,
                     id,
                     "sent by "
                             + balancer
                             + " to "
                             + upstream
                             + " "
-                            + (now - notified) / 1_000
+                            + (nowUs - reportedAtUs) / 1_000
                             + " ms after it was told");
         }
-        if (out.contains(upstream)) {
-            broken(
+        if (upstreamsUnderMaintenance.contains(upstream)) {
+            addViolation(
                     Kind.OUT,
-                    now,
+                    nowUs,
                     id,
                     "sent by " + balancer + " to " + upstream + ", on which work goes on");
         }
-        Incarnation incarnation = incarnations.get(id);
-        if (incarnation == null) {
-            broken(Kind.FOREIGN, now, id, "came to " + upstream + ", but no client sent it");
+        TrackedRequest request = requests.get(id);
+        if (request == null) {
+            addViolation(Kind.FOREIGN, nowUs, id, "came to " + upstream + ", but no client sent it");
             return;
         }
-        checkRepeat(now, upstream, id, incarnation);
-        incarnation.mayHaveRun.add(now);
-        checkSlowStart(now, upstream, up, work);
+        checkRepeat(nowUs, upstream, id, request);
+        request.possiblyProcessedAtUs.add(nowUs);
+        checkSlowStart(nowUs, upstream, target, work);
     }
 
-    private void checkRepeat(long now, String upstream, String id, Incarnation incarnation) {
-        if (incarnation.mayHaveRun.isEmpty() || incarnation.repeat == Repeat.FREE) {
+    private void checkRepeat(long nowUs, String upstream, String id, TrackedRequest request) {
+        if (request.possiblyProcessedAtUs.isEmpty() || request.repeat == Repeat.FREE) {
             return;
         }
-        long since = now - incarnation.mayHaveRun.get(0);
-        if (incarnation.repeat == Repeat.SINGLE) {
-            broken(Kind.DOUBLE, now, id, "sent again to " + upstream + " though it may have run");
-        } else if (since > incarnation.memory) {
-            broken(
+        long sinceFirstUs = nowUs - request.possiblyProcessedAtUs.get(0);
+        if (request.repeat == Repeat.SINGLE) {
+            addViolation(Kind.DOUBLE, nowUs, id, "sent again to " + upstream + " though it may have run");
+        } else if (sinceFirstUs > request.keyMemoryUs) {
+            addViolation(
                     Kind.DOUBLE,
-                    now,
+                    nowUs,
                     id,
                     "sent again to "
                             + upstream
                             + " "
-                            + since / 1_000
+                            + sinceFirstUs / 1_000
                             + " ms after the first time, beyond the memory of its key");
         }
     }
 
-    private void checkSlowStart(long now, String upstream, Upstream up, double work) {
-        double part = up.pushed.add(now, work);
-        if (part > 1 && !up.overrun) {
-            up.overrun = true;
-            broken(
+    private void checkSlowStart(long nowUs, String upstream, TrackedUpstream target, double work) {
+        double fractionOfLimit = target.slowStartWindow.add(nowUs, work);
+        if (fractionOfLimit > 1 && !target.isOverloadReported) {
+            target.isOverloadReported = true;
+            addViolation(
                     Kind.COLD_OVERRUN,
-                    now,
+                    nowUs,
                     upstream,
                     "got "
-                            + Math.round(100 * part)
+                            + Math.round(100 * fractionOfLimit)
                             + "% of what it can bear "
-                            + (now - up.startedAt) / 1_000
+                            + (nowUs - target.startedAtUs) / 1_000
                             + " ms after its start");
         }
     }
 
-    /** An upstream has proved that an attempt never ran: it turned it away unseen. */
-    public void neverRan(String id, long attemptAt) {
-        Incarnation incarnation = incarnations.get(id);
-        if (incarnation != null) {
-            incarnation.mayHaveRun.remove(attemptAt);
+    /**
+     * An upstream rejected an attempt without processing it. An unknown request is ignored.
+     *
+     * @param attemptAtUs the time that {@link #attemptReceived} was called with
+     */
+    public void attemptRejected(String id, long attemptAtUs) {
+        TrackedRequest request = requests.get(id);
+        if (request != null) {
+            request.possiblyProcessedAtUs.remove(attemptAtUs);
         }
     }
 
-    /** An upstream has made this body for a request. */
-    public void made(String id, String body) {
-        Incarnation incarnation = incarnations.get(id);
-        if (incarnation != null) {
-            incarnation.made.add(body);
+    /** An upstream has produced this body for a request. An unknown request is ignored. */
+    public void responseProduced(String id, String body) {
+        TrackedRequest request = requests.get(id);
+        if (request != null) {
+            request.producedBodies.add(body);
         }
     }
 
-    // ---- The end
-    // ---------------------------------------------------------------------------------------
-
-    /** Finds all that has been owed for too long. */
-    public void expire(long now) {
-        incarnations.keySet().forEach(id -> overdue(now, id));
+    /** Records each accepted request as lost whose response is overdue. */
+    public void checkAllDeadlines(long nowUs) {
+        requests.keySet().forEach(id -> checkDeadline(nowUs, id));
     }
 
-    /** Finds whether this one has been owed for too long. */
-    public void overdue(long now, String id) {
-        Incarnation incarnation = incarnations.get(id);
-        if (incarnation.taken
-                && !incarnation.done
-                && now > incarnation.deadline + rules.answerSlack()) {
-            incarnation.done = true;
-            broken(
+    /** Records this request as lost if it was accepted and its response is overdue. */
+    public void checkDeadline(long nowUs, String id) {
+        TrackedRequest request = requests.get(id);
+        if (request.isAccepted
+                && !request.isDone
+                && nowUs > request.deadlineUs + rules.answerSlackUs()) {
+            request.isDone = true;
+            addViolation(
                     Kind.LOST,
-                    now,
+                    nowUs,
                     id,
-                    "no answer by " + (now - incarnation.deadline) / 1_000 + " ms after its time");
+                    "no answer by " + (nowUs - request.deadlineUs) / 1_000 + " ms after its time");
         }
     }
 
-    /** All that was found so far, in the order of finding. */
+    /** An immutable copy of all violations so far, in the order in which they were found. */
     public List<Violation> violations() {
         return List.copyOf(violations);
     }
 
-    private void broken(Kind kind, long now, String id, String text) {
-        violations.add(new Violation(kind, now, id, text));
+    private void addViolation(Kind kind, long nowUs, String id, String text) {
+        violations.add(new Violation(kind, nowUs, id, text));
     }
 }
--- a/src/main/java/myrtleladder/testbed/checker/Rules.java
+++ b/src/main/java/myrtleladder/testbed/checker/Rules.java
@@ -1,30 +1,33 @@
 package myrtleladder.testbed.checker;
 
 /**
- * The figures of the rules (PROTOCOL, "The rules on sockets"). Times are microseconds.
+ * The limits that the rules set (PROTOCOL, "The rules on sockets"). Immutable.
  *
- * @param answerSlack so long after its time a request may still get its final answer without being
- *     lost
- * @param drainGrace so long after the balancer was told may something new still reach a draining
- *     upstream
- * @param startCapacity part of its capacity that an upstream has when it starts
- * @param coldTime after so long it has all of it
- * @param fallMultiple a cold one falls over if sent so many times what it can do, for {@code
- *     fallTime}
- * @param fallTime see {@code fallMultiple}
+ * @param answerSlackUs how long after its deadline, in microseconds, a request may still get its
+ *     final response without being lost
+ * @param drainGraceUs how long after discovery reported to a balancer that an upstream is draining,
+ *     in microseconds, a new attempt of this balancer may still arrive there
+ * @param startCapacity fraction of its capacity, 0 to 1, that an upstream has when it starts
+ * @param slowStartUs how long after its start, in microseconds, an upstream has its full capacity
+ * @param overloadMultiple an upstream in slow start is overloaded if it receives more than this
+ *     multiple of what it can process within {@code overloadWindowUs}
+ * @param overloadWindowUs length of the window of {@code overloadMultiple}, in microseconds
  */
 public record Rules(
-        long answerSlack,
-        long drainGrace,
+        long answerSlackUs,
+        long drainGraceUs,
         double startCapacity,
-        long coldTime,
-        double fallMultiple,
-        long fallTime) {
+        long slowStartUs,
+        double overloadMultiple,
+        long overloadWindowUs) {
 
-    /** What part of its capacity an upstream has at an age; it rises evenly. */
-    public double slowStartFactor(long age) {
-        return age >= coldTime
+    /**
+     * The fraction of its full capacity that an upstream has at this age. It rises linearly from
+     * {@code startCapacity} to 1.
+     */
+    public double slowStartFactor(long ageUs) {
+        return ageUs >= slowStartUs
                 ? 1
-                : startCapacity + (1 - startCapacity) * Math.max(0, age) / coldTime;
+                : startCapacity + (1 - startCapacity) * Math.max(0, ageUs) / slowStartUs;
     }
 }
--- a/src/main/java/myrtleladder/testbed/checker/SlowStartWindow.java
+++ b/src/main/java/myrtleladder/testbed/checker/SlowStartWindow.java
@@ -3,35 +3,51 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What a cold upstream was sent within the window of the rule, against what it can bear. */
+/**
+ * A sliding window over the work that one upstream received, compared with the most that the rules
+ * allow during its slow start.
+ *
+ * <p>Not thread-safe: used by one thread, with times that do not decrease.
+ */
 public final class SlowStartWindow {
     private final Rules rules;
-    private final double capacity;
-    private final long startedAt;
-    private final Deque<Sent> sent = new ArrayDeque<>();
-    private double total;
+    private final double workPerUs;
+    private final long startedAtUs;
+    private final Deque<ReceivedWork> received = new ArrayDeque<>();
+    private double totalWork;
 
-    private record Sent(long at, double work) {}
+    private record ReceivedWork(long atUs, double work) {}
 
     /**
-     * For an upstream that starts now and does {@code capacity} of work in a microsecond when warm.
+     * An empty window of an upstream that starts at {@code startedAtUs}.
+     *
+     * @param workPerUs work that it processes in a microsecond at full capacity
      */
-    public SlowStartWindow(Rules rules, double capacity, long now) {
+    public SlowStartWindow(Rules rules, double workPerUs, long startedAtUs) {
         this.rules = rules;
-        this.capacity = capacity;
-        this.startedAt = now;
+        this.workPerUs = workPerUs;
+        this.startedAtUs = startedAtUs;
     }
 
-    /** Adds work sent now; returns what part of the bearable it brings the window to, 0 if warm. */
-    public double add(long now, double work) {
-        sent.add(new Sent(now, work));
-        total += work;
-        while (sent.peek().at() <= now - rules.fallTime()) {
-            total -= sent.poll().work();
+    /**
+     * Adds work that the upstream receives now.
+     *
+     * @return the work in the window as a fraction of the most allowed, above 1 if the upstream is
+     *     overloaded; 0 after the slow start
+     */
+    public double add(long nowUs, double work) {
+        received.add(new ReceivedWork(nowUs, work));
+        totalWork += work;
+        while (received.peek().atUs() <= nowUs - rules.overloadWindowUs()) {
+            totalWork -= received.poll().work();
         }
-        double slowStartFactor = rules.slowStartFactor(now - startedAt);
+        double slowStartFactor = rules.slowStartFactor(nowUs - startedAtUs);
         return slowStartFactor >= 1
                 ? 0
-                : total / (rules.fallMultiple() * slowStartFactor * capacity * rules.fallTime());
+                : totalWork
+                        / (rules.overloadMultiple()
+                                * slowStartFactor
+                                * workPerUs
+                                * rules.overloadWindowUs());
     }
 }
--- a/src/main/java/myrtleladder/testbed/checker/Violation.java
+++ b/src/main/java/myrtleladder/testbed/checker/Violation.java
@@ -1,24 +1,30 @@
 package myrtleladder.testbed.checker;
 
 /**
- * One broken rule: when, by which request (or upstream, for a cold one that was overrun), and how.
+ * One violation of a rule. The names of components and kinds are part of {@code record.jsonl} and of
+ * the verdict line.
+ *
+ * @param kind the rule
+ * @param at when it was found, in microseconds of the checker's clock
+ * @param id the request; for {@link Kind#COLD_OVERRUN} the upstream
+ * @param text what happened, for people
  */
 public record Violation(Kind kind, long at, String id, String text) {
-    /** The rules that can be broken. */
+    /** The rules that can be violated. */
     public enum Kind {
-        /** No final answer in time, though taken. */
+        /** An accepted request got no final response in time. */
         LOST,
-        /** Run again where that may do harm. */
+        /** A request was sent again, or got a second response, where that may do harm. */
         DOUBLE,
-        /** Served with what no upstream made for the request. */
+        /** A response was served with a body that no upstream produced for the request. */
         SPOILT,
-        /** New work for an upstream that the balancer knew to drain or to be gone. */
+        /** A new attempt for an upstream that the balancer knew to be draining or removed. */
         AFTER_DRAIN,
-        /** A cold upstream got more than it can bear. */
+        /** An upstream was overloaded during its slow start. */
         COLD_OVERRUN,
-        /** A request reached a machine on which work goes on. */
+        /** An attempt arrived at an upstream whose machine is under maintenance. */
         OUT,
-        /** A request reached an upstream that no client had sent so. */
+        /** An attempt arrived at an upstream for a request that no client sent. */
         FOREIGN
     }
 }
--- a/src/main/java/myrtleladder/testbed/fake/FakeClients.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeClients.java
@@ -274,7 +274,7 @@
         void go(boolean first) {
             if (first) {
                 work.put(id, story.arrival.work());
-                checker.sent(id, story.cls.repeat(), story.cls.memory(), deadline);
+                checker.requestSent(id, story.cls.repeat(), story.cls.memory(), deadline);
                 atEnd =
                         loop.schedule(
                                 this::timeIsOver,
@@ -316,7 +316,7 @@
         }
 
         private void timeIsOver() {
-            checker.overdue(clock.micros(), id);
+            checker.checkDeadline(clock.micros(), id);
             if (connection != null) {
                 connection.current = null;
                 connection.channel.close();
@@ -327,7 +327,7 @@
         void answered(FullHttpResponse answer) {
             int status = answer.status().code();
             long now = clock.micros();
-            checker.answered(
+            checker.responseReceived(
                     now,
                     id,
                     status != 200 ? null : answer.content().toString(StandardCharsets.UTF_8));
@@ -354,7 +354,7 @@
             if (reused) {
                 go(false);
             } else {
-                checker.partitioned(clock.micros(), id, excused);
+                checker.connectionClosed(clock.micros(), id, excused);
                 end(Outcome.FAILED, 0);
             }
         }
@@ -363,7 +363,7 @@
             if (!over) {
                 over = true;
                 atEnd.cancel(false);
-                checker.left(id);
+                checker.requestAbandoned(id);
                 story.ended(outcome, retryAfter);
             }
         }
@@ -399,7 +399,7 @@
                     .addListener(
                             f -> {
                                 if (f.isSuccess()) {
-                                    checker.taken(t.id);
+                                    checker.requestAccepted(t.id);
                                 }
                             });
         }
--- a/src/main/java/myrtleladder/testbed/fake/FakeDiscoveryServer.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeDiscoveryServer.java
@@ -229,7 +229,7 @@
         long now = clock.micros();
         list.values().stream()
                 .filter(k -> k.version() > since && k.entry().state() != State.READY)
-                .forEach(k -> checker.notifiedOfDrain(now, balancer, k.entry().id()));
+                .forEach(k -> checker.drainReported(now, balancer, k.entry().id()));
     }
 
     private static void write(ChannelHandlerContext ctx, String text) {
--- a/src/main/java/myrtleladder/testbed/fake/FakeUpstreamServer.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeUpstreamServer.java
@@ -91,7 +91,7 @@
                                 stop();
                             }
                         });
-        checker.started(startedAt, id, kind.capacity());
+        checker.upstreamStarted(startedAt, id, kind.capacity());
     }
 
     private record Exchange(ChannelHandlerContext ctx, String request, long at) {}
@@ -183,13 +183,13 @@
         switch (end) {
             case SERVED -> {
                 String body = id + " made " + ticket + " for " + exchange.request();
-                checker.made(exchange.request(), body);
+                checker.responseProduced(exchange.request(), body);
                 answer(exchange.ctx(), HttpResponseStatus.OK, body, false);
             }
             case ERROR ->
                     answer(exchange.ctx(), HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false);
             default -> {
-                checker.neverRan(exchange.request(), exchange.at());
+                checker.attemptRejected(exchange.request(), exchange.at());
                 answer(exchange.ctx(), HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
             }
         }
@@ -257,7 +257,7 @@
             }
             long now = clock.micros();
             double work = workOf.applyAsDouble(correlation);
-            checker.attempt(now, balancer, id, correlation, Double.isNaN(work) ? 0 : work);
+            checker.attemptReceived(now, balancer, id, correlation, Double.isNaN(work) ? 0 : work);
             if (Double.isNaN(work)) {
                 answer(ctx, HttpResponseStatus.BAD_REQUEST, "", false);
                 return;
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
@@ -48,7 +48,7 @@
                     return size() > kind.keyRoom();
                 }
             };
-    private final SlowStartWindow pushed;
+    private final SlowStartWindow slowStartWindow;
     private final Deque<Report> reports = new ArrayDeque<>();
     private double slower = 1;
     private boolean draining;
@@ -68,7 +68,7 @@
         this.startedAt = now;
         this.periodBegan = now;
         this.out = out;
-        this.pushed = new SlowStartWindow(kind.rules(), kind.capacity(), now);
+        this.slowStartWindow = new SlowStartWindow(kind.rules(), kind.capacity(), now);
     }
 
     private static final class Job {
@@ -97,7 +97,7 @@
             return;
         }
         closePeriods(now);
-        if (pushed.add(now, work) > 1) {
+        if (slowStartWindow.add(now, work) > 1) {
             down = true;
             waiting.clear();
             running.clear();
--- a/src/main/java/myrtleladder/testbed/process/BalancerConfig.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerConfig.java
@@ -90,12 +90,12 @@
         out.writeStringField("via", "piggyback");
         out.writeEndObject();
         out.writeObjectFieldStart("rules");
-        out.writeNumberField("answer-slack-s", rules.answerSlack() / 1e6);
+        out.writeNumberField("answer-slack-s", rules.answerSlackUs() / 1e6);
         out.writeNumberField("ask-within-s", 10);
-        out.writeNumberField("cold-s", rules.coldTime() / 1e6);
-        out.writeNumberField("drain-grace-s", rules.drainGrace() / 1e6);
-        out.writeNumberField("fall-multiple", rules.fallMultiple());
-        out.writeNumberField("fall-s", rules.fallTime() / 1e6);
+        out.writeNumberField("cold-s", rules.slowStartUs() / 1e6);
+        out.writeNumberField("drain-grace-s", rules.drainGraceUs() / 1e6);
+        out.writeNumberField("fall-multiple", rules.overloadMultiple());
+        out.writeNumberField("fall-s", rules.overloadWindowUs() / 1e6);
         out.writeNumberField("start-capacity", rules.startCapacity());
         out.writeEndObject();
     }
--- a/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
@@ -144,7 +144,7 @@
                         frontend,
                         layout.traffic().classes(),
                         layout.retries(),
-                        layout.rules().answerSlack() + 1_000,
+                        layout.rules().answerSlackUs() + 1_000,
                         layout.seed(),
                         (a, o, took, tries, late) -> ended.add(new Ended(a, o, took, tries, late)));
         List<String> names = new ArrayList<>();
@@ -153,7 +153,7 @@
         }
         List<Entry> entries = new ArrayList<>();
         for (int u = 0; u < layout.upstreams(); u++) {
-            entries.add(upstream("u" + u, layout.rules().coldTime(), names));
+            entries.add(upstream("u" + u, layout.rules().slowStartUs(), names));
         }
         loop.submit(() -> discovery.change(entries)).syncUninterruptibly();
         Runtime.getRuntime().addShutdownHook(atExit);
@@ -203,7 +203,7 @@
             addresses.put(name, relay.stream(name, id, server.openFor(name)));
         }
         loop.submit(() -> upstreams.put(id, server)).syncUninterruptibly();
-        long startedMs = age >= layout.rules().coldTime() ? 0 : clock.unixMillis(clock.micros());
+        long startedMs = age >= layout.rules().slowStartUs() ? 0 : clock.unixMillis(clock.micros());
         return new Entry(id, addresses, "zone", "kind", State.READY, startedMs);
     }
 
@@ -319,7 +319,7 @@
         }
         return loop.submit(
                         () -> {
-                            checker.expire(clock.micros());
+                            checker.checkAllDeadlines(clock.micros());
                             long connections =
                                     upstreams.values().stream()
                                             .mapToLong(FakeUpstreamServer::accepted)
@@ -403,7 +403,7 @@
 
     /** Work on an upstream's machine begins, or has ended: nobody may send there meanwhile. */
     public void out(String upstream, boolean begins) {
-        loop.submit(() -> checker.out(upstream, begins)).syncUninterruptibly();
+        loop.submit(() -> checker.setUnderMaintenance(upstream, begins)).syncUninterruptibly();
     }
 
     private void kill(String balancer) throws InterruptedException {
--- a/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
+++ b/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
@@ -12,128 +12,125 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a balancer can do wrong is found, each by its rule and its id; what it may do is not. */
+/** Each rule is reported if a balancer violates it, and only then. Times are microseconds. */
 class CheckerTest {
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000 * MS;
-    private static final Rules RULES = new Rules(50 * MS, 2 * SECOND, 0.3, 8 * SECOND, 2.5, SECOND);
+    private static final long US_PER_MS = 1_000;
+    private static final long US_PER_S = 1_000 * US_PER_MS;
+    private static final Rules RULES = new Rules(50 * US_PER_MS, 2 * US_PER_S, 0.3, 8 * US_PER_S, 2.5, US_PER_S);
 
     private final Checker checker = new Checker(RULES);
 
-    private void sent(Repeat repeat) {
-        checker.started(0, "u", 2);
-        checker.sent("r", repeat, 3 * SECOND, 11 * SECOND);
-        checker.taken("r");
+    private void sendRequest(Repeat repeat) {
+        checker.upstreamStarted(0, "u", 2);
+        checker.requestSent("r", repeat, 3 * US_PER_S, 11 * US_PER_S);
+        checker.requestAccepted("r");
     }
 
-    private void attempt(long at) {
-        checker.attempt(at, "b", "u", "r", 50 * MS);
+    private void receiveAttempt(long atUs) {
+        checker.attemptReceived(atUs, "b", "u", "r", 50 * US_PER_MS);
     }
 
-    /** One history for each rule: right up to the last step, which breaks it. */
+    /** A history for each rule, which is at the limit of the rule or, if asked for, violates it. */
     private Consumer<Boolean> history(Kind kind) {
-        return wrong -> {
+        return isViolated -> {
             switch (kind) {
                 case LOST -> {
-                    sent(Repeat.FREE);
-                    checker.expire(11 * SECOND + (wrong ? 51 : 50) * MS);
+                    sendRequest(Repeat.FREE);
+                    checker.checkAllDeadlines(11 * US_PER_S + (isViolated ? 51 : 50) * US_PER_MS);
                 }
                 case DOUBLE -> {
-                    sent(Repeat.KEYED);
-                    attempt(9 * SECOND);
-                    attempt(wrong ? 12 * SECOND + 1 : 12 * SECOND);
+                    sendRequest(Repeat.KEYED);
+                    receiveAttempt(9 * US_PER_S);
+                    receiveAttempt(isViolated ? 12 * US_PER_S + 1 : 12 * US_PER_S);
                 }
                 case SPOILT -> {
-                    sent(Repeat.FREE);
-                    attempt(9 * SECOND);
-                    checker.made("r", "hers");
-                    checker.answered(10 * SECOND, "r", wrong ? "his" : "hers");
+                    sendRequest(Repeat.FREE);
+                    receiveAttempt(9 * US_PER_S);
+                    checker.responseProduced("r", "hers");
+                    checker.responseReceived(10 * US_PER_S, "r", isViolated ? "his" : "hers");
                 }
                 case AFTER_DRAIN -> {
-                    sent(Repeat.FREE);
-                    checker.notifiedOfDrain(8 * SECOND, "b", "u");
-                    attempt(wrong ? 10 * SECOND + 1 : 10 * SECOND);
+                    sendRequest(Repeat.FREE);
+                    checker.drainReported(8 * US_PER_S, "b", "u");
+                    receiveAttempt(isViolated ? 10 * US_PER_S + 1 : 10 * US_PER_S);
                 }
                 case OUT -> {
-                    sent(Repeat.FREE);
-                    checker.out("u", true);
-                    checker.out("u", wrong);
-                    attempt(9 * SECOND);
+                    sendRequest(Repeat.FREE);
+                    checker.setUnderMaintenance("u", true);
+                    checker.setUnderMaintenance("u", isViolated);
+                    receiveAttempt(9 * US_PER_S);
                 }
                 case COLD_OVERRUN -> {
-                    sent(Repeat.FREE);
-                    // Bears 2.5 times 0.3 of 2 cores for a second just after its start.
-                    for (int i = 0; i < (wrong ? 31 : 29); i++) {
-                        checker.attempt(i, "b" + i, "u", "r", 50 * MS);
+                    sendRequest(Repeat.FREE);
+                    // The limit at the start is 2.5 * 0.3 * 2 cores * 1 s = 1.5 s of work: 30 attempts.
+                    for (int i = 0; i < (isViolated ? 31 : 29); i++) {
+                        checker.attemptReceived(i, "b" + i, "u", "r", 50 * US_PER_MS);
                     }
                 }
-                default -> checker.attempt(SECOND, "b", started(), wrong ? "nobody's" : known(), 1);
+                default -> checker.attemptReceived(US_PER_S, "b", startUpstream(), isViolated ? "unknown" : "r", 1);
             }
         };
     }
 
-    private String started() {
-        sent(Repeat.SINGLE);
+    private String startUpstream() {
+        sendRequest(Repeat.SINGLE);
         return "u";
     }
 
-    private String known() {
-        return "r";
-    }
-
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void eachRuleIsBrokenByTheStepThatBreaksItAndNotBefore(Kind kind) {
+    void aHistoryBeyondTheLimitOfARuleIsReportedOnceAsItsKind(Kind kind) {
         history(kind).accept(true);
         assertEquals(List.of(kind), checker.violations().stream().map(Violation::kind).toList());
     }
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void whatIsStillAllowedBreaksNoRule(Kind kind) {
+    void aHistoryAtTheLimitOfARuleIsNotReported(Kind kind) {
         history(kind).accept(false);
         assertEquals(List.of(), checker.violations());
     }
 
     @Test
-    void aSingleRequestMayGoAgainOnlyAfterProofThatItNeverRan() {
-        sent(Repeat.SINGLE);
-        attempt(9 * SECOND);
-        checker.neverRan("r", 9 * SECOND);
-        attempt(10 * SECOND);
+    void aSingleRequestMayBeSentAgainOnlyAfterARejectedAttempt() {
+        sendRequest(Repeat.SINGLE);
+        receiveAttempt(9 * US_PER_S);
+        checker.attemptRejected("r", 9 * US_PER_S);
+        receiveAttempt(10 * US_PER_S);
         assertEquals(List.of(), checker.violations());
-        attempt(10 * SECOND + 1);
+        receiveAttempt(10 * US_PER_S + 1);
         assertEquals("r", checker.violations().get(0).id());
     }
 
-    /** A balancer that does all right, in any order: nothing is found, whatever the seed. */
+    /** A correct balancer under random histories: no violation for any seed. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aRightHistoryIsNeverBlamed(long seed) {
+    void aCorrectHistoryIsNeverReported(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (int u = 0; u < 3; u++) {
-            checker.started(-20 * SECOND, "u" + u, 2);
+            checker.upstreamStarted(-20 * US_PER_S, "u" + u, 2);
         }
         for (int i = 0; i < 500; i++) {
             String id = "r" + i;
-            long now = i * 20 * MS;
+            String body = "body" + i;
+            long nowUs = i * 20 * US_PER_MS;
             Repeat repeat = Repeat.values()[random.nextInt(3)];
-            checker.sent(id, repeat, 3 * SECOND, now + SECOND);
-            checker.taken(id);
-            int tries = repeat == Repeat.SINGLE ? 1 : random.nextInt(1, 4);
-            for (int t = 0; t < tries; t++) {
-                checker.attempt(now + t, "b", "u" + random.nextInt(3), id, 30 * MS);
+            checker.requestSent(id, repeat, 3 * US_PER_S, nowUs + US_PER_S);
+            checker.requestAccepted(id);
+            int attempts = repeat == Repeat.SINGLE ? 1 : random.nextInt(1, 4);
+            for (int t = 0; t < attempts; t++) {
+                checker.attemptReceived(nowUs + t, "b", "u" + random.nextInt(3), id, 30 * US_PER_MS);
             }
-            checker.made(id, "body" + i);
+            checker.responseProduced(id, body);
             switch (random.nextInt(4)) {
-                case 0 -> checker.answered(now + SECOND, id, "body" + i);
-                case 1 -> checker.answered(now + SECOND / 2, id, null);
-                case 2 -> checker.partitioned(now + SECOND / 3, id, true);
-                default -> checker.left(id);
+                case 0 -> checker.responseReceived(nowUs + US_PER_S, id, body);
+                case 1 -> checker.responseReceived(nowUs + US_PER_S / 2, id, null);
+                case 2 -> checker.connectionClosed(nowUs + US_PER_S / 3, id, true);
+                default -> checker.requestAbandoned(id);
             }
-            checker.expire(now);
+            checker.checkAllDeadlines(nowUs);
         }
-        checker.expire(60 * SECOND);
+        checker.checkAllDeadlines(60 * US_PER_S);
         assertEquals(List.of(), checker.violations(), "seed " + seed);
     }
 }
