--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -51,13 +51,13 @@
     }
 
     /** This node became primary. */
-    void becamePrimary() {
+    void onPrimacyGained() {
         isPrimary = true;
         sendUpdates();
     }
 
     /** This node is no longer primary: balancers that wait are told who is. */
-    void lostPrimacy() {
+    void onPrimacyLost() {
         isPrimary = false;
         List<LongPoll> abandoned = new ArrayList<>(waiting);
         waiting.clear();
@@ -78,7 +78,7 @@
 
     /** Accepts a poll. */
     void handle(PollRequest request, Consumer<Message> responder) {
-        if (!isPrimary || !replica.recentlyConfirmed()) {
+        if (!isPrimary || !replica.isRecentlyConfirmed()) {
             responder.accept(responses.notPrimary());
             return;
         }
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import myrtleladder.configuration.ClientLimits;
 import myrtleladder.eventloop.EventLoop;
-import myrtleladder.heartbeat.MembershipAgent;
+import myrtleladder.heartbeat.HeartbeatAgent;
 import myrtleladder.http.Headers;
 import myrtleladder.http.HttpServer;
 import myrtleladder.http.ServerExchange;
@@ -97,7 +97,7 @@
                                 poller.requestQuota(request, timeoutMs, callback),
                         System.nanoTime());
         PeerClient peers = new PeerClient(loop);
-        MembershipAgent agent = new MembershipAgent(loop, peers, settings.nodeName());
+        HeartbeatAgent agent = new HeartbeatAgent(loop, peers, settings.nodeName());
         poller =
                 new ControlPoller(
                         loop,
@@ -114,7 +114,7 @@
         LOG.info("balancer {} at {}", settings.nodeName(), settings.frontend());
     }
 
-    private void startServers(MembershipAgent agent) {
+    private void startServers(HeartbeatAgent agent) {
         new MessageServer(
                 loop,
                 settings.ip(),
@@ -128,10 +128,10 @@
     }
 
     private static void messageReceived(
-            MembershipAgent agent, Message message, Consumer<Message> callback) {
+            HeartbeatAgent agent, Message message, Consumer<Message> callback) {
         boolean isHeartbeat = message instanceof BalancerHeartbeat;
         if (message instanceof BalancerHeartbeat heartbeat) {
-            agent.heard(heartbeat);
+            agent.onHeartbeat(heartbeat);
         }
         callback.accept(AcknowledgeResponse.of(isHeartbeat, 0, null));
     }
