--- a/src/main/java/myrtleladder/testbed/checker/Checker.java
+++ b/src/main/java/myrtleladder/testbed/checker/Checker.java
@@ -83,8 +83,8 @@
     /**
      * The balancer closed the connection without a complete response.
      *
-     * @param isExcused whether this is no loss: the response was begun and could not be finished, or
-     *     an idle connection was closed as the request arrived
+     * @param isExcused whether this is no loss: the response was begun and could not be finished,
+     *     or an idle connection was closed as the request arrived
      */
     public void connectionClosed(long nowUs, String id, boolean isExcused) {
         TrackedRequest request = requests.get(id);
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Discovery has reported to a balancer that an upstream is draining or removed; the first report
-     * counts.
+     * Discovery has reported to a balancer that an upstream is draining or removed; the first
+     * report counts.
      */
     public void drainReported(long nowUs, String balancer, String upstream) {
         upstreams.get(upstream).drainReportedAtUs.putIfAbsent(balancer, nowUs);
@@ -127,8 +127,8 @@
     }
 
     /**
-     * The first byte of an attempt has arrived at an upstream. The request may be unknown: that is a
-     * violation.
+     * The first byte of an attempt has arrived at an upstream. The request may be unknown: that is
+     * a violation.
      *
      * @param work what it takes to process the attempt, in the unit of {@link #upstreamStarted}
      */
@@ -158,7 +158,8 @@
         }
         TrackedRequest request = requests.get(id);
         if (request == null) {
-            addViolation(Kind.FOREIGN, nowUs, id, "came to " + upstream + ", but no client sent it");
+            addViolation(
+                    Kind.FOREIGN, nowUs, id, "came to " + upstream + ", but no client sent it");
             return;
         }
         checkRepeat(nowUs, upstream, id, request);
@@ -172,7 +173,11 @@
         }
         long sinceFirstUs = nowUs - request.possiblyProcessedAtUs.get(0);
         if (request.repeat == Repeat.SINGLE) {
-            addViolation(Kind.DOUBLE, nowUs, id, "sent again to " + upstream + " though it may have run");
+            addViolation(
+                    Kind.DOUBLE,
+                    nowUs,
+                    id,
+                    "sent again to " + upstream + " though it may have run");
         } else if (sinceFirstUs > request.keyMemoryUs) {
             addViolation(
                     Kind.DOUBLE,
--- a/src/main/java/myrtleladder/testbed/checker/Violation.java
+++ b/src/main/java/myrtleladder/testbed/checker/Violation.java
@@ -1,8 +1,8 @@
 package myrtleladder.testbed.checker;
 
 /**
- * One violation of a rule. The names of components and kinds are part of {@code record.jsonl} and of
- * the verdict line.
+ * One violation of a rule. The names of components and kinds are part of {@code record.jsonl} and
+ * of the verdict line.
  *
  * @param kind the rule
  * @param at when it was found, in microseconds of the checker's clock
--- a/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
+++ b/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
@@ -16,7 +16,8 @@
 class CheckerTest {
     private static final long US_PER_MS = 1_000;
     private static final long US_PER_S = 1_000 * US_PER_MS;
-    private static final Rules RULES = new Rules(50 * US_PER_MS, 2 * US_PER_S, 0.3, 8 * US_PER_S, 2.5, US_PER_S);
+    private static final Rules RULES =
+            new Rules(50 * US_PER_MS, 2 * US_PER_S, 0.3, 8 * US_PER_S, 2.5, US_PER_S);
 
     private final Checker checker = new Checker(RULES);
 
@@ -62,12 +63,15 @@
                 }
                 case COLD_OVERRUN -> {
                     sendRequest(Repeat.FREE);
-                    // The limit at the start is 2.5 * 0.3 * 2 cores * 1 s = 1.5 s of work: 30 attempts.
+                    // The limit at the start is 2.5 * 0.3 * 2 cores * 1 s = 1.5 s of work: 30
+                    // attempts.
                     for (int i = 0; i < (isViolated ? 31 : 29); i++) {
                         checker.attemptReceived(i, "b" + i, "u", "r", 50 * US_PER_MS);
                     }
                 }
-                default -> checker.attemptReceived(US_PER_S, "b", startUpstream(), isViolated ? "unknown" : "r", 1);
+                default ->
+                        checker.attemptReceived(
+                                US_PER_S, "b", startUpstream(), isViolated ? "unknown" : "r", 1);
             }
         };
     }
@@ -119,7 +123,8 @@
             checker.requestAccepted(id);
             int attempts = repeat == Repeat.SINGLE ? 1 : random.nextInt(1, 4);
             for (int t = 0; t < attempts; t++) {
-                checker.attemptReceived(nowUs + t, "b", "u" + random.nextInt(3), id, 30 * US_PER_MS);
+                checker.attemptReceived(
+                        nowUs + t, "b", "u" + random.nextInt(3), id, 30 * US_PER_MS);
             }
             checker.responseProduced(id, body);
             switch (random.nextInt(4)) {
