--- a/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
 
 /**
  * Picks among the upstreams of a model service by the expected time to the first event and by what
@@ -60,7 +60,7 @@
 
     /** Picks by the schedule among the candidates whose cost is near the least. */
     PickResult pick(
-            WeightedSchedule schedule,
+            EarliestDeadlineFirstScheduler schedule,
             PromptSegments prompt,
             List<Upstream> candidates,
             long nowMs) {
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -16,7 +16,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.BadList;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
+import myrtleladder.loadbalancer.policy.ListKind;
 
 /**
  * Follows the endpoint list of discovery: by one watch that stays open and begins at the version
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
  * The endpoints as discovery listed them last, and over them what maintenance has changed:
@@ -32,7 +32,7 @@
             listed.clear();
         }
         for (EndpointList.Endpoint endpoint : list.endpoints()) {
-            if (endpoint.state() == Balancer.State.GONE) {
+            if (endpoint.state() == State.GONE) {
                 listed.remove(endpoint.id());
                 restartedMs.remove(endpoint.id());
             } else {
@@ -69,15 +69,14 @@
     }
 
     private EndpointList.Endpoint effective(EndpointList.Endpoint endpoint) {
-        boolean isDrained =
-                endpoint.state() == Balancer.State.READY && draining.contains(endpoint.id());
+        boolean isDrained = endpoint.state() == State.READY && draining.contains(endpoint.id());
         return new EndpointList.Endpoint(
                 endpoint.id(),
                 endpoint.address(),
                 endpoint.zone(),
                 endpoint.kind(),
                 endpoint.cell(),
-                isDrained ? Balancer.State.DRAINING : endpoint.state(),
+                isDrained ? State.DRAINING : endpoint.state(),
                 endpoint.weight(),
                 Math.max(endpoint.startedMs(), restartedMs.getOrDefault(endpoint.id(), 0L)));
     }
@@ -92,7 +91,7 @@
                                         endpoint.zone(),
                                         endpoint.kind(),
                                         endpoint.cell(),
-                                        endpoint.state() == Balancer.State.READY))
+                                        endpoint.state() == State.READY))
                 .toList();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/ExchangeListener.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ExchangeListener.java
@@ -1,7 +1,7 @@
 package myrtleladder.loadbalancer.server;
 
 import io.netty.handler.codec.http.FullHttpResponse;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Outcome;
 
 /** Receives the end of an {@link Exchange}, on the event loop. */
 interface ExchangeListener {
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
@@ -15,7 +15,7 @@
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
--- a/src/main/java/myrtleladder/loadbalancer/server/OpenRequest.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/OpenRequest.java
@@ -4,7 +4,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.List;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
+import myrtleladder.loadbalancer.policy.Request;
 
 /**
  * One request from its arrival until it is concluded (answered, or left by its client) and all its
@@ -25,7 +25,7 @@
         this.request = request;
         this.message = message;
         this.observer = observer;
-        this.deadlineUs = nowUs + request.timeLeft();
+        this.deadlineUs = nowUs + request.timeLeftUs();
     }
 
     /** Whether an attempt is in flight. */
--- a/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.util.HexFormat;
-import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
 
 /**
  * Writes the actions of all instances as one line of decisions for each batch. Confined to the
@@ -43,7 +43,7 @@
     }
 
     /** The actions of one instance. */
-    Balancer.Actions forInstance(int instance) {
+    LoadBalancer.Actions forInstance(int instance) {
         return new InstanceWriter(instance);
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** Writes the actions of one instance. */
-    private final class InstanceWriter implements Balancer.Actions {
+    private final class InstanceWriter implements LoadBalancer.Actions {
         private final int instance;
 
         InstanceWriter(int instance) {
--- a/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
+++ b/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.maintenance;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static myrtleladder.maintenance.SimulatedMaintenanceCluster.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,8 +15,8 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import java.util.stream.LongStream;
-import myrtleladder.cluster.PointFaults.At;
-import myrtleladder.cluster.PointFaults.Kind;
+import myrtleladder.cluster.FaultPointInjector.Kind;
+import myrtleladder.cluster.FaultPointInjector.ScheduledFault;
 import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
 import myrtleladder.testbed.fault.Fault;
@@ -119,17 +119,17 @@
     @ParameterizedTest
     @EnumSource(MaintenanceFaultPoint.class)
     void aFaultAtAnyPointBreaksNothing(MaintenanceFaultPoint point) {
-        for (Kind kind : EnumSet.complementOf(EnumSet.of(Kind.ERROR))) {
-            At<MaintenanceFaultPoint> at = new At<>(point, 1, kind);
+        for (Kind kind : EnumSet.complementOf(EnumSet.of(Kind.SEND_ERROR))) {
+            ScheduledFault<MaintenanceFaultPoint> at = new ScheduledFault<>(point, 1, kind);
             SimulatedMaintenanceCluster fleet = settled(3, 5, 4);
-            fleet.faults.arm(List.of(at));
+            fleet.faults.schedule(List.of(at));
             fleet.hand("m3", fleet.terms("patch", 4, 2));
             fleet.run(30 * SECOND);
             calm(fleet);
             fleet.run(40 * SECOND);
             assertEquals(List.of(), fleet.broken, at::toString);
             assertNull(fleet.unfinished(), at::toString);
-            assertEquals(1, fleet.faults.sprung, at::toString);
+            assertEquals(1, fleet.faults.injectedCount, at::toString);
         }
     }
 
