--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -129,7 +129,7 @@
     /** Whether a datagram is meant for the consensus or for what is attached to it. */
     boolean accepts(byte[] datagram) {
         return ConsensusNode.isConsensusDatagram(datagram)
-                || maintenance != null && MaintenanceCoordinator.isMaintenanceDatagram(datagram);
+                || (maintenance != null && MaintenanceCoordinator.isMaintenanceDatagram(datagram));
     }
 
     /** A datagram that is accepted was received. */
--- a/src/main/java/myrtleladder/configuration/Route.java
+++ b/src/main/java/myrtleladder/configuration/Route.java
@@ -52,7 +52,7 @@
 
     /** Whether a request may run more than once. */
     public boolean repeatable() {
-        return type == Type.IDEMPOTENT || type == Type.STREAMING && resumable;
+        return type == Type.IDEMPOTENT || (type == Type.STREAMING && resumable);
     }
 
     /** Whether answers come as a series of events. */
--- a/src/main/java/myrtleladder/consensus/ElectionManager.java
+++ b/src/main/java/myrtleladder/consensus/ElectionManager.java
@@ -162,7 +162,7 @@
     private boolean isNonVoter(Life process, boolean claimsVote, Term viewOfProcess) {
         View view = committed.view();
         Term committedView = new Term(view.epoch(), view.number());
-        return !claimsVote || !view.has(process) && viewOfProcess.compareTo(committedView) < 0;
+        return !claimsVote || (!view.has(process) && viewOfProcess.compareTo(committedView) < 0);
     }
 
     private boolean canBootstrap(long nowUs, PreVoteRound round) {
@@ -214,7 +214,7 @@
         if (!quorum.canVoteFor(request.from(), request.term())
                 || quorum.hasLiveLeader(nowUs)
                 || !log.isCoveredBy(request.lastLogTerm(), request.lastLogIndex())
-                || request.isBootstrap() && !quorum.isReadyToBootstrap(nowUs)) {
+                || (request.isBootstrap() && !quorum.isReadyToBootstrap(nowUs))) {
             return;
         }
         boolean wasVoter = quorum.isVoter();
@@ -241,7 +241,7 @@
                 || !response.isGranted()
                 || !response.term().equals(quorum.term())
                 || !settings.isCouncilMember(voter.name())
-                || !candidate.isBootstrap() && !log.view().has(voter)) {
+                || (!candidate.isBootstrap() && !log.view().has(voter))) {
             return;
         }
         boolean isNonVoter = isNonVoter(voter, response.isVoter(), response.newestView());
--- a/src/main/java/myrtleladder/consensus/QuorumState.java
+++ b/src/main/java/myrtleladder/consensus/QuorumState.java
@@ -90,7 +90,7 @@
     /** Whether this node leads, or has heard its leader within the election timeout. */
     boolean hasLiveLeader(long nowUs) {
         return isLeader()
-                || leader() != null && nowUs - lastLeaderContactUs < settings.electionTimeoutUs();
+                || (leader() != null && nowUs - lastLeaderContactUs < settings.electionTimeoutUs());
     }
 
     /** Whether a leader was heard within twice the election timeout. */
@@ -137,7 +137,7 @@
     /** Whether this node may vote for a candidate in a term. */
     boolean canVoteFor(Life candidate, Term candidateTerm) {
         return candidateTerm.compareTo(term) > 0
-                || candidateTerm.equals(term) && candidate.equals(votedFor);
+                || (candidateTerm.equals(term) && candidate.equals(votedFor));
     }
 
     /**
--- a/src/main/java/myrtleladder/consensus/ReplicatedLog.java
+++ b/src/main/java/myrtleladder/consensus/ReplicatedLog.java
@@ -93,6 +93,6 @@
      */
     boolean isCoveredBy(Term otherLastTerm, long otherLastIndex) {
         int order = lastTerm().compareTo(otherLastTerm);
-        return order < 0 || order == 0 && lastIndex() <= otherLastIndex;
+        return order < 0 || (order == 0 && lastIndex() <= otherLastIndex);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -60,7 +60,7 @@
         return request.epoch != replica.view().epoch
                 || request.generation < committed.generation()
                 || request.instanceRevision < instances.revision()
-                || !request.hasAuthoritativeList && hasHeardAllInstances.getAsBoolean();
+                || (!request.hasAuthoritativeList && hasHeardAllInstances.getAsBoolean());
     }
 
     /** The response to a poll; that of another node than the primary if that is in doubt. */
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -262,7 +262,7 @@
             LOG.info("epoch {} of {} follows {}", response.epoch, response.primaryAddress, epoch);
         }
         hasAuthoritativeList =
-                response.authoritative || hasAuthoritativeList && response.epoch == epoch;
+                response.authoritative || (hasAuthoritativeList && response.epoch == epoch);
         epoch = response.epoch;
         instanceRevision = response.instanceRevision;
         dataPlane
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -194,7 +194,7 @@
             dataPlane.router().rejectNewRequests();
         }
         boolean isIdle = nowMs - idleSinceMs >= LAST_BYTES_MS;
-        if (nowMs >= latestMs || nowMs >= earliestMs && isIdle) {
+        if (nowMs >= latestMs || (nowMs >= earliestMs && isIdle)) {
             int inFlight = dataPlane.activeRequests().size();
             LOG.info("ends with {} under way; {}", inFlight, dataPlane.counters());
             terminated.countDown();
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -197,7 +197,7 @@
 
     /** Whether requests go elsewhere; after the ejection one request probes it first. */
     boolean isEjected(long nowMs) {
-        return ejection.isEjected(nowMs) || ejection.isProbing() && ownRequests() > 0;
+        return ejection.isEjected(nowMs) || (ejection.isProbing() && ownRequests() > 0);
     }
 
     /** Smoothed share of requests that failed, 0 to 1. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
@@ -88,8 +88,8 @@
     /** Whether its load is fresh, or will be: a probe is under way. */
     private boolean isKnown(UpstreamState upstream, long nowUs) {
         return isFresh(upstream, nowUs)
-                || isProbeOutstanding(upstream)
-                        && nowUs - upstream.onDemandProbedAtUs < delayTarget.tightestUs();
+                || (isProbeOutstanding(upstream)
+                        && nowUs - upstream.onDemandProbedAtUs < delayTarget.tightestUs());
     }
 
     private static boolean isProbeOutstanding(UpstreamState upstream) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
@@ -76,7 +76,7 @@
     /** After its time is over, an ejected upstream gets one request at a time until an answer. */
     boolean isEjected(UpstreamState upstream, long nowUs) {
         return upstream.ejectedUntilUs > nowUs
-                || upstream.isUnprovenSinceEjection() && upstream.inFlight > 0;
+                || (upstream.isUnprovenSinceEjection() && upstream.inFlight > 0);
     }
 
     /** Whether so few upstreams are left that ejections must be ignored. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
@@ -63,7 +63,7 @@
         if (!isEnabled || body.length != MESSAGE_BYTES || from < 0 || from >= groupSize) {
             return;
         }
-        int hash = (body[0] & BYTE_MASK) << 16 | (body[1] & BYTE_MASK) << 8 | body[2] & BYTE_MASK;
+        int hash = (body[0] & BYTE_MASK) << 16 | (body[1] & BYTE_MASK) << 8 | (body[2] & BYTE_MASK);
         UpstreamState upstream = upstreams.byHash(hash);
         if (upstream != null) {
             upstream.peerLoads.put(from, new PeerLoad(nowUs, body[3] & BYTE_MASK));
--- a/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
@@ -37,17 +37,17 @@
     private boolean mayRepeat(
             RequestClass requestClass, Attempt first, UpstreamState upstream, long nowUs) {
         return requestClass.effect() == Effect.SAFE
-                || requestClass.effect() == Effect.KEYED
+                || (requestClass.effect() == Effect.KEYED
                         && sharesMemory(
                                 requestClass.scope(), first.upstream.endpoint, upstream.endpoint)
-                        && nowUs - first.sentAtUs < requestClass.memorySpanUs() - marginUs;
+                        && nowUs - first.sentAtUs < requestClass.memorySpanUs() - marginUs);
     }
 
     /** Whether one of two upstreams recognises the keys that the other has seen. */
     private static boolean sharesMemory(Scope scope, Upstream a, Upstream b) {
         return scope == Scope.ALL
-                || scope == Scope.ZONE && a.zone() == b.zone()
-                || scope == Scope.CELL && a.cell() == b.cell();
+                || (scope == Scope.ZONE && a.zone() == b.zone())
+                || (scope == Scope.CELL && a.cell() == b.cell());
     }
 
     /** Whether a request may be rejected, which promises that a retry is harmless. */
@@ -55,6 +55,6 @@
         RequestClass requestClass = request.requestClass;
         return requestClass.effect() == Effect.SAFE
                 || request.firstThatMayHaveRun() == null
-                || requestClass.effect() == Effect.KEYED && requestClass.scope() == Scope.ALL;
+                || (requestClass.effect() == Effect.KEYED && requestClass.scope() == Scope.ALL);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -236,7 +236,7 @@
             respondBadRequest(message, e.getMessage());
             return;
         }
-        if (server.rejectsAll() || isBeyondLimit && sessions.isOverLimit()) {
+        if (server.rejectsAll() || (isBeyondLimit && sessions.isOverLimit())) {
             message.release();
             onRejected(0);
             return;
@@ -295,7 +295,7 @@
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
         }
         // What has been read is answered before the connection may end.
-        boolean isLast = isLastRequest || pendingRequests.isEmpty() && server.closesWithResponses();
+        boolean isLast = isLastRequest || (pendingRequests.isEmpty() && server.closesWithResponses());
         HttpUtil.setKeepAlive(response, !isLast);
         channel.writeAndFlush(response)
                 .addListener(
--- a/src/main/java/myrtleladder/loadbalancer/server/HttpBodyDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/HttpBodyDecoder.java
@@ -24,7 +24,7 @@
 
     @Override
     protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) {
-        if (part instanceof HttpResponse response && response.status().code() != OK
+        if ((part instanceof HttpResponse response && response.status().code() != OK)
                 || part.decoderResult().isFailure()) {
             ctx.close();
             return;
--- a/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
@@ -53,7 +53,7 @@
     }
 
     private boolean startsAnew(byte[] line) {
-        return line.length > 0 && line[0] == '{'
+        return (line.length > 0 && line[0] == '{')
                 || line.length == 0
                 || partial.size() + line.length > maxBytes;
     }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
@@ -126,8 +126,8 @@
             return true;
         }
         boolean isKnown =
-                hasLease(nowUs) && !state.isDoubtful(job) || job.state() == JobState.WARMING;
-        return !job.state().aside() && (isKnown || job.reserved() && wasMember);
+                (hasLease(nowUs) && !state.isDoubtful(job)) || job.state() == JobState.WARMING;
+        return !job.state().aside() && (isKnown || (job.reserved() && wasMember));
     }
 
     /** Whether this process has a lease to send by what it knows. */
--- a/src/main/java/myrtleladder/maintenance/SenderRegistry.java
+++ b/src/main/java/myrtleladder/maintenance/SenderRegistry.java
@@ -88,7 +88,7 @@
     boolean setKnownPlan(Life process, FencingToken plan) {
         Sender sender = senders.get(process);
         if (sender == null
-                || sender.knownPlan() != null && sender.knownPlan().compareTo(plan) >= 0) {
+                || (sender.knownPlan() != null && sender.knownPlan().compareTo(plan) >= 0)) {
             return false;
         }
         senders.put(process, new Sender(sender.gone(), plan));
--- a/src/main/java/myrtleladder/protocol/InstanceRecord.java
+++ b/src/main/java/myrtleladder/protocol/InstanceRecord.java
@@ -140,7 +140,7 @@
     }
 
     private static InstanceRecord latestReported(InstanceRecord a, InstanceRecord b) {
-        if (a.isLeaving() != b.isLeaving() || a.isLeaving() && a.stage != b.stage) {
+        if (a.isLeaving() != b.isLeaving() || (a.isLeaving() && a.stage != b.stage)) {
             return a.stage.ordinal() > b.stage.ordinal() ? a : b;
         }
         return a.heartbeatSequence >= b.heartbeatSequence ? a : b;
--- a/src/main/java/myrtleladder/replication/FollowerState.java
+++ b/src/main/java/myrtleladder/replication/FollowerState.java
@@ -45,7 +45,7 @@
     private boolean isEligible() {
         View accepted = context.storedState().acceptedView;
         return context.views().isReplica()
-                || accepted != null && accepted.replicas.contains(context.self());
+                || (accepted != null && accepted.replicas.contains(context.self()));
     }
 
     private boolean mayBecomeCandidate(long nowMs) {
--- a/src/main/java/myrtleladder/replication/QuorumState.java
+++ b/src/main/java/myrtleladder/replication/QuorumState.java
@@ -66,7 +66,7 @@
      * the next one.
      */
     boolean hasPrimacy() {
-        return isPrimary() || isCandidate() && hasPrimacy;
+        return isPrimary() || (isCandidate() && hasPrimacy);
     }
 
     /** Returns whether this node was asked to leave the group. */
--- a/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
+++ b/src/main/java/myrtleladder/testbed/fake/UpstreamModel.java
@@ -105,7 +105,7 @@
             return;
         }
         if (draining
-                || !hanging && running.size() >= kind.cores() && waiting.size() >= kind.queue()) {
+                || (!hanging && running.size() >= kind.cores() && waiting.size() >= kind.queue())) {
             out.end(ticket, End.TURNED_AWAY);
             return;
         }
--- a/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
@@ -91,7 +91,7 @@
     }
 
     boolean between(String one, String other) {
-        return from.equals(one) && to.equals(other) || from.equals(other) && to.equals(one);
+        return (from.equals(one) && to.equals(other)) || (from.equals(other) && to.equals(one));
     }
 
     /** Lets go what a cut has held up, where it is healed. */
--- a/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
+++ b/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
@@ -279,7 +279,7 @@
                 }
                 boolean newer =
                         its.epoch() > newest.epoch()
-                                || its.epoch() == newest.epoch() && its.number() > newest.number();
+                                || (its.epoch() == newest.epoch() && its.number() > newest.number());
                 newest = newer ? its : newest;
             }
         }
--- a/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultPointTest.java
@@ -184,7 +184,7 @@
         private boolean mustRecover() {
             boolean isDiskLost =
                     injections.stream().anyMatch(injection -> injection.fault == Fault.WIPE);
-            return !isDiskLost || injections.size() == 1 && scenario == Scenario.CHANGES;
+            return !isDiskLost || (injections.size() == 1 && scenario == Scenario.CHANGES);
         }
 
         @Override
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -107,7 +107,7 @@
         if (response.fleetLoads != null) {
             checkLoads(response.fleetLoads);
         }
-        complete = response.authoritative || complete && response.epoch == epoch;
+        complete = response.authoritative || (complete && response.epoch == epoch);
         epoch = response.epoch;
         revision = response.instanceRevision;
         if (response.generation > generation && response.document.length > 0) {
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedCluster.java
@@ -199,7 +199,7 @@
         for (SimulatedNode node : nodes) {
             boolean isLater =
                     leader == null
-                            || node.isUp() && node.replica().epoch() > leader.replica().epoch();
+                            || (node.isUp() && node.replica().epoch() > leader.replica().epoch());
             if (node.isUp() && node.isLeading() && isLater) {
                 leader = node;
             }
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
@@ -133,12 +133,12 @@
                 took = 2 * MILLI;
             } else if (machine.mode == 3) {
                 took = 40 * SECOND;
-            } else if (machine.mode == 4 && chance < 0.7
+            } else if ((machine.mode == 4 && chance < 0.7)
                     || machine.running > 24
-                    || machine.state == State.DRAINING && chance < 0.6) {
+                    || (machine.state == State.DRAINING && chance < 0.6)) {
                 outcome = Outcome.FULL;
                 took = MILLI;
-            } else if (machine.mode == 5 && chance < 0.8 || chance < 0.01) {
+            } else if ((machine.mode == 5 && chance < 0.8) || chance < 0.01) {
                 outcome = chance < 0.005 ? Outcome.RESET : Outcome.ERROR;
             } else if (chance > 0.998) {
                 outcome = Outcome.MOOT;
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -82,8 +82,8 @@
             Sent s = c.sent.get(first);
             boolean near =
                     c.cls.scope() == Scope.ALL
-                            || c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone()
-                            || c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell();
+                            || (c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone())
+                            || (c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell());
             if (!near || now - s.at > c.cls.memorySpanUs()) {
                 breaches.add("2: keyed request sent outside its group or time " + id);
             }
@@ -134,7 +134,7 @@
         boolean mayHaveRun = c.ran.contains(true);
         if (mayHaveRun
                 && (c.cls.effect() == Effect.UNSAFE
-                        || c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL)) {
+                        || (c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL))) {
             breaches.add("2: refused though it may have run " + id);
         }
         answered(now, id);
