--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -16,7 +16,7 @@
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.consensus.FaultPoint;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.StateMachine;
 import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.maintenance.MaintenanceCoordinator;
@@ -31,7 +31,7 @@
     private final MembershipRuntime members;
     private final EventLoop loop;
     private final Consumer<? super FaultPoint> points;
-    private final Life me;
+    private final ProcessId me;
     private final ConsensusNode agreement;
     private final Map<String, String> addresses = new TreeMap<>();
     private boolean lookDue;
@@ -48,7 +48,7 @@
         this.loop = members.loop();
         this.points = points;
         MemberUpdate self = members.self();
-        this.me = new Life(self.name(), self.startId());
+        this.me = new ProcessId(self.name(), self.startId());
         this.agreement =
                 new ConsensusNode(settings, me, new SecureRandom().nextLong(), machine, this);
     }
@@ -99,7 +99,7 @@
         return loop;
     }
 
-    Life me() {
+    ProcessId me() {
         return me;
     }
 
@@ -169,7 +169,7 @@
         if (guest != null) {
             guest.present(
                     there.entrySet().stream()
-                            .map(l -> new Life(l.getKey(), l.getValue()))
+                            .map(l -> new ProcessId(l.getKey(), l.getValue()))
                             .collect(Collectors.toSet()));
             after();
         }
@@ -205,7 +205,7 @@
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("epoch", event.view().epoch());
         fields.put("view", event.view().number());
-        fields.put("members", event.view().lives().size());
+        fields.put("members", event.view().startIds().size());
         fields.put("why", event.reason());
         LOG.log(
                 event.kind() == ConsensusEvent.Kind.CUT_OFF
--- a/src/main/java/myrtleladder/cluster/ConsensusStatus.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusStatus.java
@@ -1,7 +1,7 @@
 package myrtleladder.cluster;
 
 import java.util.Map;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.Term;
 import myrtleladder.consensus.View;
 
@@ -28,9 +28,9 @@
 
     /** A status of the types of the protocol; {@code leader} is null if none is known. */
     public ConsensusStatus(
-            Life self,
+            ProcessId self,
             Term term,
-            Life leader,
+            ProcessId leader,
             boolean decides,
             View view,
             long applied,
@@ -41,7 +41,7 @@
                 new TermStatus(term.epoch(), term.round()),
                 leader == null ? null : ProcessStatus.of(leader),
                 decides,
-                new ViewStatus(view.epoch(), view.number(), view.lives()),
+                new ViewStatus(view.epoch(), view.number(), view.startIds()),
                 applied,
                 waiting,
                 refused);
@@ -53,8 +53,8 @@
      * @param life random number drawn at its start
      */
     public record ProcessStatus(String name, long life) {
-        private static ProcessStatus of(Life process) {
-            return new ProcessStatus(process.name(), process.life());
+        private static ProcessStatus of(ProcessId process) {
+            return new ProcessStatus(process.name(), process.startId());
         }
     }
 
--- a/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import myrtleladder.consensus.ConsensusNode;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.maintenance.MaintenanceCoordinator;
 import myrtleladder.maintenance.MaintenanceEnvironment;
 import myrtleladder.maintenance.MaintenanceFaultPoint;
@@ -179,7 +179,7 @@
                                     agenda.isSafe(),
                                     work.hasLease(now()),
                                     work.isRegistered(),
-                                    agenda.gone().stream().map(Life::toString).toList(),
+                                    agenda.gone().stream().map(ProcessId::toString).toList(),
                                     agenda.refusals(),
                                     work.droppedDatagrams());
                         });
@@ -217,7 +217,7 @@
         work.onDatagram(now(), datagram);
     }
 
-    void present(Set<Life> lives) {
+    void present(Set<ProcessId> lives) {
         work.onMembershipObserved(lives);
     }
 
--- a/src/main/java/myrtleladder/consensus/AppendRequest.java
+++ b/src/main/java/myrtleladder/consensus/AppendRequest.java
@@ -10,7 +10,7 @@
  * @param commitIndex index up to which the leader has committed
  */
 record AppendRequest(
-        Life from,
+        ProcessId from,
         Term term,
         long previousIndex,
         Term previousTerm,
--- a/src/main/java/myrtleladder/consensus/AppendResponse.java
+++ b/src/main/java/myrtleladder/consensus/AppendResponse.java
@@ -14,8 +14,8 @@
  *     {@link ObservedMembership}
  */
 record AppendResponse(
-        Life from,
-        Life to,
+        ProcessId from,
+        ProcessId to,
         Term term,
         long index,
         long requestSentAtUs,
@@ -32,7 +32,7 @@
 
     /** Tells the leader of an earlier term the current one. */
     static AppendResponse staleTerm(
-            Life from, Life to, Term term, long index, long requestSentAtUs) {
+            ProcessId from, ProcessId to, Term term, long index, long requestSentAtUs) {
         return new AppendResponse(
                 from, to, term, index, requestSentAtUs, false, false, false, 0, Map.of());
     }
--- a/src/main/java/myrtleladder/consensus/CandidateState.java
+++ b/src/main/java/myrtleladder/consensus/CandidateState.java
@@ -8,7 +8,7 @@
     private final PreVoteRound preVote;
     private final long startedAtUs;
     private final boolean bootstrap;
-    private final Map<String, Life> votes = new TreeMap<>();
+    private final Map<String, ProcessId> votes = new TreeMap<>();
     private int votesOfNonVoters;
 
     /**
@@ -19,7 +19,11 @@
      * @param isVoter whether it has a vote in the newest view of its log
      */
     CandidateState(
-            Life self, PreVoteRound preVote, long startedAtUs, boolean bootstrap, boolean isVoter) {
+            ProcessId self,
+            PreVoteRound preVote,
+            long startedAtUs,
+            boolean bootstrap,
+            boolean isVoter) {
         this.preVote = preVote;
         this.startedAtUs = startedAtUs;
         this.bootstrap = bootstrap;
@@ -40,7 +44,7 @@
     }
 
     /** Adds a vote; false if one of that name is counted already. */
-    boolean addVote(Life voter, boolean isNonVoter) {
+    boolean addVote(ProcessId voter, boolean isNonVoter) {
         if (votes.putIfAbsent(voter.name(), voter) != null) {
             return false;
         }
@@ -49,7 +53,7 @@
     }
 
     /** Who voted, by name. */
-    Map<String, Life> votes() {
+    Map<String, ProcessId> votes() {
         return votes;
     }
 
--- a/src/main/java/myrtleladder/consensus/CommandRequest.java
+++ b/src/main/java/myrtleladder/consensus/CommandRequest.java
@@ -5,7 +5,7 @@
  *
  * @param sequence number of the command among those of its proposer, from 1
  */
-record CommandRequest(Life from, Life to, Term term, long sequence, byte[] command)
+record CommandRequest(ProcessId from, ProcessId to, Term term, long sequence, byte[] command)
         implements Message {
     static CommandRequest of(MessageFrame frame) {
         return new CommandRequest(
--- a/src/main/java/myrtleladder/consensus/CommittedState.java
+++ b/src/main/java/myrtleladder/consensus/CommittedState.java
@@ -18,7 +18,7 @@
     private final ConsensusEnvironment environment;
 
     /** Last applied sequence number by proposer, least recently applied first. */
-    private final Map<Life, Long> appliedSequences = new LinkedHashMap<>();
+    private final Map<ProcessId, Long> appliedSequences = new LinkedHashMap<>();
 
     private View view = View.NONE;
     private long commitIndex;
@@ -64,7 +64,7 @@
     }
 
     /** The last applied sequence number of a proposer, 0 for none. */
-    long appliedSequence(Life proposer) {
+    long appliedSequence(ProcessId proposer) {
         return appliedSequences.getOrDefault(proposer, 0L);
     }
 
--- a/src/main/java/myrtleladder/consensus/ConsensusNode.java
+++ b/src/main/java/myrtleladder/consensus/ConsensusNode.java
@@ -17,7 +17,7 @@
     private static final String HEARTBEAT_TIMER = "beat";
 
     private final ConsensusSettings settings;
-    private final Life self;
+    private final ProcessId self;
     private final Random random;
     private final ConsensusEnvironment environment;
     private final DroppedDatagrams dropped = new DroppedDatagrams();
@@ -42,7 +42,7 @@
      */
     public ConsensusNode(
             ConsensusSettings settings,
-            Life self,
+            ProcessId self,
             long seed,
             StateMachine stateMachine,
             ConsensusEnvironment environment) {
@@ -225,7 +225,7 @@
     }
 
     /** The leader, null if it is not known. */
-    public Life leader() {
+    public ProcessId leader() {
         return quorum.leader();
     }
 
--- a/src/main/java/myrtleladder/consensus/ElectionManager.java
+++ b/src/main/java/myrtleladder/consensus/ElectionManager.java
@@ -87,7 +87,7 @@
 
     /** Sends to the council, both to processes in the newest view and to those observed. */
     private void sendToCouncil(Message message) {
-        for (Life peer : membership.peers()) {
+        for (ProcessId peer : membership.peers()) {
             if (settings.isCouncilMember(peer.name())) {
                 sender.send(peer, message);
             }
@@ -159,7 +159,7 @@
      * and has not heard of that. A process is added again only when its log has caught up, and that
      * of a removed one does not even reach the view that is committed here.
      */
-    private boolean isNonVoter(Life process, boolean claimsVote, Term viewOfProcess) {
+    private boolean isNonVoter(ProcessId process, boolean claimsVote, Term viewOfProcess) {
         View view = committed.view();
         Term committedView = new Term(view.epoch(), view.number());
         return !claimsVote || !view.has(process) && viewOfProcess.compareTo(committedView) < 0;
@@ -236,7 +236,7 @@
     /** Counts a vote for this node. */
     void onVoteResponse(long nowUs, VoteResponse response) {
         environment.onFaultPoint(FaultPoint.VOTE_COUNTED);
-        Life voter = response.from();
+        ProcessId voter = response.from();
         if (!(quorum.role() instanceof CandidateState candidate)
                 || !response.isGranted()
                 || !response.term().equals(quorum.term())
--- a/src/main/java/myrtleladder/consensus/FollowerState.java
+++ b/src/main/java/myrtleladder/consensus/FollowerState.java
@@ -5,4 +5,4 @@
  *
  * @param leader null while none is known in this term
  */
-record FollowerState(Life leader) implements RoleState {}
+record FollowerState(ProcessId leader) implements RoleState {}
--- a/src/main/java/myrtleladder/consensus/LeaderMessageHandler.java
+++ b/src/main/java/myrtleladder/consensus/LeaderMessageHandler.java
@@ -50,7 +50,7 @@
      * Whether a message is from the leader of this term, or of a later one, which this node then
      * follows. Another sender is told the term that it missed.
      */
-    private boolean acceptLeader(long nowUs, Life leader, Term term, long requestSentAtUs) {
+    private boolean acceptLeader(long nowUs, ProcessId leader, Term term, long requestSentAtUs) {
         if (term.compareTo(quorum.term()) < 0) {
             sender.send(
                     leader,
@@ -77,7 +77,7 @@
             dropped.count("malformed");
             return;
         }
-        Life leader = request.from();
+        ProcessId leader = request.from();
         if (!acceptLeader(nowUs, leader, request.term(), request.sentAtUs())) {
             return;
         }
@@ -139,16 +139,16 @@
         return true;
     }
 
-    private void reject(long nowUs, Life leader, long requestSentAtUs, long hint) {
+    private void reject(long nowUs, ProcessId leader, long requestSentAtUs, long hint) {
         respond(nowUs, leader, requestSentAtUs, false, hint);
     }
 
-    private void acknowledge(long nowUs, Life leader, long requestSentAtUs, long matchIndex) {
+    private void acknowledge(long nowUs, ProcessId leader, long requestSentAtUs, long matchIndex) {
         respond(nowUs, leader, requestSentAtUs, true, matchIndex);
     }
 
     private void respond(
-            long nowUs, Life leader, long requestSentAtUs, boolean isSuccess, long index) {
+            long nowUs, ProcessId leader, long requestSentAtUs, boolean isSuccess, long index) {
         boolean isCouncilMember = settings.isCouncilMember(quorum.self().name());
         sender.send(
                 leader,
@@ -168,7 +168,7 @@
     /** Handles a chunk of a snapshot. */
     void onSnapshotChunk(long nowUs, SnapshotChunk chunk) {
         environment.onFaultPoint(FaultPoint.SNAPSHOT_TAKEN);
-        Life leader = chunk.from();
+        ProcessId leader = chunk.from();
         long index = chunk.snapshotIndex();
         if (!acceptLeader(nowUs, leader, chunk.term(), chunk.sentAtUs())) {
             return;
--- a/src/main/java/myrtleladder/consensus/LeaderState.java
+++ b/src/main/java/myrtleladder/consensus/LeaderState.java
@@ -5,7 +5,7 @@
 
 /** The leader of a term, with the progress of each peer's log. */
 final class LeaderState implements RoleState {
-    private final Map<Life, PeerProgress> peers = new LinkedHashMap<>();
+    private final Map<ProcessId, PeerProgress> peers = new LinkedHashMap<>();
 
     /** The snapshot that is sent to peers that lag, null if there is none. */
     private SnapshotImage snapshot;
@@ -48,7 +48,7 @@
         }
     }
 
-    Map<Life, PeerProgress> peers() {
+    Map<ProcessId, PeerProgress> peers() {
         return peers;
     }
 
--- a/src/main/java/myrtleladder/consensus/LogEntry.java
+++ b/src/main/java/myrtleladder/consensus/LogEntry.java
@@ -20,7 +20,7 @@
         Kind kind,
         Map<String, Long> memberChanges,
         View view,
-        Life proposer,
+        ProcessId proposer,
         long sequence,
         byte[] command) {
     /** The kind of an entry with its name on the wire. */
@@ -69,13 +69,13 @@
             return this;
         }
         boolean isBootstrap = kind == Kind.BOOTSTRAP;
-        Map<String, Long> members = new TreeMap<>(isBootstrap ? Map.of() : before.lives());
+        Map<String, Long> members = new TreeMap<>(isBootstrap ? Map.of() : before.startIds());
         memberChanges.forEach(
-                (name, life) -> {
-                    if (life == ObservedMembership.ABSENT) {
+                (name, startId) -> {
+                    if (startId == ObservedMembership.ABSENT) {
                         members.remove(name);
                     } else {
-                        members.put(name, life);
+                        members.put(name, startId);
                     }
                 });
         long epoch = isBootstrap ? term.epoch() : before.epoch();
--- a/src/main/java/myrtleladder/consensus/LogReplicator.java
+++ b/src/main/java/myrtleladder/consensus/LogReplicator.java
@@ -56,7 +56,7 @@
             return false;
         }
         int answered = quorum.isVoter() ? 1 : 0;
-        for (Map.Entry<Life, PeerProgress> peer : leader.peers().entrySet()) {
+        for (Map.Entry<ProcessId, PeerProgress> peer : leader.peers().entrySet()) {
             long sinceAckUs = nowUs - peer.getValue().lastAckedRequestUs;
             if (isVoter(peer.getKey()) && sinceAckUs < settings.electionTimeoutUs()) {
                 answered++;
@@ -66,7 +66,7 @@
     }
 
     /** Whether a peer has a vote in the newest view of the log. */
-    private boolean isVoter(Life peer) {
+    private boolean isVoter(ProcessId peer) {
         return settings.isCouncilMember(peer.name()) && log.view().has(peer);
     }
 
@@ -77,7 +77,7 @@
     void lead(long nowUs, CandidateState candidate) {
         LeaderState leader = quorum.transitionToLeader(nowUs);
         environment.onFaultPoint(FaultPoint.ELECTED);
-        for (Life peer : membership.peers()) {
+        for (ProcessId peer : membership.peers()) {
             leader.peers().put(peer, new PeerProgress(log.lastIndex() + 1));
         }
         candidate.votes().values().stream()
@@ -89,7 +89,7 @@
                         ConsensusEvent.Kind.LEADS, committed.view(), "term " + quorum.term()));
         if (candidate.isBootstrap()) {
             Map<String, Long> founders = new TreeMap<>();
-            candidate.votes().values().forEach(l -> founders.put(l.name(), l.life()));
+            candidate.votes().values().forEach(l -> founders.put(l.name(), l.startId()));
             long viewNumber = log.view().number() + 1;
             append(nowUs, LogEntry.Kind.BOOTSTRAP, founders, null, viewNumber, null);
         } else {
@@ -101,7 +101,7 @@
         append(nowUs, LogEntry.Kind.VIEW_CHANGE, changes, null, log.view().number() + 1, null);
     }
 
-    void appendCommand(long nowUs, Life proposer, long sequence, byte[] command) {
+    void appendCommand(long nowUs, ProcessId proposer, long sequence, byte[] command) {
         append(nowUs, LogEntry.Kind.COMMAND, Map.of(), proposer, sequence, command);
     }
 
@@ -109,7 +109,7 @@
             long nowUs,
             LogEntry.Kind kind,
             Map<String, Long> memberChanges,
-            Life proposer,
+            ProcessId proposer,
             long sequence,
             byte[] command) {
         long index = log.lastIndex() + 1;
@@ -135,9 +135,9 @@
         if (leader == null) {
             return;
         }
-        List<Life> peers = membership.peers();
+        List<ProcessId> peers = membership.peers();
         leader.peers().keySet().retainAll(peers);
-        for (Life peer : peers) {
+        for (ProcessId peer : peers) {
             PeerProgress progress =
                     leader.peers()
                             .computeIfAbsent(peer, p -> new PeerProgress(log.lastIndex() + 1));
@@ -145,7 +145,7 @@
         }
     }
 
-    private void sendTo(long nowUs, LeaderState leader, Life peer, PeerProgress progress) {
+    private void sendTo(long nowUs, LeaderState leader, ProcessId peer, PeerProgress progress) {
         long previousIndex = progress.nextIndex - 1;
         Term previousTerm = progress.nextIndex < 1 ? null : log.termAt(previousIndex);
         if (previousTerm == null || progress.isReceivingSnapshot()) {
@@ -183,7 +183,7 @@
     /** Handles a peer's answer to entries. */
     void onAppendResponse(long nowUs, AppendResponse response) {
         environment.onFaultPoint(FaultPoint.ACKNOWLEDGEMENT_COUNTED);
-        Life peer = response.from();
+        ProcessId peer = response.from();
         PeerProgress progress =
                 recordResponse(nowUs, peer, response.term(), response.requestSentAtUs());
         if (progress == null) {
@@ -213,7 +213,7 @@
      *
      * @param hint the last index that may match, {@link AppendResponse#SNAPSHOT_NEEDED} for none
      */
-    private void moveBack(long nowUs, Life peer, PeerProgress progress, long hint) {
+    private void moveBack(long nowUs, ProcessId peer, PeerProgress progress, long hint) {
         long before = progress.nextIndex;
         if (hint < 0 || hint > log.lastIndex()) {
             if (progress.isReceivingSnapshot()) {
@@ -232,7 +232,7 @@
     /** Handles a peer's answer to a chunk of a snapshot. */
     void onSnapshotResponse(long nowUs, SnapshotResponse response) {
         environment.onFaultPoint(FaultPoint.ACKNOWLEDGEMENT_COUNTED);
-        Life peer = response.from();
+        ProcessId peer = response.from();
         PeerProgress progress =
                 recordResponse(nowUs, peer, response.term(), response.requestSentAtUs());
         if (progress == null || !progress.isReceivingSnapshot()) {
@@ -252,7 +252,7 @@
      * @return null if this node is not the leader of the peer's term, or does not know the peer
      */
     private PeerProgress recordResponse(
-            long nowUs, Life peer, Term peerTerm, long requestSentAtUs) {
+            long nowUs, ProcessId peer, Term peerTerm, long requestSentAtUs) {
         if (peerTerm.compareTo(quorum.term()) > 0) {
             quorum.transitionToFollower(nowUs, peerTerm, null, peer + " is in term " + peerTerm);
             return null;
--- a/src/main/java/myrtleladder/consensus/Message.java
+++ b/src/main/java/myrtleladder/consensus/Message.java
@@ -16,7 +16,7 @@
                 SnapshotResponse,
                 CommandRequest {
     /** The sender. */
-    Life from();
+    ProcessId from();
 
     MessageFrame toFrame();
 
--- a/src/main/java/myrtleladder/consensus/MessageDecoder.java
+++ b/src/main/java/myrtleladder/consensus/MessageDecoder.java
@@ -36,9 +36,9 @@
         int version;
         String fleet;
         String kind;
-        Life from;
-        Life to;
-        Life proposer;
+        ProcessId from;
+        ProcessId to;
+        ProcessId proposer;
         Term term;
         Term indexTerm;
         long index;
@@ -95,7 +95,7 @@
 
         private NodeSnapshot toSnapshot() throws DecodingException {
             expect(viewNumber >= 0);
-            Map<Life, Long> appliedSequences = new LinkedHashMap<>();
+            Map<ProcessId, Long> appliedSequences = new LinkedHashMap<>();
             for (Fields entry : applied) {
                 expect(entry.proposer != null);
                 appliedSequences.put(entry.proposer, entry.number);
@@ -163,9 +163,9 @@
             case "v" -> fields.version = json.getIntValue();
             case "agree" -> fields.fleet = json.getText();
             case "kind" -> fields.kind = json.getText();
-            case "from" -> fields.from = readLife(json);
-            case "to" -> fields.to = readLife(json);
-            case "by" -> fields.proposer = readLife(json);
+            case "from" -> fields.from = readProcess(json);
+            case "to" -> fields.to = readProcess(json);
+            case "by" -> fields.proposer = readProcess(json);
             case "term" -> fields.term = readTerm(json);
             case "at" -> fields.indexTerm = readTerm(json);
             case "i" -> fields.index = json.getLongValue();
@@ -175,8 +175,8 @@
             case "is" -> fields.flags = json.getIntValue();
             case "epoch" -> fields.epoch = json.getLongValue();
             case "view" -> fields.viewNumber = json.getLongValue();
-            case "lives" -> fields.lives = readLives(json);
-            case "cut" -> fields.memberChanges = readLives(json);
+            case "lives" -> fields.lives = readStartIds(json);
+            case "cut" -> fields.memberChanges = readStartIds(json);
             case "b" -> fields.bytes = json.getBinaryValue();
             case "log" -> readObjects(json, fields.log);
             case "taken" -> readObjects(json, fields.applied);
@@ -193,11 +193,11 @@
         }
     }
 
-    private static Life readLife(JsonParser json) throws IOException, DecodingException {
+    private static ProcessId readProcess(JsonParser json) throws IOException, DecodingException {
         String text = json.getText();
         int space = text.indexOf(' ');
         expect(space > 0 && space < text.length() - 1);
-        return new Life(text.substring(space + 1), parseHexadecimal(text.substring(0, space)));
+        return new ProcessId(text.substring(space + 1), parseHexadecimal(text.substring(0, space)));
     }
 
     private static Term readTerm(JsonParser json) throws IOException, DecodingException {
@@ -210,7 +210,7 @@
         return new Term(epoch, round);
     }
 
-    private static Map<String, Long> readLives(JsonParser json)
+    private static Map<String, Long> readStartIds(JsonParser json)
             throws IOException, DecodingException {
         expect(json.currentToken() == JsonToken.START_OBJECT);
         Map<String, Long> lives = new TreeMap<>();
--- a/src/main/java/myrtleladder/consensus/MessageEncoder.java
+++ b/src/main/java/myrtleladder/consensus/MessageEncoder.java
@@ -64,9 +64,9 @@
                     json.writeNumberField("v", MessageFrame.VERSION);
                     json.writeStringField("agree", fleet);
                     json.writeStringField("kind", frame.kind().wireName());
-                    writeLife(json, "from", frame.from());
+                    writeProcess(json, "from", frame.from());
                     if (frame.to() != null) {
-                        writeLife(json, "to", frame.to());
+                        writeProcess(json, "to", frame.to());
                     }
                     writeTerm(json, "term", frame.term());
                     json.writeNumberField("i", frame.index());
@@ -79,7 +79,7 @@
                         json.writeBinaryField("b", frame.bytes());
                     }
                     if (!frame.memberChanges().isEmpty()) {
-                        writeLives(json, "cut", frame.memberChanges());
+                        writeStartIds(json, "cut", frame.memberChanges());
                     }
                     if (!frame.entries().isEmpty()) {
                         json.writeArrayFieldStart("log");
@@ -112,11 +112,12 @@
                 json -> {
                     json.writeNumberField("epoch", snapshot.view().epoch());
                     json.writeNumberField("view", snapshot.view().number());
-                    writeLives(json, "lives", snapshot.view().lives());
+                    writeStartIds(json, "lives", snapshot.view().startIds());
                     json.writeArrayFieldStart("taken");
-                    for (Map.Entry<Life, Long> applied : snapshot.appliedSequences().entrySet()) {
+                    for (Map.Entry<ProcessId, Long> applied :
+                            snapshot.appliedSequences().entrySet()) {
                         json.writeStartObject();
-                        writeLife(json, "by", applied.getKey());
+                        writeProcess(json, "by", applied.getKey());
                         json.writeNumberField("no", applied.getValue());
                         json.writeEndObject();
                     }
@@ -132,17 +133,18 @@
         json.writeStringField("kind", entry.kind().wireName());
         json.writeNumberField("no", entry.sequence());
         if (entry.isViewChange()) {
-            writeLives(json, "cut", entry.memberChanges());
+            writeStartIds(json, "cut", entry.memberChanges());
         }
         if (entry.proposer() != null) {
-            writeLife(json, "by", entry.proposer());
+            writeProcess(json, "by", entry.proposer());
             json.writeBinaryField("b", entry.command());
         }
         json.writeEndObject();
     }
 
-    private static void writeLife(JsonGenerator json, String field, Life life) throws IOException {
-        json.writeStringField(field, Long.toHexString(life.life()) + " " + life.name());
+    private static void writeProcess(JsonGenerator json, String field, ProcessId process)
+            throws IOException {
+        json.writeStringField(field, Long.toHexString(process.startId()) + " " + process.name());
     }
 
     private static void writeTerm(JsonGenerator json, String field, Term term) throws IOException {
@@ -152,11 +154,11 @@
         json.writeEndArray();
     }
 
-    private static void writeLives(JsonGenerator json, String field, Map<String, Long> lives)
+    private static void writeStartIds(JsonGenerator json, String field, Map<String, Long> lives)
             throws IOException {
         json.writeObjectFieldStart(field);
-        for (Map.Entry<String, Long> life : lives.entrySet()) {
-            json.writeStringField(life.getKey(), Long.toHexString(life.getValue()));
+        for (Map.Entry<String, Long> startId : lives.entrySet()) {
+            json.writeStringField(startId.getKey(), Long.toHexString(startId.getValue()));
         }
         json.writeEndObject();
     }
--- a/src/main/java/myrtleladder/consensus/MessageFrame.java
+++ b/src/main/java/myrtleladder/consensus/MessageFrame.java
@@ -20,8 +20,8 @@
  */
 record MessageFrame(
         Kind kind,
-        Life from,
-        Life to,
+        ProcessId from,
+        ProcessId to,
         Term term,
         long index,
         Term indexTerm,
@@ -77,7 +77,13 @@
     }
 
     static MessageFrame of(
-            Kind kind, Life from, Life to, Term term, long index, Term indexTerm, long number) {
+            Kind kind,
+            ProcessId from,
+            ProcessId to,
+            Term term,
+            long index,
+            Term indexTerm,
+            long number) {
         return new MessageFrame(
                 kind, from, to, term, index, indexTerm, number, 0, 0, false, false, false,
                 List.of(), NO_BYTES, Map.of());
--- a/src/main/java/myrtleladder/consensus/MessageSender.java
+++ b/src/main/java/myrtleladder/consensus/MessageSender.java
@@ -14,7 +14,7 @@
         this.dropped = dropped;
     }
 
-    void send(Life recipient, Message message) {
+    void send(ProcessId recipient, Message message) {
         try {
             environment.send(recipient.name(), MessageEncoder.encode(fleet, message.toFrame()));
         } catch (UncheckedIOException e) {
--- a/src/main/java/myrtleladder/consensus/NodeSnapshot.java
+++ b/src/main/java/myrtleladder/consensus/NodeSnapshot.java
@@ -8,4 +8,4 @@
  * @param appliedSequences last applied command of each proposer, least recently applied first
  * @param stateMachine what {@link StateMachine#snapshot} returned
  */
-record NodeSnapshot(View view, Map<Life, Long> appliedSequences, byte[] stateMachine) {}
+record NodeSnapshot(View view, Map<ProcessId, Long> appliedSequences, byte[] stateMachine) {}
--- a/src/main/java/myrtleladder/consensus/ObservedMembership.java
+++ b/src/main/java/myrtleladder/consensus/ObservedMembership.java
@@ -20,15 +20,15 @@
      */
     private static final int MAX_CHANGES = 8;
 
-    private final Life self;
+    private final ProcessId self;
     private final ReplicatedLog log;
     private final long stabilityUs;
     private final Map<String, Observation> observations = new TreeMap<>();
 
     /** Which process holds a name, and since when it was observed so. */
-    private record Observation(long life, long sinceUs) {}
+    private record Observation(long startId, long sinceUs) {}
 
-    ObservedMembership(Life self, ReplicatedLog log, long stabilityUs) {
+    ObservedMembership(ProcessId self, ReplicatedLog log, long stabilityUs) {
         this.self = self;
         this.log = log;
         this.stabilityUs = stabilityUs;
@@ -39,22 +39,22 @@
         TreeSet<String> names = new TreeSet<>(present.keySet());
         names.addAll(observations.keySet());
         for (String name : names) {
-            long life = present.getOrDefault(name, ABSENT);
+            long startId = present.getOrDefault(name, ABSENT);
             Observation before = observations.get(name);
-            if (before == null || before.life() != life) {
-                observations.put(name, new Observation(life, nowUs));
+            if (before == null || before.startId() != startId) {
+                observations.put(name, new Observation(startId, nowUs));
             }
         }
     }
 
     /** All other processes in the newest view of the log or observed as present. */
-    List<Life> peers() {
-        List<Life> peers = new ArrayList<>();
-        log.view().lives().forEach((name, life) -> peers.add(new Life(name, life)));
+    List<ProcessId> peers() {
+        List<ProcessId> peers = new ArrayList<>();
+        log.view().startIds().forEach((name, startId) -> peers.add(new ProcessId(name, startId)));
         observations.forEach(
                 (name, observation) -> {
-                    Life peer = new Life(name, observation.life());
-                    if (observation.life() != ABSENT && !peers.contains(peer)) {
+                    ProcessId peer = new ProcessId(name, observation.startId());
+                    if (observation.startId() != ABSENT && !peers.contains(peer)) {
                         peers.add(peer);
                     }
                 });
@@ -68,11 +68,11 @@
         View members = log.view();
         observations.forEach(
                 (name, observation) -> {
-                    long inView = members.lives().getOrDefault(name, ABSENT);
-                    if (observation.life() != inView
+                    long inView = members.startIds().getOrDefault(name, ABSENT);
+                    if (observation.startId() != inView
                             && nowUs - observation.sinceUs() >= stabilityUs
                             && changes.size() < MAX_CHANGES) {
-                        changes.put(name, observation.life());
+                        changes.put(name, observation.startId());
                     }
                 });
         return changes;
--- a/src/main/java/myrtleladder/consensus/PreVoteRequest.java
+++ b/src/main/java/myrtleladder/consensus/PreVoteRequest.java
@@ -1,7 +1,7 @@
 package myrtleladder.consensus;
 
 /** Asks whether the receiver would vote for the sender (Ongaro's dissertation, section 9.6). */
-record PreVoteRequest(Life from, Term term, long lastLogIndex, Term lastLogTerm, long sentAtUs)
+record PreVoteRequest(ProcessId from, Term term, long lastLogIndex, Term lastLogTerm, long sentAtUs)
         implements Message {
     static PreVoteRequest of(MessageFrame frame) {
         return new PreVoteRequest(
--- a/src/main/java/myrtleladder/consensus/PreVoteResponse.java
+++ b/src/main/java/myrtleladder/consensus/PreVoteResponse.java
@@ -8,8 +8,8 @@
  * @param isReadyToBootstrap whether the sender would support a bootstrap
  */
 record PreVoteResponse(
-        Life from,
-        Life to,
+        ProcessId from,
+        ProcessId to,
         Term term,
         Term newestView,
         long requestSentAtUs,
--- a/src/main/java/myrtleladder/consensus/ProposalQueue.java
+++ b/src/main/java/myrtleladder/consensus/ProposalQueue.java
@@ -66,7 +66,7 @@
 
     /** Sends the first command to the leader, or appends it if this node is the leader. */
     void sendFirst(long nowUs) {
-        Life leader = quorum.leader();
+        ProcessId leader = quorum.leader();
         if (commands.isEmpty() || leader == null) {
             return;
         }
@@ -89,7 +89,7 @@
     }
 
     /** Appends a command unless it is applied or in the log already. */
-    private void appendIfNew(long nowUs, Life proposer, long sequence, byte[] command) {
+    private void appendIfNew(long nowUs, ProcessId proposer, long sequence, byte[] command) {
         if (sequence <= committed.appliedSequence(proposer)) {
             return;
         }
--- a/src/main/java/myrtleladder/consensus/QuorumState.java
+++ b/src/main/java/myrtleladder/consensus/QuorumState.java
@@ -8,7 +8,7 @@
  * candidate; a node is the leader only of a term in which it voted for itself.
  */
 final class QuorumState {
-    private final Life self;
+    private final ProcessId self;
     private final ConsensusSettings settings;
     private final Random random;
     private final ReplicatedLog log;
@@ -17,7 +17,7 @@
     private Term term = Term.NONE;
 
     /** Null while this node has not voted in its term. */
-    private Life votedFor;
+    private ProcessId votedFor;
 
     private RoleState role = new FollowerState(null);
     private long startedAtUs;
@@ -31,7 +31,7 @@
     private long acknowledgedIndex;
 
     QuorumState(
-            Life self,
+            ProcessId self,
             ConsensusSettings settings,
             Random random,
             ReplicatedLog log,
@@ -53,7 +53,7 @@
                 nowUs + settings.bootstrapDelayUs() + random.nextLong(settings.electionTimeoutUs());
     }
 
-    Life self() {
+    ProcessId self() {
         return self;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** The leader of the term, null if it is not known. */
-    Life leader() {
+    ProcessId leader() {
         if (role instanceof LeaderState) {
             return self;
         }
@@ -135,7 +135,7 @@
     }
 
     /** Whether this node may vote for a candidate in a term. */
-    boolean canVoteFor(Life candidate, Term candidateTerm) {
+    boolean canVoteFor(ProcessId candidate, Term candidateTerm) {
         return candidateTerm.compareTo(term) > 0
                 || candidateTerm.equals(term) && candidate.equals(votedFor);
     }
@@ -147,7 +147,7 @@
      * @param leader null if it is not known
      * @param reason for people, if this node was the leader
      */
-    void transitionToFollower(long nowUs, Term newTerm, Life leader, String reason) {
+    void transitionToFollower(long nowUs, Term newTerm, ProcessId leader, String reason) {
         if (isLeader()) {
             environment.onEvent(
                     new ConsensusEvent(
@@ -163,7 +163,7 @@
     }
 
     /** Follows nobody in the term of a candidate and votes for that one. */
-    void transitionToVoted(long nowUs, Term newTerm, Life candidate) {
+    void transitionToVoted(long nowUs, Term newTerm, ProcessId candidate) {
         transitionToFollower(nowUs, newTerm, null, candidate + " is voted for");
         votedFor = candidate;
     }
--- a/src/main/java/myrtleladder/consensus/SnapshotChunk.java
+++ b/src/main/java/myrtleladder/consensus/SnapshotChunk.java
@@ -9,7 +9,7 @@
  * @param totalBytes length of the whole snapshot
  */
 record SnapshotChunk(
-        Life from,
+        ProcessId from,
         Term term,
         long snapshotIndex,
         Term snapshotTerm,
--- a/src/main/java/myrtleladder/consensus/SnapshotResponse.java
+++ b/src/main/java/myrtleladder/consensus/SnapshotResponse.java
@@ -6,8 +6,8 @@
  * @param receivedBytes how much of the snapshot the sender has, without a gap
  */
 record SnapshotResponse(
-        Life from,
-        Life to,
+        ProcessId from,
+        ProcessId to,
         Term term,
         long snapshotIndex,
         long requestSentAtUs,
--- a/src/main/java/myrtleladder/consensus/SnapshotSender.java
+++ b/src/main/java/myrtleladder/consensus/SnapshotSender.java
@@ -32,7 +32,7 @@
     }
 
     /** Sends the chunk that follows what a peer has. */
-    void sendNextChunk(long nowUs, LeaderState leader, Life peer, PeerProgress progress) {
+    void sendNextChunk(long nowUs, LeaderState leader, ProcessId peer, PeerProgress progress) {
         if (needsNewSnapshot(leader)) {
             SnapshotImage image =
                     new SnapshotImage(
--- a/src/main/java/myrtleladder/consensus/StateMachine.java
+++ b/src/main/java/myrtleladder/consensus/StateMachine.java
@@ -11,7 +11,7 @@
      * @param token greater than that of any command committed before
      * @param proposer who proposed the command
      */
-    void apply(FencingToken token, Life proposer, byte[] command);
+    void apply(FencingToken token, ProcessId proposer, byte[] command);
 
     /** Applies a committed view. */
     void view(View view);
--- a/src/main/java/myrtleladder/consensus/ViewChanger.java
+++ b/src/main/java/myrtleladder/consensus/ViewChanger.java
@@ -45,21 +45,21 @@
         Map<String, Long> removals = new TreeMap<>();
         Map<String, Long> additions = new TreeMap<>();
         long votersLeft =
-                members.lives().keySet().stream().filter(settings::isCouncilMember).count();
+                members.startIds().keySet().stream().filter(settings::isCouncilMember).count();
         for (Map.Entry<String, Long> change : membership.stableChanges(nowUs).entrySet()) {
             String name = change.getKey();
-            long life = change.getValue();
-            if (!isObservedByQuorum(leader, name, life) || name.equals(quorum.self().name())) {
+            long startId = change.getValue();
+            if (!isObservedByQuorum(leader, name, startId) || name.equals(quorum.self().name())) {
                 continue;
             }
             boolean isCouncilMember = settings.isCouncilMember(name);
-            boolean isAbsent = life == ObservedMembership.ABSENT;
-            if (members.lives().containsKey(name) && (isCouncilMember || isAbsent)) {
+            boolean isAbsent = startId == ObservedMembership.ABSENT;
+            if (members.startIds().containsKey(name) && (isCouncilMember || isAbsent)) {
                 if (!isCouncilMember || --votersLeft >= settings.quorumSize()) {
                     removals.put(name, ObservedMembership.ABSENT);
                 }
-            } else if (isCaughtUp(leader, new Life(name, life))) {
-                additions.put(name, life);
+            } else if (isCaughtUp(leader, new ProcessId(name, startId))) {
+                additions.put(name, startId);
             }
         }
         Map<String, Long> changes = removals.isEmpty() ? additions : removals;
@@ -77,23 +77,23 @@
     }
 
     /** Whether a quorum, this leader among it, reports the same change to the same view. */
-    private boolean isObservedByQuorum(LeaderState leader, String name, long life) {
+    private boolean isObservedByQuorum(LeaderState leader, String name, long startId) {
         View members = log.view();
         long others =
                 leader.peers().entrySet().stream()
                         .filter(p -> settings.isCouncilMember(p.getKey().name()))
                         .filter(p -> members.has(p.getKey()))
-                        .filter(p -> hasObserved(p.getValue(), members, name, life))
+                        .filter(p -> hasObserved(p.getValue(), members, name, startId))
                         .count();
         return others + 1 >= settings.quorumSize();
     }
 
-    private static boolean hasObserved(PeerProgress peer, View members, String name, long life) {
+    private static boolean hasObserved(PeerProgress peer, View members, String name, long startId) {
         return peer.viewNumber == members.number()
-                && Long.valueOf(life).equals(peer.observedChanges.get(name));
+                && Long.valueOf(startId).equals(peer.observedChanges.get(name));
     }
 
-    private boolean isCaughtUp(LeaderState leader, Life member) {
+    private boolean isCaughtUp(LeaderState leader, ProcessId member) {
         PeerProgress peer = leader.peers().get(member);
         return peer != null && peer.matchIndex >= committed.commitIndex();
     }
--- a/src/main/java/myrtleladder/consensus/VoteRequest.java
+++ b/src/main/java/myrtleladder/consensus/VoteRequest.java
@@ -7,7 +7,7 @@
  * @param isVoter whether the sender has a vote in the newest view of its log
  */
 record VoteRequest(
-        Life from,
+        ProcessId from,
         Term term,
         long lastLogIndex,
         Term lastLogTerm,
--- a/src/main/java/myrtleladder/consensus/VoteResponse.java
+++ b/src/main/java/myrtleladder/consensus/VoteResponse.java
@@ -7,8 +7,8 @@
  * @param isVoter whether the sender had a vote in that view when it was asked
  */
 record VoteResponse(
-        Life from,
-        Life to,
+        ProcessId from,
+        ProcessId to,
         Term term,
         Term newestView,
         long requestSentAtUs,
--- a/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 
 /**
  * This process's part in maintenance. It keeps away from machines whose turn it is, reports when
@@ -27,7 +27,7 @@
     private static final String TIMER = "work";
 
     private final MaintenanceSettings settings;
-    private final Life self;
+    private final ProcessId self;
     private final ConsensusNode consensus;
     private final MaintenanceStateMachine state;
     private final MaintenanceEnvironment environment;
@@ -55,7 +55,7 @@
      */
     public MaintenanceCoordinator(
             MaintenanceSettings settings,
-            Life self,
+            ProcessId self,
             ConsensusNode consensus,
             MaintenanceStateMachine state,
             MaintenanceEnvironment environment) {
@@ -83,7 +83,7 @@
     }
 
     /** Reports which processes the failure detector holds to be present. */
-    public void onMembershipObserved(Set<Life> processes) {
+    public void onMembershipObserved(Set<ProcessId> processes) {
         Set<String> names = new HashSet<>();
         processes.forEach(process -> names.add(process.toString()));
         present = names;
--- a/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 
 /**
  * One machine on the agenda.
@@ -33,7 +33,7 @@
         FencingToken ordered,
         FencingToken permit,
         long until,
-        Set<Life> clear,
+        Set<ProcessId> clear,
         String why) {
     static MaintenanceJob of(
             MachineSpec part, String plan, FencingToken asked, long number, String refused) {
@@ -96,8 +96,8 @@
                 null);
     }
 
-    MaintenanceJob cleared(Life by) {
-        Set<Life> all = new HashSet<>(clear);
+    MaintenanceJob cleared(ProcessId by) {
+        Set<ProcessId> all = new HashSet<>(clear);
         all.add(by);
         return new MaintenanceJob(
                 part,
@@ -175,16 +175,16 @@
     }
 
     /** In an order of its own: the same agenda has the same bytes. */
-    static List<Map<String, Object>> lives(Collection<Life> lives) {
+    static List<Map<String, Object>> lives(Collection<ProcessId> lives) {
         return lives.stream()
-                .sorted(Comparator.comparing(Life::name).thenComparing(Life::life))
-                .map(l -> JsonMaps.map("name", l.name(), "life", l.life()))
+                .sorted(Comparator.comparing(ProcessId::name).thenComparing(ProcessId::startId))
+                .map(l -> JsonMaps.map("name", l.name(), "life", l.startId()))
                 .toList();
     }
 
-    static List<Life> lives(List<Map<String, Object>> maps) {
+    static List<ProcessId> lives(List<Map<String, Object>> maps) {
         return maps.stream()
-                .map(m -> new Life(JsonMaps.text(m, "name"), JsonMaps.number(m, "life")))
+                .map(m -> new ProcessId(JsonMaps.text(m, "name"), JsonMaps.number(m, "life")))
                 .toList();
     }
 
--- a/src/main/java/myrtleladder/maintenance/MaintenancePlan.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenancePlan.java
@@ -1,7 +1,7 @@
 package myrtleladder.maintenance;
 
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 
 /**
  * A plan of an operator while it has jobs.
@@ -11,7 +11,7 @@
  * @param completeToken of the command with its last machine, null until that is applied
  */
 record MaintenancePlan(
-        PlanTerms terms, Life proposer, FencingToken startToken, FencingToken completeToken) {
+        PlanTerms terms, ProcessId proposer, FencingToken startToken, FencingToken completeToken) {
     boolean isComplete() {
         return completeToken != null;
     }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceScheduler.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceScheduler.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.consensus.ConsensusNode;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 
 /**
  * The leader's part in maintenance: proposes whose turn it is, permits, the end of maintenance, and
@@ -17,17 +17,17 @@
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private final MaintenanceSettings settings;
-    private final Life self;
+    private final ProcessId self;
     private final ConsensusNode consensus;
     private final MaintenanceStateMachine state;
     private final SendLeaseManager leases;
     private final CommandProposer proposer;
     private final MaintenanceEnvironment environment;
-    private final Map<Life, Long> unseenSinceUs = new HashMap<>();
+    private final Map<ProcessId, Long> unseenSinceUs = new HashMap<>();
 
     MaintenanceScheduler(
             MaintenanceSettings settings,
-            Life self,
+            ProcessId self,
             ConsensusNode consensus,
             MaintenanceStateMachine state,
             SendLeaseManager leases,
@@ -73,7 +73,7 @@
     }
 
     private void proposeUnreachableSenders(long nowUs, Set<String> present) {
-        for (Life sender : state.present()) {
+        for (ProcessId sender : state.present()) {
             boolean isUnreachable =
                     !consensus.view().has(sender)
                             && !present.contains(sender.toString())
@@ -86,7 +86,7 @@
             if (nowUs - sinceUs >= settings.unreachableAfterUs()) {
                 MaintenanceCommand gone =
                         MaintenanceCommand.of(MaintenanceCommand.Kind.GONE, sender.name(), null);
-                proposer.propose(nowUs, gone.because(Long.toHexString(sender.life())));
+                proposer.propose(nowUs, gone.because(Long.toHexString(sender.startId())));
             }
         }
     }
@@ -153,7 +153,7 @@
         if (!state.isSafe()) {
             return "until all that may have been granted before the last founding has run out";
         }
-        List<Life> gone = state.sendersWithFallback(job);
+        List<ProcessId> gone = state.sendersWithFallback(job);
         if (!gone.isEmpty()) {
             return "for " + gone + ", of which it is not known that they have ended";
         }
@@ -164,7 +164,7 @@
     }
 
     private String drainReason(MaintenanceJob job) {
-        List<Life> others = new ArrayList<>(state.sendersToDrain());
+        List<ProcessId> others = new ArrayList<>(state.sendersToDrain());
         others.removeAll(job.clear());
         return others.isEmpty()
                 ? null
--- a/src/main/java/myrtleladder/maintenance/MaintenanceSnapshot.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceSnapshot.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.View;
 
 /**
@@ -24,7 +24,7 @@
         long ignoredCommands,
         List<MaintenanceJob> jobs,
         Map<String, MaintenancePlan> plans,
-        Map<Life, SenderRegistry.Sender> senders,
+        Map<ProcessId, SenderRegistry.Sender> senders,
         Map<String, String> refusals) {
     byte[] encode() {
         return JsonMaps.write(
@@ -35,8 +35,8 @@
                         view.number(),
                         "view",
                         MaintenanceJob.lives(
-                                view.lives().entrySet().stream()
-                                        .map(l -> new Life(l.getKey(), l.getValue()))
+                                view.startIds().entrySet().stream()
+                                        .map(l -> new ProcessId(l.getKey(), l.getValue()))
                                         .toList()),
                         "safe",
                         safeEpoch,
@@ -64,7 +64,7 @@
                             "by",
                             plan.proposer().name(),
                             "life",
-                            plan.proposer().life(),
+                            plan.proposer().startId(),
                             "asked",
                             MaintenanceJob.token(plan.startToken()),
                             "whole",
@@ -82,7 +82,7 @@
                                         "name",
                                         process.name(),
                                         "life",
-                                        process.life(),
+                                        process.startId(),
                                         "gone",
                                         sender.gone(),
                                         "knows",
@@ -105,7 +105,7 @@
         Map<String, Object> map = bytes.length == 0 ? Map.of() : JsonMaps.read(bytes);
         Map<String, Long> members = new TreeMap<>();
         MaintenanceJob.lives(JsonMaps.list(map, "view"))
-                .forEach(member -> members.put(member.name(), member.life()));
+                .forEach(member -> members.put(member.name(), member.startId()));
         View view =
                 new View(JsonMaps.number(map, "epoch"), JsonMaps.number(map, "number"), members);
         return new MaintenanceSnapshot(
@@ -123,7 +123,8 @@
         Map<String, MaintenancePlan> plans = new LinkedHashMap<>();
         for (Map<String, Object> plan : JsonMaps.list(map, "plans")) {
             PlanTerms terms = PlanTerms.of(JsonMaps.object(plan, "terms"));
-            Life proposer = new Life(JsonMaps.text(plan, "by"), JsonMaps.number(plan, "life"));
+            ProcessId proposer =
+                    new ProcessId(JsonMaps.text(plan, "by"), JsonMaps.number(plan, "life"));
             plans.put(
                     terms.plan(),
                     new MaintenancePlan(
@@ -135,11 +136,11 @@
         return plans;
     }
 
-    private static Map<Life, SenderRegistry.Sender> sendersOf(Map<String, Object> map) {
-        Map<Life, SenderRegistry.Sender> senders = new LinkedHashMap<>();
+    private static Map<ProcessId, SenderRegistry.Sender> sendersOf(Map<String, Object> map) {
+        Map<ProcessId, SenderRegistry.Sender> senders = new LinkedHashMap<>();
         for (Map<String, Object> sender : JsonMaps.list(map, "senders")) {
             senders.put(
-                    new Life(JsonMaps.text(sender, "name"), JsonMaps.number(sender, "life")),
+                    new ProcessId(JsonMaps.text(sender, "name"), JsonMaps.number(sender, "life")),
                     new SenderRegistry.Sender(
                             (Boolean) sender.get("gone"), MaintenanceJob.token(sender, "knows")));
         }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceStateMachine.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceStateMachine.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.StateMachine;
 import myrtleladder.consensus.View;
 
@@ -106,22 +106,22 @@
     }
 
     /** Whether a process is registered as a sender. */
-    public boolean isRegistered(Life process) {
+    public boolean isRegistered(ProcessId process) {
         return senders.contains(process);
     }
 
     /** The latest plan that a process has reported to know, null for none. */
-    public FencingToken knownPlan(Life process) {
+    public FencingToken knownPlan(ProcessId process) {
         return senders.knownPlan(process);
     }
 
     /** The senders that belong to the cluster. */
-    public List<Life> present() {
+    public List<ProcessId> present() {
         return senders.present();
     }
 
     /** The senders that are unreachable, and may still send. */
-    public List<Life> gone() {
+    public List<ProcessId> gone() {
         return senders.gone();
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** Senders that have to report that nothing of theirs is in flight, before a permit. */
-    List<Life> sendersToDrain() {
+    List<ProcessId> sendersToDrain() {
         return present();
     }
 
@@ -159,20 +159,20 @@
      * The unreachable senders that may still send to a machine: they have not reported to keep
      * away, and either do not know its plan, or may fall back on it without a lease.
      */
-    public List<Life> sendersWithFallback(MaintenanceJob job) {
+    public List<ProcessId> sendersWithFallback(MaintenanceJob job) {
         return gone().stream()
                 .filter(sender -> !job.clear().contains(sender))
                 .filter(sender -> job.reserved() || !knowsPlanOf(sender, job))
                 .toList();
     }
 
-    private boolean knowsPlanOf(Life sender, MaintenanceJob job) {
+    private boolean knowsPlanOf(ProcessId sender, MaintenanceJob job) {
         FencingToken known = senders.knownPlan(sender);
         return known != null && known.compareTo(job.asked()) >= 0;
     }
 
     @Override
-    public void apply(FencingToken token, Life proposer, byte[] bytes) {
+    public void apply(FencingToken token, ProcessId proposer, byte[] bytes) {
         MaintenanceCommand command;
         try {
             command = MaintenanceCommand.read(bytes);
@@ -188,7 +188,7 @@
     }
 
     /** Applies a command; false if it did not fit and has changed nothing. */
-    private boolean apply(FencingToken token, Life proposer, MaintenanceCommand command) {
+    private boolean apply(FencingToken token, ProcessId proposer, MaintenanceCommand command) {
         return switch (command.kind()) {
             case REGISTER -> senders.register(proposer);
             case GONE -> senders.markGone(command.name(), command.text(), view);
@@ -237,7 +237,8 @@
         return true;
     }
 
-    private boolean startPlan(FencingToken token, Life proposer, String name, PlanTerms terms) {
+    private boolean startPlan(
+            FencingToken token, ProcessId proposer, String name, PlanTerms terms) {
         boolean isUnfinished =
                 plans.containsKey(name)
                         && jobs.values().stream()
@@ -360,7 +361,7 @@
         return true;
     }
 
-    private boolean clear(Life proposer, MaintenanceCommand command) {
+    private boolean clear(ProcessId proposer, MaintenanceCommand command) {
         MaintenanceJob job = jobs.get(command.name());
         if (!isDraining(job, command.token())) {
             return false;
--- a/src/main/java/myrtleladder/maintenance/SendLeaseManager.java
+++ b/src/main/java/myrtleladder/maintenance/SendLeaseManager.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import myrtleladder.consensus.ConsensusNode;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 
 /**
  * Leases to send by what is known here (Gray and Cheriton, 1989). Each process asks the leader for
@@ -23,11 +23,11 @@
     private static final byte[] PREFIX = "{\"leave\":".getBytes(StandardCharsets.US_ASCII);
 
     private final MaintenanceSettings settings;
-    private final Life self;
+    private final ProcessId self;
     private final ConsensusNode consensus;
     private final MaintenanceStateMachine state;
     private final MaintenanceEnvironment environment;
-    private final Map<Life, Long> grantedUs = new HashMap<>();
+    private final Map<ProcessId, Long> grantedUs = new HashMap<>();
     private final Map<String, Long> dropped = new TreeMap<>();
     private boolean isLeader;
     private long roleSinceUs;
@@ -35,7 +35,7 @@
 
     SendLeaseManager(
             MaintenanceSettings settings,
-            Life self,
+            ProcessId self,
             ConsensusNode consensus,
             MaintenanceStateMachine state,
             MaintenanceEnvironment environment) {
@@ -70,7 +70,7 @@
     }
 
     /** Whether a process may have a lease; an earlier leader may have granted one. */
-    boolean mayHaveLease(long nowUs, Life process) {
+    boolean mayHaveLease(long nowUs, ProcessId process) {
         long sinceGrantUs = nowUs - grantedUs.getOrDefault(process, NEVER_US);
         return nowUs - roleSinceUs < settings.leaseExpiryUs()
                 || sinceGrantUs < settings.leaseExpiryUs();
@@ -78,7 +78,7 @@
 
     /** Asks the leader for a lease. */
     void requestLease(long nowUs) {
-        Life leader = consensus.leader();
+        ProcessId leader = consensus.leader();
         if (leader != null && !leader.equals(self)) {
             environment.onFaultPoint(MaintenanceFaultPoint.LEAVE_ASKING);
             environment.send(
@@ -100,12 +100,12 @@
     void onDatagram(long nowUs, byte[] datagram) {
         try {
             Map<String, Object> message = JsonMaps.read(datagram);
-            Life from = toLife(JsonMaps.object(message, "from"));
+            ProcessId from = toProcessId(JsonMaps.object(message, "from"));
             if (!settings.fleet().equals(JsonMaps.text(message, "fleet"))) {
                 drop("foreign");
             } else if (JsonMaps.text(message, "leave").equals("ask")) {
                 onRequest(nowUs, from, JsonMaps.number(message, "at"));
-            } else if (toLife(JsonMaps.object(message, "to")).equals(self)) {
+            } else if (toProcessId(JsonMaps.object(message, "to")).equals(self)) {
                 long requestedUs = JsonMaps.number(message, "at");
                 onResponse(nowUs, from, requestedUs, JsonMaps.number(message, "upto"));
             } else {
@@ -117,7 +117,7 @@
         }
     }
 
-    private void onRequest(long nowUs, Life from, long requestedUs) {
+    private void onRequest(long nowUs, ProcessId from, long requestedUs) {
         environment.onFaultPoint(MaintenanceFaultPoint.LEAVE_ASKED);
         if (!consensus.isLeader() || !consensus.hasQuorum(nowUs) || !state.isRegistered(from)) {
             return;
@@ -143,7 +143,7 @@
     }
 
     /** Takes a lease if all that was committed when it was granted is applied here. */
-    private void onResponse(long nowUs, Life from, long requestedUs, long appliedByLeader) {
+    private void onResponse(long nowUs, ProcessId from, long requestedUs, long appliedByLeader) {
         environment.onFaultPoint(MaintenanceFaultPoint.LEAVE_TAKEN);
         if (from.equals(consensus.leader())
                 && consensus.lastApplied() >= appliedByLeader
@@ -161,11 +161,11 @@
         return Map.copyOf(dropped);
     }
 
-    private static Map<String, Object> toMap(Life life) {
-        return JsonMaps.map("name", life.name(), "life", life.life());
+    private static Map<String, Object> toMap(ProcessId process) {
+        return JsonMaps.map("name", process.name(), "life", process.startId());
     }
 
-    private static Life toLife(Map<String, Object> map) {
-        return new Life(JsonMaps.text(map, "name"), JsonMaps.number(map, "life"));
+    private static ProcessId toProcessId(Map<String, Object> map) {
+        return new ProcessId(JsonMaps.text(map, "name"), JsonMaps.number(map, "life"));
     }
 }
--- a/src/main/java/myrtleladder/maintenance/SenderRegistry.java
+++ b/src/main/java/myrtleladder/maintenance/SenderRegistry.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.View;
 
 /** The processes that may send to upstreams, in the order in which they came. */
 final class SenderRegistry {
-    private final Map<Life, Sender> senders = new LinkedHashMap<>();
+    private final Map<ProcessId, Sender> senders = new LinkedHashMap<>();
 
     /**
      * A process that may send.
@@ -20,58 +20,58 @@
      */
     record Sender(boolean gone, FencingToken knownPlan) {}
 
-    Map<Life, Sender> all() {
+    Map<ProcessId, Sender> all() {
         return senders;
     }
 
     /** Replaces all senders. */
-    void reset(Map<Life, Sender> newSenders) {
+    void reset(Map<ProcessId, Sender> newSenders) {
         senders.clear();
         senders.putAll(newSenders);
     }
 
-    boolean contains(Life process) {
+    boolean contains(ProcessId process) {
         return senders.containsKey(process);
     }
 
     /** The latest plan that a process has reported to know, null for none. */
-    FencingToken knownPlan(Life process) {
+    FencingToken knownPlan(ProcessId process) {
         Sender sender = senders.get(process);
         return sender == null ? null : sender.knownPlan();
     }
 
-    List<Life> present() {
+    List<ProcessId> present() {
         return select(sender -> !sender.gone());
     }
 
-    List<Life> gone() {
+    List<ProcessId> gone() {
         return select(Sender::gone);
     }
 
-    private List<Life> select(Predicate<Sender> condition) {
+    private List<ProcessId> select(Predicate<Sender> condition) {
         return senders.entrySet().stream()
                 .filter(entry -> condition.test(entry.getValue()))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    boolean isPresent(Life process) {
+    boolean isPresent(ProcessId process) {
         Sender sender = senders.get(process);
         return sender != null && !sender.gone();
     }
 
     /** Adds a process; others of its name have ended. False if it was there already. */
-    boolean register(Life process) {
+    boolean register(ProcessId process) {
         senders.keySet().removeIf(s -> s.name().equals(process.name()) && !s.equals(process));
         return senders.put(process, new Sender(false, knownPlan(process))) == null;
     }
 
     /** Marks a process as gone unless the view has it. */
     boolean markGone(String name, String hexadecimalId, View view) {
-        List<Life> gone =
+        List<ProcessId> gone =
                 present().stream()
                         .filter(s -> s.name().equals(name))
-                        .filter(s -> Long.toHexString(s.life()).equals(hexadecimalId))
+                        .filter(s -> Long.toHexString(s.startId()).equals(hexadecimalId))
                         .filter(s -> !view.has(s))
                         .toList();
         gone.forEach(s -> senders.put(s, new Sender(true, knownPlan(s))));
@@ -85,7 +85,7 @@
     }
 
     /** Notes which plan a process knows; false if that is not news. */
-    boolean setKnownPlan(Life process, FencingToken plan) {
+    boolean setKnownPlan(ProcessId process, FencingToken plan) {
         Sender sender = senders.get(process);
         if (sender == null
                 || sender.knownPlan() != null && sender.knownPlan().compareTo(plan) >= 0) {
@@ -97,10 +97,10 @@
 
     /** Adds the members of a new view, and marks those as gone that it has removed. */
     void onView(View before, View next) {
-        next.lives()
+        next.startIds()
                 .forEach(
-                        (name, life) -> {
-                            Life member = new Life(name, life);
+                        (name, startId) -> {
+                            ProcessId member = new ProcessId(name, startId);
                             register(member);
                         });
         senders.replaceAll(
--- a/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
+++ b/src/test/java/myrtleladder/cluster/OperatorsCompatibilityTest.java
@@ -18,7 +18,7 @@
 import myrtleladder.consensus.ConsensusEvent;
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.Term;
 import myrtleladder.consensus.View;
 import myrtleladder.gossip.GossipSettings;
@@ -79,7 +79,7 @@
 
     @Test
     void theAnswerOnTheAgreementKeepsItsFields() throws Exception {
-        Life life = new Life("b1", 0x1234);
+        ProcessId life = new ProcessId("b1", 0x1234);
         View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", 1L));
         ConsensusStatus look =
                 new ConsensusStatus(
--- a/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
+++ b/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
@@ -287,7 +287,7 @@
             assertEquals(small, fleet.nodes.get(n).agreement.lastApplied(), n);
         }
         assertTrue(fleet.nodes.get("m2").agreement.hasQuorum(fleet.world.now()));
-        assertEquals(3, fleet.nodes.get("m2").agreement.view().lives().size());
+        assertEquals(3, fleet.nodes.get("m2").agreement.view().startIds().size());
         fleet.calm();
         fleet.run(8 * SECOND);
         assertNull(quiet(fleet));
--- a/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
+++ b/src/test/java/myrtleladder/consensus/DatagramCompatibilityTest.java
@@ -25,8 +25,8 @@
  */
 class DatagramCompatibilityTest {
     private static final GoldenFile GOLDEN = new GoldenFile("agree-datagrams.txt");
-    private static final Life ME = new Life("b0", 0x7edcba9876543210L);
-    private static final Life OTHER = new Life("b1", 0x1234);
+    private static final ProcessId ME = new ProcessId("b0", 0x7edcba9876543210L);
+    private static final ProcessId OTHER = new ProcessId("b1", 0x1234);
     private static final Term TERM = new Term(1_700_000_000_123L, 5);
     private static final Term BEFORE = new Term(1_700_000_000_123L, 4);
     private static final byte[] COMMAND = {0, 1, -1, 'x'};
@@ -148,10 +148,10 @@
 
     @Test
     void aSnapshotKeepsItsBytes() throws Exception {
-        Map<Life, Long> taken = new LinkedHashMap<>();
+        Map<ProcessId, Long> taken = new LinkedHashMap<>();
         taken.put(OTHER, 9L);
         taken.put(ME, 0L);
-        View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", ME.life()));
+        View view = new View(1_700_000_000_123L, 3, Map.of("b1", 0x1234L, "b0", ME.startId()));
         GOLDEN.assertWritten(
                 "snapshot", MessageEncoder.encode(new NodeSnapshot(view, taken, COMMAND)));
         NodeSnapshot read = MessageDecoder.decodeSnapshot(GOLDEN.bytes("snapshot"));
--- a/src/test/java/myrtleladder/consensus/MessageCodecProperties.java
+++ b/src/test/java/myrtleladder/consensus/MessageCodecProperties.java
@@ -25,7 +25,7 @@
     private static final StateMachine NOTHING =
             new StateMachine() {
                 @Override
-                public void apply(FencingToken token, Life by, byte[] command) {
+                public void apply(FencingToken token, ProcessId by, byte[] command) {
                     throw new AssertionError("a made-up message was decided");
                 }
 
@@ -42,14 +42,14 @@
             };
 
     @Provide
-    Arbitrary<Life> lives() {
+    Arbitrary<ProcessId> lives() {
         return Combinators.combine(
                         Arbitraries.strings()
                                 .withCharRange(' ', '\ud7ff')
                                 .ofMinLength(1)
                                 .ofMaxLength(12),
                         Arbitraries.longs())
-                .as(Life::new);
+                .as(ProcessId::new);
     }
 
     private static Arbitrary<Term> terms() {
@@ -72,7 +72,7 @@
             Term term,
             LogEntry.Kind kind,
             Map<String, Long> change,
-            Life by,
+            ProcessId by,
             long number,
             byte[] bytes) {
         return switch (kind) {
@@ -150,7 +150,7 @@
         ConsensusNode agreement =
                 new ConsensusNode(
                         ConsensusSettings.of(FLEET, List.of("a", "b", "c")),
-                        new Life("a", 1),
+                        new ProcessId("a", 1),
                         1,
                         NOTHING,
                         new ConsensusEnvironment() {
--- a/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
+++ b/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
@@ -103,11 +103,11 @@
      */
     String disagreement() {
         TreeMap<String, Long> there = new TreeMap<>();
-        living().forEach(p -> there.put(p, nodes.get(p).me.life()));
+        living().forEach(p -> there.put(p, nodes.get(p).me.startId()));
         long digest = living().isEmpty() ? 0 : nodes.get(living().get(0)).machine.digest;
         for (String p : living()) {
             Node n = nodes.get(p);
-            if (!n.agreement.view().lives().equals(there)) {
+            if (!n.agreement.view().startIds().equals(there)) {
                 return p + " holds " + n.agreement.view() + ", there are " + there;
             }
             if (n.machine.digest != digest || n.agreement.pendingCommands() > 0) {
@@ -123,7 +123,7 @@
 
     /** One life with all that it holds. */
     final class Node implements ProtocolCore, ConsensusEnvironment, Membership.Output {
-        final Life me;
+        final ProcessId me;
         final ConsensusNode agreement;
         final Chain machine = new Chain();
         private final String process;
@@ -138,12 +138,12 @@
             this.process = process;
             this.actions = actions;
             this.post = faults.new Post(world, process, actions);
-            this.me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
+            this.me = new ProcessId(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
                             myrtleladder.gossip.GossipSettings.of("dhaka"),
                             process,
-                            me.life(),
+                            me.startId(),
                             0,
                             process,
                             MemberMetadata.NONE,
@@ -301,7 +301,7 @@
             }
 
             @Override
-            public void apply(FencingToken token, Life by, byte[] command) {
+            public void apply(FencingToken token, ProcessId by, byte[] command) {
                 String text = new String(command, StandardCharsets.UTF_8);
                 if (!seen.add(text)) {
                     broken.add(me + " took in " + text + " twice");
--- a/src/test/java/myrtleladder/maintenance/CommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/maintenance/CommandCompatibilityTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import myrtleladder.cluster.GoldenFile;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -108,7 +108,10 @@
                         TOKEN,
                         LATER,
                         1_700_000_600_000L,
-                        Set.of(new Life("b1", 0x1234), new Life("b0", -1), new Life("b1", 7)),
+                        Set.of(
+                                new ProcessId("b1", 0x1234),
+                                new ProcessId("b0", -1),
+                                new ProcessId("b1", 7)),
                         "why");
         check("job " + state.ordinal(), job);
     }
--- a/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
+++ b/src/test/java/myrtleladder/maintenance/MaintenanceCoordinatorTest.java
@@ -18,7 +18,7 @@
 import myrtleladder.cluster.PointFaults.At;
 import myrtleladder.cluster.PointFaults.Kind;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.testbed.fault.Fault;
 import myrtleladder.testbed.fault.FaultPlan;
 import myrtleladder.testbed.fault.LinkFault;
@@ -153,9 +153,9 @@
     /** A permit once more than half have said to keep away. */
     private static final class OfMost extends MaintenanceStateMachine {
         @Override
-        List<Life> sendersToDrain() {
+        List<ProcessId> sendersToDrain() {
             return present().stream()
-                    .sorted(Comparator.comparing(Life::name))
+                    .sorted(Comparator.comparing(ProcessId::name))
                     .limit(present().size() / 2 + 1)
                     .toList();
         }
@@ -164,7 +164,7 @@
     /** Who is gone can't send. */
     private static final class WithoutGhosts extends MaintenanceStateMachine {
         @Override
-        public List<Life> sendersWithFallback(MaintenanceJob job) {
+        public List<ProcessId> sendersWithFallback(MaintenanceJob job) {
             return List.of();
         }
     }
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -20,7 +20,7 @@
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.consensus.FaultPoint;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.MemberMetadata;
@@ -135,12 +135,12 @@
         Node(String process, long seed, Actions actions) {
             this.process = process;
             this.actions = actions;
-            Life me = new Life(process, lives.nextLong(1, Long.MAX_VALUE));
+            ProcessId me = new ProcessId(process, lives.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
                             GossipSettings.of("dhaka"),
                             process,
-                            me.life(),
+                            me.startId(),
                             0,
                             process,
                             MemberMetadata.NONE,
@@ -173,8 +173,8 @@
                         .filter(c -> c.state().isPresent())
                         .forEach(c -> there.put(c.name(), c.startId()));
                 agreement.onMembershipObserved(now, there);
-                Set<Life> present = new HashSet<>();
-                there.forEach((name, life) -> present.add(new Life(name, life)));
+                Set<ProcessId> present = new HashSet<>();
+                there.forEach((name, startId) -> present.add(new ProcessId(name, startId)));
                 work.onMembershipObserved(present);
             }
             work.onConsensusChanged(now);
@@ -277,7 +277,8 @@
 
         @Override
         public void onEvent(ConsensusEvent event) {
-            String view = event.view().epoch() + "." + event.view().number() + event.view().lives();
+            String view =
+                    event.view().epoch() + "." + event.view().number() + event.view().startIds();
             record("agreement", process, event.kind().name() + " " + view + " " + event.reason());
         }
 
--- a/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
+++ b/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
@@ -19,7 +19,7 @@
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.consensus.FencingToken;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.gossip.MemberEvent;
 import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.gossip.Membership;
@@ -166,7 +166,7 @@
                     ConsensusEnvironment,
                     Membership.Output,
                     MaintenanceEnvironment {
-        final Life me;
+        final ProcessId me;
         final ConsensusNode agreement;
         final MaintenanceStateMachine agenda;
         final MaintenanceCoordinator work;
@@ -188,12 +188,12 @@
             this.post = faults.new Post(world, process, actions);
             // The end of its last life has reset what that had out.
             outUntil.keySet().removeIf(k -> k.startsWith(process + " "));
-            this.me = new Life(process, random.nextLong(1, Long.MAX_VALUE));
+            this.me = new ProcessId(process, random.nextLong(1, Long.MAX_VALUE));
             this.membership =
                     new Membership(
                             myrtleladder.gossip.GossipSettings.of("dhaka"),
                             process,
-                            me.life(),
+                            me.startId(),
                             0,
                             process,
                             MemberMetadata.NONE,
@@ -217,8 +217,8 @@
                                     .filter(c -> c.state().isPresent())
                                     .forEach(c -> there.put(c.name(), c.startId()));
                             agreement.onMembershipObserved(now, there);
-                            Set<Life> lives = new HashSet<>();
-                            there.forEach((n, l) -> lives.add(new Life(n, l)));
+                            Set<ProcessId> lives = new HashSet<>();
+                            there.forEach((n, l) -> lives.add(new ProcessId(n, l)));
                             work.onMembershipObserved(lives);
                         }
                         if (agrees) {
