--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -65,7 +65,7 @@
 
     /** The response to a poll; that of another node than the primary if that is in doubt. */
     PollResponse build(PollRequest request) {
-        if (!replica.recentlyConfirmed()) {
+        if (!replica.isRecentlyConfirmed()) {
             return notPrimary();
         }
         PollResponse response = new PollResponse();
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -183,18 +183,18 @@
     }
 
     @Override
-    public void becamePrimary(Collection<InstanceRecord> instances) {
+    public void onPrimacyGained(Collection<InstanceRecord> instances) {
         cluster.history.recordPrimary(replica.view().epoch, node.address);
-        plane.becamePrimary(instances);
+        plane.onPrimacyGained(instances);
     }
 
     @Override
-    public void lostPrimacy() {
-        plane.lostPrimacy();
+    public void onPrimacyLost() {
+        plane.onPrimacyLost();
     }
 
     @Override
-    public void inherit(Collection<InstanceRecord> instances) {
-        plane.inherit(instances);
+    public void onInstancesReceived(Collection<InstanceRecord> instances) {
+        plane.onInstancesReceived(instances);
     }
 }
