--- a/src/main/java/myrtleladder/loadbalancer/server/Exchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Exchange.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import java.util.function.BooleanSupplier;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
  * One request to an upstream and the response to it, up to its one end. Owns the reference to the
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Callable;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.Settings;
 
 /** Creates load balancers from their configuration, each confined to one event loop. */
 final class LoadBalancerBootstrap {
@@ -41,8 +41,8 @@
                 new UpstreamConnectionPool(
                         loop,
                         transport,
-                        settings.limits().connectTimeout(),
-                        settings.limits().connectIdle(),
+                        settings.limits().connectTimeoutUs(),
+                        settings.limits().connectIdleUs(),
                         Math.max(1, descriptors - clientDescriptors));
         BalancerRuntime balancer = new BalancerRuntime(loop, config, connections);
         DiscoveryClient discovery =
--- a/src/main/java/myrtleladder/loadbalancer/server/ProbeSender.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ProbeSender.java
@@ -11,9 +11,9 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balancer;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
+import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
  * Sends load probes: asks an upstream for its load report by {@code GET /load} and hands the result
@@ -33,7 +33,7 @@
     private final LoadReportParser loadReports;
     private final MonotonicClock clock;
     private final EventSerializer events;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
 
     /** {@code host} is the value of the header field {@code Host}. */
     ProbeSender(
@@ -43,7 +43,7 @@
             LoadReportParser loadReports,
             MonotonicClock clock,
             EventSerializer events,
-            Balancer balancer) {
+            LoadBalancer balancer) {
         this.loop = loop;
         this.connections = connections;
         this.host = host;
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestDispatcher.java
@@ -9,14 +9,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balancer;
-import myrtleladder.loadbalancer.policy.Balancer.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Balancer.Limits;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.AttemptEnd;
+import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Limits;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
+import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.Outcome;
+import myrtleladder.loadbalancer.policy.Request;
+import myrtleladder.loadbalancer.policy.RequestClass;
+import myrtleladder.loadbalancer.policy.Settings;
 import myrtleladder.loadbalancer.server.OpenRequest.Attempt;
 
 /**
@@ -40,7 +41,7 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final EventSerializer events;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final UpstreamConnectionPool connections;
     private final LoadReportParser loadReports;
     private final RequestCounters counters;
@@ -55,7 +56,7 @@
             EventLoop loop,
             MonotonicClock clock,
             EventSerializer events,
-            Balancer balancer,
+            LoadBalancer balancer,
             UpstreamConnectionPool connections,
             LoadReportParser loadReports,
             RequestCounters counters,
@@ -110,7 +111,7 @@
         OpenRequest open = new OpenRequest(request, message, observer, clock.nowUs());
         openRequests.put(request.id(), open);
         open.deadlineTimer =
-                loop.schedule(() -> expire(open), request.timeLeft(), TimeUnit.MICROSECONDS);
+                loop.schedule(() -> expire(open), request.timeLeftUs(), TimeUnit.MICROSECONDS);
         events.run(() -> balancer.request(clock.nowUs(), request));
     }
 
@@ -213,7 +214,7 @@
                 && !open.isConcluded
                 && open.attempts.size() < limits.maxAttempts()
                 && open.deadlineUs > nowUs
-                && (!open.hasAttemptInFlight() || limits.secondCopies())
+                && (!open.hasAttemptInFlight() || limits.hedging())
                 && (admission == null || admission.canSend(upstream));
     }
 
@@ -264,12 +265,12 @@
      */
     private long retryableUntilUs(OpenRequest open, int number) {
         RequestClass requestClass = classes.get(open.request.classIndex());
-        if (requestClass.effect() != Balancer.Effect.KEYED) {
+        if (requestClass.effect() != Effect.KEYED) {
             return Long.MAX_VALUE;
         }
         return open.attempts.subList(0, number).stream()
                 .filter(attempt -> attempt.mayHaveRun)
-                .mapToLong(attempt -> attempt.sentUs + requestClass.memorySpan())
+                .mapToLong(attempt -> attempt.sentUs + requestClass.memorySpanUs())
                 .findFirst()
                 .orElse(Long.MAX_VALUE);
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -6,9 +6,9 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balancer.Effect;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.RequestClass;
+import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Request;
+import myrtleladder.loadbalancer.policy.RequestClass;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
@@ -62,7 +62,7 @@
                 IDEMPOTENCY_KEY_HEADER);
         int tenant = tenantIndex(headers);
         require(tenant >= 0, TENANT_HEADER);
-        long defaultTimeLeftMs = requestClass.giveUp() / 1_000;
+        long defaultTimeLeftMs = requestClass.timeoutUs() / 1_000;
         long timeLeftUs =
                 parseNumber(headers, RequestDispatcher.TIME_LEFT_HEADER, defaultTimeLeftMs) * 1_000;
         long workHint = parseNumber(headers, WORK_HINT_HEADER, 0);
--- a/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnection.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnection.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
  * A connection to an upstream that is up, and the last handler of its pipeline. It carries one
--- a/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
-import myrtleladder.loadbalancer.policy.Balancer.State;
+import myrtleladder.loadbalancer.policy.Outcome;
+import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
  * The connections to upstreams. A connection carries one exchange at a time and is kept for the
--- a/src/main/java/myrtleladder/loadbalancer/simulator/SimulatorEvent.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/SimulatorEvent.java
@@ -1,7 +1,7 @@
 package myrtleladder.loadbalancer.simulator;
 
 import java.util.List;
-import myrtleladder.loadbalancer.policy.Balancer.Upstream;
+import myrtleladder.loadbalancer.policy.Upstream;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
--- a/src/main/java/myrtleladder/maintenance/CapacityRules.java
+++ b/src/main/java/myrtleladder/maintenance/CapacityRules.java
@@ -47,14 +47,14 @@
     /** Failing upstreams that are not missing anyway. */
     private static long countOthers(List<String> failing, List<MaintenanceJob> missing) {
         return failing.stream()
-                .filter(f -> missing.stream().noneMatch(j -> f.equals(j.part().upstream())))
+                .filter(f -> missing.stream().noneMatch(j -> f.equals(j.spec().upstream())))
                 .count();
     }
 
     private static String limitExceeded(
             PlanTerms terms, MaintenanceJob job, List<MaintenanceJob> missing, long missingCount) {
-        long zone = job.part().zone();
-        long missingInZone = missing.stream().filter(j -> j.part().zone() == zone).count();
+        long zone = job.spec().zone();
+        long missingInZone = missing.stream().filter(j -> j.spec().zone() == zone).count();
         if (missingCount > terms.atOnce()) {
             return terms.atOnce() + " at once";
         }
@@ -69,7 +69,7 @@
     private static String conflict(
             PlanTerms terms, MaintenanceJob job, List<MaintenanceJob> missing) {
         for (MaintenanceJob other : missing) {
-            if (other != job && isTogether(terms.apart(), job.part(), other.part())) {
+            if (other != job && isTogether(terms.apart(), job.spec(), other.spec())) {
                 return "no two of one " + terms.apart().name().toLowerCase(Locale.ROOT);
             }
         }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
@@ -127,7 +127,7 @@
         }
         boolean isKnown =
                 hasLease(nowUs) && !state.isDoubtful(job) || job.state() == JobState.WARMING;
-        return !job.state().aside() && (isKnown || job.reserved() && wasMember);
+        return !job.state().aside() && (isKnown || job.isReserved() && wasMember);
     }
 
     /** Whether this process has a lease to send by what it knows. */
@@ -174,7 +174,7 @@
     private void updateExcludedUpstreams(long nowUs) {
         Set<String> excluded = new TreeSet<>();
         for (MaintenanceJob job : state.jobs()) {
-            String upstream = job.part().upstream();
+            String upstream = job.spec().upstream();
             if (upstream != null && !job.state().over() && !maySend(nowUs, upstream)) {
                 excluded.add(upstream);
             }
@@ -195,14 +195,14 @@
         }
         reportKnownPlan(nowUs);
         for (MaintenanceJob job : state.jobs()) {
-            String upstream = job.part().upstream();
+            String upstream = job.spec().upstream();
             if (job.state() == JobState.DRAINING
-                    && !job.clear().contains(self)
+                    && !job.drainedSenders().contains(self)
                     && (upstream == null || environment.inFlightAttempts(upstream) == 0)) {
                 proposer.propose(
                         nowUs,
                         MaintenanceCommand.of(
-                                MaintenanceCommand.Kind.CLEAR, job.machine(), job.ordered()));
+                                MaintenanceCommand.Kind.CLEAR, job.machine(), job.orderToken()));
             }
         }
     }
--- a/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
@@ -10,84 +10,128 @@
 import myrtleladder.consensus.ProcessId;
 
 /**
- * One machine on the agenda.
+ * The maintenance of one machine of a plan.
  *
- * @param asked the place of its plan among all decrees
- * @param number its place in the plan
- * @param reserved whether it is one that a process which is cut off may fall back on
- * @param first whether operators want it before the others
- * @param ordered the decree that made it its turn, null before
- * @param permit the decree by which its work may go on, null before
- * @param until by when the work is to be done, as Unix time in milliseconds
- * @param clear who has said to send nothing there any more, since it was ordered
- * @param why a reason for people, null for none
+ * @param planToken of the command that added it, then of the one that completed its plan
+ * @param number its place in the plan, from 0
+ * @param isReserved whether a process without a lease may still send to it
+ * @param isPrioritized whether operators want it before the others
+ * @param orderToken of the command that made it its turn, null before
+ * @param permit token of the permit, null before
+ * @param untilMs when the maintenance is to be done, in milliseconds since the Unix epoch
+ * @param drainedSenders who has reported, since the order, to have nothing in flight there
+ * @param reason for people, null for none
  */
 public record MaintenanceJob(
-        MachineSpec part,
+        MachineSpec spec,
         String plan,
-        FencingToken asked,
+        FencingToken planToken,
         long number,
-        boolean reserved,
-        boolean first,
+        boolean isReserved,
+        boolean isPrioritized,
         JobState state,
-        FencingToken ordered,
+        FencingToken orderToken,
         FencingToken permit,
-        long until,
-        Set<ProcessId> clear,
-        String why) {
+        long untilMs,
+        Set<ProcessId> drainedSenders,
+        String reason) {
+    /** A new job; refused if there is a reason for that, null for none. */
     static MaintenanceJob of(
-            MachineSpec part, String plan, FencingToken asked, long number, String refused) {
+            MachineSpec spec, String plan, FencingToken planToken, long number, String refusal) {
         return new MaintenanceJob(
-                part,
+                spec,
                 plan,
-                asked,
+                planToken,
                 number,
                 false,
                 false,
-                refused == null ? JobState.ASKED : JobState.REFUSED,
+                refusal == null ? JobState.ASKED : JobState.REFUSED,
                 null,
                 null,
                 0,
                 Set.of(),
-                refused);
+                refusal);
     }
 
-    /** Its name. */
+    /** Name of the machine. */
     public String machine() {
-        return part.machine();
+        return spec.machine();
     }
 
     /** This job at the completion of its plan. */
     MaintenanceJob planned(FencingToken token) {
         return new MaintenanceJob(
-                part, plan, token, number, false, false, state, null, null, 0, clear, why);
+                spec,
+                plan,
+                token,
+                number,
+                false,
+                false,
+                state,
+                null,
+                null,
+                0,
+                drainedSenders,
+                reason);
     }
 
-    MaintenanceJob reserve() {
+    MaintenanceJob reservedForFallback() {
         return new MaintenanceJob(
-                part, plan, asked, number, true, first, state, ordered, permit, until, clear, why);
+                spec,
+                plan,
+                planToken,
+                number,
+                true,
+                isPrioritized,
+                state,
+                orderToken,
+                permit,
+                untilMs,
+                drainedSenders,
+                reason);
     }
 
-    MaintenanceJob before() {
+    MaintenanceJob prioritized() {
         return new MaintenanceJob(
-                part, plan, asked, number, reserved, true, state, ordered, permit, until, clear,
-                why);
+                spec,
+                plan,
+                planToken,
+                number,
+                isReserved,
+                true,
+                state,
+                orderToken,
+                permit,
+                untilMs,
+                drainedSenders,
+                reason);
     }
 
-    MaintenanceJob now(JobState next, String reason) {
+    MaintenanceJob withState(JobState next, String nextReason) {
         return new MaintenanceJob(
-                part, plan, asked, number, reserved, first, next, ordered, permit, until, clear,
-                reason);
+                spec,
+                plan,
+                planToken,
+                number,
+                isReserved,
+                isPrioritized,
+                next,
+                orderToken,
+                permit,
+                untilMs,
+                drainedSenders,
+                nextReason);
     }
 
-    MaintenanceJob order(FencingToken order) {
+    /** It is its turn; no sender has reported yet. */
+    MaintenanceJob drainingSince(FencingToken order) {
         return new MaintenanceJob(
-                part,
+                spec,
                 plan,
-                asked,
+                planToken,
                 number,
-                reserved,
-                first,
+                isReserved,
+                isPrioritized,
                 JobState.DRAINING,
                 order,
                 null,
@@ -96,68 +140,70 @@
                 null);
     }
 
-    MaintenanceJob cleared(ProcessId by) {
-        Set<ProcessId> all = new HashSet<>(clear);
-        all.add(by);
+    MaintenanceJob withDrainedSender(ProcessId sender) {
+        Set<ProcessId> all = new HashSet<>(drainedSenders);
+        all.add(sender);
         return new MaintenanceJob(
-                part,
+                spec,
                 plan,
-                asked,
+                planToken,
                 number,
-                reserved,
-                first,
+                isReserved,
+                isPrioritized,
                 state,
-                ordered,
+                orderToken,
                 permit,
-                until,
+                untilMs,
                 Set.copyOf(all),
-                why);
+                reason);
     }
 
-    MaintenanceJob permit(FencingToken token, long millis) {
+    MaintenanceJob permitted(FencingToken token, long newUntilMs) {
         return new MaintenanceJob(
-                part,
+                spec,
                 plan,
-                asked,
+                planToken,
                 number,
-                reserved,
-                first,
+                isReserved,
+                isPrioritized,
                 JobState.OUT,
-                ordered,
+                orderToken,
                 token,
-                millis,
-                clear,
+                newUntilMs,
+                drainedSenders,
                 null);
     }
 
+    /** The form in snapshots. */
     Map<String, Object> toMap() {
         return JsonMaps.map(
                 "part",
-                part.toMap(),
+                spec.toMap(),
                 "plan",
                 plan,
                 "asked",
-                token(asked),
+                token(planToken),
                 "number",
                 number,
                 "reserved",
-                reserved,
+                isReserved,
                 "first",
-                first,
+                isPrioritized,
                 "state",
                 state.name(),
                 "ordered",
-                token(ordered),
+                token(orderToken),
                 "permit",
                 token(permit),
                 "until",
-                until,
+                untilMs,
                 "clear",
-                lives(clear),
+                lives(drainedSenders),
                 "why",
-                why);
+                reason);
     }
 
+    /** Reads what {@link #toMap()} has written. */
     static MaintenanceJob of(Map<String, Object> map) {
         return new MaintenanceJob(
                 MachineSpec.of(JsonMaps.object(map, "part")),
@@ -174,11 +220,11 @@
                 JsonMaps.text(map, "why"));
     }
 
-    /** In an order of its own: the same agenda has the same bytes. */
-    static List<Map<String, Object>> lives(Collection<ProcessId> lives) {
-        return lives.stream()
+    /** In an order of their own, so that equal states have equal bytes. */
+    static List<Map<String, Object>> lives(Collection<ProcessId> processes) {
+        return processes.stream()
                 .sorted(Comparator.comparing(ProcessId::name).thenComparing(ProcessId::startId))
-                .map(l -> JsonMaps.map("name", l.name(), "life", l.startId()))
+                .map(p -> JsonMaps.map("name", p.name(), "life", p.startId()))
                 .toList();
     }
 
--- a/src/main/java/myrtleladder/maintenance/MaintenanceScheduler.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceScheduler.java
@@ -92,7 +92,7 @@
     }
 
     private static MaintenanceCommand order(MaintenanceJob job, List<String> failing) {
-        return MaintenanceCommand.of(MaintenanceCommand.Kind.ORDER, job.machine(), job.asked())
+        return MaintenanceCommand.of(MaintenanceCommand.Kind.ORDER, job.machine(), job.planToken())
                 .beside(failing);
     }
 
@@ -102,21 +102,21 @@
                 state.gone().stream()
                         .allMatch(
                                 sender ->
-                                        job.clear().contains(sender)
+                                        job.drainedSenders().contains(sender)
                                                 || !leases.mayHaveLease(nowUs, sender));
         if (isLeaseExcluded && waitReason(job) == null) {
-            long untilMs = environment.wallClockMs() + MILLIS_PER_SECOND * job.part().seconds();
+            long untilMs = environment.wallClockMs() + MILLIS_PER_SECOND * job.spec().seconds();
             proposer.propose(
                     nowUs,
                     MaintenanceCommand.of(
-                                    MaintenanceCommand.Kind.GRANT, job.machine(), job.ordered())
+                                    MaintenanceCommand.Kind.GRANT, job.machine(), job.orderToken())
                             .until(untilMs)
                             .beside(failing));
         }
     }
 
     private void proposeOverdue(long nowUs, MaintenanceJob job) {
-        if (environment.wallClockMs() > job.until()) {
+        if (environment.wallClockMs() > job.untilMs()) {
             proposer.propose(
                     nowUs,
                     MaintenanceCommand.of(
@@ -128,7 +128,7 @@
         MaintenanceCommand takenIn =
                 MaintenanceCommand.of(
                         MaintenanceCommand.Kind.TAKEN_IN, job.machine(), job.permit());
-        String upstream = job.part().upstream();
+        String upstream = job.spec().upstream();
         if (upstream == null) {
             proposer.propose(nowUs, takenIn);
         } else if (environment.canJudge(upstream)) {
@@ -165,7 +165,7 @@
 
     private String drainReason(MaintenanceJob job) {
         List<ProcessId> others = new ArrayList<>(state.sendersToDrain());
-        others.removeAll(job.clear());
+        others.removeAll(job.drainedSenders());
         return others.isEmpty()
                 ? null
                 : "for " + others + " to say that nothing is in flight there";
--- a/src/main/java/myrtleladder/maintenance/MaintenanceStateMachine.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceStateMachine.java
@@ -51,10 +51,10 @@
         Comparator<MaintenanceJob> order =
                 Comparator.comparing((MaintenanceJob j) -> j.state().over())
                         .thenComparing(j -> j.state() == JobState.ASKED)
-                        .thenComparing(j -> !j.first())
+                        .thenComparing(j -> !j.isPrioritized())
                         .thenComparing(j -> deadline(j))
                         .thenComparing(j -> -priority(j))
-                        .thenComparing(MaintenanceJob::asked)
+                        .thenComparing(MaintenanceJob::planToken)
                         .thenComparing(MaintenanceJob::number);
         return jobs.values().stream().sorted(order).toList();
     }
@@ -79,7 +79,7 @@
     /** The unfinished job of an upstream's machine. */
     public Optional<MaintenanceJob> activeJobOfUpstream(String upstream) {
         return jobs.values().stream()
-                .filter(j -> !j.state().over() && upstream.equals(j.part().upstream()))
+                .filter(j -> !j.state().over() && upstream.equals(j.spec().upstream()))
                 .findFirst();
     }
 
@@ -132,7 +132,7 @@
 
     /** Whether a job is from before the last bootstrap, and its maintenance may be going on. */
     public boolean isDoubtful(MaintenanceJob job) {
-        return !isSafe() && job.asked().epoch() < view.epoch();
+        return !isSafe() && job.planToken().epoch() < view.epoch();
     }
 
     /** How many commands did not fit when they were applied. */
@@ -161,14 +161,14 @@
      */
     public List<ProcessId> sendersWithFallback(MaintenanceJob job) {
         return gone().stream()
-                .filter(sender -> !job.clear().contains(sender))
-                .filter(sender -> job.reserved() || !knowsPlanOf(sender, job))
+                .filter(sender -> !job.drainedSenders().contains(sender))
+                .filter(sender -> job.isReserved() || !knowsPlanOf(sender, job))
                 .toList();
     }
 
     private boolean knowsPlanOf(ProcessId sender, MaintenanceJob job) {
         FencingToken known = senders.knownPlan(sender);
-        return known != null && known.compareTo(job.asked()) >= 0;
+        return known != null && known.compareTo(job.planToken()) >= 0;
     }
 
     @Override
@@ -269,7 +269,7 @@
         MaintenancePlan plan = plans.get(name);
         return jobs.values().stream()
                 .filter(j -> j.plan().equals(name))
-                .filter(j -> j.asked().compareTo(plan.startToken()) >= 0)
+                .filter(j -> j.planToken().compareTo(plan.startToken()) >= 0)
                 .toList();
     }
 
@@ -331,17 +331,17 @@
         long unreserved =
                 jobs.values().stream()
                         .filter(j -> !j.state().over())
-                        .filter(j -> !j.reserved() && j.part().upstream() != null)
+                        .filter(j -> !j.isReserved() && j.spec().upstream() != null)
                         .count();
         long toReserve = (all + 1) / 2 - (all - unreserved);
         List<MaintenanceJob> lastFirst = new ArrayList<>(jobsOf(name));
         Collections.reverse(lastFirst);
         for (MaintenanceJob job : lastFirst) {
             boolean isReserved =
-                    toReserve > 0 && job.part().upstream() != null && !job.state().over();
+                    toReserve > 0 && job.spec().upstream() != null && !job.state().over();
             toReserve -= isReserved ? 1 : 0;
             MaintenanceJob planned = job.planned(token);
-            jobs.put(job.machine(), isReserved ? planned.reserve() : planned);
+            jobs.put(job.machine(), isReserved ? planned.reservedForFallback() : planned);
         }
     }
 
@@ -357,7 +357,7 @@
                 || !sendersWithFallback(job).isEmpty()) {
             return false;
         }
-        jobs.put(command.name(), job.order(token));
+        jobs.put(command.name(), job.drainingSince(token));
         return true;
     }
 
@@ -366,12 +366,12 @@
         if (!isDraining(job, command.token())) {
             return false;
         }
-        jobs.put(command.name(), job.cleared(proposer));
+        jobs.put(command.name(), job.withDrainedSender(proposer));
         return true;
     }
 
     private static boolean isDraining(MaintenanceJob job, FencingToken order) {
-        return job != null && job.state() == JobState.DRAINING && job.ordered().equals(order);
+        return job != null && job.state() == JobState.DRAINING && job.orderToken().equals(order);
     }
 
     /** Gives a permit. Since the order others may have failed, so capacity is checked again. */
@@ -379,7 +379,7 @@
         MaintenanceJob job = jobs.get(command.name());
         if (!isDraining(job, command.token())
                 || !isSafe()
-                || !job.clear().containsAll(sendersToDrain())
+                || !job.drainedSenders().containsAll(sendersToDrain())
                 || !sendersWithFallback(job).isEmpty()) {
             return false;
         }
@@ -387,8 +387,8 @@
                 haltReason != null ? "halted: " + haltReason : permitViolation(job, command.down());
         MaintenanceJob next =
                 reason == null
-                        ? job.permit(token, command.at())
-                        : job.now(JobState.ASKED, "put back: " + reason);
+                        ? job.permitted(token, command.at())
+                        : job.withState(JobState.ASKED, "put back: " + reason);
         jobs.put(command.name(), next);
         return reason == null;
     }
@@ -401,7 +401,7 @@
                 || !job.permit().equals(command.token())) {
             return false;
         }
-        jobs.put(command.name(), job.now(to, command.text()));
+        jobs.put(command.name(), job.withState(to, command.text()));
         forgetFinished();
         return true;
     }
@@ -425,7 +425,9 @@
         haltReason = null;
         jobs.replaceAll(
                 (machine, job) ->
-                        job.state() == JobState.FAILED ? job.now(JobState.IN, job.why()) : job);
+                        job.state() == JobState.FAILED
+                                ? job.withState(JobState.IN, job.reason())
+                                : job);
         return wasHalted;
     }
 
@@ -437,7 +439,7 @@
                     job.machine().equals(command.name()) || job.plan().equals(command.name());
             boolean canWithdraw = job.state() == JobState.ASKED || job.state() == JobState.DRAINING;
             if (isNamed && canWithdraw) {
-                jobs.put(job.machine(), job.now(JobState.WITHDRAWN, command.text()));
+                jobs.put(job.machine(), job.withState(JobState.WITHDRAWN, command.text()));
                 isAnyWithdrawn = true;
             }
         }
@@ -450,7 +452,7 @@
         if (job == null || job.state() != JobState.ASKED) {
             return false;
         }
-        jobs.put(machine, job.before());
+        jobs.put(machine, job.prioritized());
         return true;
     }
 
--- a/src/test/java/myrtleladder/maintenance/RecordedFleet.java
+++ b/src/test/java/myrtleladder/maintenance/RecordedFleet.java
@@ -1,6 +1,6 @@
 package myrtleladder.maintenance;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -321,7 +321,8 @@
         public void onJobStateChanged(MaintenanceJob job) {
             FencingToken permit = job.permit();
             String its = permit == null ? "none" : permit.epoch() + "." + permit.index();
-            String what = job.machine() + " is " + job.state().name() + " " + its + " " + job.why();
+            String what =
+                    job.machine() + " is " + job.state().name() + " " + its + " " + job.reason();
             record("work", process, what);
         }
     }
--- a/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
+++ b/src/test/java/myrtleladder/maintenance/SimulatedMaintenanceCluster.java
@@ -1,6 +1,6 @@
 package myrtleladder.maintenance;
 
-import static myrtleladder.gossip.VirtualFleet.names;
+import static myrtleladder.gossip.SimulatedGossipCluster.names;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import myrtleladder.cluster.PointFaults;
+import myrtleladder.cluster.FaultPointInjector;
 import myrtleladder.consensus.ConsensusEnvironment;
 import myrtleladder.consensus.ConsensusEvent;
 import myrtleladder.consensus.ConsensusNode;
@@ -42,7 +42,7 @@
     final SimulatedNetwork world;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
-    final PointFaults<MaintenanceFaultPoint> faults = new PointFaults<>();
+    final FaultPointInjector<MaintenanceFaultPoint> faults = new FaultPointInjector<>();
     final List<String> upstreams = new ArrayList<>();
     final ConsensusSettings council;
 
@@ -177,7 +177,7 @@
         /** Attempts that this process has out, by upstream. */
         private final Map<String, Integer> inFlight = new TreeMap<>();
 
-        private final PointFaults<MaintenanceFaultPoint>.Post post;
+        private final FaultPointInjector<MaintenanceFaultPoint>.FaultyProcess faulty;
         private boolean changed = true;
         private boolean agrees;
         long now;
@@ -185,7 +185,7 @@
         Node(String process, long seed, Actions actions) {
             this.process = process;
             this.actions = actions;
-            this.post = faults.new Post(world, process, actions);
+            this.faulty = faults.new FaultyProcess(world, process, actions);
             // The end of its last life has reset what that had out.
             outUntil.keySet().removeIf(k -> k.startsWith(process + " "));
             this.me = new ProcessId(process, random.nextLong(1, Long.MAX_VALUE));
@@ -207,7 +207,7 @@
 
         private void step(long at, Runnable what) {
             now = at;
-            post.step(
+            faulty.step(
                     () -> {
                         what.run();
                         if (changed) {
@@ -279,7 +279,7 @@
                             actions.timer("request", REQUESTS);
                         } else if (token.startsWith("ended ")) {
                             inFlight.merge(token.substring(6), -1, Integer::sum);
-                        } else if (post.due(token)) {
+                        } else if (faulty.onTimer(token)) {
                             return;
                         } else if (token.equals("beat")) {
                             agrees = true;
@@ -327,7 +327,7 @@
 
         @Override
         public void send(String to, byte[] datagram) {
-            post.send(to, datagram);
+            faulty.send(to, datagram);
         }
 
         @Override
@@ -382,7 +382,8 @@
 
         @Override
         public void onJobStateChanged(MaintenanceJob job) {
-            actions.note(job.machine() + " " + job.state() + " " + job.permit() + " " + job.why());
+            actions.note(
+                    job.machine() + " " + job.state() + " " + job.permit() + " " + job.reason());
             if (job.state() == JobState.OUT && told.add(job.permit())) {
                 permitted(job);
             }
@@ -426,7 +427,7 @@
 
         @Override
         public void onFaultPoint(MaintenanceFaultPoint point) {
-            post.point(point);
+            faulty.onFaultPoint(point);
         }
     }
 
