--- a/src/main/java/myrtleladder/testbed/fault/FaultPlan.java
+++ b/src/main/java/myrtleladder/testbed/fault/FaultPlan.java
@@ -6,36 +6,51 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** Faults with the times, in microseconds from the start, at which they set in. */
+/**
+ * Faults and the times, in microseconds from the start of the plan, at which they are injected.
+ * Immutable.
+ */
 public record FaultPlan(List<Step> steps) {
-    /** No faults at all. */
+    /** A plan without faults. */
     public static final FaultPlan QUIET = new FaultPlan(List.of());
 
-    private static final long LONGEST_STEP = 3_600_000_000L;
-    private static final long WORST_DRIFT = 200;
+    /** Largest step of a wall clock in a drawn plan, either way: one hour; chosen. */
+    private static final long MAX_CLOCK_STEP_US = 3_600_000_000L;
 
-    /** One fault at its time. */
+    /** Largest drift of a steady clock in a drawn plan, either way; chosen. */
+    private static final long MAX_DRIFT_PARTS_PER_MILLION = 200;
+
+    /** Bound, exclusive, of the delay of a link in a drawn plan; chosen. */
+    private static final long DELAY_BOUND_US = 200_000;
+
+    /** Bound, exclusive, of the jitter of a link in a drawn plan; chosen. */
+    private static final long JITTER_BOUND_US = 100_000;
+
+    /** One fault and its time, in microseconds from the start of the plan. */
     public record Step(long at, Fault fault) {}
 
-    /** Keeps the steps in the order of their times; those of one time stay as they were given. */
+    /** Sorts the steps by time; steps of the same time keep their order. */
     public FaultPlan {
         steps = steps.stream().sorted(Comparator.comparingLong(Step::at)).toList();
     }
 
     /**
-     * Draws a plan whose faults all lie before {@code until}: processes killed, started, paused and
-     * let go, links cut one way or both, lossy, slow and healed, clocks stepped and set off.
+     * Draws a random plan, the same for the same arguments: processes are killed, restarted, paused
+     * and resumed, links are cut, slowed and healed, clocks are stepped and drift.
+     *
+     * @param steps number of faults
+     * @param untilUs bound, exclusive, of their times
      */
-    public static FaultPlan draw(long seed, List<String> processes, int steps, long until) {
+    public static FaultPlan draw(long seed, List<String> processes, int steps, long untilUs) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Step> drawn = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
-            drawn.add(new Step(random.nextLong(until), fault(random, processes)));
+            drawn.add(new Step(random.nextLong(untilUs), drawFault(random, processes)));
         }
         return new FaultPlan(drawn);
     }
 
-    private static Fault fault(SplittableRandom random, List<String> processes) {
+    private static Fault drawFault(SplittableRandom random, List<String> processes) {
         String one = processes.get(random.nextInt(processes.size()));
         String other = processes.get(random.nextInt(processes.size()));
         return switch (random.nextInt(10)) {
@@ -43,8 +58,9 @@
             case 1 -> new Fault.Restart(one);
             case 2 -> new Fault.Pause(one);
             case 3 -> new Fault.Resume(one);
-            case 4 -> new Fault.StepClock(one, random.nextLong(-LONGEST_STEP, LONGEST_STEP));
-            case 5 -> new Fault.Drift(one, random.nextLong(-WORST_DRIFT, WORST_DRIFT + 1));
+            case 4 -> new Fault.StepClock(one, random.nextLong(-MAX_CLOCK_STEP_US, MAX_CLOCK_STEP_US));
+            case 5 -> new Fault.Drift(one, random.nextLong(
+-MAX_DRIFT_PARTS_PER_MILLION, MAX_DRIFT_PARTS_PER_MILLION + 1));
             case 6 -> new Fault.Link(one, other, LinkFault.CUT);
             case 7 ->
                     new Fault.Link(
@@ -52,8 +68,8 @@
                             other,
                             new LinkFault(
                                     false,
-                                    random.nextLong(200_000),
-                                    random.nextLong(100_000),
+                                    random.nextLong(DELAY_BOUND_US),
+                                    random.nextLong(JITTER_BOUND_US),
                                     random.nextDouble() / 2,
                                     random.nextDouble() / 2));
             case 8 -> new Fault.Heal(one, other);
@@ -62,31 +78,32 @@
     }
 
     /**
-     * The least plan that still fails, as far as leaving steps out goes (delta debugging: Zeller
-     * and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002, section 3). {@code
-     * fails} has to give the same answer for the same plan each time.
+     * Removes steps as long as the plan still fails (delta debugging: Zeller and Hildebrandt,
+     * "Simplifying and Isolating Failure-Inducing Input", 2002, section 3).
+     *
+     * @param fails has to be deterministic, and true for this plan
      */
     public FaultPlan shrink(Predicate<FaultPlan> fails) {
-        List<Step> left = steps;
-        int parts = 2;
-        while (!left.isEmpty()) {
-            int size = (left.size() + parts - 1) / parts;
+        List<Step> remaining = steps;
+        int chunks = 2;
+        while (!remaining.isEmpty()) {
+            int size = (remaining.size() + chunks - 1) / chunks;
             List<Step> smaller = null;
-            for (int from = 0; from < left.size() && smaller == null; from += size) {
-                List<Step> without = new ArrayList<>(left.subList(0, from));
-                without.addAll(left.subList(Math.min(left.size(), from + size), left.size()));
+            for (int from = 0; from < remaining.size() && smaller == null; from += size) {
+                List<Step> without = new ArrayList<>(remaining.subList(0, from));
+                without.addAll(remaining.subList(Math.min(remaining.size(), from + size), remaining.size()));
                 smaller = fails.test(new FaultPlan(without)) ? without : null;
             }
             if (smaller != null) {
-                left = smaller;
-                parts = Math.max(2, parts - 1);
+                remaining = smaller;
+                chunks = Math.max(2, chunks - 1);
             } else if (size == 1) {
                 break;
             } else {
-                parts = Math.min(left.size(), 2 * parts);
+                chunks = Math.min(remaining.size(), 2 * chunks);
             }
         }
-        return new FaultPlan(left);
+        return new FaultPlan(remaining);
     }
 
     /** One step a line, with its time in seconds. */
--- a/src/main/java/myrtleladder/testbed/fault/LinkFaults.java
+++ b/src/main/java/myrtleladder/testbed/fault/LinkFaults.java
@@ -5,82 +5,93 @@
 import java.util.SplittableRandom;
 
 /**
- * The faults in force by direction, and the draws that follow from them. Each direction draws from
- * a stream of its own: what one link does hangs on its own messages alone, and two runs of a seed
- * agree on it.
+ * The faults in force for each direction of each link, and their random effects on messages. Each
+ * direction has a random generator of its own, seeded by the run's seed and both names: what one
+ * link does depends on its own messages alone, and two runs of a seed agree on it.
+ *
+ * <p>Not thread-safe: used by one thread, in virtual time by that of the simulated network, on
+ * sockets by the event loop of the proxies.
  */
 public final class LinkFaults {
+    private static final long US_PER_SECOND = 1_000_000;
+
     private final long seed;
-    private final LinkFault usual;
+    private final LinkFault defaultFault;
     private final Map<Direction, LinkFault> faults = new HashMap<>();
-    private final Map<Direction, SplittableRandom> draws = new HashMap<>();
+    private final Map<Direction, SplittableRandom> randoms = new HashMap<>();
 
-    /** Until when a direction with a bound on its bytes is taken up by what was sent before. */
-    private final Map<Direction, Long> takenUp = new HashMap<>();
+    /** When a direction with a limited rate has transmitted all earlier messages, in microseconds. */
+    private final Map<Direction, Long> busyUntilUs = new HashMap<>();
 
     private record Direction(String from, String to) {}
 
-    /** Links that all behave as {@code usual} until a fault is set. */
-    public LinkFaults(long seed, LinkFault usual) {
+    /** Links that all behave as {@code defaultFault} until a fault is set. */
+    public LinkFaults(long seed, LinkFault defaultFault) {
         this.seed = seed;
-        this.usual = usual;
+        this.defaultFault = defaultFault;
     }
 
-    /** Puts a fault on one direction in place of what was there. */
+    /** Replaces the fault of one direction. */
     public void set(String from, String to, LinkFault fault) {
         faults.put(new Direction(from, to), fault);
-        takenUp.remove(new Direction(from, to));
+        busyUntilUs.remove(new Direction(from, to));
     }
 
-    /** Makes one direction as usual again. */
+    /** Restores the default of one direction. */
     public void heal(String from, String to) {
         faults.remove(new Direction(from, to));
     }
 
-    /** Makes all as usual again. */
+    /** Restores the default of all directions. */
     public void healAll() {
         faults.clear();
     }
 
-    /** Whether nothing comes over this direction now. */
-    public boolean cut(String from, String to) {
-        return faults.getOrDefault(new Direction(from, to), usual).cut();
+    /** Whether this direction is partitioned now: no message arrives. */
+    public boolean isCut(String from, String to) {
+        return faults.getOrDefault(new Direction(from, to), defaultFault).cut();
     }
 
     /**
-     * The delays after which copies of a message sent now arrive: none if it is lost, mostly one. A
-     * message that finds the link cut draws nothing, or the length of a cut would change what comes
-     * after it. All calls have to give {@code now}, microseconds, by one clock.
+     * The delays, in microseconds, after which the copies of a message sent now arrive: none if it
+     * is lost, two if it is duplicated, else one. A message on a partitioned direction draws no
+     * random numbers, or the length of a partition would change what follows it.
+     *
+     * @param nowUs the time, of the same clock in all calls
+     * @param bytes length of the message
      */
-    public long[] arrivals(long now, String from, String to, int bytes) {
+    public long[] arrivalDelaysUs(long nowUs, String from, String to, int bytes) {
         Direction direction = new Direction(from, to);
-        LinkFault fault = faults.getOrDefault(direction, usual);
+        LinkFault fault = faults.getOrDefault(direction, defaultFault);
         if (fault.cut()) {
             return new long[0];
         }
         SplittableRandom random =
-                draws.computeIfAbsent(
+                randoms.computeIfAbsent(
                         direction,
                         d ->
                                 new SplittableRandom(
                                         (seed * 31 + from.hashCode()) * 31 + to.hashCode()));
-        // Drawn in any case, so that a change of one chance leaves the other draws as they were.
-        boolean lost = random.nextDouble() < fault.loss();
-        boolean twice = random.nextDouble() < fault.duplicate();
-        long behind = fault.rate() == 0 ? 0 : behind(now, direction, bytes, fault.rate());
-        long first = behind + delay(fault, random);
-        long second = behind + delay(fault, random);
-        return lost ? new long[0] : twice ? new long[] {first, second} : new long[] {first};
+        // Always drawn, so that a change of one probability leaves the other draws as they were.
+        boolean isLost = random.nextDouble() < fault.loss();
+        boolean isDuplicated = random.nextDouble() < fault.duplicate();
+        long transmissionUs =
+                fault.rate() == 0 ? 0 : transmissionUs(nowUs, direction, bytes, fault.rate());
+        long firstUs = transmissionUs + delayUs(fault, random);
+        long secondUs = transmissionUs + delayUs(fault, random);
+        return isLost ? new long[0] : isDuplicated ? new long[] {firstUs, secondUs} : new long[] {firstUs};
     }
 
-    /** How long a message waits for those before it and for its own last byte. */
-    private long behind(long now, Direction direction, int bytes, long rate) {
-        long done = Math.max(now, takenUp.getOrDefault(direction, now)) + bytes * 1_000_000L / rate;
-        takenUp.put(direction, done);
-        return done - now;
+    /** How long a message waits for those before it and for the transmission of its own bytes. */
+    private long transmissionUs(
+            long nowUs, Direction direction, int bytes, long bytesPerSecond) {
+        long startUs = Math.max(nowUs, busyUntilUs.getOrDefault(direction, nowUs));
+        long endUs = startUs + bytes * US_PER_SECOND / bytesPerSecond;
+        busyUntilUs.put(direction, endUs);
+        return endUs - nowUs;
     }
 
-    private static long delay(LinkFault fault, SplittableRandom random) {
+    private static long delayUs(LinkFault fault, SplittableRandom random) {
         return fault.delay() + random.nextLong(fault.jitter() + 1);
     }
 }
--- a/src/main/java/myrtleladder/testbed/proxy/DatagramProxy.java
+++ b/src/main/java/myrtleladder/testbed/proxy/DatagramProxy.java
@@ -58,8 +58,8 @@
         int bytes = packet.content().readableBytes();
         for (long delay :
                 back
-                        ? links.arrivals(now, to, from, bytes)
-                        : links.arrivals(now, from, to, bytes)) {
+                        ? links.arrivalDelaysUs(now, to, from, bytes)
+                        : links.arrivalDelaysUs(now, from, to, bytes)) {
             ByteBuf copy = packet.content().copy();
             loop.schedule(
                     () -> ctx.writeAndFlush(new DatagramPacket(copy, receiver)),
--- a/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
+++ b/src/main/java/myrtleladder/testbed/proxy/StreamProxy.java
@@ -132,7 +132,7 @@
         private record Chunk(ByteBuf bytes, long due) {}
 
         void connectUnlessPartitioned() {
-            if (connecting || links.cut(sender, receiver) || links.cut(receiver, sender)) {
+            if (connecting || links.isCut(sender, receiver) || links.isCut(receiver, sender)) {
                 return;
             }
             connecting = true;
@@ -182,9 +182,9 @@
             long now = System.nanoTime() / 1_000;
             int size = chunk == null ? 0 : chunk.readableBytes();
             long[] arrivals =
-                    links.cut(sender, receiver)
+                    links.isCut(sender, receiver)
                             ? new long[] {0}
-                            : links.arrivals(now, sender, receiver, size);
+                            : links.arrivalDelaysUs(now, sender, receiver, size);
             long delay = arrivals.length == 0 ? RETRANSMIT_MICROS : arrivals[0];
             lastDue = Math.max(lastDue, now + delay);
             onItsWay.add(new Chunk(chunk, lastDue));
@@ -203,7 +203,7 @@
                 connectUnlessPartitioned();
                 return;
             }
-            if (broken && !links.cut(sender, receiver)) {
+            if (broken && !links.isCut(sender, receiver)) {
                 reset();
                 return;
             }
@@ -211,7 +211,7 @@
                 sides.remove(this);
             }
             boolean wrote = false;
-            while (!onItsWay.isEmpty() && !links.cut(sender, receiver)) {
+            while (!onItsWay.isEmpty() && !links.isCut(sender, receiver)) {
                 long wait = onItsWay.peek().due() - System.nanoTime() / 1_000;
                 if (wait > 0) {
                     comeAgain(wait);
--- a/src/main/java/myrtleladder/testbed/simulation/SimulatedNetwork.java
+++ b/src/main/java/myrtleladder/testbed/simulation/SimulatedNetwork.java
@@ -207,7 +207,7 @@
         @Override
         public void send(String to, byte[] message) {
             byte[] copy = message.clone();
-            for (long delay : links.arrivals(now, name, to, copy.length)) {
+            for (long delay : links.arrivalDelaysUs(now, name, to, copy.length)) {
                 at(
                         now + delay,
                         () -> {
