--- a/src/main/java/myrtleladder/testbed/fault/Fault.java
+++ b/src/main/java/myrtleladder/testbed/fault/Fault.java
@@ -20,7 +20,10 @@
     /** A suspended process resumes and gets all that waited at once. */
     record Resume(String process) implements Fault {}
 
-    /** The wall clock of a process jumps by {@code micros}, in microseconds; its steady clock does not. */
+    /**
+     * The wall clock of a process jumps by {@code micros}, in microseconds; its steady clock does
+     * not.
+     */
     record StepClock(String process, long micros) implements Fault {}
 
     /**
--- a/src/main/java/myrtleladder/testbed/fault/FaultPlan.java
+++ b/src/main/java/myrtleladder/testbed/fault/FaultPlan.java
@@ -58,9 +58,14 @@
             case 1 -> new Fault.Restart(one);
             case 2 -> new Fault.Pause(one);
             case 3 -> new Fault.Resume(one);
-            case 4 -> new Fault.StepClock(one, random.nextLong(-MAX_CLOCK_STEP_US, MAX_CLOCK_STEP_US));
-            case 5 -> new Fault.Drift(one, random.nextLong(
--MAX_DRIFT_PARTS_PER_MILLION, MAX_DRIFT_PARTS_PER_MILLION + 1));
+            case 4 ->
+                    new Fault.StepClock(
+                            one, random.nextLong(-MAX_CLOCK_STEP_US, MAX_CLOCK_STEP_US));
+            case 5 ->
+                    new Fault.Drift(
+                            one,
+                            random.nextLong(
+                                    -MAX_DRIFT_PARTS_PER_MILLION, MAX_DRIFT_PARTS_PER_MILLION + 1));
             case 6 -> new Fault.Link(one, other, LinkFault.CUT);
             case 7 ->
                     new Fault.Link(
@@ -91,7 +96,9 @@
             List<Step> smaller = null;
             for (int from = 0; from < remaining.size() && smaller == null; from += size) {
                 List<Step> without = new ArrayList<>(remaining.subList(0, from));
-                without.addAll(remaining.subList(Math.min(remaining.size(), from + size), remaining.size()));
+                without.addAll(
+                        remaining.subList(
+                                Math.min(remaining.size(), from + size), remaining.size()));
                 smaller = fails.test(new FaultPlan(without)) ? without : null;
             }
             if (smaller != null) {
--- a/src/main/java/myrtleladder/testbed/fault/LinkFaults.java
+++ b/src/main/java/myrtleladder/testbed/fault/LinkFaults.java
@@ -20,7 +20,9 @@
     private final Map<Direction, LinkFault> faults = new HashMap<>();
     private final Map<Direction, SplittableRandom> randoms = new HashMap<>();
 
-    /** When a direction with a limited rate has transmitted all earlier messages, in microseconds. */
+    /**
+     * When a direction with a limited rate has transmitted all earlier messages, in microseconds.
+     */
     private final Map<Direction, Long> busyUntilUs = new HashMap<>();
 
     private record Direction(String from, String to) {}
@@ -79,12 +81,13 @@
                 fault.rate() == 0 ? 0 : transmissionUs(nowUs, direction, bytes, fault.rate());
         long firstUs = transmissionUs + delayUs(fault, random);
         long secondUs = transmissionUs + delayUs(fault, random);
-        return isLost ? new long[0] : isDuplicated ? new long[] {firstUs, secondUs} : new long[] {firstUs};
+        return isLost
+                ? new long[0]
+                : isDuplicated ? new long[] {firstUs, secondUs} : new long[] {firstUs};
     }
 
     /** How long a message waits for those before it and for the transmission of its own bytes. */
-    private long transmissionUs(
-            long nowUs, Direction direction, int bytes, long bytesPerSecond) {
+    private long transmissionUs(long nowUs, Direction direction, int bytes, long bytesPerSecond) {
         long startUs = Math.max(nowUs, busyUntilUs.getOrDefault(direction, nowUs));
         long endUs = startUs + bytes * US_PER_SECOND / bytesPerSecond;
         busyUntilUs.put(direction, endUs);
