--- a/src/main/java/myrtleladder/error/package-info.java
+++ b/src/main/java/myrtleladder/error/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators are told when something can't be done: one family of types, each with a code that
- * stays.
+ * Errors of the load balancer and its tools for operators: one family of types, each with a
+ * permanent code.
  */
 package myrtleladder.error;
--- a/src/main/java/myrtleladder/loadbalancer/admin/Own.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Own.java
@@ -138,7 +138,7 @@
                 fleet.zone(),
                 fleet.zone() == null || fleet.zone().length() <= LONGEST);
         address(file, "fleet.listen", fleet.listen());
-        TomlFile.range(file, "fleet.longest-work-s", fleet.longestWorkS(), 1, DAY_S);
+        TomlFile.checkRange(file, "fleet.longest-work-s", fleet.longestWorkS(), 1, DAY_S);
         if (fleet.council() != null) {
             try {
                 AgreeSettings.of(fleet.name(), fleet.council());
@@ -171,7 +171,7 @@
         if (host != null) {
             try {
                 int port = Integer.parseInt(text.substring(colon + 1));
-                TomlFile.range(file, key, port, 0, MOST_PORT);
+                TomlFile.checkRange(file, key, port, 0, MOST_PORT);
                 return new InetSocketAddress(InetAddress.getByAddress(host), port);
             } catch (NumberFormatException | UnknownHostException e) {
                 throw new BadFile(
--- a/src/main/java/myrtleladder/testbed/experiment/Experiment.java
+++ b/src/main/java/myrtleladder/testbed/experiment/Experiment.java
@@ -100,14 +100,14 @@
     }
 
     private void check(Path file) throws BadFile {
-        TomlFile.range(file, "seconds", seconds, 1, 3_600);
-        TomlFile.range(file, "plays", plays(), 1, MOST_PLAYS);
-        TomlFile.range(file, "balancers", balancers, 1, MOST_PROCESSES);
-        TomlFile.range(file, "upstreams", upstreams, 1, MOST_UPSTREAMS);
+        TomlFile.checkRange(file, "seconds", seconds, 1, 3_600);
+        TomlFile.checkRange(file, "plays", plays(), 1, MOST_PLAYS);
+        TomlFile.checkRange(file, "balancers", balancers, 1, MOST_PROCESSES);
+        TomlFile.checkRange(file, "upstreams", upstreams, 1, MOST_UPSTREAMS);
         if (traffic == null || traffic.perSecond() == null) {
             throw new BadFile(file, 0, "traffic.per-second", "is missing");
         }
-        TomlFile.range(file, "traffic.per-second", traffic.perSecond(), 0.1, 100_000);
+        TomlFile.checkRange(file, "traffic.per-second", traffic.perSecond(), 0.1, 100_000);
         if (classes == null || classes.isEmpty()) {
             throw new BadFile(file, 0, "class", "there has to be one at least");
         }
--- a/src/main/java/myrtleladder/toml/TomlFile.java
+++ b/src/main/java/myrtleladder/toml/TomlFile.java
@@ -20,8 +20,8 @@
 import myrtleladder.error.OperatorError.NoFile;
 
 /**
- * Reads TOML into records and refuses what it does not know: a mistyped key must not pass for a
- * default.
+ * Reads TOML into records. Unknown keys are rejected, so that a mistyped one is not taken for a
+ * missing one with a default. Thread-safe.
  */
 public final class TomlFile {
     private static final TomlMapper TOML =
@@ -44,7 +44,12 @@
 
     private TomlFile() {}
 
-    /** Reads a whole file as one record. */
+    /**
+     * Reads a file as one record.
+     *
+     * @throws NoFile if it is missing, can't be read or is not UTF-8
+     * @throws BadFile if it is no TOML or does not fit the record
+     */
     public static <T> T read(Path file, Class<T> type) throws OperatorError {
         String text;
         try {
@@ -60,8 +65,10 @@
     }
 
     /**
-     * Reads a text as one record, as JSON if it begins as that does; {@code file} names it in
-     * errors.
+     * Reads a text as one record, as JSON if it begins with a brace, else as TOML.
+     *
+     * @param file the name of the text in errors
+     * @throws BadFile if it is neither or does not fit the record
      */
     public static <T> T parse(Path file, String text, Class<T> type) throws BadFile {
         try {
@@ -89,22 +96,26 @@
         }
     }
 
-    /** Refuses a value outside of its range, by its key. */
-    public static void range(Path file, String key, double value, double least, double most)
+    /**
+     * Checks that a value is within its range, both ends included.
+     *
+     * @throws BadFile with the key if it is not, or is NaN
+     */
+    public static void checkRange(Path file, String key, double value, double min, double max)
             throws BadFile {
-        if (!(value >= least && value <= most)) {
-            throw new BadFile(file, 0, key, value + " is not within " + least + " and " + most);
+        if (!(value >= min && value <= max)) {
+            throw new BadFile(file, 0, key, value + " is not within " + min + " and " + max);
         }
     }
 
-    /** A record as TOML. */
+    /** Writes a record as TOML. */
     public static String write(Object value) throws IOException {
         return TOML.writeValueAsString(value);
     }
 
     /**
-     * Where a key stands; the library reads the whole file first and forgets it. 0 if it stands
-     * nowhere.
+     * Returns the line of a key, counted from 1, or 0 if it is not found. Searched for in the text
+     * because Jackson's TOML parser does not keep positions.
      */
     private static int lineOf(String text, List<JsonMappingException.Reference> path) {
         String[] lines = text.split("\\R");
@@ -112,8 +123,8 @@
         for (JsonMappingException.Reference step : path) {
             if (step.getFieldName() == null) {
                 String header = lines[line];
-                for (int left = step.getIndex(); left > 0 && line < lines.length - 1; ) {
-                    left -= lines[++line].equals(header) ? 1 : 0;
+                for (int remaining = step.getIndex(); remaining > 0 && line < lines.length - 1; ) {
+                    remaining -= lines[++line].equals(header) ? 1 : 0;
                 }
                 continue;
             }
--- a/src/main/java/myrtleladder/toml/package-info.java
+++ b/src/main/java/myrtleladder/toml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * TOML files into records, with errors that name file, line and key; the platform's start loads
- * none.
+ * Reads TOML files into records, with errors that name file, line and key. Not loaded when the load
+ * balancer starts on the platform's configuration.
  */
 package myrtleladder.toml;
--- a/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
@@ -36,12 +36,12 @@
     }
 
     @Test
-    void aWholeConfigurationComesBackAsItWasSent() {
+    void aCompleteConfigurationIsStoredAsItWasSent() {
         assertEquals(WHOLE.replace('\'', '"'), new String(first().bytes(), StandardCharsets.UTF_8));
     }
 
     @Test
-    void theLongestPrefixOfTheHostRoutes() {
+    void aPathIsRoutedByTheLongestMatchingPrefixOfItsHost() {
         Configuration configuration = first().configuration();
         assertEquals("r2", configuration.route("H.example:80", "/a/b/c").name());
         assertEquals("r1", configuration.route("h.example", "/a/c").name());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aChangeOfNamedItemsKeepsTheRest() {
+    void aChangeOfNamedItemsKeepsAllOthers() {
         ConfigurationDocument changed =
                 first().changedBy(
                                 json(
@@ -100,7 +100,7 @@
                 "SHARED_KEY|{'generation':8,'tenants':[{'name':'a','api_keys':['k']},"
                         + "{'name':'b','api_keys':['k']}]}"
             })
-    void whatIsInvalidIsRefusedByItsNumber(ResultCode code, String text) {
+    void anInvalidDocumentIsRejectedWithItsResultCode(ResultCode code, String text) {
         ConfigurationException refused =
                 assertThrows(ConfigurationException.class, () -> first().replacedBy(json(text)));
         assertEquals(code, refused.code(), refused.getMessage());
--- a/src/test/java/myrtleladder/http/HttpTest.java
+++ b/src/test/java/myrtleladder/http/HttpTest.java
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aRequestThatOffersToUpgradeIsAnsweredAsItStandsAndEndsItsConnection() throws Exception {
+    void aRequestWithUpgradeIsAnsweredAsHttp11AndItsConnectionCloses() throws Exception {
         serve(e -> e.respond(200, new Headers().add("X-Target", e.head().target()), e.body()));
         String offer = "Host: h\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n";
         try (Socket socket = client()) {
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aStreamIsPassedOnInPieces() throws Exception {
+    void aStreamedResponseArrivesChunkByChunk() throws Exception {
         LinkedBlockingQueue<ServerExchange> exchanges = new LinkedBlockingQueue<>();
         serve(exchanges::add);
         try (Socket socket = client()) {
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aStreamBegunBeforeTheServerClosesEndsItsConnection() throws Exception {
+    void aStreamBegunBeforeAGracefulCloseClosesItsConnection() throws Exception {
         LinkedBlockingQueue<ServerExchange> taken = new LinkedBlockingQueue<>();
         HttpServer server =
                 serve(
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void anAbortedStreamDoesNotLookWhole() throws Exception {
+    void anAbortedStreamIsIncompleteForTheClient() throws Exception {
         serve(
                 e -> {
                     e.begin(200, new Headers());
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aClientThatLeavesIsNoticed() throws Exception {
+    void aDisconnectOfTheClientIsReportedWhileAResponseIsDue() throws Exception {
         serve(e -> e.onGone(() -> heard.add("gone")));
         Socket socket = client();
         send(socket, "GET /s HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void brokenRequestsEndTheirConnectionAlone() throws Exception {
+    void aMalformedRequestClosesOnlyItsOwnConnection() throws Exception {
         HttpServer server = serve(e -> e.respond(200, new Headers(), NONE));
         loop.execute(() -> loop.schedule(200, () -> server.closeIdle(60_000, 100)));
         try (Socket socket = client()) {
@@ -248,7 +248,7 @@
     }
 
     @Test
-    void aRequestIsSentAndItsAnswerHeard() throws Exception {
+    void aClientSendsARequestAndReceivesTheResponse() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             HttpConnection connection =
                     ask(
@@ -286,7 +286,7 @@
     }
 
     @Test
-    void anAnswerCutOffIsNoEnd() throws Exception {
+    void aTruncatedResponseIsReportedAsClosed() throws Exception {
         for (String cut :
                 new String[] {
                     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void aDeadPortIsToldAsNeverConnected() throws Exception {
+    void aRefusedConnectionIsReportedAsNeverConnected() throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
         }
--- a/src/test/java/myrtleladder/process/NodeSettingsTest.java
+++ b/src/test/java/myrtleladder/process/NodeSettingsTest.java
@@ -13,7 +13,7 @@
 
 /** The settings file, and what is told when it can't be used. */
 class NodeSettingsTest {
-    private static final String WHOLE =
+    private static final String COMPLETE =
             """
             node_name = "core-1"
             role = "control"
@@ -42,8 +42,8 @@
             """;
 
     @Test
-    void whatIsKnownIsReadAndTheRestIgnored() {
-        NodeSettings settings = NodeSettings.parse(WHOLE);
+    void knownFieldsAreReadAndUnknownOnesIgnored() {
+        NodeSettings settings = NodeSettings.parse(COMPLETE);
         assertEquals("core-1", settings.nodeName());
         assertEquals(7500, settings.firstPort());
         assertEquals(new Address("10.2.0.20", 8367), settings.seeds().get(1));
@@ -65,20 +65,21 @@
                 "control = \"10.1.0.6:8367\"|control = \"10.1.0.6\"|SETTINGS_VALUE|listen.control",
                 "role = \"control\"|role = |SETTINGS_SYNTAX|line 2"
             })
-    void aFaultIsToldByNumberAndPlace(String good, String bad, ResultCode code, String place) {
-        SettingsException refused =
+    void anInvalidFieldIsReportedWithResultCodeAndKey(
+            String good, String bad, ResultCode code, String place) {
+        SettingsException thrown =
                 assertThrows(
                         SettingsException.class,
-                        () -> NodeSettings.parse(WHOLE.replace(good, bad)));
-        assertEquals(code, refused.code());
-        assertTrue(refused.getMessage().contains(place), refused.getMessage());
+                        () -> NodeSettings.parse(COMPLETE.replace(good, bad)));
+        assertEquals(code, thrown.code());
+        assertTrue(thrown.getMessage().contains(place), thrown.getMessage());
     }
 
     @Test
-    void aMissingFileIsTold() {
-        SettingsException refused =
+    void aMissingFileIsReported() {
+        SettingsException thrown =
                 assertThrows(
                         SettingsException.class, () -> NodeSettings.read(Path.of("no-such-file")));
-        assertEquals(ResultCode.NO_SETTINGS, refused.code());
+        assertEquals(ResultCode.NO_SETTINGS, thrown.code());
     }
 }
--- a/src/test/java/myrtleladder/process/ProgramCommandTest.java
+++ b/src/test/java/myrtleladder/process/ProgramCommandTest.java
@@ -9,10 +9,11 @@
 /** Exit codes of the fleet's programs. */
 class ProgramCommandTest {
     private static int run(String... arguments) {
-        return ProgramCommand.run(arguments, "program WORD", "words", ProgramCommandTest::carryOut);
+        return ProgramCommand.run(
+                arguments, "program WORD", "words", ProgramCommandTest::runSubcommand);
     }
 
-    private static int carryOut(List<String> words) {
+    private static int runSubcommand(List<String> words) {
         return switch (words.get(0)) {
             case "done" -> 0;
             case "refused" -> throw new SettingsException(ResultCode.SETTINGS_VALUE, "a field");
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void eachEndHasItsCode() {
+    void eachOutcomeHasItsExitCode() {
         assertEquals(0, run("done"));
         assertEquals(0, run("--help"));
         assertEquals(1, run("refused"));
--- a/src/test/java/myrtleladder/protocol/ReportSizeTest.java
+++ b/src/test/java/myrtleladder/protocol/ReportSizeTest.java
@@ -7,8 +7,8 @@
 
 /** How many bytes the reports of loads and their answers take. */
 class ReportSizeTest {
-    private static final int MOST_LOADS = 200;
-    private static final int MOST_PROMPTS = 128;
+    private static final int MAX_LOADS = 200;
+    private static final int MAX_PROMPTS = 128;
 
     private static LoadReport report(int loads, int prompts) {
         LoadReport report = new LoadReport();
@@ -58,14 +58,14 @@
     }
 
     @Test
-    void theLongestAnswerToAPollStaysBelowTheBoundOfTwelveKilobytesASecond() {
-        int bytes = answerBytes(MOST_LOADS, MOST_PROMPTS);
+    void theLargestPollResponseStaysBelowTwelveKilobytesASecond() {
+        int bytes = answerBytes(MAX_LOADS, MAX_PROMPTS);
         double pollsASecond = 1_000 / 450.0;
         assertTrue(bytes * pollsASecond < 12_288, bytes + " bytes");
     }
 
     @Test
-    void reportsAndAnswersComeThroughTheWireWhole() {
+    void aReportAndItsResponseAreDecodedAsTheyWereEncoded() {
         PollRequest poll = new PollRequest();
         poll.loadReport = report(2, 1);
         PollRequest decoded = (PollRequest) MessageCodec.decode(MessageCodec.encode(poll));
--- a/src/test/java/myrtleladder/result/ResultCodeTest.java
+++ b/src/test/java/myrtleladder/result/ResultCodeTest.java
@@ -12,7 +12,7 @@
 /** The table of result codes against the code. */
 class ResultCodeTest {
     @Test
-    void theTableHasEachCode() throws Exception {
+    void theTableOfErrorsListsEachCode() throws Exception {
         Pattern row = Pattern.compile("\\| (\\d+) \\| ([A-Z_]+) \\| [^|]+ \\| [^|]+ \\|");
         List<String> table =
                 Files.readAllLines(Path.of("docs/errors.md")).stream()
