--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import myrtleladder.configuration.Service;
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
@@ -12,7 +12,7 @@
  * and what was observed of it. Confined to the event loop; {@link UpstreamDirectory} alone creates
  * upstreams and updates their records.
  */
-final class Upstream extends WeightedSchedule.Candidate {
+final class Upstream extends EarliestDeadlineFirstScheduler.Candidate {
     /** Backlog that counts as full utilisation; chosen. */
     private static final double FULL_BACKLOG_MS = 1_000;
 
--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.configuration.Service;
-import myrtleladder.loadbalancer.policy.Reweighting;
-import myrtleladder.loadbalancer.policy.WeightedSchedule;
+import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
+import myrtleladder.loadbalancer.policy.UtilisationWeights;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
  * Picks the upstream of a request. Candidates are narrowed by health, connections and, for model
  * services, the expected time to the first event; among those left, picks go by weight / (in-flight
- * + 1)^bias, earliest deadline first ({@link WeightedSchedule}). Confined to the event loop.
+ * + 1)^bias, earliest deadline first ({@link EarliestDeadlineFirstScheduler}). Confined to the
+ * event loop.
  */
 final class UpstreamPicker {
     /** Bias for model services; chosen so that a clearly shorter queue nearly always wins. */
@@ -36,7 +37,7 @@
     private final ConnectionPool connections;
     private final PrefillTimeEstimator prefillTime;
     private final PrefixCacheAwarePolicy modelPolicy;
-    private final Map<String, WeightedSchedule> schedules = new HashMap<>();
+    private final Map<String, EarliestDeadlineFirstScheduler> schedules = new HashMap<>();
     private int balancers = 1;
 
     UpstreamPicker(
@@ -61,7 +62,7 @@
             for (Upstream upstream : upstreams) {
                 upstream.updateUtilisation(nowMs, prefillTime.msPerToken());
             }
-            Reweighting.period(upstreams);
+            UtilisationWeights.update(upstreams);
         }
     }
 
@@ -153,10 +154,12 @@
         return Math.max(MIN_CONNECTION_LIMIT, (int) part);
     }
 
-    private WeightedSchedule schedule(Service service) {
+    private EarliestDeadlineFirstScheduler schedule(Service service) {
         return schedules.computeIfAbsent(
                 service.name(),
-                name -> new WeightedSchedule(service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
+                name ->
+                        new EarliestDeadlineFirstScheduler(
+                                service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
     }
 
     private PickResult pickPlain(Service service, List<Upstream> candidates, long nowMs) {
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.Balance;
-import myrtleladder.loadbalancer.policy.Balancer;
-import myrtleladder.loadbalancer.policy.Balancer.ListKind;
-import myrtleladder.loadbalancer.policy.Balancer.Request;
-import myrtleladder.loadbalancer.policy.Balancer.Settings;
+import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
+import myrtleladder.loadbalancer.policy.Request;
+import myrtleladder.loadbalancer.policy.Settings;
+import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
@@ -18,7 +18,7 @@
  *
  * <p>Confined to the event loop. Actions come from within events alone.
  */
-final class BalancerRuntime implements Balancer.Actions, TrafficControl {
+final class BalancerRuntime implements LoadBalancer.Actions, TrafficControl {
     private static final System.Logger LOG = System.getLogger(BalancerRuntime.class.getName());
 
     /**
@@ -30,7 +30,7 @@
     private final EventLoop loop;
     private final SettingsReader.ParsedSettings settings;
     private final UpstreamConnectionPool connections;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final RequestDispatcher requests;
     private final ProbeSender probes;
     private final MonotonicClock clock = new MonotonicClock();
@@ -47,7 +47,7 @@
         this.settings = config.settings();
         this.connections = connections;
         Settings moduleSettings = settings.balancer();
-        this.balancer = new Balance(moduleSettings, config.seed(), this);
+        this.balancer = new UtilisationLoadBalancer(moduleSettings, config.seed(), this);
         LoadReportParser loadReports = new LoadReportParser(moduleSettings.reports());
         this.requests =
                 new RequestDispatcher(
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
@@ -1,8 +1,8 @@
 package myrtleladder.loadbalancer.server;
 
 import java.util.Arrays;
-import myrtleladder.loadbalancer.policy.Balancer;
-import myrtleladder.loadbalancer.policy.Balancer.LoadReport;
+import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.Reports;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
@@ -17,8 +17,8 @@
     private final boolean areReportsExpected;
     private boolean isBadReportLogged;
 
-    LoadReportParser(Balancer.Reports reports) {
-        this.areReportsExpected = reports != Balancer.Reports.NONE;
+    LoadReportParser(Reports reports) {
+        this.areReportsExpected = reports != Reports.NONE;
     }
 
     /**
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -169,7 +169,7 @@
     private static Future<Void> drain(BalancerConfig config, LoadBalancerServer server) {
         long longestDeadlineMs =
                 config.settings().balancer().classes().stream()
-                        .mapToLong(requestClass -> requestClass.giveUp() / 1_000)
+                        .mapToLong(requestClass -> requestClass.timeoutUs() / 1_000)
                         .max()
                         .orElse(0);
         int balancers = config.settings().balancer().groupSize();
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import myrtleladder.loadbalancer.policy.Balancer.Outcome;
+import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
  * Counters of requests, answers and attempts since the start of a balancer: plain numbers, confined
--- a/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.loadbalancer.policy.Balance;
-import myrtleladder.loadbalancer.policy.Balancer;
+import myrtleladder.loadbalancer.policy.LoadBalancer;
+import myrtleladder.loadbalancer.policy.Settings;
+import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 
 /**
  * The instances of the decision module, by their numbers; they share nothing. What one throws is
  * written as a decision {@code bug} and goes no further. Confined to the adapter's thread.
  */
 final class InstanceRegistry {
-    private final Map<Integer, Balancer> instances = new HashMap<>();
+    private final Map<Integer, LoadBalancer> instances = new HashMap<>();
     private final DecisionWriter decisions;
 
     InstanceRegistry(DecisionWriter decisions) {
@@ -20,12 +21,13 @@
     }
 
     /** Creates and starts an instance, in place of one that has the number already. */
-    void create(int instance, long nowUs, long seed, Balancer.Settings settings) {
+    void create(int instance, long nowUs, long seed, Settings settings) {
         runReporting(
                 instance,
                 () -> {
-                    Balancer balancer =
-                            new Balance(settings, seed, decisions.forInstance(instance));
+                    LoadBalancer balancer =
+                            new UtilisationLoadBalancer(
+                                    settings, seed, decisions.forInstance(instance));
                     instances.put(instance, balancer);
                     balancer.start(nowUs);
                 });
@@ -41,8 +43,8 @@
      *
      * @throws BadInput if it does not exist
      */
-    void deliver(int instance, Consumer<Balancer> event) throws BadInput {
-        Balancer balancer = instances.get(instance);
+    void deliver(int instance, Consumer<LoadBalancer> event) throws BadInput {
+        LoadBalancer balancer = instances.get(instance);
         if (balancer == null) {
             throw new BadInput("an event for instance " + instance + ", which does not exist");
         }
--- /dev/null
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerTest.java
@@ -0,0 +1,71 @@
+package myrtleladder.loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Properties of the load balancer as a whole. */
+class UtilisationLoadBalancerTest {
+    private static final long SECOND = SimulatedHost.SECOND;
+    private static final long MILLI = SimulatedHost.MILLI;
+    private final SettingsBuilder settings = new SettingsBuilder();
+
+    @Test
+    void sameEventsGiveSameActionsAndInstancesAreIndependent() {
+        List<List<String>> runs = new ArrayList<>();
+        for (int run = 0; run < 2; run++) {
+            SimulatedHost host = SimulatedHost.of(settings).listUpstreams(5);
+            SimulatedHost other = run == 0 ? null : SimulatedHost.of(settings).listUpstreams(2);
+            for (int i = 0; i < 200; i++) {
+                host.serve(i % 3, 15 * MILLI, upstream -> upstream.equals("u1") ? 0.9 : 0.4);
+                if (other != null) {
+                    other.serve(0, 90 * MILLI, upstream -> 1);
+                }
+            }
+            runs.add(host.actions);
+        }
+        assertEquals(runs.get(0), runs.get(1));
+    }
+
+    @Test
+    void streamThatHasBegunIsLeftAlone() {
+        settings.streaming(true);
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(1);
+        String id = host.request(0, 500 * MILLI);
+        host.balancer.opened(host.nowUs, id, 0);
+        host.advance(5 * SECOND);
+        assertEquals(List.of(), host.failed);
+        assertEquals(List.of(), host.rejected);
+        assertEquals(List.of(), host.cancelled);
+    }
+
+    @Test
+    void fiveHundredUpstreamsAndOneAreBothUsed() {
+        SimulatedHost many = SimulatedHost.of(settings).listUpstreams(500);
+        SimulatedHost one = SimulatedHost.of(settings).listUpstreams(1);
+        for (int i = 0; i < 100; i++) {
+            many.serve(0, 5 * MILLI, upstream -> 0.5);
+            one.serve(0, 5 * MILLI, upstream -> 0.5);
+        }
+        assertTrue(many.sendsPerUpstream.size() > 50);
+        assertEquals(100, one.sendsTo("u0"));
+    }
+
+    @Test
+    void lateAndUnknownEventsAreIgnored() {
+        SimulatedHost host = SimulatedHost.of(settings).listUpstreams(1);
+        host.balancer.clientGone(host.nowUs, "never");
+        host.balancer.probed(host.nowUs, "never", Outcome.OK, null);
+        host.balancer.probed(host.nowUs, "u0", Outcome.TIMEOUT, null);
+        host.balancer.timer(host.nowUs, "never");
+        host.balancer.peerMessage(host.nowUs, 1, new byte[0]);
+        host.balancer.outcome(
+                host.nowUs,
+                new AttemptEnd(
+                        "never", 0, "u0", Outcome.OK, 1, true, new LoadReport(1, 1, 1, 1, 1, 1)));
+        assertTrue(host.actions.isEmpty(), host.actions.toString());
+    }
+}
