--- a/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
@@ -94,7 +94,8 @@
             throw badName("fleet.zone", fleet.zone());
         }
         parseAddress(file, "fleet.listen", fleet.listen());
-        TomlFile.range(file, "fleet.longest-work-s", fleet.longestWorkS(), 1, MAX_LONGEST_WORK_S);
+        TomlFile.checkRange(
+                file, "fleet.longest-work-s", fleet.longestWorkS(), 1, MAX_LONGEST_WORK_S);
         checkCouncil(fleet);
         if (fleet.seeds() != null) {
             for (String seed : fleet.seeds()) {
@@ -150,7 +151,7 @@
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            TomlFile.range(file, key, port, 0, MAX_PORT);
+            TomlFile.checkRange(file, key, port, 0, MAX_PORT);
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (NumberFormatException | UnknownHostException e) {
             throw badAddress(file, key, text);
