--- a/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
+++ b/src/main/java/myrtleladder/cluster/ConsensusRuntime.java
@@ -17,7 +17,7 @@
 import myrtleladder.consensus.ConsensusNode;
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.consensus.FaultPoint;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.consensus.StateMachine;
 import myrtleladder.gossip.MemberUpdate;
 import myrtleladder.maintenance.MaintenanceCoordinator;
@@ -35,7 +35,7 @@
     private final MembershipRuntime membership;
     private final EventLoop loop;
     private final Consumer<? super FaultPoint> faultPoints;
-    private final Life self;
+    private final ProcessId self;
     private final ConsensusNode node;
 
     /** Addresses of the members that are present, by name. */
@@ -60,8 +60,8 @@
                         settings, self, new SecureRandom().nextLong(), stateMachine, this);
     }
 
-    private static Life process(MemberUpdate member) {
-        return new Life(member.name(), member.startId());
+    private static ProcessId process(MemberUpdate member) {
+        return new ProcessId(member.name(), member.startId());
     }
 
     /**
@@ -112,7 +112,7 @@
     }
 
     /** This start of this process. */
-    Life self() {
+    ProcessId self() {
         return self;
     }
 
@@ -167,7 +167,7 @@
     private void updateMembership() {
         isMembershipUpdateScheduled = false;
         Map<String, Long> present = new TreeMap<>();
-        Set<Life> presentProcesses = new HashSet<>();
+        Set<ProcessId> presentProcesses = new HashSet<>();
         addresses.clear();
         for (MemberUpdate member : membership.members()) {
             if (member.state().isPresent()) {
@@ -218,7 +218,7 @@
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("epoch", event.view().epoch());
         fields.put("view", event.view().number());
-        fields.put("members", event.view().lives().size());
+        fields.put("members", event.view().startIds().size());
         fields.put("why", event.reason());
         boolean isWarning =
                 event.kind() == ConsensusEvent.Kind.CUT_OFF
--- a/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
+++ b/src/main/java/myrtleladder/cluster/MaintenanceRuntime.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import myrtleladder.consensus.Life;
+import myrtleladder.consensus.ProcessId;
 import myrtleladder.maintenance.MaintenanceCoordinator;
 import myrtleladder.maintenance.MaintenanceEnvironment;
 import myrtleladder.maintenance.MaintenanceFaultPoint;
@@ -124,7 +124,7 @@
                 stateMachine.isSafe(),
                 coordinator.hasLease(nowUs()),
                 coordinator.isRegistered(),
-                stateMachine.gone().stream().map(Life::toString).toList(),
+                stateMachine.gone().stream().map(ProcessId::toString).toList(),
                 stateMachine.refusals(),
                 coordinator.droppedDatagrams());
     }
@@ -135,10 +135,10 @@
                 job.plan(),
                 job.state().name(),
                 job.permit(),
-                job.until(),
-                job.reserved(),
+                job.untilMs(),
+                job.isReserved(),
                 coordinator.waitReason(job),
-                job.why());
+                job.reason());
     }
 
     /** The epoch of the agreed view. */
@@ -172,7 +172,7 @@
         coordinator.onDatagram(nowUs(), datagram);
     }
 
-    void onMembershipChanged(Set<Life> presentProcesses) {
+    void onMembershipChanged(Set<ProcessId> presentProcesses) {
         coordinator.onMembershipObserved(presentProcesses);
     }
 
@@ -241,7 +241,7 @@
         if (job.permit() != null) {
             fields.put("permit", job.permit().epoch() + "." + job.permit().index());
         }
-        String reason = job.why() == null ? "" : ": " + job.why();
+        String reason = job.reason() == null ? "" : ": " + job.reason();
         LOG.log(
                 System.Logger.Level.INFO,
                 "machine " + job.machine() + " " + job.state() + reason,
@@ -249,7 +249,7 @@
     }
 
     private void updateTrial(MaintenanceJob job) {
-        String upstream = job.part().upstream();
+        String upstream = job.spec().upstream();
         if (upstream == null) {
             return;
         }
--- a/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
+++ b/src/test/java/myrtleladder/consensus/ConsensusNodeTest.java
@@ -126,9 +126,6 @@
         return who.equals("five") ? FIVE : who.equals("short log") ? SHORT : THREE_OF_SIX;
     }
 
-    // ---- Each point of fault in turn
-    // -------------------------------------------------------------------
-
     /**
      * All that an agreement does: a leader dies and comes back, a member stands still for long, one
      * goes.
@@ -252,9 +249,6 @@
                 listed);
     }
 
-    // ---- What is promised
-    // ------------------------------------------------------------------------------
-
     @Test
     void whenTheLeaderDiesDecreesGoOnWithinThreeSeconds() {
         for (long seed = 1; seed <= 5; seed++) {
@@ -287,7 +281,7 @@
             assertEquals(small, fleet.nodes.get(n).agreement.lastApplied(), n);
         }
         assertTrue(fleet.nodes.get("m2").agreement.hasQuorum(fleet.world.now()));
-        assertEquals(3, fleet.nodes.get("m2").agreement.view().lives().size());
+        assertEquals(3, fleet.nodes.get("m2").agreement.view().startIds().size());
         fleet.calm();
         fleet.run(8 * SECOND);
         assertNull(quiet(fleet));
