--- a/src/main/java/myrtleladder/configuration/Configuration.java
+++ b/src/main/java/myrtleladder/configuration/Configuration.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import myrtleladder.result.ResultCode;
@@ -60,13 +61,15 @@
         for (Fields fields : root.objects("routes")) {
             Route route = Route.read(fields);
             check(fields.path(), route);
-            if (!routeKeys.add(route.hostname().toLowerCase() + " " + route.pathPrefix())) {
+            if (!routeKeys.add(
+                    route.hostname().toLowerCase(Locale.ROOT) + " " + route.pathPrefix())) {
                 throw new ConfigurationException(
                         ResultCode.SAME_PLACE,
                         fields.path() + " has host and prefix of another route");
             }
             routesByHost
-                    .computeIfAbsent(route.hostname().toLowerCase(), h -> new ArrayList<>())
+                    .computeIfAbsent(
+                            route.hostname().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
                     .add(route);
         }
         for (List<Route> ofHost : routesByHost.values()) {
@@ -108,7 +111,7 @@
             return null;
         }
         int port = host.indexOf(':');
-        String name = (port < 0 ? host : host.substring(0, port)).toLowerCase();
+        String name = (port < 0 ? host : host.substring(0, port)).toLowerCase(Locale.ROOT);
         for (Route route : routesByHost.getOrDefault(name, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
                 return route;
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeSet;
 import myrtleladder.protocol.InstanceRecord;
@@ -53,7 +54,7 @@
             return List.of();
         }
         Map<String, Set<Integer>> held = heldByService(instances);
-        Map<ServiceInZone, TreeSet<Integer>> vacant = vacantByZone(instances, held);
+        Map<ServiceInZone, NavigableSet<Integer>> vacant = vacantByZone(instances, held);
         List<InstanceRecord> assigned = new ArrayList<>();
         for (KnownInstance instance : instances) {
             if (!instance.needsOrdinal()) {
@@ -91,9 +92,9 @@
     }
 
     /** Ordinals of instances that leave or have left, as far as nobody has taken them over. */
-    private static Map<ServiceInZone, TreeSet<Integer>> vacantByZone(
+    private static Map<ServiceInZone, NavigableSet<Integer>> vacantByZone(
             List<KnownInstance> instances, Map<String, Set<Integer>> held) {
-        Map<ServiceInZone, TreeSet<Integer>> vacant = new HashMap<>();
+        Map<ServiceInZone, NavigableSet<Integer>> vacant = new HashMap<>();
         for (KnownInstance instance : instances) {
             InstanceRecord record = instance.record();
             boolean isHeld = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
@@ -106,7 +107,7 @@
     }
 
     private static Set<Integer> vacantIn(
-            String service, Map<ServiceInZone, TreeSet<Integer>> vacantByZone) {
+            String service, Map<ServiceInZone, NavigableSet<Integer>> vacantByZone) {
         Set<Integer> vacant = new HashSet<>();
         vacantByZone.forEach(
                 (zone, ordinals) -> {
--- a/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
@@ -1,6 +1,7 @@
 package myrtleladder.dataplane;
 
 import java.util.Arrays;
+import java.util.Locale;
 import java.util.Set;
 import myrtleladder.http.Headers;
 
@@ -57,7 +58,7 @@
         Set<String> connectionOptions = connectionOptions(source.get("Connection"));
         source.forEach(
                 (name, value) -> {
-                    String lowerCase = name.toLowerCase();
+                    String lowerCase = name.toLowerCase(Locale.ROOT);
                     if (!HOP_BY_HOP.contains(lowerCase) && !connectionOptions.contains(lowerCase)) {
                         forwarded.add(name, value);
                     }
@@ -71,7 +72,7 @@
             return Set.of();
         }
         return Set.of(
-                Arrays.stream(connection.toLowerCase().split(","))
+                Arrays.stream(connection.toLowerCase(Locale.ROOT).split(","))
                         .map(String::trim)
                         .distinct()
                         .toArray(String[]::new));
--- a/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
+++ b/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
@@ -37,7 +37,8 @@
             if (input[i] != '\n') {
                 continue;
             }
-            boolean isEmptyLine = i == lineStart || (i == lineStart + 1 && input[lineStart] == '\r');
+            boolean isEmptyLine =
+                    i == lineStart || (i == lineStart + 1 && input[lineStart] == '\r');
             lineStart = i + 1;
             if (isEmptyLine) {
                 byte[] event = Arrays.copyOfRange(input, eventStart, i + 1);
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -295,7 +295,8 @@
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
         }
         // What has been read is answered before the connection may end.
-        boolean isLast = isLastRequest || (pendingRequests.isEmpty() && server.closesWithResponses());
+        boolean isLast =
+                isLastRequest || (pendingRequests.isEmpty() && server.closesWithResponses());
         HttpUtil.setKeepAlive(response, !isLast);
         channel.writeAndFlush(response)
                 .addListener(
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
@@ -60,7 +60,9 @@
         Set<String> changed = new HashSet<>(previous);
         changed.addAll(drainingIds);
         changed.removeIf(
-                id -> (previous.contains(id) && drainingIds.contains(id)) || !listed.containsKey(id));
+                id ->
+                        (previous.contains(id) && drainingIds.contains(id))
+                                || !listed.containsKey(id));
         draining = Set.copyOf(drainingIds);
         restartedIds.forEach(id -> restartedMs.put(id, clock.nowUs() / 1_000));
         List<EndpointList.Endpoint> effective =
--- a/src/main/java/myrtleladder/maintenance/CapacityRules.java
+++ b/src/main/java/myrtleladder/maintenance/CapacityRules.java
@@ -66,6 +66,7 @@
                 : null;
     }
 
+    @SuppressWarnings("ReferenceEquality") // the same job of this schedule, not an equal one
     private static String conflict(
             PlanTerms terms, MaintenanceJob job, List<MaintenanceJob> missing) {
         for (MaintenanceJob other : missing) {
--- a/src/main/java/myrtleladder/process/NodeSettings.java
+++ b/src/main/java/myrtleladder/process/NodeSettings.java
@@ -21,7 +21,7 @@
  * @param ip {@code ip}, the address at which the internal protocol listens
  * @param zone {@code zone} of the machine
  * @param region {@code region} of the machine; empty if missing
- * @param regionOfZone {@code zones}: regions by their zones
+ * @param regionOfZone regions by their zones, from the zones table
  * @param firstPort first of {@code port_range}, the port of the internal protocol
  * @param seeds {@code seeds}: internal addresses of control nodes
  * @param bootstrap {@code bootstrap}: whether this node may form the first group; default false
--- a/src/main/java/myrtleladder/testbed/fake/FakeClients.java
+++ b/src/main/java/myrtleladder/testbed/fake/FakeClients.java
@@ -60,7 +60,7 @@
      * How clients try again.
      *
      * @param most further tries
-     * @param tryShare part of the class's give-up time that one try gets
+     * @param attemptShare part of the class's give-up time that one try gets
      * @param backoff mean wait before the next, doubled each time; a Retry-After goes before it
      */
     public record Retries(int most, double attemptShare, long backoff) {}
--- a/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
+++ b/src/test/java/myrtleladder/consensus/SimulatedConsensusCluster.java
@@ -126,7 +126,6 @@
         final ProcessId me;
         final ConsensusNode agreement;
         final Chain machine = new Chain();
-        private final String process;
         private final Actions actions;
         private final Membership membership;
         private final FaultPointInjector<FaultPoint>.FaultyProcess faulty;
@@ -135,7 +134,6 @@
         private int worked;
 
         Node(String process, long seed, Actions actions) {
-            this.process = process;
             this.actions = actions;
             this.faulty = faults.new FaultyProcess(world, process, actions);
             this.me = new ProcessId(process, lives.nextLong(1, Long.MAX_VALUE));
@@ -279,7 +277,8 @@
                 }
                 boolean newer =
                         its.epoch() > newest.epoch()
-                                || (its.epoch() == newest.epoch() && its.number() > newest.number());
+                                || (its.epoch() == newest.epoch()
+                                        && its.number() > newest.number());
                 newest = newer ? its : newest;
             }
         }
--- a/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
@@ -35,7 +35,8 @@
     void errorsNameTheirPlace() {
         StringBuilder text = new StringBuilder();
         ConfigurationDocument current =
-                ConfigurationDocument.stored("{\"generation\":7}".getBytes(), 7);
+                ConfigurationDocument.stored(
+                        "{\"generation\":7}".getBytes(StandardCharsets.UTF_8), 7);
         for (String document : DOCUMENTS) {
             String result = "taken";
             try {
--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -29,14 +29,14 @@
     private static final int INTERNAL_PORT = 7500;
     private static final int CONTROL_PORT = 8367;
     private static final int SEED_COUNT = 3;
-    private static final Duration CALL_TIMEOUT = Duration.ofMillis(1_000);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
     /**
      * How long a process may take to stop after SIGSTOP; chosen for a machine that is overloaded.
      */
     private static final long SUSPENSION_TIMEOUT_MS = 10_000;
 
-    private static final Duration TIMEOUT = Duration.ofMillis(15_000);
+    private static final Duration TIMEOUT = Duration.ofSeconds(15);
 
     private final HttpClient http =
             HttpClient.newBuilder()
--- a/src/test/java/myrtleladder/controlplane/model/FaultInjector.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultInjector.java
@@ -131,7 +131,7 @@
     }
 
     private void freeze(List<SimulatedNode> victims) {
-        long durationMs = 300 + random.nextInt(9_000);
+        long durationMs = 300L + random.nextInt(9_000);
         victims.forEach(v -> v.freeze(durationMs));
         cluster.clock.run(durationMs + 10);
     }
--- a/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/model/FaultSchedule.java
@@ -53,12 +53,12 @@
             log.append(fault).append('@').append(cluster.clock.now() % 100_000).append(' ');
             if (random.nextBoolean()) {
                 cluster.awaitCommitment(COMMITMENT_TIMEOUT_MS);
-                cluster.clock.run(random.nextInt(2) * random.nextInt(400));
+                cluster.clock.run((long) random.nextInt(2) * random.nextInt(400));
             }
             List<SimulatedNode> victims = injector.chooseVictims();
             log.append(victims.stream().map(victim -> victim.address).toList()).append(' ');
             long pauseMs = injector.inject(fault, victims);
-            cluster.clock.run(pauseMs + random.nextInt(4) * random.nextInt(250));
+            cluster.clock.run(pauseMs + (long) random.nextInt(4) * random.nextInt(250));
         }
         if (cluster.history.violations().isEmpty()) {
             cluster.operators.forEach(o -> o.loseAcknowledgements(0));
--- a/src/test/java/myrtleladder/controlplane/model/ReconfigurationTest.java
+++ b/src/test/java/myrtleladder/controlplane/model/ReconfigurationTest.java
@@ -39,7 +39,7 @@
     void anyDiskMayBeLostOnceALeaverIsGone() {
         for (int leaver = 0; leaver < 3; leaver++) {
             for (long pause : new long[] {0, 100, 1_500, 3_000, 6_000}) {
-                SimulatedCluster cluster = Scenarios.started(leaver * 10 + pause, 3);
+                SimulatedCluster cluster = Scenarios.started(leaver * 10L + pause, 3);
                 SimulatedNode leaves = Scenarios.nodes(cluster).get(leaver);
                 cluster.addMachine().start(false);
                 cluster.clock.run(Scenarios.CATCH_UP_MS);
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedNetwork.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedNetwork.java
@@ -23,7 +23,7 @@
     /** Carries something; what a partition holds up never arrives. */
     void carry(String from, String to, Runnable arrival) {
         boolean isSlow = slowMachines.contains(from) || slowMachines.contains(to);
-        long delayMs = 1 + random.nextInt(isSlow ? MAX_SLOW_DELAY_MS : MAX_DELAY_MS);
+        long delayMs = 1L + random.nextInt(isSlow ? MAX_SLOW_DELAY_MS : MAX_DELAY_MS);
         clock.schedule(
                 delayMs,
                 () -> {
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedOperator.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedOperator.java
@@ -70,6 +70,7 @@
     }
 
     /** Handles the response to any of the copies that were sent; null if none came in time. */
+    @SuppressWarnings("ReferenceEquality") // the change in flight itself, not an equal one
     private void handle(OperatorChange sent, SimulatedResponse response) {
         boolean isLost = cluster.random.nextDouble() < lostAcknowledgementShare;
         int status = response == null || isLost ? UNKNOWN : response.status();
@@ -95,6 +96,7 @@
         }
     }
 
+    @SuppressWarnings("ReferenceEquality") // the change in flight itself, not an equal one
     private void retry(OperatorChange sent) {
         if (sent == current) {
             send();
--- a/src/test/java/myrtleladder/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -1,5 +1,6 @@
 package myrtleladder.dataplane;
 
+import java.nio.charset.StandardCharsets;
 import myrtleladder.http.Headers;
 import myrtleladder.http.RequestHead;
 import myrtleladder.http.ServerExchange;
@@ -49,7 +50,7 @@
         responses++;
         status = code;
         headers = answer;
-        body.append(new String(bytes));
+        body.append(new String(bytes, StandardCharsets.UTF_8));
         ended = true;
     }
 
@@ -62,7 +63,7 @@
 
     @Override
     public void write(byte[] bytes, int offset, int length) {
-        body.append(new String(bytes, offset, length));
+        body.append(new String(bytes, offset, length, StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -1,5 +1,6 @@
 package myrtleladder.dataplane;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import myrtleladder.http.Headers;
@@ -62,11 +63,12 @@
         }
 
         void sendEvent(long id) {
-            listener.onResponseBody(("id: " + id + "\ndata: x" + id + "\n\n").getBytes());
+            listener.onResponseBody(
+                    ("id: " + id + "\ndata: x" + id + "\n\n").getBytes(StandardCharsets.UTF_8));
         }
 
         void sendBytes(String text) {
-            listener.onResponseBody(text.getBytes());
+            listener.onResponseBody(text.getBytes(StandardCharsets.UTF_8));
         }
 
         void completeResponse() {
--- a/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
+++ b/src/test/java/myrtleladder/gossip/MembershipFiguresTest.java
@@ -129,7 +129,8 @@
                 suspected,
                 well,
                 dead.size() - well);
-        assertTrue(loss > 0.2 || dead.isEmpty() || (starved > 0 && well == 0), "held dead: " + dead);
+        assertTrue(
+                loss > 0.2 || dead.isEmpty() || (starved > 0 && well == 0), "held dead: " + dead);
     }
 
     @Test
--- a/src/test/java/myrtleladder/gossip/SimulatedGossipCluster.java
+++ b/src/test/java/myrtleladder/gossip/SimulatedGossipCluster.java
@@ -145,7 +145,6 @@
         private final Map<String, MemberUpdate> last = new LinkedHashMap<>();
         private Membership member;
         private long incarnation;
-        private long now;
 
         SimulatedMember(String process, Actions actions) {
             this.process = process;
@@ -154,20 +153,17 @@
 
         @Override
         public void started(long at) {
-            now = at;
             member.start(at);
         }
 
         @Override
         public void received(long at, String from, byte[] message) {
-            now = at;
             member.onDatagram(at, from, incoming.apply(message));
             checkIncarnation();
         }
 
         @Override
         public void due(long at, String token) {
-            now = at;
             member.onTimer(at, token);
             checkIncarnation();
         }
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -127,7 +128,8 @@
                                 s.close();
                             } else if (n == 1) {
                                 RawSockets.sendChunk(s, listJson(51, false));
-                                s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
+                                s.getOutputStream()
+                                        .write("0\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                             } else if (n == 2) {
                                 RawSockets.sendChunk(s, listJson(52, false)); // and not a word more
                             }
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -151,7 +151,7 @@
     }
 
     /** A stall of the event loop; what comes meanwhile stays in the sockets until it is resumed. */
-    final class LoopStall {
+    static final class LoopStall {
         private final CountDownLatch hasStalled = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
         private boolean isScheduled;
--- a/src/test/java/myrtleladder/loadbalancer/server/MainTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/MainTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import myrtleladder.loadbalancer.server.RawSockets.Server;
@@ -45,7 +46,7 @@
                         args,
                         config == null ? null : config.toString(),
                         new java.io.PrintStream(err));
-        return new Result(exit, err.toString());
+        return new Result(exit, err.toString(StandardCharsets.UTF_8));
     }
 
     private static void assertOneLine(Result result) {
--- a/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 import myrtleladder.loadbalancer.server.RawSockets.Client;
@@ -92,7 +93,9 @@
                 server(
                         (m, s) -> {
                             s.getOutputStream()
-                                    .write("HTTP/1.1 102 Processing\r\n\r\n".getBytes("UTF-8"));
+                                    .write(
+                                            "HTTP/1.1 102 Processing\r\n\r\n"
+                                                    .getBytes(StandardCharsets.UTF_8));
                             RawSockets.respond(
                                     s, "200 OK", "", m.headers().get("x-correlation-id"));
                         });
@@ -119,7 +122,7 @@
                 server(
                         (m, s) -> {
                             String half = "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha";
-                            s.getOutputStream().write(half.getBytes("UTF-8"));
+                            s.getOutputStream().write(half.getBytes(StandardCharsets.UTF_8));
                             written.countDown();
                             read.await();
                             if (reset) {
@@ -148,7 +151,7 @@
                 server(
                         (m, s) -> {
                             String answer = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it";
-                            s.getOutputStream().write(answer.getBytes("UTF-8"));
+                            s.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
                             s.close();
                         });
         start(upstream);
@@ -180,7 +183,10 @@
                                             + (first ? stray.substring(0, 30) : ""),
                                     4);
                             if (!first) {
-                                s.getOutputStream().write(stray.substring(30).getBytes("UTF-8"));
+                                s.getOutputStream()
+                                        .write(
+                                                stray.substring(30)
+                                                        .getBytes(StandardCharsets.UTF_8));
                             }
                         });
         start(upstream);
@@ -208,7 +214,11 @@
             })
     void malformedResponseIsNotForwarded(String answer) throws Exception {
         Script broken =
-                (m, s) -> s.getOutputStream().write(answer.replace("|", "\r\n").getBytes("UTF-8"));
+                (m, s) ->
+                        s.getOutputStream()
+                                .write(
+                                        answer.replace("|", "\r\n")
+                                                .getBytes(StandardCharsets.UTF_8));
         Server one = server(broken);
         Server two = server(broken);
         start(one, two);
--- a/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
+++ b/src/test/java/myrtleladder/testbed/checker/CheckerTest.java
@@ -117,7 +117,7 @@
         for (int i = 0; i < 500; i++) {
             String id = "r" + i;
             String body = "body" + i;
-            long nowUs = i * 20 * US_PER_MS;
+            long nowUs = i * 20L * US_PER_MS;
             Repeat repeat = Repeat.values()[random.nextInt(3)];
             checker.requestSent(id, repeat, 3 * US_PER_S, nowUs + US_PER_S);
             checker.requestAccepted(id);
--- a/src/test/java/myrtleladder/testbed/fake/UpstreamModelTest.java
+++ b/src/test/java/myrtleladder/testbed/fake/UpstreamModelTest.java
@@ -73,7 +73,7 @@
         now = WARM;
         for (int i = 0; i < sent; i++) {
             arrive(i, null, 20 * MS);
-            until(WARM + (i + 1) * everyMs * MS);
+            until(WARM + (i + 1L) * everyMs * MS);
         }
         assertEquals(50, ends.size(), 2);
         assertEquals(1, Double.parseDouble(utilisation(WARM + SECOND + SECOND / 2)), 0.05);
--- a/src/test/java/myrtleladder/testbed/proxy/FaultProxyTest.java
+++ b/src/test/java/myrtleladder/testbed/proxy/FaultProxyTest.java
@@ -14,6 +14,7 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.util.Arrays;
+import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import myrtleladder.testbed.fault.Fault;
@@ -189,14 +190,14 @@
     /** Which of 200 datagrams arrive, and how often: the same in each run of a seed. */
     @Test
     void datagramsAreLostAndDoubledAsTheSeedSaysAndAnswersComeBack() throws Exception {
-        TreeMap<Integer, Integer> first = arrivals(9);
+        Map<Integer, Integer> first = arrivals(9);
         assertTrue(first.equals(arrivals(9)), "one seed, two outcomes");
         assertTrue(first.size() > 130 && first.size() < 190, "arrived: " + first.size());
         assertTrue(first.containsValue(2));
         assertTrue(!first.equals(arrivals(10)));
     }
 
-    private static TreeMap<Integer, Integer> arrivals(long seed) throws Exception {
+    private static Map<Integer, Integer> arrivals(long seed) throws Exception {
         TreeMap<Integer, Integer> seen = new TreeMap<>();
         try (FaultProxy relay = new FaultProxy(seed, LinkFault.NONE);
                 DatagramSocket a = new DatagramSocket(0, HERE);
