--- a/src/main/java/myrtleladder/cluster/AgreeCarrier.java
+++ b/src/main/java/myrtleladder/cluster/AgreeCarrier.java
@@ -23,8 +23,8 @@
 import myrtleladder.maintenance.Work;
 
 /**
- * A process's agreement, over the datagrams and on the event loop of its membership: what is seen there is
- * who is there, and names have the addresses that their members tell.
+ * A process's agreement, over the datagrams and on the event loop of its membership: what is seen
+ * there is who is there, and names have the addresses that their members tell.
  */
 public final class AgreeCarrier implements Agreement.Out {
     private static final System.Logger LOG = System.getLogger(AgreeCarrier.class.getName());
@@ -36,6 +36,7 @@
     private final Agreement agreement;
     private final Map<String, String> addresses = new TreeMap<>();
     private boolean lookDue;
+
     /** What is built upon the agreement; null if nothing is. */
     private WorkCarrier guest;
 
@@ -47,10 +48,20 @@
      * @param applied decrees known here
      * @param waiting commands of this process that are not decided
      */
-    public record Look(Life self, Term term, Life leader, boolean decides, View view, long applied,
-            int waiting, Map<String, Long> refused) { }
-
-    private AgreeCarrier(MemberCarrier members, AgreeSettings settings, Machine machine,
+    public record Look(
+            Life self,
+            Term term,
+            Life leader,
+            boolean decides,
+            View view,
+            long applied,
+            int waiting,
+            Map<String, Long> refused) {}
+
+    private AgreeCarrier(
+            MemberCarrier members,
+            AgreeSettings settings,
+            Machine machine,
             Consumer<? super Point> points) {
         this.members = members;
         this.loop = members.loop();
@@ -60,15 +71,24 @@
         this.agreement = new Agreement(settings, me, new SecureRandom().nextLong(), machine, this);
     }
 
-    /** Takes part from now on. {@code points} hears of each point of fault that is passed; for the lab. */
-    public static AgreeCarrier start(MemberCarrier members, AgreeSettings settings, Machine machine,
+    /**
+     * Takes part from now on. {@code points} hears of each point of fault that is passed; for the
+     * lab.
+     */
+    public static AgreeCarrier start(
+            MemberCarrier members,
+            AgreeSettings settings,
+            Machine machine,
             Consumer<? super Point> points) {
         AgreeCarrier carrier = new AgreeCarrier(members, settings, machine, points);
-        carrier.loop.submit(() -> {
-            members.host(carrier);
-            carrier.agreement.started(carrier.now());
-            carrier.lookAround();
-        }).syncUninterruptibly();
+        carrier.loop
+                .submit(
+                        () -> {
+                            members.host(carrier);
+                            carrier.agreement.started(carrier.now());
+                            carrier.lookAround();
+                        })
+                .syncUninterruptibly();
         return carrier;
     }
 
@@ -78,8 +98,15 @@
     }
 
     private Look held() {
-        return new Look(me, agreement.term(), agreement.leader(), agreement.decides(now()), agreement.view(),
-                agreement.applied(), agreement.waiting(), agreement.refused());
+        return new Look(
+                me,
+                agreement.term(),
+                agreement.leader(),
+                agreement.decides(now()),
+                agreement.view(),
+                agreement.applied(),
+                agreement.waiting(),
+                agreement.refused());
     }
 
     long now() {
@@ -98,7 +125,9 @@
         return agreement;
     }
 
-    /** Has the work on machines hear its datagrams and what the agreement does; on the event loop. */
+    /**
+     * Has the work on machines hear its datagrams and what the agreement does; on the event loop.
+     */
     void host(WorkCarrier work) {
         guest = work;
         lookAround();
@@ -133,7 +162,9 @@
         }
     }
 
-    /** Something has changed in the picture; looked at once, when the membership is done with it. */
+    /**
+     * Something has changed in the picture; looked at once, when the membership is done with it.
+     */
     void changed() {
         if (!lookDue) {
             lookDue = true;
@@ -153,13 +184,16 @@
         }
         agreement.present(now(), there);
         if (guest != null) {
-            guest.present(there.entrySet().stream().map(l -> new Life(l.getKey(), l.getValue()))
-                    .collect(Collectors.toSet()));
+            guest.present(
+                    there.entrySet().stream()
+                            .map(l -> new Life(l.getKey(), l.getValue()))
+                            .collect(Collectors.toSet()));
             after();
         }
     }
 
-    @Override public void send(String name, byte[] datagram) {
+    @Override
+    public void send(String name, byte[] datagram) {
         String address = addresses.get(name);
         if (address == null) {
             throw new UncheckedIOException(new IOException(name + " is not there"));
@@ -167,29 +201,39 @@
         members.send(address, datagram);
     }
 
-    @Override public void timer(String token, long delay) {
-        loop.schedule(() -> {
-            agreement.due(now(), token);
-            after();
-        }, delay, TimeUnit.MICROSECONDS);
+    @Override
+    public void timer(String token, long delay) {
+        loop.schedule(
+                () -> {
+                    agreement.due(now(), token);
+                    after();
+                },
+                delay,
+                TimeUnit.MICROSECONDS);
     }
 
-    @Override public long wall() {
+    @Override
+    public long wall() {
         return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     }
 
-    @Override public void note(Note note) {
+    @Override
+    public void note(Note note) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("epoch", note.view().epoch());
         fields.put("view", note.view().number());
         fields.put("members", note.view().lives().size());
         fields.put("why", note.why());
-        LOG.log(note.kind() == Note.Kind.CUT_OFF || note.kind() == Note.Kind.FOUNDED
-                ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
-                "agreement " + note.kind() + ": " + note.why(), fields);
+        LOG.log(
+                note.kind() == Note.Kind.CUT_OFF || note.kind() == Note.Kind.FOUNDED
+                        ? System.Logger.Level.WARNING
+                        : System.Logger.Level.INFO,
+                "agreement " + note.kind() + ": " + note.why(),
+                fields);
     }
 
-    @Override public void point(Point point) {
+    @Override
+    public void point(Point point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/Balancing.java
+++ b/src/main/java/myrtleladder/cluster/Balancing.java
@@ -6,7 +6,7 @@
 /** What the work on machines needs of the balancer beside it; on its event loop. */
 public interface Balancing {
     /** An upstream as discovery told it last. */
-    record Upstream(String id, String zone, String kind, int cell, boolean ready) { }
+    record Upstream(String id, String zone, String kind, int cell, boolean ready) {}
 
     /** Attempts that are out at an upstream. */
     int inFlight(String upstream);
--- a/src/main/java/myrtleladder/cluster/FleetConfig.java
+++ b/src/main/java/myrtleladder/cluster/FleetConfig.java
@@ -12,7 +12,13 @@
  * @param name of the process, the same in all its lives and nobody else's
  * @param listen where it hears the others, and what they are told of it
  * @param seeds addresses at which others may be found
- * @param via addresses to send to in place of those that members tell, as behind a translation of addresses
+ * @param via addresses to send to in place of those that members tell, as behind a translation of
+ *     addresses
  */
-public record FleetConfig(Settings settings, String name, InetSocketAddress listen, List<String> seeds,
-        Map<String, String> via, Meta meta) { }
+public record FleetConfig(
+        Settings settings,
+        String name,
+        InetSocketAddress listen,
+        List<String> seeds,
+        Map<String, String> via,
+        Meta meta) {}
--- a/src/main/java/myrtleladder/cluster/MemberCarrier.java
+++ b/src/main/java/myrtleladder/cluster/MemberCarrier.java
@@ -27,14 +27,19 @@
 import myrtleladder.gossip.Membership;
 
 /**
- * A process's membership over UDP, on the event loop of the balancer: a loop that can't keep up with its
- * requests is late here as well, and the others see what clients see. What comes beyond a rate is dropped
- * unread, so that a flood costs no more than that.
+ * A process's membership over UDP, on the event loop of the balancer: a loop that can't keep up
+ * with its requests is late here as well, and the others see what clients see. What comes beyond a
+ * rate is dropped unread, so that a flood costs no more than that.
  */
 public final class MemberCarrier implements Membership.Out {
     private static final System.Logger LOG = System.getLogger(MemberCarrier.class.getName());
-    /** Datagrams that are read in each tenth of a second; a member of a fleet of 5,000 gets some ten. */
+
+    /**
+     * Datagrams that are read in each tenth of a second; a member of a fleet of 5,000 gets some
+     * ten.
+     */
     private static final int READ_AT_MOST = 200;
+
     private static final long TENTH_NANOS = 100_000_000;
 
     private final EventLoop loop;
@@ -42,53 +47,91 @@
     private final Membership membership;
     private final long origin = System.nanoTime();
     private Channel channel;
+
     /** What is built upon the picture; null if nothing is. */
     private AgreeCarrier guest;
+
     private long tenth;
     private int read;
     private long dropped;
 
     /** What is held of a member, for people: how long it has been held, in seconds. */
-    public record Held(Claim claim, double seconds) { }
+    public record Held(Claim claim, double seconds) {}
 
     /** What a process holds of its fleet. */
-    public record Look(Claim self, int present, int health, long digest, Map<String, Long> refused,
-            List<Held> members) { }
+    public record Look(
+            Claim self,
+            int present,
+            int health,
+            long digest,
+            Map<String, Long> refused,
+            List<Held> members) {}
 
     private MemberCarrier(EventLoop loop, FleetConfig config) {
         this.loop = loop;
         this.config = config;
         SecureRandom random = new SecureRandom();
-        this.membership = new Membership(config.settings(), config.name(), random.nextLong(), 0,
-                NetUtil.toSocketAddressString(config.listen()), config.meta(), config.seeds(),
-                random.nextLong(), this);
+        this.membership =
+                new Membership(
+                        config.settings(),
+                        config.name(),
+                        random.nextLong(),
+                        0,
+                        NetUtil.toSocketAddressString(config.listen()),
+                        config.meta(),
+                        config.seeds(),
+                        random.nextLong(),
+                        this);
     }
 
     /** Takes part from now on, and says at SIGTERM that it goes. */
     public static MemberCarrier start(EventLoop loop, FleetConfig config) {
         MemberCarrier carrier = new MemberCarrier(loop, config);
-        carrier.channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .handler(carrier.new Ear()).bind(config.listen()).syncUninterruptibly().channel();
+        carrier.channel =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioDatagramChannel.class)
+                        .handler(carrier.new Ear())
+                        .bind(config.listen())
+                        .syncUninterruptibly()
+                        .channel();
         loop.submit(() -> carrier.membership.started(carrier.now())).syncUninterruptibly();
-        Runtime.getRuntime().addShutdownHook(new Thread(() ->
-                loop.submit(() -> carrier.membership.leave(carrier.now())).awaitUninterruptibly()));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () ->
+                                        loop.submit(() -> carrier.membership.leave(carrier.now()))
+                                                .awaitUninterruptibly()));
         return carrier;
     }
 
     /** What it holds, as of soon. */
     public Future<Look> look() {
-        return loop.submit(() -> {
-            long now = now();
-            List<Held> members = new ArrayList<>();
-            membership.members().forEach(c -> members.add(new Held(c,
-                    (now - membership.since(c.name())) / 1e6)));
-            Map<String, Long> refused = new LinkedHashMap<>(membership.refused());
-            if (dropped > 0) {
-                refused.put("flood", dropped);
-            }
-            return new Look(membership.self(), membership.present(), membership.health(), membership.digest(),
-                    refused, members);
-        });
+        return loop.submit(
+                () -> {
+                    long now = now();
+                    List<Held> members = new ArrayList<>();
+                    membership
+                            .members()
+                            .forEach(
+                                    c ->
+                                            members.add(
+                                                    new Held(
+                                                            c,
+                                                            (now - membership.since(c.name()))
+                                                                    / 1e6)));
+                    Map<String, Long> refused = new LinkedHashMap<>(membership.refused());
+                    if (dropped > 0) {
+                        refused.put("flood", dropped);
+                    }
+                    return new Look(
+                            membership.self(),
+                            membership.present(),
+                            membership.health(),
+                            membership.digest(),
+                            refused,
+                            members);
+                });
     }
 
     /** The event loop that all of it lives on. */
@@ -116,7 +159,8 @@
         return (System.nanoTime() - origin) / 1_000;
     }
 
-    @Override public void send(String address, byte[] datagram) {
+    @Override
+    public void send(String address, byte[] datagram) {
         InetSocketAddress to = parse(config.via().getOrDefault(address, address));
         if (to != null) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
@@ -126,21 +170,28 @@
     /** Numbers alone, since there is no DNS; an address that somebody told wrong is nobody's. */
     private static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
-        byte[] host = colon < 0 ? null
-                : NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon));
+        byte[] host =
+                colon < 0
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon));
         try {
-            return host == null ? null : new InetSocketAddress(InetAddress.getByAddress(host),
-                    Integer.parseInt(address.substring(colon + 1)));
+            return host == null
+                    ? null
+                    : new InetSocketAddress(
+                            InetAddress.getByAddress(host),
+                            Integer.parseInt(address.substring(colon + 1)));
         } catch (UnknownHostException | IllegalArgumentException e) {
             return null;
         }
     }
 
-    @Override public void timer(String token, long delay) {
+    @Override
+    public void timer(String token, long delay) {
         loop.schedule(() -> membership.due(now(), token), delay, TimeUnit.MICROSECONDS);
     }
 
-    @Override public void event(Event event) {
+    @Override
+    public void event(Event event) {
         if (guest != null) {
             guest.changed();
         }
@@ -152,12 +203,15 @@
         fields.put("life", Long.toHexString(c.life()));
         fields.put("address", c.address());
         fields.put("why", event.why());
-        LOG.log(System.Logger.Level.INFO, "member " + c.name() + " " + event.kind() + ": " + event.why(),
+        LOG.log(
+                System.Logger.Level.INFO,
+                "member " + c.name() + " " + event.kind() + ": " + event.why(),
                 fields);
     }
 
     private final class Ear extends SimpleChannelInboundHandler<DatagramPacket> {
-        @Override protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             long now = System.nanoTime();
             if (now - tenth > TENTH_NANOS) {
                 tenth = now;
@@ -171,12 +225,14 @@
             if (guest != null && guest.takes(datagram)) {
                 guest.received(datagram);
             } else {
-                membership.received(now(), NetUtil.toSocketAddressString(packet.sender()), datagram);
+                membership.received(
+                        now(), NetUtil.toSocketAddressString(packet.sender()), datagram);
             }
         }
 
         /** Whoever sends to a process that is down may be told so; that is no news here. */
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 LOG.log(System.Logger.Level.ERROR, "dropped a datagram after a failure", cause);
             }
--- a/src/main/java/myrtleladder/cluster/PointFault.java
+++ b/src/main/java/myrtleladder/cluster/PointFault.java
@@ -11,20 +11,25 @@
 import java.util.function.Consumer;
 
 /**
- * A fault at a point, in a process of the lab: {@code POINT:pass:CRASH:who:file} ends the process there as a
- * kill would, {@code POINT:pass:STAND:who:file} has its event loop stand still. All processes of a fleet are
- * told the same but for who they are; the first one that comes there makes the file, which names it, and the
- * fault is its own.
+ * A fault at a point, in a process of the lab: {@code POINT:pass:CRASH:who:file} ends the process
+ * there as a kill would, {@code POINT:pass:STAND:who:file} has its event loop stand still. All
+ * processes of a fleet are told the same but for who they are; the first one that comes there makes
+ * the file, which names it, and the fault is its own.
  */
 public final class PointFault implements Consumer<Enum<?>> {
     /** The property that only the lab sets. */
     public static final String PROPERTY = "myrtleladder.testbed.fault";
+
     /** Longer than any timer of membership or agreement. */
     private static final long STAND_MS = 12_000;
+
     private static final int KILLED = 137;
     private static final int PARTS = 5;
 
-    private enum Kind { CRASH, STAND }
+    private enum Kind {
+        CRASH,
+        STAND
+    }
 
     private final String point;
     private final Kind kind;
@@ -43,17 +48,23 @@
     /** Reads the property; without one nothing ever happens. */
     public static Consumer<Enum<?>> of(String property) {
         if (property == null) {
-            return p -> { };
+            return p -> {};
         }
         String[] parts = property.split(":", PARTS);
         if (parts.length < PARTS) {
-            throw new IllegalArgumentException(PROPERTY + " is not POINT:pass:KIND:who:file: " + property);
+            throw new IllegalArgumentException(
+                    PROPERTY + " is not POINT:pass:KIND:who:file: " + property);
         }
-        return new PointFault(parts[0], Integer.parseInt(parts[1]), Kind.valueOf(parts[2]),
-                parts[3], Path.of(parts[4]));
+        return new PointFault(
+                parts[0],
+                Integer.parseInt(parts[1]),
+                Kind.valueOf(parts[2]),
+                parts[3],
+                Path.of(parts[4]));
     }
 
-    @Override public void accept(Enum<?> passed) {
+    @Override
+    public void accept(Enum<?> passed) {
         if (!passed.name().equals(point) || left == 0 || --left > 0) {
             return;
         }
--- a/src/main/java/myrtleladder/cluster/WorkCarrier.java
+++ b/src/main/java/myrtleladder/cluster/WorkCarrier.java
@@ -23,20 +23,28 @@
 import myrtleladder.maintenance.WorkSettings;
 
 /**
- * A process's part in the work on machines, beside its agreement: on the same event loop, by the same
- * datagrams. It sees how upstreams do by what becomes of this process's own attempts.
+ * A process's part in the work on machines, beside its agreement: on the same event loop, by the
+ * same datagrams. It sees how upstreams do by what becomes of this process's own attempts.
  */
 public final class WorkCarrier implements Work.Out {
     private static final System.Logger LOG = System.getLogger(WorkCarrier.class.getName());
+
     /** An upstream that has not served so many attempts in a row fails. */
     private static final int FAILS = 5;
+
     /** So many attempts, or so long, are enough to judge one that is back. */
     private static final int ENOUGH = 20;
+
     private static final long LONG_ENOUGH = 10_000_000;
     private static final int FEWEST = 5;
     private static final double BAD = 0.5;
-    /** So many times as long as its fellows take is worse; cold upstreams take up to a few times as long. */
+
+    /**
+     * So many times as long as its fellows take is worse; cold upstreams take up to a few times as
+     * long.
+     */
     private static final double SLOW = 8;
+
     private static final double SMOOTH = 0.02;
 
     private final AgreeCarrier agreement;
@@ -47,6 +55,7 @@
     private final Map<String, Integer> notServed = new HashMap<>();
     private final Map<String, Tally> tallies = new HashMap<>();
     private Set<String> away = Set.of();
+
     /** What an answer of the others takes, smoothed, in microseconds; 0 until there was one. */
     private double fellowsTook;
 
@@ -63,15 +72,34 @@
     }
 
     /** A job as operators see it; {@code waits} says for what, null if for nothing. */
-    public record Seen(String machine, String plan, String state, Token permit, long until, boolean reserved,
-            String waits, String why) { }
+    public record Seen(
+            String machine,
+            String plan,
+            String state,
+            Token permit,
+            long until,
+            boolean reserved,
+            String waits,
+            String why) {}
 
     /** What a process holds of the work on machines. */
-    public record Look(List<Seen> jobs, String halted, boolean safe, boolean leave, boolean registered,
-            List<String> gone, Map<String, String> refusals, Map<String, Long> refused) { }
-
-    private WorkCarrier(AgreeCarrier agreement, Agreement core, Agenda agenda, WorkSettings settings,
-            Balancing balancing, Consumer<? super WorkPoint> points) {
+    public record Look(
+            List<Seen> jobs,
+            String halted,
+            boolean safe,
+            boolean leave,
+            boolean registered,
+            List<String> gone,
+            Map<String, String> refusals,
+            Map<String, Long> refused) {}
+
+    private WorkCarrier(
+            AgreeCarrier agreement,
+            Agreement core,
+            Agenda agenda,
+            WorkSettings settings,
+            Balancing balancing,
+            Consumer<? super WorkPoint> points) {
         this.agreement = agreement;
         this.agenda = agenda;
         this.balancing = balancing;
@@ -80,22 +108,38 @@
     }
 
     /** Takes part from now on; {@code agenda} is what the agreement feeds. */
-    public static WorkCarrier start(AgreeCarrier agreement, Agenda agenda, WorkSettings settings,
-            Balancing balancing, Consumer<? super WorkPoint> points) {
-        return agreement.loop().submit(() -> {
-            WorkCarrier carrier = new WorkCarrier(agreement, agreement.core(), agenda, settings, balancing,
-                    points);
-            agreement.host(carrier);
-            carrier.work.started(carrier.now());
-            return carrier;
-        }).syncUninterruptibly().getNow();
+    public static WorkCarrier start(
+            AgreeCarrier agreement,
+            Agenda agenda,
+            WorkSettings settings,
+            Balancing balancing,
+            Consumer<? super WorkPoint> points) {
+        return agreement
+                .loop()
+                .submit(
+                        () -> {
+                            WorkCarrier carrier =
+                                    new WorkCarrier(
+                                            agreement,
+                                            agreement.core(),
+                                            agenda,
+                                            settings,
+                                            balancing,
+                                            points);
+                            agreement.host(carrier);
+                            carrier.work.started(carrier.now());
+                            return carrier;
+                        })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     private long now() {
         return agreement.now();
     }
 
-    // ---- For the balancer, on the loop -----------------------------------------------------------------
+    // ---- For the balancer, on the loop
+    // -----------------------------------------------------------------
 
     /** Whether an attempt may begin now. */
     public boolean maySend(String upstream) {
@@ -119,7 +163,8 @@
         }
     }
 
-    // ---- For operators ---------------------------------------------------------------------------------
+    // ---- For operators
+    // ---------------------------------------------------------------------------------
 
     /** Has something done on the loop. */
     public <T> Future<T> ask(Callable<T> what) {
@@ -133,15 +178,33 @@
 
     /** What it holds, as of soon. */
     public Future<Look> look() {
-        return agreement.loop().submit(() -> {
-            List<Seen> jobs = new ArrayList<>();
-            for (Job job : agenda.jobs()) {
-                jobs.add(new Seen(job.machine(), job.plan(), job.state().name(), job.permit(), job.until(),
-                        job.reserved(), work.waits(now(), job), job.why()));
-            }
-            return new Look(jobs, agenda.halted(), agenda.isSafe(), work.hasLeave(now()), work.registered(),
-                    agenda.gone().stream().map(Life::toString).toList(), agenda.refusals(), work.refused());
-        });
+        return agreement
+                .loop()
+                .submit(
+                        () -> {
+                            List<Seen> jobs = new ArrayList<>();
+                            for (Job job : agenda.jobs()) {
+                                jobs.add(
+                                        new Seen(
+                                                job.machine(),
+                                                job.plan(),
+                                                job.state().name(),
+                                                job.permit(),
+                                                job.until(),
+                                                job.reserved(),
+                                                work.waits(now(), job),
+                                                job.why()));
+                            }
+                            return new Look(
+                                    jobs,
+                                    agenda.halted(),
+                                    agenda.isSafe(),
+                                    work.hasLeave(now()),
+                                    work.registered(),
+                                    agenda.gone().stream().map(Life::toString).toList(),
+                                    agenda.refusals(),
+                                    work.refused());
+                        });
     }
 
     /** The epoch of the view; on the loop. */
@@ -169,7 +232,8 @@
         steps.forEach(s -> work.propose(now(), s));
     }
 
-    // ---- From the agreement, on the loop ---------------------------------------------------------------
+    // ---- From the agreement, on the loop
+    // ---------------------------------------------------------------
 
     void received(byte[] datagram) {
         work.received(now(), datagram);
@@ -184,25 +248,31 @@
         work.look(now);
     }
 
-    // ---- What the core asks for ------------------------------------------------------------------------
+    // ---- What the core asks for
+    // ------------------------------------------------------------------------
 
-    @Override public void send(String name, byte[] datagram) {
+    @Override
+    public void send(String name, byte[] datagram) {
         agreement.sendIfThere(name, datagram);
     }
 
-    @Override public void timer(String token, long delay) {
+    @Override
+    public void timer(String token, long delay) {
         agreement.loop().schedule(() -> work.due(now(), token), delay, TimeUnit.MICROSECONDS);
     }
 
-    @Override public long wallMillis() {
+    @Override
+    public long wallMillis() {
         return System.currentTimeMillis();
     }
 
-    @Override public int inFlight(String upstream) {
+    @Override
+    public int inFlight(String upstream) {
         return balancing.inFlight(upstream);
     }
 
-    @Override public void aside(Set<String> upstreams) {
+    @Override
+    public void aside(Set<String> upstreams) {
         Set<String> cold = new HashSet<>(away);
         cold.removeAll(upstreams);
         cold.retainAll(tallies.keySet());
@@ -210,34 +280,45 @@
         balancing.setAside(away, cold);
     }
 
-    @Override public List<String> failing() {
+    @Override
+    public List<String> failing() {
         Set<String> failing = new HashSet<>();
         balancing.listed().stream().filter(u -> !u.ready()).forEach(u -> failing.add(u.id()));
-        notServed.forEach((upstream, times) -> {
-            if (times >= FAILS) {
-                failing.add(upstream);
-            }
-        });
+        notServed.forEach(
+                (upstream, times) -> {
+                    if (times >= FAILS) {
+                        failing.add(upstream);
+                    }
+                });
         return failing.stream().sorted().limit(Agenda.MOST_FAILING).toList();
     }
 
-    @Override public boolean judged(String upstream) {
+    @Override
+    public boolean judged(String upstream) {
         Tally tally = tallies.get(upstream);
-        return tally != null && (tally.served + tally.failed >= ENOUGH || now() - tally.since >= LONG_ENOUGH);
+        return tally != null
+                && (tally.served + tally.failed >= ENOUGH || now() - tally.since >= LONG_ENOUGH);
     }
 
-    @Override public String worse(String upstream) {
+    @Override
+    public String worse(String upstream) {
         Tally tally = tallies.get(upstream);
         int all = tally.served + tally.failed;
         if (all >= FEWEST && tally.failed > BAD * all) {
             return tally.failed + " of " + all + " attempts failed";
         }
         double mean = tally.served < FEWEST ? 0 : (double) tally.took / tally.served;
-        return fellowsTook > 0 && mean > SLOW * fellowsTook ? String.format(Locale.ROOT,
-                "answers take %.1f ms, those of its fellows %.1f", mean / 1e3, fellowsTook / 1e3) : null;
+        return fellowsTook > 0 && mean > SLOW * fellowsTook
+                ? String.format(
+                        Locale.ROOT,
+                        "answers take %.1f ms, those of its fellows %.1f",
+                        mean / 1e3,
+                        fellowsTook / 1e3)
+                : null;
     }
 
-    @Override public void moved(Job job) {
+    @Override
+    public void moved(Job job) {
         String upstream = job.part().upstream();
         if (upstream != null) {
             switch (job.state()) {
@@ -246,7 +327,7 @@
                     tallies.remove(upstream);
                     notServed.remove(upstream);
                 }
-                default -> { }
+                default -> {}
             }
         }
         Map<String, Object> fields = new LinkedHashMap<>();
@@ -256,11 +337,18 @@
         if (job.permit() != null) {
             fields.put("permit", job.permit().epoch() + "." + job.permit().index());
         }
-        LOG.log(System.Logger.Level.INFO, "machine " + job.machine() + " " + job.state()
-                + (job.why() == null ? "" : ": " + job.why()), fields);
+        LOG.log(
+                System.Logger.Level.INFO,
+                "machine "
+                        + job.machine()
+                        + " "
+                        + job.state()
+                        + (job.why() == null ? "" : ": " + job.why()),
+                fields);
     }
 
-    @Override public void point(WorkPoint point) {
+    @Override
+    public void point(WorkPoint point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/consensus/Agreement.java
+++ b/src/main/java/myrtleladder/consensus/Agreement.java
@@ -14,19 +14,27 @@
 import java.util.TreeSet;
 
 /**
- * One life's part in what its fleet agrees on. The log is Raft's (Ongaro and Ousterhout, 2014) with lives for
- * servers: nothing survives a process, so a restarted one is another server, which a view has to take in.
- * Where so many have ended that no majority of the council can be had from those that were taken in, lives
- * that never had a vote found the log anew, see {@link Election}. All calls come from one thread; the maker
- * of {@code out} brings about what it asks for.
+ * One life's part in what its fleet agrees on. The log is Raft's (Ongaro and Ousterhout, 2014) with
+ * lives for servers: nothing survives a process, so a restarted one is another server, which a view
+ * has to take in. Where so many have ended that no majority of the council can be had from those
+ * that were taken in, lives that never had a vote found the log anew, see {@link Election}. All
+ * calls come from one thread; the maker of {@code out} brings about what it asks for.
  */
 public final class Agreement {
     private static final String BEAT = "beat";
-    /** What proposers had taken in last is kept for so many lives, those that are gone among them. */
+
+    /**
+     * What proposers had taken in last is kept for so many lives, those that are gone among them.
+     */
     private static final int TAKEN = 1_024;
+
     /** Changes of members that a leader is told of, and that go into one view. */
     private static final int CHANGES = 8;
-    /** What a message has beside its entries, or beside a part of a snapshot, takes no more than this. */
+
+    /**
+     * What a message has beside its entries, or beside a part of a snapshot, takes no more than
+     * this.
+     */
     private static final int HEAD = 420;
 
     private final AgreeSettings settings;
@@ -47,8 +55,13 @@
     private View view = View.NONE;
     private long commit;
     private long applied;
-    /** Up to where this life has acknowledged entries of the term's leader: none of it may be taken back. */
+
+    /**
+     * Up to where this life has acknowledged entries of the term's leader: none of it may be taken
+     * back.
+     */
     private long acknowledged;
+
     private long startedAt;
     private long contactAt;
     private long electAt;
@@ -76,24 +89,28 @@
         void note(Note note);
 
         /** A point of fault is passed; only tests do anything here. */
-        default void point(Point point) { }
+        default void point(Point point) {}
     }
 
-    /** What the fast picture has of a name: the life that is there, 0 for nobody, and since when. */
-    private record Seen(long life, long since) { }
+    /**
+     * What the fast picture has of a name: the life that is there, 0 for nobody, and since when.
+     */
+    private record Seen(long life, long since) {}
 
     /** A snapshot as it is sent. */
-    private record Snapshot(long index, Term at, byte[] bytes) { }
+    private record Snapshot(long index, Term at, byte[] bytes) {}
 
     /** A snapshot as it comes in. */
-    private record Partial(Term term, long index, java.io.ByteArrayOutputStream bytes) { }
+    private record Partial(Term term, long index, java.io.ByteArrayOutputStream bytes) {}
 
     /** What a leader knows of another life. */
     private static final class Peer {
         long next;
         long match;
+
         /** Half of the least, so that the time since then is a number. */
         long heardAt = Long.MIN_VALUE / 2;
+
         long offset = -1;
         long viewNumber = -1;
         Map<String, Long> cut = Map.of();
@@ -112,7 +129,8 @@
         this.out = out;
     }
 
-    // ---- What happens to it ----------------------------------------------------------------------------
+    // ---- What happens to it
+    // ----------------------------------------------------------------------------
 
     /** Begins. */
     public void started(long now) {
@@ -142,7 +160,11 @@
         }
         if (leads()) {
             if (!hasQuorum(now)) {
-                follow(now, term, null, "no majority was heard for " + settings.patience() / 1_000 + " ms");
+                follow(
+                        now,
+                        term,
+                        null,
+                        "no majority was heard for " + settings.patience() / 1_000 + " ms");
             } else {
                 proposeView(now);
                 sendToAll(now);
@@ -198,8 +220,12 @@
     /** Has a command decided, once and in the order of these calls, as long as this life lasts. */
     public void propose(long now, byte[] command) {
         if (command.length > settings.longestCommand()) {
-            throw new IllegalArgumentException("a command of " + command.length + " bytes is over the "
-                    + settings.longestCommand() + " that fit");
+            throw new IllegalArgumentException(
+                    "a command of "
+                            + command.length
+                            + " bytes is over the "
+                            + settings.longestCommand()
+                            + " that fit");
         }
         commands.add(command.clone());
         if (commands.size() == 1) {
@@ -208,12 +234,16 @@
         }
     }
 
-    /** Whether a datagram is meant for an agreement, and not for another part that hears the same address. */
+    /**
+     * Whether a datagram is meant for an agreement, and not for another part that hears the same
+     * address.
+     */
     public static boolean isOurs(byte[] datagram) {
         return Wire.isOurs(datagram);
     }
 
-    // ---- What can be asked of it -----------------------------------------------------------------------
+    // ---- What can be asked of it
+    // -----------------------------------------------------------------------
 
     /** The view that was decided last, as far as is known here. */
     public View view() {
@@ -247,7 +277,9 @@
 
     /** Whether a majority of the council stands behind what is heard here, as of a moment ago. */
     public boolean decides(long now) {
-        return leads() ? hasQuorum(now) : leader != null && now - contactAt < 2 * settings.patience();
+        return leads()
+                ? hasQuorum(now)
+                : leader != null && now - contactAt < 2 * settings.patience();
     }
 
     /** How many datagrams were dropped, by reason. */
@@ -255,7 +287,8 @@
         return Map.copyOf(refused);
     }
 
-    // ---- Leading ---------------------------------------------------------------------------------------
+    // ---- Leading
+    // ---------------------------------------------------------------------------------------
 
     private boolean councillor(String name) {
         return settings.council().contains(name);
@@ -270,7 +303,9 @@
         return voter() || now - startedAt >= settings.settling();
     }
 
-    /** Councillors taken in that answered lately; an answer counts from when its question was sent. */
+    /**
+     * Councillors taken in that answered lately; an answer counts from when its question was sent.
+     */
     private boolean hasQuorum(long now) {
         long heard = voter() ? 1 : 0;
         for (Map.Entry<Life, Peer> p : peers.entrySet()) {
@@ -287,7 +322,10 @@
         peers.clear();
         out.point(Point.ELECTED);
         lives().forEach(l -> peers.put(l, new Peer(log.last() + 1)));
-        votes.values().stream().map(peers::get).filter(Objects::nonNull).forEach(p -> p.heardAt = askedAt);
+        votes.values().stream()
+                .map(peers::get)
+                .filter(Objects::nonNull)
+                .forEach(p -> p.heardAt = askedAt);
         out.note(new Note(Note.Kind.LEADS, view, "term " + term));
         if (founding) {
             Map<String, Long> founders = new TreeMap<>();
@@ -298,7 +336,12 @@
         }
     }
 
-    private void write(long now, Entry.Kind kind, Map<String, Long> change, Life by, long number,
+    private void write(
+            long now,
+            Entry.Kind kind,
+            Map<String, Long> change,
+            Life by,
+            long number,
             byte[] command) {
         log.add(new Entry(log.last() + 1, term, kind, change, null, by, number, command));
         acknowledged = log.last();
@@ -311,12 +354,13 @@
     private List<Life> lives() {
         List<Life> lives = new ArrayList<>();
         log.view().lives().forEach((name, life) -> lives.add(new Life(name, life)));
-        seen.forEach((name, s) -> {
-            Life life = new Life(name, s.life());
-            if (s.life() != 0 && !lives.contains(life)) {
-                lives.add(life);
-            }
-        });
+        seen.forEach(
+                (name, s) -> {
+                    Life life = new Life(name, s.life());
+                    if (s.life() != 0 && !lives.contains(life)) {
+                        lives.add(life);
+                    }
+                });
         lives.remove(me);
         return lives;
     }
@@ -351,8 +395,11 @@
     private void sendSnapshot(long now, Life life, Peer peer) {
         boolean between = peers.values().stream().allMatch(p -> p.offset <= 0);
         if (made == null || made.index() < log.base() || made.index() < applied && between) {
-            made = new Snapshot(applied, log.termAt(applied), Wire.write(new Wire.Snapshot(view, taken,
-                    machine.snapshot())));
+            made =
+                    new Snapshot(
+                            applied,
+                            log.termAt(applied),
+                            Wire.write(new Wire.Snapshot(view, taken, machine.snapshot())));
             out.point(Point.SNAPSHOT_MADE);
             peers.values().forEach(p -> p.offset = p.offset < 0 ? -1 : 0);
         }
@@ -361,8 +408,13 @@
         // Three bytes take four characters.
         int to = Math.min(made.bytes().length, from + (settings.bytes() - HEAD) * 3 / 4);
         out.point(Point.SNAPSHOT_SENDING);
-        send(life, message(Message.Kind.SNAPSHOT, null, made.index(), made.at(), now)
-                .with(java.util.Arrays.copyOfRange(made.bytes(), from, to), from, made.bytes().length));
+        send(
+                life,
+                message(Message.Kind.SNAPSHOT, null, made.index(), made.at(), now)
+                        .with(
+                                java.util.Arrays.copyOfRange(made.bytes(), from, to),
+                                from,
+                                made.bytes().length));
     }
 
     /** What a life answered to entries. */
@@ -388,8 +440,9 @@
     }
 
     /**
-     * Looks for the last place at which the logs are one, after a life did not hold the one asked for. What
-     * it has beyond this log, or has decided otherwise, comes from before a founding: a snapshot replaces it.
+     * Looks for the last place at which the logs are one, after a life did not hold the one asked
+     * for. What it has beyond this log, or has decided otherwise, comes from before a founding: a
+     * snapshot replaces it.
      */
     private void goBack(long now, Life life, Peer peer, long hint) {
         long before = peer.next;
@@ -429,18 +482,22 @@
         return peer;
     }
 
-    /** An entry of this term is decided when a majority of the council, as the log has it now, holds it. */
+    /**
+     * An entry of this term is decided when a majority of the council, as the log has it now, holds
+     * it.
+     */
     private void decide(long now) {
         View members = log.view();
         List<Long> held = new ArrayList<>();
         if (voter()) {
             held.add(log.last());
         }
-        peers.forEach((life, peer) -> {
-            if (councillor(life.name()) && members.has(life)) {
-                held.add(peer.match);
-            }
-        });
+        peers.forEach(
+                (life, peer) -> {
+                    if (councillor(life.name()) && members.has(life)) {
+                        held.add(peer.match);
+                    }
+                });
         if (held.size() < settings.quorum()) {
             return;
         }
@@ -452,26 +509,30 @@
         }
     }
 
-    // ---- Views -----------------------------------------------------------------------------------------
+    // ---- Views
+    // -----------------------------------------------------------------------------------------
 
     /** What this life has seen to differ from its log's view in the same way for long. */
     private Map<String, Long> cut(long now) {
         Map<String, Long> cut = new TreeMap<>();
         View members = log.view();
-        seen.forEach((name, s) -> {
-            long held = members.lives().getOrDefault(name, 0L);
-            if (s.life() != held && now - s.since() >= settings.stable() && cut.size() < CHANGES) {
-                cut.put(name, s.life());
-            }
-        });
+        seen.forEach(
+                (name, s) -> {
+                    long held = members.lives().getOrDefault(name, 0L);
+                    if (s.life() != held
+                            && now - s.since() >= settings.stable()
+                            && cut.size() < CHANGES) {
+                        cut.put(name, s.life());
+                    }
+                });
         return cut;
     }
 
     /**
-     * Proposes what a majority of the council has seen in the same way for long (Rapid, section 4.2: a view
-     * changes by a cut that is stable, and all that is known to change at once). Lives on the council go and
-     * come in separate views, since two majorities of one view and the next have to meet; and none goes that
-     * a majority needs.
+     * Proposes what a majority of the council has seen in the same way for long (Rapid, section
+     * 4.2: a view changes by a cut that is stable, and all that is known to change at once). Lives
+     * on the council go and come in separate views, since two majorities of one view and the next
+     * have to meet; and none goes that a majority needs.
      */
     private void proposeView(long now) {
         View members = log.view();
@@ -482,9 +543,19 @@
         Map<String, Long> comes = new TreeMap<>();
         long voters = members.lives().keySet().stream().filter(this::councillor).count();
         for (Map.Entry<String, Long> c : cut(now).entrySet()) {
-            long others = peers.entrySet().stream().filter(p -> councillor(p.getKey().name())
-                    && members.has(p.getKey()) && p.getValue().viewNumber == members.number()
-                    && c.getValue().equals(p.getValue().cut.get(c.getKey()))).count();
+            long others =
+                    peers.entrySet().stream()
+                            .filter(
+                                    p ->
+                                            councillor(p.getKey().name())
+                                                    && members.has(p.getKey())
+                                                    && p.getValue().viewNumber == members.number()
+                                                    && c.getValue()
+                                                            .equals(
+                                                                    p.getValue()
+                                                                            .cut
+                                                                            .get(c.getKey())))
+                            .count();
             boolean council = councillor(c.getKey());
             if (others + 1 < settings.quorum() || c.getKey().equals(me.name())) {
                 continue;
@@ -509,7 +580,8 @@
         return peer != null && peer.match >= commit;
     }
 
-    // ---- Following -------------------------------------------------------------------------------------
+    // ---- Following
+    // -------------------------------------------------------------------------------------
 
     private void follow(long now, Term its, Life whom, String why) {
         if (leads()) {
@@ -527,10 +599,14 @@
         electAt = now + settings.patience() + random.nextLong(settings.patience());
     }
 
-    /** Whether a message is of the term's leader, or of a later one's, whom this life then follows. */
+    /**
+     * Whether a message is of the term's leader, or of a later one's, whom this life then follows.
+     */
     private boolean ofLeader(long now, Message m) {
         if (m.term().compareTo(term) < 0) {
-            send(m.from(), message(Message.Kind.APPENDED, m.from(), applied, Term.NONE, m.number()));
+            send(
+                    m.from(),
+                    message(Message.Kind.APPENDED, m.from(), applied, Term.NONE, m.number()));
             return false;
         }
         if (m.term().compareTo(term) > 0 || !m.from().equals(leader)) {
@@ -587,8 +663,10 @@
     }
 
     private void acknowledge(long now, Message m, boolean yes, long index) {
-        Message answer = message(Message.Kind.APPENDED, m.from(), index, Term.NONE, m.number())
-                .says(yes, voter(), ripe(now)).with(new byte[0], 0, log.view().number());
+        Message answer =
+                message(Message.Kind.APPENDED, m.from(), index, Term.NONE, m.number())
+                        .says(yes, voter(), ripe(now))
+                        .with(new byte[0], 0, log.view().number());
         send(m.from(), councillor(me.name()) ? answer.with(cut(now)) : answer);
     }
 
@@ -610,8 +688,10 @@
             partial.bytes().writeBytes(m.bytes());
         }
         if (partial.bytes().size() < m.total()) {
-            send(m.from(), message(Message.Kind.HEARD, m.from(), m.index(), Term.NONE, m.number())
-                    .with(new byte[0], partial.bytes().size(), m.total()));
+            send(
+                    m.from(),
+                    message(Message.Kind.HEARD, m.from(), m.index(), Term.NONE, m.number())
+                            .with(new byte[0], partial.bytes().size(), m.total()));
             return;
         }
         try {
@@ -635,7 +715,8 @@
         }
     }
 
-    // ---- Decrees ---------------------------------------------------------------------------------------
+    // ---- Decrees
+    // ---------------------------------------------------------------------------------------
 
     private void applyAll(long now) {
         while (applied < commit) {
@@ -645,9 +726,13 @@
             if (e.hasView()) {
                 view = e.view();
                 machine.view(view);
-                out.note(new Note(e.kind() == Entry.Kind.FOUND ? Note.Kind.FOUNDED : Note.Kind.VIEW, view,
-                        "decree " + e.index()));
-            } else if (e.kind() == Entry.Kind.COMMAND && e.number() > taken.getOrDefault(e.by(), 0L)) {
+                out.note(
+                        new Note(
+                                e.kind() == Entry.Kind.FOUND ? Note.Kind.FOUNDED : Note.Kind.VIEW,
+                                view,
+                                "decree " + e.index()));
+            } else if (e.kind() == Entry.Kind.COMMAND
+                    && e.number() > taken.getOrDefault(e.by(), 0L)) {
                 taken.remove(e.by()); // to the end of the order
                 taken.put(e.by(), e.number());
                 if (taken.size() > TAKEN) {
@@ -681,8 +766,10 @@
         if (leads()) {
             take(now, me, commandNumber, commands.peek());
         } else {
-            send(leader, message(Message.Kind.COMMAND, leader, 0, Term.NONE, commandNumber)
-                    .with(commands.peek(), 0, 0));
+            send(
+                    leader,
+                    message(Message.Kind.COMMAND, leader, 0, Term.NONE, commandNumber)
+                            .with(commands.peek(), 0, 0));
         }
     }
 
@@ -698,7 +785,8 @@
         write(now, Entry.Kind.COMMAND, Map.of(), by, number, command);
     }
 
-    // ---- Sending ---------------------------------------------------------------------------------------
+    // ---- Sending
+    // ---------------------------------------------------------------------------------------
 
     private Message message(Message.Kind kind, Life to, long index, Term at, long number) {
         return Message.of(kind, me, to, term, index, at, number);
@@ -716,26 +804,33 @@
         refused.merge(reason, 1L, Long::sum);
     }
 
-    // ---- Elections -------------------------------------------------------------------------------------
+    // ---- Elections
+    // -------------------------------------------------------------------------------------
 
     /**
-     * How a leader is found. A candidate first asks whether it would be voted for, so that one that was cut
-     * off disturbs nobody when it comes back. It is elected by a majority of the council, counted over lives
-     * that its log has taken in.
+     * How a leader is found. A candidate first asks whether it would be voted for, so that one that
+     * was cut off disturbs nobody when it comes back. It is elected by a majority of the council,
+     * counted over lives that its log has taken in.
      *
-     * <p>Or it founds the log anew. For that so many names of the council have to be held by lives that never
-     * had a vote, each of which gives its word, that the others can't be a majority: then nothing can be
-     * decided any more by the lives taken in, whatever each of them knows. Those that do live give their word
-     * as well if they can be reached, and what they know goes on, since nobody votes for one who knows less.
-     * A part that is cut off never has a majority of names, so it can't take itself for this case.
+     * <p>Or it founds the log anew. For that so many names of the council have to be held by lives
+     * that never had a vote, each of which gives its word, that the others can't be a majority:
+     * then nothing can be decided any more by the lives taken in, whatever each of them knows.
+     * Those that do live give their word as well if they can be reached, and what they know goes
+     * on, since nobody votes for one who knows less. A part that is cut off never has a majority of
+     * names, so it can't take itself for this case.
      */
     private final class Election {
         private final Map<String, Message> said = new HashMap<>();
         private final Map<String, Life> votes = new TreeMap<>();
         private int votesOfNew;
         private long asked = -1;
-        /** Since when each round of questions found the whole council willing to found; -1 if none did. */
+
+        /**
+         * Since when each round of questions found the whole council willing to found; -1 if none
+         * did.
+         */
         private long willingSince = -1;
+
         private boolean candidate;
         private long begunAt;
         private boolean founding;
@@ -750,7 +845,10 @@
 
         void tick(long now) {
             if (asked >= 0 && !candidate && mayFound(now)) {
-                long epoch = Math.max(Math.max(term.epoch(), highest.epoch()) + 1, out.wall() / 1_000_000);
+                long epoch =
+                        Math.max(
+                                Math.max(term.epoch(), highest.epoch()) + 1,
+                                out.wall() / 1_000_000);
                 begin(now, new Term(epoch, 1), true);
             } else if (now >= electAt) {
                 ask(now);
@@ -787,11 +885,16 @@
         void asked(long now, Message m) {
             boolean good = log.noBetterThan(m.at(), m.index());
             if (good && !m.at().equals(log.lastTerm()) && asked >= 0) {
-                electAt = Math.max(electAt, now + settings.patience()); // it knows more: let it be elected
+                electAt =
+                        Math.max(
+                                electAt,
+                                now + settings.patience()); // it knows more: let it be elected
                 asked = -1;
             }
-            send(m.from(), message(Message.Kind.SAY, m.from(), 0, membership(), m.number())
-                    .says(good && !followsSomebody(now), voter(), ripe(now)));
+            send(
+                    m.from(),
+                    message(Message.Kind.SAY, m.from(), 0, membership(), m.number())
+                            .says(good && !followsSomebody(now), voter(), ripe(now)));
         }
 
         void said(long now, Message m) {
@@ -808,8 +911,10 @@
                 wanted += log.view().has(m.from()) ? 1 : 0;
             }
             if (!candidate && voter() && wanted >= settings.quorum()) {
-                long round = highest.epoch() == term.epoch() ? Math.max(term.round(), highest.round())
-                        : term.round();
+                long round =
+                        highest.epoch() == term.epoch()
+                                ? Math.max(term.round(), highest.round())
+                                : term.round();
                 begin(now, new Term(term.epoch(), round + 1), false);
             }
         }
@@ -820,13 +925,14 @@
         }
 
         /**
-         * Whether a life can't be among those that the newest view has taken in: it never was, or it was
-         * voted out and has not heard of it. Nobody is taken in again before his log has caught up, and that
-         * of such a one has not even come to the view that is decided here.
+         * Whether a life can't be among those that the newest view has taken in: it never was, or
+         * it was voted out and has not heard of it. Nobody is taken in again before his log has
+         * caught up, and that of such a one has not even come to the view that is decided here.
          */
         private boolean hasNoVote(Message m) {
-            return !m.voter() || !view.has(m.from())
-                    && m.at().compareTo(new Term(view.epoch(), view.number())) < 0;
+            return !m.voter()
+                    || !view.has(m.from())
+                            && m.at().compareTo(new Term(view.epoch(), view.number())) < 0;
         }
 
         private boolean mayFound(long now) {
@@ -854,9 +960,13 @@
                     && said.values().stream().allMatch(Message::ripe);
         }
 
-        /** Lives with a vote in the newest view known here that answered, or this one: they may elect. */
+        /**
+         * Lives with a vote in the newest view known here that answered, or this one: they may
+         * elect.
+         */
         private long votersHere() {
-            return (voter() ? 1 : 0) + said.values().stream().filter(m -> log.view().has(m.from())).count();
+            return (voter() ? 1 : 0)
+                    + said.values().stream().filter(m -> log.view().has(m.from())).count();
         }
 
         /** Enough new lives show that no majority of those taken in is left. */
@@ -865,8 +975,9 @@
         }
 
         /**
-         * Where everybody gives his word, nobody is left out who might know more: a view that took in too few
-         * of the living, and could not be decided before the others ended, is left behind like that.
+         * Where everybody gives his word, nobody is left out who might know more: a view that took
+         * in too few of the living, and could not be decided before the others ended, is left
+         * behind like that.
          */
         private boolean enough(long of, long ofNew) {
             return bereft(of, ofNew) || of == settings.council().size();
@@ -884,16 +995,20 @@
             votes.put(me.name(), me);
             votesOfNew = voter() ? 0 : 1;
             out.point(Point.VOTE_ASKING);
-            askAll(message(Message.Kind.VOTE_ASK, null, log.last(), log.lastTerm(), now)
-                    .says(toFound, voter(), true));
+            askAll(
+                    message(Message.Kind.VOTE_ASK, null, log.last(), log.lastTerm(), now)
+                            .says(toFound, voter(), true));
             countVotes(now);
         }
 
         void voteAsked(long now, Message m) {
             out.point(Point.VOTE_TAKEN);
-            boolean free = m.term().compareTo(term) > 0
-                    || m.term().equals(term) && m.from().equals(votedFor);
-            if (!free || followsSomebody(now) || !log.noBetterThan(m.at(), m.index())
+            boolean free =
+                    m.term().compareTo(term) > 0
+                            || m.term().equals(term) && m.from().equals(votedFor);
+            if (!free
+                    || followsSomebody(now)
+                    || !log.noBetterThan(m.at(), m.index())
                     || m.yes() && !ripe(now)) {
                 return;
             }
@@ -901,14 +1016,19 @@
             follow(now, m.term(), null, m.from() + " is voted for");
             votedFor = m.from();
             out.point(Point.VOTE_PROMISED);
-            send(m.from(), message(Message.Kind.VOTE, m.from(), 0, membership(), m.number())
-                    .says(true, had, true));
+            send(
+                    m.from(),
+                    message(Message.Kind.VOTE, m.from(), 0, membership(), m.number())
+                            .says(true, had, true));
             out.point(Point.VOTE_TOLD);
         }
 
         void voted(long now, Message m) {
             out.point(Point.VOTE_COUNTED);
-            if (candidate && m.yes() && m.term().equals(term) && councillor(m.from().name())
+            if (candidate
+                    && m.yes()
+                    && m.term().equals(term)
+                    && councillor(m.from().name())
                     && (founding || log.view().has(m.from()))
                     && votes.putIfAbsent(m.from().name(), m.from()) == null) {
                 votesOfNew += hasNoVote(m) ? 1 : 0;
--- a/src/main/java/myrtleladder/consensus/Log.java
+++ b/src/main/java/myrtleladder/consensus/Log.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The entries of one life from a base on, behind which a snapshot stands for all that came before. */
+/**
+ * The entries of one life from a base on, behind which a snapshot stands for all that came before.
+ */
 final class Log {
     private final List<Entry> entries = new ArrayList<>();
     private long base;
@@ -36,7 +38,9 @@
 
     /** The term of the entry at a place; null where that is not known. */
     Term termAt(long index) {
-        return index == base ? baseTerm : index > base && index <= last() ? get(index).term() : null;
+        return index == base
+                ? baseTerm
+                : index > base && index <= last() ? get(index).term() : null;
     }
 
     void add(Entry entry) {
@@ -63,7 +67,10 @@
         baseView = view;
     }
 
-    /** The newest view that it holds, decided or not: from the moment it is written, its lives count. */
+    /**
+     * The newest view that it holds, decided or not: from the moment it is written, its lives
+     * count.
+     */
     View view() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).view() != null) {
@@ -83,7 +90,9 @@
         return false;
     }
 
-    /** Whether a log that ends like this holds all that may be decided here (Raft, section 5.4.1). */
+    /**
+     * Whether a log that ends like this holds all that may be decided here (Raft, section 5.4.1).
+     */
     boolean noBetterThan(Term otherTerm, long otherLast) {
         int order = lastTerm().compareTo(otherTerm);
         return order < 0 || order == 0 && last() <= otherLast;
--- a/src/main/java/myrtleladder/consensus/Machine.java
+++ b/src/main/java/myrtleladder/consensus/Machine.java
@@ -1,8 +1,8 @@
 package myrtleladder.consensus;
 
 /**
- * What is fed by the log: all processes hand theirs the same calls in the same order, so it may look at
- * nothing else, neither a clock nor chance.
+ * What is fed by the log: all processes hand theirs the same calls in the same order, so it may
+ * look at nothing else, neither a clock nor chance.
  */
 public interface Machine {
     /** A command has been decided; {@code token} is greater than that of any decided before. */
--- a/src/main/java/myrtleladder/consensus/View.java
+++ b/src/main/java/myrtleladder/consensus/View.java
@@ -7,7 +7,8 @@
  * Who belongs to the fleet, as a majority of the council has decided it.
  *
  * @param epoch of the founding that it descends from
- * @param number one more than that of the view before; with the epoch it names one set of lives and no other
+ * @param number one more than that of the view before; with the epoch it names one set of lives and
+ *     no other
  * @param lives by name
  */
 public record View(long epoch, long number, Map<String, Long> lives) {
--- a/src/main/java/myrtleladder/controlplane/Rehearsal.java
+++ b/src/main/java/myrtleladder/controlplane/Rehearsal.java
@@ -34,15 +34,14 @@
     private static final String HOST = "127.0.0.1";
     private static final String DOCUMENT =
             "{\"generation\":3,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
-                    + "\"path_prefix\":\"/a/\",\"type\":\"streaming\",\"timeout_ms\":8000,"
-                    + "\"traffic_split\":[{"
-                    + "\"backend\":\"s\",\"weight\":1.5}],\"retries\":2,\"resumable\":true}],"
-                    + "\"services\":[{\"name\":"
-                    + "\"s\",\"engine\":{\"capacity\":64,\"kv_tokens\":1000,\"stride\":5}}],"
-                    + "\"limits\":{"
-                    + "\"idle_timeout_ms\":15000},\"tenants\":[{\"name\":\"t\","
-                    + "\"api_keys\":[\"k\"],\"priority\":1,"
-                    + "\"unit\":\"tokens\",\"plain_tokens\":200,\"rate_per_s\":100,\"burst\":100}]}";
+                + "\"path_prefix\":\"/a/\",\"type\":\"streaming\",\"timeout_ms\":8000,"
+                + "\"traffic_split\":[{"
+                + "\"backend\":\"s\",\"weight\":1.5}],\"retries\":2,\"resumable\":true}],"
+                + "\"services\":[{\"name\":"
+                + "\"s\",\"engine\":{\"capacity\":64,\"kv_tokens\":1000,\"stride\":5}}],"
+                + "\"limits\":{\"idle_timeout_ms\":15000},\"tenants\":[{\"name\":\"t\","
+                + "\"api_keys\":[\"k\"],\"priority\":1,"
+                + "\"unit\":\"tokens\",\"plain_tokens\":200,\"rate_per_s\":100,\"burst\":100}]}";
     private static final String CHANGE =
             "{\"generation\":5,\"upsert\":{\"routes\":[{\"name\":\"q\","
                     + "\"hostname\":\"h\",\"path_prefix\":\"/b/\",\"type\":\"idempotent\","
--- a/src/main/java/myrtleladder/error/OperatorError.java
+++ b/src/main/java/myrtleladder/error/OperatorError.java
@@ -4,9 +4,10 @@
 import java.nio.file.Path;
 
 /**
- * Something that can't be done, for an operator: what happened, where, and what can be done about it. Each
- * type has a code of its own that stays, so that logs can be searched and runbooks refer to it;
- * {@code docs/errors.md} lists them. What clients are answered is the protocol's business and not told here.
+ * Something that can't be done, for an operator: what happened, where, and what can be done about
+ * it. Each type has a code of its own that stays, so that logs can be searched and runbooks refer
+ * to it; {@code docs/errors.md} lists them. What clients are answered is the protocol's business
+ * and not told here.
  */
 public abstract sealed class OperatorError extends Exception {
     private static final long serialVersionUID = 1L;
@@ -41,10 +42,12 @@
     public static final class NotTold extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y101";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "set it as the deployment page says: NODE_CONFIG names the platform's "
-                + "configuration file";
+                        + "configuration file";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -57,8 +60,11 @@
     public static final class NoFile extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y102";
+
         /** What an operator can do about them. */
-        public static final String REMEDY = "check the path, its folder and its rights; nothing was changed";
+        public static final String REMEDY =
+                "check the path, its folder and its rights; nothing was changed";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -68,22 +74,31 @@
     }
 
     /**
-     * A file of ours is wrong. {@code line} counts from 1, 0 if it is not known; {@code key} is empty if no
-     * one key is at fault.
+     * A file of ours is wrong. {@code line} counts from 1, 0 if it is not known; {@code key} is
+     * empty if no one key is at fault.
      */
     public static final class BadFile extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y103";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "mend that line and look with `config check` or `lab check`; a running balancer "
-                + "goes on with what it has";
+                        + "goes on with what it has";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
         public BadFile(Path file, int line, String key, String why) {
-            super(CODE, file + (line > 0 ? ":" + line : "") + ": " + (key.isEmpty() ? "" : key + ": ") + why,
-                    REMEDY, null);
+            super(
+                    CODE,
+                    file
+                            + (line > 0 ? ":" + line : "")
+                            + ": "
+                            + (key.isEmpty() ? "" : key + ": ")
+                            + why,
+                    REMEDY,
+                    null);
         }
     }
 
@@ -91,10 +106,12 @@
     public static final class BadConfiguration extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y104";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "have the platform write the file anew; a running balancer goes on with what it "
-                + "has";
+                        + "has";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -107,16 +124,21 @@
     public static final class LimitsTooSmall extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y105";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "raise the limit; until then the balancer tries, and may be killed or refuse "
-                + "clients";
+                        + "clients";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
         public LimitsTooSmall(Path file, String field, long given, long needed) {
-            super(CODE, file + ": " + field + " is " + given + ", and " + needed + " are needed",
-                    REMEDY, null);
+            super(
+                    CODE,
+                    file + ": " + field + " is " + given + ", and " + needed + " are needed",
+                    REMEDY,
+                    null);
         }
     }
 
@@ -124,8 +146,10 @@
     public static final class BadOption extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y201";
+
         /** What an operator can do about them. */
         public static final String REMEDY = "see the command's --help";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -138,10 +162,12 @@
     public static final class BadInput extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y202";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "whoever writes the input has to write it as its page prescribes; nothing of "
-                + "the line was used";
+                        + "the line was used";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -154,9 +180,11 @@
     public static final class AddressTaken extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y301";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "end what listens there, or configure another address; nothing was served";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -169,10 +197,12 @@
     public static final class NobodyAnswers extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y302";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "look whether it runs and has admin.listen at that address; ask another process "
-                + "of the fleet";
+                        + "of the fleet";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -185,8 +215,11 @@
     public static final class PartOff extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y303";
+
         /** What an operator can do about them. */
-        public static final String REMEDY = "configure the part there, or ask a process that has it";
+        public static final String REMEDY =
+                "configure the part there, or ask a process that has it";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -199,8 +232,11 @@
     public static final class PeerBusy extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y304";
+
         /** What an operator can do about them. */
-        public static final String REMEDY = "ask again in a second; if it lasts, look at the process's CPU";
+        public static final String REMEDY =
+                "ask again in a second; if it lasts, look at the process's CPU";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -213,15 +249,20 @@
     public static final class BadList extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y305";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "look at discovery; what the line held is heard with the next whole list";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
         public BadList(SocketAddress discovery, String why) {
-            super(CODE, "discovery at " + discovery + " sent a line that can't be read: " + why,
-                    REMEDY, null);
+            super(
+                    CODE,
+                    "discovery at " + discovery + " sent a line that can't be read: " + why,
+                    REMEDY,
+                    null);
         }
     }
 
@@ -229,8 +270,10 @@
     public static final class NoBuild extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y401";
+
         /** What an operator can do about them. */
         public static final String REMEDY = "build it: mvn -q -DskipTests package";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -243,8 +286,11 @@
     public static final class EndedAtStart extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y402";
+
         /** What an operator can do about them. */
-        public static final String REMEDY = "read the log; the command is `run` of that build's deploy file";
+        public static final String REMEDY =
+                "read the log; the command is `run` of that build's deploy file";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -257,9 +303,11 @@
     public static final class BadPlan extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y501";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "mend that field and hand the plan in again; nothing of it was taken";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -272,8 +320,11 @@
     public static final class UnknownMachine extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y502";
+
         /** What an operator can do about them. */
-        public static final String REMEDY = "look at GET /work and at discovery's list for its name";
+        public static final String REMEDY =
+                "look at GET /work and at discovery's list for its name";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -286,9 +337,11 @@
     public static final class OldPermit extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y503";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "look at GET /work for the permit that holds; the agenda goes by that alone";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -301,10 +354,12 @@
     public static final class NoMajority extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y504";
+
         /** What an operator can do about them. */
         public static final String REMEDY =
                 "ask a process on the other side of the cut, or wait until the council is "
-                + "together again";
+                        + "together again";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
@@ -317,8 +372,11 @@
     public static final class Unexpected extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y901";
+
         /** What an operator can do about them. */
-        public static final String REMEDY = "report it with the log; it is a defect of this program";
+        public static final String REMEDY =
+                "report it with the log; it is a defect of this program";
+
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
--- a/src/main/java/myrtleladder/gossip/Membership.java
+++ b/src/main/java/myrtleladder/gossip/Membership.java
@@ -11,29 +11,43 @@
 import java.util.TreeMap;
 
 /**
- * One process's part in the membership of its fleet: SWIM (Das, Gupta and Motivala, DSN 2002) with the local
- * health of Lifeguard (Dadgar, Phillips and Currey, 2017), and pictures compared by digests beside the
- * gossip. What it holds is the fast picture: good for hints, and never a promise. All calls come from one
- * thread; the maker of {@code out} brings about what it asks for.
+ * One process's part in the membership of its fleet: SWIM (Das, Gupta and Motivala, DSN 2002) with
+ * the local health of Lifeguard (Dadgar, Phillips and Currey, 2017), and pictures compared by
+ * digests beside the gossip. What it holds is the fast picture: good for hints, and never a
+ * promise. All calls come from one thread; the maker of {@code out} brings about what it asks for.
  */
 public final class Membership {
     private static final String PERIOD = "period";
     private static final String ACK = "ack:";
     private static final String RELAY = "relay:";
     private static final String SUSPECT = "suspect:";
+
     /** News waits so many periods to arrive by itself before pictures are compared. */
     private static final int SETTLED = 3;
+
     /** While pictures never settle, they are compared once in so many periods. */
     private static final int SELDOM = 15;
-    /** Whoever was heard of no more, and the seeds, are tried once in so many periods, one at a time. */
+
+    /**
+     * Whoever was heard of no more, and the seeds, are tried once in so many periods, one at a
+     * time.
+     */
     private static final int CONTACT_EVERY = 3;
+
     /** A rival that has not answered for so many periods is gone. */
     private static final int RIVAL_PERIODS = 10;
+
     private static final int MOST_RELAYS = 256;
     private static final int MOST_DATAGRAMS = 16;
-    /** Beyond so many pieces of news, what comes by the comparison of pictures is not news for others. */
+
+    /**
+     * Beyond so many pieces of news, what comes by the comparison of pictures is not news for
+     * others.
+     */
     private static final int ENOUGH_NEWS = 64;
+
     private static final int TOLD_OF_LEAVING = 8;
+
     /** What the field of the news itself takes in a message. */
     private static final int NEWS_BYTES = 12;
 
@@ -46,8 +60,10 @@
     private final Health health = new Health();
     private final Map<String, Suspicion> suspicions = new HashMap<>();
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
+
     /** Last questions before a verdict, by their numbers. */
     private final Map<Long, String> checks = new LinkedHashMap<>();
+
     private final Map<String, Long> planned = new HashMap<>();
     private final Map<String, Long> refused = new TreeMap<>();
     private final List<String> order = new ArrayList<>();
@@ -87,10 +103,10 @@
         }
     }
 
-    private record Relay(String back, long number) { }
+    private record Relay(String back, long number) {}
 
     /** Another life under our name; {@code heardAt} is when it last answered, if ever. */
-    private record Rival(Claim claim, long number, long heardAt) { }
+    private record Rival(Claim claim, long number, long heardAt) {}
 
     /**
      * A process that is called {@code name} in this life, not started yet.
@@ -99,17 +115,28 @@
      * @param incarnation to begin with; one more than the last if that is known, else 0
      * @param seeds addresses at which others may be found
      */
-    public Membership(Settings settings, String name, long life, long incarnation, String address, Meta meta,
-            List<String> seeds, long seed, Out out) {
+    public Membership(
+            Settings settings,
+            String name,
+            long life,
+            long incarnation,
+            String address,
+            Meta meta,
+            List<String> seeds,
+            long seed,
+            Out out) {
         this.settings = settings;
         this.seeds = List.copyOf(seeds);
         this.random = new Random(seed);
         this.out = out;
         this.me = new Claim(name, life, incarnation, State.ALIVE, false, address, name, meta);
-        this.numbers = random.nextInt(Integer.MAX_VALUE); // late answers to an earlier life fit none of ours
+        this.numbers =
+                random.nextInt(
+                        Integer.MAX_VALUE); // late answers to an earlier life fit none of ours
     }
 
-    // ---- What happens to it ----------------------------------------------------------------------------
+    // ---- What happens to it
+    // ----------------------------------------------------------------------------
 
     /** Begins: tries the seeds at once, and then until it is not alone. */
     public void started(long now) {
@@ -141,7 +168,8 @@
         Claim held = picture.of(sender.name());
         apply(now, sender, true);
         if (held != null && held.life() != sender.life() && held.supersedes(sender)) {
-            // An earlier life's, replayed or late; or it lives, and has to hear that it is out of date.
+            // An earlier life's, replayed or late; or it lives, and has to hear that it is out of
+            // date.
             count("stale");
             if (m.kind() == Message.Kind.PING) {
                 send(from, message(Message.Kind.ACK, m.number()), held);
@@ -181,7 +209,8 @@
         someOthers(TOLD_OF_LEAVING).forEach(c -> send(c.address(), Message.Kind.NEWS, 0, c.name()));
     }
 
-    // ---- What can be asked of it -----------------------------------------------------------------------
+    // ---- What can be asked of it
+    // -----------------------------------------------------------------------
 
     /** What is held of each member, gone ones for a while too. */
     public Collection<Claim> members() {
@@ -218,7 +247,8 @@
         return picture.digest();
     }
 
-    // ---- Probes ----------------------------------------------------------------------------------------
+    // ---- Probes
+    // ----------------------------------------------------------------------------------------
 
     private void period(long now) {
         judge(now);
@@ -231,13 +261,17 @@
             watchRival(now);
         }
         if (!rumours.isEmpty()) {
-            someOthers(settings.fanout()).forEach(c -> send(c.address(), Message.Kind.NEWS, 0, c.name()));
+            someOthers(settings.fanout())
+                    .forEach(c -> send(c.address(), Message.Kind.NEWS, 0, c.name()));
         }
         periods++;
         timer(now, PERIOD, health.stretch(settings.period()));
     }
 
-    /** Stood still: whoever was waited for had no chance, so nothing follows from that it was not heard. */
+    /**
+     * Stood still: whoever was waited for had no chance, so nothing follows from that it was not
+     * heard.
+     */
     private void stalled(long now, long late) {
         stalledAt = now;
         probe = null;
@@ -275,13 +309,17 @@
         }
     }
 
-    /** Each of the others in turn, in an order drawn anew each time: the next probe is never far (4.3). */
+    /**
+     * Each of the others in turn, in an order drawn anew each time: the next probe is never far
+     * (4.3).
+     */
     private Claim nextInTurn() {
         for (int looked = 0; looked <= order.size() + 1; looked++) {
             if (turn >= order.size()) {
                 turn = 0;
                 order.clear();
-                picture.all().stream().filter(c -> c.state().present() && !c.name().equals(me.name()))
+                picture.all().stream()
+                        .filter(c -> c.state().present() && !c.name().equals(me.name()))
                         .forEach(c -> order.add(c.name()));
                 Collections.shuffle(order, random);
                 if (order.isEmpty()) {
@@ -325,8 +363,19 @@
         for (Claim helper : someOthers(settings.indirect())) {
             if (!helper.name().equals(target.name())) {
                 asked++;
-                send(helper.address(), new Message(settings.fleet(), Message.Kind.ASK, me, number,
-                        picture.digest(), target.name(), List.of(), 0, List.of()), null);
+                send(
+                        helper.address(),
+                        new Message(
+                                settings.fleet(),
+                                Message.Kind.ASK,
+                                me,
+                                number,
+                                picture.digest(),
+                                target.name(),
+                                List.of(),
+                                0,
+                                List.of()),
+                        null);
             }
         }
         return asked;
@@ -376,11 +425,12 @@
                     sendClaims(from, m.wanted(), 0);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
-    // ---- Claims ----------------------------------------------------------------------------------------
+    // ---- Claims
+    // ----------------------------------------------------------------------------------------
 
     private void apply(long now, Claim claim, boolean tell) {
         if (claim.name().equals(me.name())) {
@@ -393,8 +443,10 @@
             return;
         }
         if (held != null && !claim.supersedes(held)) {
-            if (held.state() == State.SUSPECT && claim.state() == State.SUSPECT
-                    && held.incarnation() == claim.incarnation() && held.life() == claim.life()) {
+            if (held.state() == State.SUSPECT
+                    && claim.state() == State.SUSPECT
+                    && held.incarnation() == claim.incarnation()
+                    && held.life() == claim.life()) {
                 confirm(now, claim);
             }
             return;
@@ -406,8 +458,14 @@
         }
         if (claim.state() == State.SUSPECT) {
             long least = (long) (settings.least() * settings.powers(present()) * settings.period());
-            suspicions.put(claim.name(), new Suspicion(claim, now, least, (long) (least * settings.most()),
-                    Math.min(settings.confirmations(), Math.max(0, present() - 2))));
+            suspicions.put(
+                    claim.name(),
+                    new Suspicion(
+                            claim,
+                            now,
+                            least,
+                            (long) (least * settings.most()),
+                            Math.min(settings.confirmations(), Math.max(0, present() - 2))));
             timer(now, SUSPECT + claim.name(), suspicions.get(claim.name()).ends() - now);
         } else {
             suspicions.remove(claim.name());
@@ -418,7 +476,9 @@
 
     private void tellOf(Claim held, Claim claim) {
         if (claim.rival() && (held == null || !held.rival())) {
-            out.event(new Event(Event.Kind.RIVAL, claim, "it says that another process has its name"));
+            out.event(
+                    new Event(
+                            Event.Kind.RIVAL, claim, "it says that another process has its name"));
         } else if (held != null && held.rival() && !claim.rival()) {
             out.event(new Event(Event.Kind.RIVAL_GONE, claim, "it says so"));
         }
@@ -440,7 +500,9 @@
 
     private void confirm(long now, Claim claim) {
         Suspicion suspicion = suspicions.get(claim.name());
-        if (suspicion != null && suspicion.isOf(claim) && !claim.by().equals(picture.of(claim.name()).by())
+        if (suspicion != null
+                && suspicion.isOf(claim)
+                && !claim.by().equals(picture.of(claim.name()).by())
                 && suspicion.confirm(claim.by())) {
             rumours.add(claim);
             timer(now, SUSPECT + claim.name(), Math.max(0, suspicion.ends() - now));
@@ -468,7 +530,10 @@
         apply(now, picture.of(name).with(State.DEAD, me.name()), true);
     }
 
-    /** Contradicts what is said of this life; what is said of another one under our name may be true. */
+    /**
+     * Contradicts what is said of this life; what is said of another one under our name may be
+     * true.
+     */
     private void aboutMe(long now, Claim claim) {
         if (leaving) {
             return;
@@ -489,8 +554,17 @@
     }
 
     private void raise(long now, long incarnation, boolean hasRival) {
-        say(now, new Claim(me.name(), me.life(), incarnation, State.ALIVE, hasRival, me.address(), me.name(),
-                me.meta()));
+        say(
+                now,
+                new Claim(
+                        me.name(),
+                        me.life(),
+                        incarnation,
+                        State.ALIVE,
+                        hasRival,
+                        me.address(),
+                        me.name(),
+                        me.meta()));
     }
 
     private void say(long now, Claim claim) {
@@ -500,14 +574,20 @@
         rumours.add(me);
     }
 
-    // ---- Two processes with one name -------------------------------------------------------------------
+    // ---- Two processes with one name
+    // -------------------------------------------------------------------
 
-    /** Somebody under our name speaks to us. That proves that he lives only if it answers what we asked. */
+    /**
+     * Somebody under our name speaks to us. That proves that he lives only if it answers what we
+     * asked.
+     */
     private void fromOwnName(long now, String from, Message m) {
         aboutMe(now, m.me());
         if (m.kind() == Message.Kind.PING) {
             send(from, Message.Kind.ACK, m.number(), null);
-        } else if (m.kind() == Message.Kind.ACK && rival != null && m.number() == rival.number()
+        } else if (m.kind() == Message.Kind.ACK
+                && rival != null
+                && m.number() == rival.number()
                 && m.me().life() == rival.claim().life()) {
             rival = new Rival(m.me(), rival.number(), now);
             if (!me.rival()) {
@@ -523,9 +603,11 @@
         }
         long patience = RIVAL_PERIODS * settings.period();
         if (!me.rival() && periods % RIVAL_PERIODS == 0) {
-            rival = null; // it has not answered: an earlier life of ours, of which somebody was late to hear
+            rival = null; // it has not answered: an earlier life of ours, of which somebody was
+            // late to hear
         } else if (me.rival() && now - rival.heardAt() > patience) {
-            out.event(new Event(Event.Kind.RIVAL_GONE, rival.claim(), "it does not answer any more"));
+            out.event(
+                    new Event(Event.Kind.RIVAL_GONE, rival.claim(), "it does not answer any more"));
             long above = Math.max(me.incarnation(), rival.claim().incarnation()) + 1;
             rival = null;
             raise(now, above, false);
@@ -535,18 +617,32 @@
         }
     }
 
-    // ---- Pictures --------------------------------------------------------------------------------------
+    // ---- Pictures
+    // --------------------------------------------------------------------------------------
 
     private void compare(long now, String from, Message m) {
         if (m.digest() == picture.digest() || m.kind() == Message.Kind.CLAIMS) {
             return;
         }
-        boolean settled = now - changedAt >= SETTLED * settings.period() || present() == 1
-                || now - comparedAt >= SELDOM * settings.period();
+        boolean settled =
+                now - changedAt >= SETTLED * settings.period()
+                        || present() == 1
+                        || now - comparedAt >= SELDOM * settings.period();
         if (settled && (now - comparedAt >= 2 * settings.period() || present() == 1)) {
             comparedAt = now;
-            send(from, new Message(settings.fleet(), Message.Kind.PARTS, me, 0, picture.digest(), null,
-                    picture.digests(), 0, List.of()), null);
+            send(
+                    from,
+                    new Message(
+                            settings.fleet(),
+                            Message.Kind.PARTS,
+                            me,
+                            0,
+                            picture.digest(),
+                            null,
+                            picture.digests(),
+                            0,
+                            List.of()),
+                    null);
         }
     }
 
@@ -556,21 +652,42 @@
         long still = wanted;
         int next = 0;
         for (int sent = 0; sent < MOST_DATAGRAMS && (next < claims.size() || sent == 0); sent++) {
-            Message m = new Message(settings.fleet(), Message.Kind.CLAIMS, me, 0, picture.digest(), null,
-                    List.of(), still, List.of());
+            Message m =
+                    new Message(
+                            settings.fleet(),
+                            Message.Kind.CLAIMS,
+                            me,
+                            0,
+                            picture.digest(),
+                            null,
+                            List.of(),
+                            still,
+                            List.of());
             int left = settings.bytes() - Wire.write(m).length - NEWS_BYTES;
             List<Claim> some = new ArrayList<>();
             while (next < claims.size() && Wire.size(claims.get(next)) <= left) {
                 left -= Wire.size(claims.get(next));
                 some.add(claims.get(next++));
             }
-            out.send(to, Wire.write(new Message(m.fleet(), m.kind(), me, 0, m.digest(), null, List.of(),
-                    still, some)));
+            out.send(
+                    to,
+                    Wire.write(
+                            new Message(
+                                    m.fleet(),
+                                    m.kind(),
+                                    me,
+                                    0,
+                                    m.digest(),
+                                    null,
+                                    List.of(),
+                                    still,
+                                    some)));
             still = 0;
         }
     }
 
-    // ---- Sending ---------------------------------------------------------------------------------------
+    // ---- Sending
+    // ---------------------------------------------------------------------------------------
 
     private void contactSomebody() {
         List<String> lost = new ArrayList<>();
@@ -592,20 +709,35 @@
         if (address.equals(me.address())) {
             return;
         }
-        String name = picture.all().stream().filter(c -> c.address().equals(address)
-                && c.state() == State.DEAD).map(Claim::name).findFirst().orElse(null);
+        String name =
+                picture.all().stream()
+                        .filter(c -> c.address().equals(address) && c.state() == State.DEAD)
+                        .map(Claim::name)
+                        .findFirst()
+                        .orElse(null);
         send(address, Message.Kind.PING, 0, name);
     }
 
     private Message message(Message.Kind kind, long number) {
-        return new Message(settings.fleet(), kind, me, number, picture.digest(), null, List.of(), 0,
+        return new Message(
+                settings.fleet(),
+                kind,
+                me,
+                number,
+                picture.digest(),
+                null,
+                List.of(),
+                0,
                 List.of());
     }
 
     /** What is held against a member goes first in what it is sent, so that it may answer. */
     private void send(String to, Message.Kind kind, long number, String name) {
         Claim about = name == null ? null : picture.of(name);
-        send(to, message(kind, number), about == null || about.state() == State.ALIVE ? null : about);
+        send(
+                to,
+                message(kind, number),
+                about == null || about.state() == State.ALIVE ? null : about);
     }
 
     /** Sends a message, filled up with news behind the first piece, if there is one. */
@@ -616,9 +748,22 @@
             news.add(first);
             left -= Wire.size(first);
         }
-        news.addAll(rumours.take(left, (int) Math.ceil(settings.spread() * settings.powers(present()))));
-        out.send(to, Wire.write(new Message(m.fleet(), m.kind(), me, m.number(), m.digest(), m.target(),
-                m.digests(), m.wanted(), news)));
+        news.addAll(
+                rumours.take(
+                        left, (int) Math.ceil(settings.spread() * settings.powers(present()))));
+        out.send(
+                to,
+                Wire.write(
+                        new Message(
+                                m.fleet(),
+                                m.kind(),
+                                me,
+                                m.number(),
+                                m.digest(),
+                                m.target(),
+                                m.digests(),
+                                m.wanted(),
+                                news)));
     }
 
     private void timer(long now, String token, long delay) {
--- a/src/main/java/myrtleladder/gossip/Meta.java
+++ b/src/main/java/myrtleladder/gossip/Meta.java
@@ -12,8 +12,10 @@
 public record Meta(String zone, String build, long startedMs, List<String> can) {
     /** Nothing said. */
     public static final Meta NONE = new Meta("", "", 0, List.of());
+
     /** A word of it may have so many characters, and so many words it may be able to do. */
     static final int LONGEST = 64;
+
     static final int MOST = 8;
 
     /** Refuses what would not fit into messages, by name. */
--- a/src/main/java/myrtleladder/gossip/Picture.java
+++ b/src/main/java/myrtleladder/gossip/Picture.java
@@ -8,18 +8,20 @@
 import java.util.Map;
 
 /**
- * The greatest claim heard on each name, and digests by which two pictures are compared. Names are dealt out
- * among parts, so that of two large pictures only parts that differ have to be sent.
+ * The greatest claim heard on each name, and digests by which two pictures are compared. Names are
+ * dealt out among parts, so that of two large pictures only parts that differ have to be sent.
  */
 final class Picture {
-    /** So many digests fit into a datagram with room to spare; 5,000 members make 157 claims a part. */
+    /**
+     * So many digests fit into a datagram with room to spare; 5,000 members make 157 claims a part.
+     */
     static final int PARTS = 32;
 
     private final Map<String, Held> held = new LinkedHashMap<>();
     private final long[] digests = new long[PARTS];
     private int present;
 
-    private record Held(Claim claim, long since) { }
+    private record Held(Claim claim, long since) {}
 
     /** Keeps a claim in place of the one held; the caller has seen that it goes before that. */
     Claim put(Claim claim, long now) {
@@ -40,7 +42,7 @@
 
     /** Forgets who has been gone for so long. */
     void forget(long now, long tombstone) {
-        for (Iterator<Held> all = held.values().iterator(); all.hasNext();) {
+        for (Iterator<Held> all = held.values().iterator(); all.hasNext(); ) {
             Held h = all.next();
             if (!h.claim().state().present() && now - h.since() > tombstone) {
                 all.remove();
@@ -103,7 +105,9 @@
 
     /** The claims of some parts, those of members that are gone too: they may be news elsewhere. */
     List<Claim> claims(long parts) {
-        return held.values().stream().map(Held::claim).filter(c -> (parts >> part(c.name()) & 1) == 1)
+        return held.values().stream()
+                .map(Held::claim)
+                .filter(c -> (parts >> part(c.name()) & 1) == 1)
                 .toList();
     }
 }
--- a/src/main/java/myrtleladder/gossip/Rumours.java
+++ b/src/main/java/myrtleladder/gossip/Rumours.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * News that goes out with other messages. Of what fits, that goes first that was sent least (SWIM, section
- * 4.1); each piece goes out a number of times that grows with the logarithm of the fleet. One piece for each
- * name: a greater claim takes the place of a lesser.
+ * News that goes out with other messages. Of what fits, that goes first that was sent least (SWIM,
+ * section 4.1); each piece goes out a number of times that grows with the logarithm of the fleet.
+ * One piece for each name: a greater claim takes the place of a lesser.
  */
 final class Rumours {
     /** More are not kept: what is pushed out here comes by the comparison of pictures. */
@@ -42,12 +42,17 @@
     void add(Claim claim) {
         rumours.put(claim.name(), new Rumour(claim, numbers++));
         if (rumours.size() > MOST) {
-            rumours.values().stream().max(Comparator.<Rumour>comparingInt(r -> r.sent)
-                    .thenComparingLong(r -> -r.number)).ifPresent(r -> rumours.remove(r.claim.name()));
+            rumours.values().stream()
+                    .max(
+                            Comparator.<Rumour>comparingInt(r -> r.sent)
+                                    .thenComparingLong(r -> -r.number))
+                    .ifPresent(r -> rumours.remove(r.claim.name()));
         }
     }
 
-    /** What goes out now within so many bytes; each has been sent once more, at most {@code times}. */
+    /**
+     * What goes out now within so many bytes; each has been sent once more, at most {@code times}.
+     */
     List<Claim> take(int bytes, int times) {
         if (rumours.isEmpty()) {
             return List.of();
--- a/src/main/java/myrtleladder/gossip/Settings.java
+++ b/src/main/java/myrtleladder/gossip/Settings.java
@@ -16,10 +16,23 @@
  * @param members no more are taken in than this
  * @param bytes largest datagram
  */
-public record Settings(String fleet, long period, long ackAfter, int indirect, int fanout, double least,
-        double most, int confirmations, double spread, long tombstone, int members, int bytes) {
+public record Settings(
+        String fleet,
+        long period,
+        long ackAfter,
+        int indirect,
+        int fanout,
+        double least,
+        double most,
+        int confirmations,
+        double spread,
+        long tombstone,
+        int members,
+        int bytes) {
 
-    /** What holds unless it is configured otherwise: a crash is known within 3 s in a fleet of 20. */
+    /**
+     * What holds unless it is configured otherwise: a crash is known within 3 s in a fleet of 20.
+     */
     public static Settings of(String fleet) {
         return new Settings(fleet, 300_000, 100_000, 3, 2, 4, 6, 3, 4, 600_000_000L, 10_000, 1_400);
     }
--- a/src/main/java/myrtleladder/gossip/Suspicion.java
+++ b/src/main/java/myrtleladder/gossip/Suspicion.java
@@ -4,8 +4,9 @@
 import java.util.Set;
 
 /**
- * One suspicion and how long it lasts (Lifeguard, section IV-B): long while few have it, since whoever has
- * it alone may be at fault himself; down to its least as others come to it independently.
+ * One suspicion and how long it lasts (Lifeguard, section IV-B): long while few have it, since
+ * whoever has it alone may be at fault himself; down to its least as others come to it
+ * independently.
  */
 final class Suspicion {
     private final long life;
--- a/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Admin.java
@@ -40,21 +40,21 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
+import myrtleladder.cluster.AgreeCarrier;
+import myrtleladder.cluster.MemberCarrier;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.NoMajority;
 import myrtleladder.error.OperatorError.OldPermit;
 import myrtleladder.error.OperatorError.PeerBusy;
 import myrtleladder.error.OperatorError.UnknownMachine;
-import myrtleladder.cluster.AgreeCarrier;
-import myrtleladder.cluster.MemberCarrier;
 import myrtleladder.loadbalancer.server.Status;
 
 /**
- * For operators, over the loopback: the figures of one balancer ({@code /metrics}), what it holds of its
- * fleet ({@code /members}), of what that agrees on ({@code /agreement}) and of the work on machines
- * ({@code /work}), which takes plans as well. It has a thread of its own; the balancer pays for one event of
- * its loop each time somebody asks. For one that is too busy for that within a second the answer is 503,
- * which tells as much.
+ * For operators, over the loopback: the figures of one balancer ({@code /metrics}), what it holds
+ * of its fleet ({@code /members}), of what that agrees on ({@code /agreement}) and of the work on
+ * machines ({@code /work}), which takes plans as well. It has a thread of its own; the balancer
+ * pays for one event of its loop each time somebody asks. For one that is too busy for that within
+ * a second the answer is 503, which tells as much.
  */
 final class Admin implements AutoCloseable {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
@@ -62,64 +62,114 @@
     private static final long PATIENCE_MS = 1_000;
     private static final Status NOTHING = new Status(false, 0, 0, 0, 0, 0, Map.of(), Map.of());
 
-    private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("admin", true), NioIoHandler.newFactory());
+    private final PrometheusMeterRegistry registry =
+            new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(
+                    1, new DefaultThreadFactory("admin", true), NioIoHandler.newFactory());
     private final Supplier<Future<Status>> balancer;
+
     /** Null where no peers are configured. */
     private final MemberCarrier members;
+
     /** Null where no council is configured. */
     private final AgreeCarrier agreement;
+
     /** Null with that. */
     private final WorkDesk work;
+
     private final Channel listening;
     private volatile Status status = NOTHING;
     private volatile AgreeCarrier.Look agreed;
 
     /** Answers at an address from now on; what is not configured is null. */
-    Admin(InetSocketAddress listen, String process, Supplier<Future<Status>> balancer,
-            MemberCarrier members, AgreeCarrier agreement, WorkDesk work) {
+    Admin(
+            InetSocketAddress listen,
+            String process,
+            Supplier<Future<Status>> balancer,
+            MemberCarrier members,
+            AgreeCarrier agreement,
+            WorkDesk work) {
         this.balancer = balancer;
         this.members = members;
         this.agreement = agreement;
         this.work = work;
+        registerProcessMetrics(process);
+        registerServiceMetrics();
+        if (agreement != null) {
+            registerAgreementMetrics();
+        }
+        refresh();
+        for (String end : status.attempts().keySet()) {
+            counter(
+                    "yewyoke.attempts",
+                    "Attempts by how they ended",
+                    Tags.of("end", end),
+                    s -> s.attempts().getOrDefault(end, 0L));
+        }
+        listening =
+                new ServerBootstrap()
+                        .group(group)
+                        .channel(NioServerSocketChannel.class)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(MAX_BODY),
+                                                        new Reader());
+                                    }
+                                })
+                        .bind(listen)
+                        .syncUninterruptibly()
+                        .channel();
+    }
+
+    private void registerProcessMetrics(String process) {
         registry.config().commonTags("process", process);
         new JvmMemoryMetrics().bindTo(registry);
         new FileDescriptorMetrics().bindTo(registry);
         new ProcessorMetrics().bindTo(registry);
         new UptimeMetrics().bindTo(registry);
+    }
+
+    private void registerServiceMetrics() {
         gauge("yewyoke.ready", "1 if there is a list to serve from", s -> s.ready() ? 1 : 0);
         gauge("yewyoke.upstreams", "Upstreams on the list", Status::upstreams);
         gauge("yewyoke.requests.open", "Requests taken and not ended", Status::open);
         gauge("yewyoke.connections", "Connections to upstreams", Status::connections);
-        counter("yewyoke.connects", "Connections opened to upstreams", Tags.empty(), Status::connects);
+        counter(
+                "yewyoke.connects",
+                "Connections opened to upstreams",
+                Tags.empty(),
+                Status::connects);
         counter("yewyoke.requests", "Requests taken", Tags.empty(), Status::requests);
         for (String answer : new String[] {"served", "refused", "failed", "left"}) {
-            counter("yewyoke.answers", "Requests by how they ended", Tags.of("answer", answer),
+            counter(
+                    "yewyoke.answers",
+                    "Requests by how they ended",
+                    Tags.of("answer", answer),
                     s -> s.answers().getOrDefault(answer, 0L));
         }
-        if (agreement != null) {
-            agreed("yewyoke.agreement.decides", "1 if a majority of the council is heard here",
-                    l -> l.decides() ? 1 : 0);
-            agreed("yewyoke.agreement.leads", "1 if this process leads",
-                    l -> l.self().equals(l.leader()) ? 1 : 0);
-            agreed("yewyoke.agreement.members", "Lives in the view", l -> l.view().lives().size());
-            agreed("yewyoke.agreement.applied", "Decrees known here", AgreeCarrier.Look::applied);
-            agreed("yewyoke.agreement.waiting", "Commands of this process that are not decided",
-                    AgreeCarrier.Look::waiting);
-        }
-        refresh();
-        for (String end : status.attempts().keySet()) {
-            counter("yewyoke.attempts", "Attempts by how they ended", Tags.of("end", end),
-                    s -> s.attempts().getOrDefault(end, 0L));
-        }
-        listening = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY),
-                                new Reader());
-                    }
-                }).bind(listen).syncUninterruptibly().channel();
+    }
+
+    private void registerAgreementMetrics() {
+        agreed(
+                "yewyoke.agreement.decides",
+                "1 if a majority of the council is heard here",
+                l -> l.decides() ? 1 : 0);
+        agreed(
+                "yewyoke.agreement.leads",
+                "1 if this process leads",
+                l -> l.self().equals(l.leader()) ? 1 : 0);
+        agreed("yewyoke.agreement.members", "Lives in the view", l -> l.view().lives().size());
+        agreed("yewyoke.agreement.applied", "Decrees known here", AgreeCarrier.Look::applied);
+        agreed(
+                "yewyoke.agreement.waiting",
+                "Commands of this process that are not decided",
+                AgreeCarrier.Look::waiting);
     }
 
     /** Where they can be read. */
@@ -133,12 +183,15 @@
 
     /** A figure of the agreement; not a number while the event loop does not answer. */
     private void agreed(String name, String what, ToDoubleFunction<AgreeCarrier.Look> value) {
-        Gauge.builder(name, () -> agreed == null ? Double.NaN : value.applyAsDouble(agreed)).description(what)
+        Gauge.builder(name, () -> agreed == null ? Double.NaN : value.applyAsDouble(agreed))
+                .description(what)
                 .register(registry);
     }
 
     private void counter(String name, String what, Tags tags, Function<Status, Long> value) {
-        FunctionCounter.builder(name, this, m -> value.apply(m.status)).description(what).tags(tags)
+        FunctionCounter.builder(name, this, m -> value.apply(m.status))
+                .description(what)
+                .tags(tags)
                 .register(registry);
     }
 
@@ -156,45 +209,70 @@
     }
 
     private final class Reader extends SimpleChannelInboundHandler<FullHttpRequest> {
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request)
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request)
                 throws JsonProcessingException {
             if (request.method().equals(HttpMethod.POST)) {
                 post(ctx, request);
                 return;
             }
             switch (request.uri()) {
-                case "/metrics" -> answer(ctx, refresh() ? registry.scrape() : null,
-                        "text/plain; version=0.0.4; charset=utf-8");
-                case "/members" -> look(ctx, members == null ? null : members::look, "no peers are");
-                case "/agreement" -> look(ctx, agreement == null ? null : agreement::look, "no council is");
+                case "/metrics" ->
+                        answer(
+                                ctx,
+                                refresh() ? registry.scrape() : null,
+                                "text/plain; version=0.0.4; charset=utf-8");
+                case "/members" ->
+                        look(ctx, members == null ? null : members::look, "no peers are");
+                case "/agreement" ->
+                        look(ctx, agreement == null ? null : agreement::look, "no council is");
                 case "/work" -> look(ctx, work == null ? null : work::look, "no council is");
-                default -> answer(ctx, HttpResponseStatus.NOT_FOUND,
-                        "try /metrics, /members, /agreement or /work\n", "text/plain");
+                default ->
+                        answer(
+                                ctx,
+                                HttpResponseStatus.NOT_FOUND,
+                                "try /metrics, /members, /agreement or /work\n",
+                                "text/plain");
             }
         }
 
-        private void post(ChannelHandlerContext ctx, FullHttpRequest request) throws JsonProcessingException {
+        private void post(ChannelHandlerContext ctx, FullHttpRequest request)
+                throws JsonProcessingException {
             String uri = request.uri();
             if (work == null || !uri.equals("/work") && !uri.startsWith("/work/")) {
-                answer(ctx, HttpResponseStatus.NOT_FOUND, work == null ? "no council is configured\n"
-                        : "only /work takes anything\n", "text/plain");
+                answer(
+                        ctx,
+                        HttpResponseStatus.NOT_FOUND,
+                        work == null ? "no council is configured\n" : "only /work takes anything\n",
+                        "text/plain");
                 return;
             }
             try {
-                answer(ctx, HttpResponseStatus.ACCEPTED, work.post(uri.substring(
-                        Math.min(uri.length(), "/work/".length())),
-                        request.content().toString(StandardCharsets.UTF_8)), "application/json");
+                answer(
+                        ctx,
+                        HttpResponseStatus.ACCEPTED,
+                        work.post(
+                                uri.substring(Math.min(uri.length(), "/work/".length())),
+                                request.content().toString(StandardCharsets.UTF_8)),
+                        "application/json");
             } catch (OperatorError e) {
-                answer(ctx, e instanceof UnknownMachine ? HttpResponseStatus.NOT_FOUND
-                        : e instanceof OldPermit ? HttpResponseStatus.CONFLICT
-                        : e instanceof NoMajority || e instanceof PeerBusy
-                        ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.BAD_REQUEST,
-                        e.getMessage() + "\n", "text/plain");
+                answer(
+                        ctx,
+                        e instanceof UnknownMachine
+                                ? HttpResponseStatus.NOT_FOUND
+                                : e instanceof OldPermit
+                                        ? HttpResponseStatus.CONFLICT
+                                        : e instanceof NoMajority || e instanceof PeerBusy
+                                                ? HttpResponseStatus.SERVICE_UNAVAILABLE
+                                                : HttpResponseStatus.BAD_REQUEST,
+                        e.getMessage() + "\n",
+                        "text/plain");
             }
         }
 
         /** What a part holds; {@code part} is null where it is not configured. */
-        private void look(ChannelHandlerContext ctx, Supplier<? extends Future<?>> part, String without)
+        private void look(
+                ChannelHandlerContext ctx, Supplier<? extends Future<?>> part, String without)
                 throws JsonProcessingException {
             if (part == null) {
                 answer(ctx, HttpResponseStatus.NOT_FOUND, without + " configured\n", "text/plain");
@@ -205,26 +283,36 @@
         }
 
         private void answer(ChannelHandlerContext ctx, String text, String type) {
-            answer(ctx, text == null ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
-                    text == null ? "the event loop is busy\n" : text, text == null ? "text/plain" : type);
+            answer(
+                    ctx,
+                    text == null ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+                    text == null ? "the event loop is busy\n" : text,
+                    text == null ? "text/plain" : type);
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String text, String type) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type)
+        private void answer(
+                ChannelHandlerContext ctx, HttpResponseStatus status, String text, String type) {
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            status,
+                            Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+            answer.headers()
+                    .set(HttpHeaderNames.CONTENT_TYPE, type)
                     .set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
                     .set(HttpHeaderNames.CONNECTION, "close");
             ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
         }
 
         /** A reader that goes away has nothing to be told. */
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         listening.close().syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         registry.close();
--- a/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Beside.java
@@ -11,27 +11,41 @@
 record Beside(Sending sending) implements Balancing {
     /** From now on the work on machines has a say on each attempt. */
     static void restrain(Running balancer, WorkCarrier work) {
-        balancer.loop().execute(() -> balancer.sending().restrain(new Sending.Restraint() {
-            @Override public boolean maySend(String upstream) {
-                return work.maySend(upstream);
-            }
+        balancer.loop()
+                .execute(
+                        () ->
+                                balancer.sending()
+                                        .restrain(
+                                                new Sending.Restraint() {
+                                                    @Override
+                                                    public boolean maySend(String upstream) {
+                                                        return work.maySend(upstream);
+                                                    }
 
-            @Override public void ended(String upstream, boolean served, long took) {
-                work.ended(upstream, served, took);
-            }
-        }));
+                                                    @Override
+                                                    public void ended(
+                                                            String upstream,
+                                                            boolean served,
+                                                            long took) {
+                                                        work.ended(upstream, served, took);
+                                                    }
+                                                }));
     }
 
-    @Override public int inFlight(String upstream) {
+    @Override
+    public int inFlight(String upstream) {
         return sending.inFlight(upstream);
     }
 
-    @Override public void setAside(Set<String> away, Set<String> cold) {
+    @Override
+    public void setAside(Set<String> away, Set<String> cold) {
         sending.setAside(away, cold);
     }
 
-    @Override public List<Upstream> listed() {
-        return sending.listed().stream().map(u -> new Upstream(u.id(), u.zone(), u.kind(), u.cell(),
-                u.ready())).toList();
+    @Override
+    public List<Upstream> listed() {
+        return sending.listed().stream()
+                .map(u -> new Upstream(u.id(), u.zone(), u.kind(), u.cell(), u.ready()))
+                .toList();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
@@ -2,28 +2,34 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import myrtleladder.toml.TomlFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import myrtleladder.toml.TomlFile;
 
 /** Looks at a configuration of ours without starting anything. */
-@Command(name = "config", description = "Checks and shows our own configuration.",
-        mixinStandardHelpOptions = true, subcommands = {ConfigCommand.Check.class, ConfigCommand.Show.class})
+@Command(
+        name = "config",
+        description = "Checks and shows our own configuration.",
+        mixinStandardHelpOptions = true,
+        subcommands = {ConfigCommand.Check.class, ConfigCommand.Show.class})
 final class ConfigCommand {
-    ConfigCommand() { }
+    ConfigCommand() {}
 
     /** Says what is wrong with a file. */
-    @Command(name = "check", description = "Says what is wrong with a file, by line and key.",
+    @Command(
+            name = "check",
+            description = "Says what is wrong with a file, by line and key.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "our own configuration, as TOML")
         private Path file;
-        @Spec
-        private CommandSpec spec;
 
-        @Override public Integer call() throws Exception {
+        @Spec private CommandSpec spec;
+
+        @Override
+        public Integer call() throws Exception {
             Own.read(file);
             spec.commandLine().getOut().println(file + ": good");
             return 0;
@@ -31,16 +37,21 @@
     }
 
     /** Shows what is in force with a file, or without one. */
-    @Command(name = "show", description = "Shows what is in force with a file, defaults filled in.",
+    @Command(
+            name = "show",
+            description = "Shows what is in force with a file, defaults filled in.",
             mixinStandardHelpOptions = true)
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", arity = "0..1", description = "default: no file")
         private Path file;
-        @Spec
-        private CommandSpec spec;
 
-        @Override public Integer call() throws Exception {
-            spec.commandLine().getOut().print(TomlFile.write(file == null ? Own.DEFAULTS : Own.read(file)));
+        @Spec private CommandSpec spec;
+
+        @Override
+        public Integer call() throws Exception {
+            spec.commandLine()
+                    .getOut()
+                    .print(TomlFile.write(file == null ? Own.DEFAULTS : Own.read(file)));
             spec.commandLine().getOut().flush();
             return 0;
         }
--- a/src/main/java/myrtleladder/loadbalancer/admin/JsonLines.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/JsonLines.java
@@ -13,12 +13,13 @@
 import org.apache.logging.log4j.util.SortedArrayStringMap;
 
 /**
- * One JSON object a line: time, level, process, subsystem, event and fields, as Log4j's layout writes them.
- * It formats for the logger of the platform, which the program writes to anyway: a second logging system
- * would be one more to start.
+ * One JSON object a line: time, level, process, subsystem, event and fields, as Log4j's layout
+ * writes them. It formats for the logger of the platform, which the program writes to anyway: a
+ * second logging system would be one more to start.
  */
 final class JsonLines extends Formatter {
-    private static final String TEMPLATE = """
+    private static final String TEMPLATE =
+            """
             {"time": {"$resolver": "timestamp", "pattern":
                 {"format": "yyyy-MM-dd'T'HH:mm:ss.SSSSSS'Z'", "timeZone": "UTC"}},
              "level": {"$resolver": "level", "field": "name"},
@@ -36,20 +37,34 @@
 
     /** Lines that carry the name of this process. */
     JsonLines(String process) {
-        layout = JsonTemplateLayout.newBuilder().setConfiguration(new DefaultConfiguration())
-                .setEventTemplate(TEMPLATE).setMaxStringLength(16_384)
-                .setEventTemplateAdditionalFields(new EventTemplateAdditionalField[] {
-                    EventTemplateAdditionalField.newBuilder().setKey("process").setValue(process).build()})
-                .build();
+        layout =
+                JsonTemplateLayout.newBuilder()
+                        .setConfiguration(new DefaultConfiguration())
+                        .setEventTemplate(TEMPLATE)
+                        .setMaxStringLength(16_384)
+                        .setEventTemplateAdditionalFields(
+                                new EventTemplateAdditionalField[] {
+                                    EventTemplateAdditionalField.newBuilder()
+                                            .setKey("process")
+                                            .setValue(process)
+                                            .build()
+                                })
+                        .build();
     }
 
-    @Override public String format(LogRecord line) {
+    @Override
+    public String format(LogRecord line) {
         MutableInstant at = new MutableInstant();
         at.initFromEpochSecond(line.getInstant().getEpochSecond(), line.getInstant().getNano());
-        return layout.toSerializable(Log4jLogEvent.newBuilder().setInstant(at)
-                .setLevel(level(line.getLevel())).setLoggerName(Subsystems.of(line.getLoggerName()))
-                .setMessage(new SimpleMessage(formatMessage(line)))
-                .setContextData(fields(line.getParameters())).setThrown(line.getThrown()).build());
+        return layout.toSerializable(
+                Log4jLogEvent.newBuilder()
+                        .setInstant(at)
+                        .setLevel(level(line.getLevel()))
+                        .setLoggerName(Subsystems.of(line.getLoggerName()))
+                        .setMessage(new SimpleMessage(formatMessage(line)))
+                        .setContextData(fields(line.getParameters()))
+                        .setThrown(line.getThrown())
+                        .build());
     }
 
     /** A map among the parameters of a line holds its fields. */
@@ -57,8 +72,13 @@
         SortedArrayStringMap all = new SortedArrayStringMap();
         for (Object parameter : parameters == null ? new Object[0] : parameters) {
             if (parameter instanceof Map<?, ?> fields) {
-                fields.forEach((name, value) -> all.putValue(name.toString(),
-                        value instanceof Number || value instanceof Boolean ? value : String.valueOf(value)));
+                fields.forEach(
+                        (name, value) ->
+                                all.putValue(
+                                        name.toString(),
+                                        value instanceof Number || value instanceof Boolean
+                                                ? value
+                                                : String.valueOf(value)));
             }
         }
         return all;
@@ -66,8 +86,10 @@
 
     private static Level level(java.util.logging.Level level) {
         int value = level.intValue();
-        return value >= java.util.logging.Level.SEVERE.intValue() ? ERROR
-                : value >= java.util.logging.Level.WARNING.intValue() ? WARNING
-                : value >= java.util.logging.Level.INFO.intValue() ? INFO : DEBUG;
+        return value >= java.util.logging.Level.SEVERE.intValue()
+                ? ERROR
+                : value >= java.util.logging.Level.WARNING.intValue()
+                        ? WARNING
+                        : value >= java.util.logging.Level.INFO.intValue() ? INFO : DEBUG;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.Callable;
+import myrtleladder.cluster.Balancing;
+import myrtleladder.cluster.WorkCarrier;
+import myrtleladder.consensus.Token;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadPlan;
 import myrtleladder.error.OperatorError.NoMajority;
 import myrtleladder.error.OperatorError.OldPermit;
 import myrtleladder.error.OperatorError.PeerBusy;
 import myrtleladder.error.OperatorError.UnknownMachine;
-import myrtleladder.consensus.Token;
-import myrtleladder.cluster.Balancing;
-import myrtleladder.cluster.WorkCarrier;
 import myrtleladder.maintenance.Job;
 import myrtleladder.maintenance.Part;
 import myrtleladder.maintenance.State;
@@ -31,8 +31,8 @@
 import myrtleladder.toml.TomlFile;
 
 /**
- * What operators and workers ask of the work on machines. All that is taken is to be decided yet: whoever
- * asks sees in {@code /work} what became of it.
+ * What operators and workers ask of the work on machines. All that is taken is to be decided yet:
+ * whoever asks sees in {@code /work} what became of it.
  */
 final class WorkDesk {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
@@ -46,19 +46,29 @@
     private final long longestS;
 
     /** A plan as operators write it; what is left out has the usual value. */
-    record PlanFile(@JsonProperty(required = true) String name, @JsonProperty("at-once") Integer atOnce,
-            @JsonProperty("per-zone") Integer perZone, Terms.Apart apart,
-            @JsonProperty("keep-percent") Integer keepPercent, Integer priority, String deadline,
-            @JsonProperty(value = "machine", required = true) List<MachinePart> machines) { }
+    record PlanFile(
+            @JsonProperty(required = true) String name,
+            @JsonProperty("at-once") Integer atOnce,
+            @JsonProperty("per-zone") Integer perZone,
+            Terms.Apart apart,
+            @JsonProperty("keep-percent") Integer keepPercent,
+            Integer priority,
+            String deadline,
+            @JsonProperty(value = "machine", required = true) List<MachinePart> machines) {}
 
     /** One machine; {@code name} is the upstream's or the member's if it is left out. */
-    record MachinePart(String name, String upstream, String member,
-            @JsonProperty(required = true) Long seconds) { }
+    record MachinePart(
+            String name,
+            String upstream,
+            String member,
+            @JsonProperty(required = true) Long seconds) {}
 
     /** What is said of a machine, a plan or a process. */
-    record Word(String machine, String plan, String process, String why, Long epoch, Long index) { }
+    record Word(String machine, String plan, String process, String why, Long epoch, Long index) {}
 
-    /** Takes what is asked for at a process; no work may take longer than {@code longestS} seconds. */
+    /**
+     * Takes what is asked for at a process; no work may take longer than {@code longestS} seconds.
+     */
     WorkDesk(WorkCarrier work, String process, long longestS) {
         this.work = work;
         this.process = process;
@@ -72,24 +82,30 @@
 
     /** Takes what was posted; says how many steps are to be decided. */
     String post(String what, String body) throws OperatorError, JsonProcessingException {
-        List<Step> steps = switch (what) {
-            case "" -> plan(TomlFile.parse(PLAN, body, PlanFile.class));
-            case "done" -> done(word(body));
-            case "halt" -> List.of(Step.halt(String.valueOf(word(body).why())));
-            case "resume" -> List.of(Step.resume());
-            case "safe" -> List.of(Step.safe(onLoop(work::epoch)));
-            case "withdraw" -> List.of(Step.withdraw(named(word(body)), word(body).why()));
-            case "first" -> List.of(Step.first(named(word(body))));
-            case "ended" -> List.of(Step.ended(need("process", word(body).process())));
-            default -> throw new BadPlan("/work/" + what, "is none of done, halt, resume, safe, withdraw, "
-                    + "first, ended");
-        };
-        boolean taken = onLoop(() -> {
-            if (work.decides()) {
-                work.propose(steps);
-            }
-            return work.decides();
-        });
+        List<Step> steps =
+                switch (what) {
+                    case "" -> plan(TomlFile.parse(PLAN, body, PlanFile.class));
+                    case "done" -> done(word(body));
+                    case "halt" -> List.of(Step.halt(String.valueOf(word(body).why())));
+                    case "resume" -> List.of(Step.resume());
+                    case "safe" -> List.of(Step.safe(onLoop(work::epoch)));
+                    case "withdraw" -> List.of(Step.withdraw(named(word(body)), word(body).why()));
+                    case "first" -> List.of(Step.first(named(word(body))));
+                    case "ended" -> List.of(Step.ended(need("process", word(body).process())));
+                    default ->
+                            throw new BadPlan(
+                                    "/work/" + what,
+                                    "is none of done, halt, resume, safe, withdraw, "
+                                            + "first, ended");
+                };
+        boolean taken =
+                onLoop(
+                        () -> {
+                            if (work.decides()) {
+                                work.propose(steps);
+                            }
+                            return work.decides();
+                        });
         if (!taken) {
             throw new NoMajority(process);
         }
@@ -151,12 +167,22 @@
         int atOnce = or(file.atOnce(), 1);
         int keep = or(file.keepPercent(), WHOLE / 2);
         if (keep < 0 || keep > WHOLE || parts.size() > MOST_MACHINES) {
-            throw new BadPlan(parts.size() > MOST_MACHINES ? "machine" : "keep-percent",
-                    "is not within 0 and " + (parts.size() > MOST_MACHINES ? MOST_MACHINES : WHOLE));
+            throw new BadPlan(
+                    parts.size() > MOST_MACHINES ? "machine" : "keep-percent",
+                    "is not within 0 and "
+                            + (parts.size() > MOST_MACHINES ? MOST_MACHINES : WHOLE));
         }
-        Terms terms = new Terms(file.name(), parts.size(), atOnce, or(file.perZone(), atOnce),
-                file.apart() == null ? Terms.Apart.NOTHING : file.apart(), keep, listed.size(),
-                or(file.priority(), 0), deadline(file.deadline()));
+        Terms terms =
+                new Terms(
+                        file.name(),
+                        parts.size(),
+                        atOnce,
+                        or(file.perZone(), atOnce),
+                        file.apart() == null ? Terms.Apart.NOTHING : file.apart(),
+                        keep,
+                        listed.size(),
+                        or(file.priority(), 0),
+                        deadline(file.deadline()));
         if (terms.never() != null) {
             throw new BadPlan(file.name(), terms.never());
         }
@@ -164,19 +190,36 @@
     }
 
     private Part part(MachinePart m, List<Balancing.Upstream> listed) throws OperatorError {
-        String machine = need("machine", m.name() != null ? m.name() : m.upstream() != null ? m.upstream()
-                : m.member());
+        String machine =
+                need(
+                        "machine",
+                        m.name() != null
+                                ? m.name()
+                                : m.upstream() != null ? m.upstream() : m.member());
         if (m.seconds() < 1 || m.seconds() > longestS) {
-            throw new BadPlan(machine + ".seconds", m.seconds() + " is not within 1 and " + longestS
-                    + " (fleet.longest-work-s)");
+            throw new BadPlan(
+                    machine + ".seconds",
+                    m.seconds() + " is not within 1 and " + longestS + " (fleet.longest-work-s)");
         }
         if (m.upstream() == null) {
             return new Part(machine, null, need("member", m.member()), 0, 0, 0, m.seconds());
         }
-        Balancing.Upstream its = listed.stream().filter(u -> u.id().equals(m.upstream())).findFirst()
-                .orElseThrow(() -> new UnknownMachine(m.upstream(), "is not on discovery's list"));
-        return new Part(machine, m.upstream(), m.member(), its.zone().hashCode(), its.kind().hashCode(),
-                its.cell(), m.seconds());
+        Balancing.Upstream its =
+                listed.stream()
+                        .filter(u -> u.id().equals(m.upstream()))
+                        .findFirst()
+                        .orElseThrow(
+                                () ->
+                                        new UnknownMachine(
+                                                m.upstream(), "is not on discovery's list"));
+        return new Part(
+                machine,
+                m.upstream(),
+                m.member(),
+                its.zone().hashCode(),
+                its.kind().hashCode(),
+                its.cell(),
+                m.seconds());
     }
 
     private static int or(Integer value, int otherwise) {
