--- a/src/main/java/myrtleladder/cluster/AgreeCarrier.java
+++ b/src/main/java/myrtleladder/cluster/AgreeCarrier.java
@@ -11,29 +11,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import myrtleladder.consensus.AgreeSettings;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusEvent;
+import myrtleladder.consensus.ConsensusNode;
+import myrtleladder.consensus.ConsensusSettings;
+import myrtleladder.consensus.FaultPoint;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Machine;
-import myrtleladder.consensus.Note;
-import myrtleladder.consensus.Point;
+import myrtleladder.consensus.StateMachine;
 import myrtleladder.consensus.Term;
 import myrtleladder.consensus.View;
 import myrtleladder.gossip.Claim;
-import myrtleladder.maintenance.Work;
+import myrtleladder.maintenance.MaintenanceCoordinator;
 
 /**
  * A process's agreement, over the datagrams and on the event loop of its membership: what is seen
  * there is who is there, and names have the addresses that their members tell.
  */
-public final class AgreeCarrier implements Agreement.Out {
+public final class AgreeCarrier implements ConsensusNode.Out {
     private static final System.Logger LOG = System.getLogger(AgreeCarrier.class.getName());
 
     private final MemberCarrier members;
     private final EventLoop loop;
-    private final Consumer<? super Point> points;
+    private final Consumer<? super FaultPoint> points;
     private final Life me;
-    private final Agreement agreement;
+    private final ConsensusNode agreement;
     private final Map<String, String> addresses = new TreeMap<>();
     private boolean lookDue;
 
@@ -60,15 +60,16 @@
 
     private AgreeCarrier(
             MemberCarrier members,
-            AgreeSettings settings,
-            Machine machine,
-            Consumer<? super Point> points) {
+            ConsensusSettings settings,
+            StateMachine machine,
+            Consumer<? super FaultPoint> points) {
         this.members = members;
         this.loop = members.loop();
         this.points = points;
         Claim self = members.self();
         this.me = new Life(self.name(), self.life());
-        this.agreement = new Agreement(settings, me, new SecureRandom().nextLong(), machine, this);
+        this.agreement =
+                new ConsensusNode(settings, me, new SecureRandom().nextLong(), machine, this);
     }
 
     /**
@@ -77,9 +78,9 @@
      */
     public static AgreeCarrier start(
             MemberCarrier members,
-            AgreeSettings settings,
-            Machine machine,
-            Consumer<? super Point> points) {
+            ConsensusSettings settings,
+            StateMachine machine,
+            Consumer<? super FaultPoint> points) {
         AgreeCarrier carrier = new AgreeCarrier(members, settings, machine, points);
         carrier.loop
                 .submit(
@@ -121,7 +122,7 @@
         return me;
     }
 
-    Agreement core() {
+    ConsensusNode core() {
         return agreement;
     }
 
@@ -141,12 +142,13 @@
 
     /** Whether a datagram is meant for an agreement, or for what is built upon it. */
     boolean takes(byte[] datagram) {
-        return Agreement.isOurs(datagram) || guest != null && Work.isOurs(datagram);
+        return ConsensusNode.isOurs(datagram)
+                || guest != null && MaintenanceCoordinator.isOurs(datagram);
     }
 
     /** A datagram has come that is. */
     void received(byte[] datagram) {
-        if (Agreement.isOurs(datagram)) {
+        if (ConsensusNode.isOurs(datagram)) {
             agreement.received(now(), datagram);
             after();
         } else {
@@ -218,14 +220,15 @@
     }
 
     @Override
-    public void note(Note note) {
+    public void note(ConsensusEvent note) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("epoch", note.view().epoch());
         fields.put("view", note.view().number());
         fields.put("members", note.view().lives().size());
         fields.put("why", note.why());
         LOG.log(
-                note.kind() == Note.Kind.CUT_OFF || note.kind() == Note.Kind.FOUNDED
+                note.kind() == ConsensusEvent.Kind.CUT_OFF
+                                || note.kind() == ConsensusEvent.Kind.FOUNDED
                         ? System.Logger.Level.WARNING
                         : System.Logger.Level.INFO,
                 "agreement " + note.kind() + ": " + note.why(),
@@ -233,7 +236,7 @@
     }
 
     @Override
-    public void point(Point point) {
+    public void point(FaultPoint point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/cluster/WorkCarrier.java
+++ b/src/main/java/myrtleladder/cluster/WorkCarrier.java
@@ -12,21 +12,21 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusNode;
+import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Token;
-import myrtleladder.maintenance.Agenda;
-import myrtleladder.maintenance.Job;
-import myrtleladder.maintenance.Step;
-import myrtleladder.maintenance.Work;
-import myrtleladder.maintenance.WorkPoint;
-import myrtleladder.maintenance.WorkSettings;
+import myrtleladder.maintenance.MaintenanceCoordinator;
+import myrtleladder.maintenance.MaintenanceFaultPoint;
+import myrtleladder.maintenance.MaintenanceJob;
+import myrtleladder.maintenance.MaintenanceSettings;
+import myrtleladder.maintenance.MaintenanceStateMachine;
+import myrtleladder.maintenance.OperatorCommand;
 
 /**
  * A process's part in the work on machines, beside its agreement: on the same event loop, by the
  * same datagrams. It sees how upstreams do by what becomes of this process's own attempts.
  */
-public final class WorkCarrier implements Work.Out {
+public final class WorkCarrier implements MaintenanceCoordinator.Out {
     private static final System.Logger LOG = System.getLogger(WorkCarrier.class.getName());
 
     /** An upstream that has not served so many attempts in a row fails. */
@@ -48,10 +48,10 @@
     private static final double SMOOTH = 0.02;
 
     private final AgreeCarrier agreement;
-    private final Agenda agenda;
-    private final Work work;
+    private final MaintenanceStateMachine agenda;
+    private final MaintenanceCoordinator work;
     private final Balancing balancing;
-    private final Consumer<? super WorkPoint> points;
+    private final Consumer<? super MaintenanceFaultPoint> points;
     private final Map<String, Integer> notServed = new HashMap<>();
     private final Map<String, Tally> tallies = new HashMap<>();
     private Set<String> away = Set.of();
@@ -76,7 +76,7 @@
             String machine,
             String plan,
             String state,
-            Token permit,
+            FencingToken permit,
             long until,
             boolean reserved,
             String waits,
@@ -95,25 +95,25 @@
 
     private WorkCarrier(
             AgreeCarrier agreement,
-            Agreement core,
-            Agenda agenda,
-            WorkSettings settings,
+            ConsensusNode core,
+            MaintenanceStateMachine agenda,
+            MaintenanceSettings settings,
             Balancing balancing,
-            Consumer<? super WorkPoint> points) {
+            Consumer<? super MaintenanceFaultPoint> points) {
         this.agreement = agreement;
         this.agenda = agenda;
         this.balancing = balancing;
         this.points = points;
-        this.work = new Work(settings, agreement.me(), core, agenda, this);
+        this.work = new MaintenanceCoordinator(settings, agreement.me(), core, agenda, this);
     }
 
     /** Takes part from now on; {@code agenda} is what the agreement feeds. */
     public static WorkCarrier start(
             AgreeCarrier agreement,
-            Agenda agenda,
-            WorkSettings settings,
+            MaintenanceStateMachine agenda,
+            MaintenanceSettings settings,
             Balancing balancing,
-            Consumer<? super WorkPoint> points) {
+            Consumer<? super MaintenanceFaultPoint> points) {
         return agreement
                 .loop()
                 .submit(
@@ -183,7 +183,7 @@
                 .submit(
                         () -> {
                             List<Seen> jobs = new ArrayList<>();
-                            for (Job job : agenda.jobs()) {
+                            for (MaintenanceJob job : agenda.jobs()) {
                                 jobs.add(
                                         new Seen(
                                                 job.machine(),
@@ -218,7 +218,7 @@
     }
 
     /** The last job of a machine, null if it has none; on the loop. */
-    public Job job(String machine) {
+    public MaintenanceJob job(String machine) {
         return agenda.job(machine);
     }
 
@@ -228,7 +228,7 @@
     }
 
     /** Has steps decided, in this order; on the loop. */
-    public void propose(List<Step> steps) {
+    public void propose(List<OperatorCommand> steps) {
         steps.forEach(s -> work.propose(now(), s));
     }
 
@@ -290,7 +290,7 @@
                         failing.add(upstream);
                     }
                 });
-        return failing.stream().sorted().limit(Agenda.MOST_FAILING).toList();
+        return failing.stream().sorted().limit(MaintenanceStateMachine.MOST_FAILING).toList();
     }
 
     @Override
@@ -318,7 +318,7 @@
     }
 
     @Override
-    public void moved(Job job) {
+    public void moved(MaintenanceJob job) {
         String upstream = job.part().upstream();
         if (upstream != null) {
             switch (job.state()) {
@@ -348,7 +348,7 @@
     }
 
     @Override
-    public void point(WorkPoint point) {
+    public void point(MaintenanceFaultPoint point) {
         points.accept(point);
     }
 }
--- a/src/main/java/myrtleladder/consensus/Note.java
+++ b/src/main/java/myrtleladder/consensus/ConsensusEvent.java
@@ -1,7 +1,7 @@
 package myrtleladder.consensus;
 
 /** Something that operators may want to know of an agreement, for the log. */
-public record Note(Kind kind, View view, String why) {
+public record ConsensusEvent(Kind kind, View view, String why) {
     /** What has changed. */
     public enum Kind {
         /** This life leads. */
--- a/src/main/java/myrtleladder/consensus/Agreement.java
+++ b/src/main/java/myrtleladder/consensus/ConsensusNode.java
@@ -20,7 +20,7 @@
  * that were taken in, lives that never had a vote found the log anew, see {@link Election}. All
  * calls come from one thread; the maker of {@code out} brings about what it asks for.
  */
-public final class Agreement {
+public final class ConsensusNode {
     private static final String BEAT = "beat";
 
     /**
@@ -37,12 +37,12 @@
      */
     private static final int HEAD = 420;
 
-    private final AgreeSettings settings;
+    private final ConsensusSettings settings;
     private final Life me;
     private final Random random;
-    private final Machine machine;
+    private final StateMachine machine;
     private final Out out;
-    private final Log log = new Log();
+    private final ReplicatedLog log = new ReplicatedLog();
     private final Map<String, Seen> seen = new TreeMap<>();
     private final Map<Life, Peer> peers = new LinkedHashMap<>();
     private final Map<Life, Long> taken = new LinkedHashMap<>();
@@ -79,17 +79,17 @@
          */
         void send(String name, byte[] datagram);
 
-        /** Asks for {@link Agreement#due} after a delay by the steady clock. */
+        /** Asks for {@link ConsensusNode#due} after a delay by the steady clock. */
         void timer(String token, long delay);
 
         /** Microseconds that the wall clock shows; it may jump. */
         long wall();
 
         /** Something has changed. */
-        void note(Note note);
+        void note(ConsensusEvent note);
 
         /** A point of fault is passed; only tests do anything here. */
-        default void point(Point point) {}
+        default void point(FaultPoint point) {}
     }
 
     /**
@@ -121,7 +121,8 @@
     }
 
     /** A life that was not started yet; {@code life} in {@code me} is drawn anew for each. */
-    public Agreement(AgreeSettings settings, Life me, long seed, Machine machine, Out out) {
+    public ConsensusNode(
+            ConsensusSettings settings, Life me, long seed, StateMachine machine, Out out) {
         this.settings = settings;
         this.me = me;
         this.random = new Random(seed);
@@ -176,7 +177,11 @@
         boolean none = !decides(now);
         if (none != heardOfNone) {
             heardOfNone = none;
-            out.note(new Note(none ? Note.Kind.CUT_OFF : Note.Kind.JOINED, view, "term " + term));
+            out.note(
+                    new ConsensusEvent(
+                            none ? ConsensusEvent.Kind.CUT_OFF : ConsensusEvent.Kind.JOINED,
+                            view,
+                            "term " + term));
         }
         out.timer(BEAT, settings.beat());
     }
@@ -189,8 +194,8 @@
         }
         Message m;
         try {
-            m = Wire.read(datagram, settings.fleet());
-        } catch (Wire.Refused e) {
+            m = MessageCodec.read(datagram, settings.fleet());
+        } catch (MessageCodec.Refused e) {
             count(e.getMessage());
             return;
         }
@@ -208,7 +213,7 @@
             case SNAPSHOT -> snapshot(now, m);
             case HEARD -> heard(now, m);
             case COMMAND -> {
-                out.point(Point.COMMAND_TAKEN);
+                out.point(FaultPoint.COMMAND_TAKEN);
                 if (leads()) {
                     take(now, m.from(), m.number(), m.bytes());
                 }
@@ -229,7 +234,7 @@
         }
         commands.add(command.clone());
         if (commands.size() == 1) {
-            out.point(Point.COMMAND_NOTED);
+            out.point(FaultPoint.COMMAND_NOTED);
             pushCommand(now);
         }
     }
@@ -239,7 +244,7 @@
      * address.
      */
     public static boolean isOurs(byte[] datagram) {
-        return Wire.isOurs(datagram);
+        return MessageCodec.isOurs(datagram);
     }
 
     // ---- What can be asked of it
@@ -320,32 +325,32 @@
         leader = me;
         contactAt = now;
         peers.clear();
-        out.point(Point.ELECTED);
+        out.point(FaultPoint.ELECTED);
         lives().forEach(l -> peers.put(l, new Peer(log.last() + 1)));
         votes.values().stream()
                 .map(peers::get)
                 .filter(Objects::nonNull)
                 .forEach(p -> p.heardAt = askedAt);
-        out.note(new Note(Note.Kind.LEADS, view, "term " + term));
+        out.note(new ConsensusEvent(ConsensusEvent.Kind.LEADS, view, "term " + term));
         if (founding) {
             Map<String, Long> founders = new TreeMap<>();
             votes.values().forEach(l -> founders.put(l.name(), l.life()));
-            write(now, Entry.Kind.FOUND, founders, null, log.view().number() + 1, null);
+            write(now, LogEntry.Kind.FOUND, founders, null, log.view().number() + 1, null);
         } else {
-            write(now, Entry.Kind.LEADS, Map.of(), null, 0, null);
+            write(now, LogEntry.Kind.LEADS, Map.of(), null, 0, null);
         }
     }
 
     private void write(
             long now,
-            Entry.Kind kind,
+            LogEntry.Kind kind,
             Map<String, Long> change,
             Life by,
             long number,
             byte[] command) {
-        log.add(new Entry(log.last() + 1, term, kind, change, null, by, number, command));
+        log.add(new LogEntry(log.last() + 1, term, kind, change, null, by, number, command));
         acknowledged = log.last();
-        out.point(Point.ENTRY_WRITTEN);
+        out.point(FaultPoint.ENTRY_WRITTEN);
         decide(now);
         sendToAll(now);
     }
@@ -379,16 +384,16 @@
             sendSnapshot(now, life, peer);
             return;
         }
-        List<Entry> some = new ArrayList<>();
+        List<LogEntry> some = new ArrayList<>();
         int left = settings.bytes() - HEAD;
         for (long i = peer.next; i <= log.last(); i++) {
-            left -= Wire.size(log.get(i));
+            left -= MessageCodec.size(log.get(i));
             if (left < 0 && !some.isEmpty()) {
                 break;
             }
             some.add(log.get(i));
         }
-        out.point(Point.ENTRIES_SENDING);
+        out.point(FaultPoint.ENTRIES_SENDING);
         send(life, message(Message.Kind.APPEND, null, peer.next - 1, at, now).with(some, commit));
     }
 
@@ -399,15 +404,16 @@
                     new Snapshot(
                             applied,
                             log.termAt(applied),
-                            Wire.write(new Wire.Snapshot(view, taken, machine.snapshot())));
-            out.point(Point.SNAPSHOT_MADE);
+                            MessageCodec.write(
+                                    new MessageCodec.Snapshot(view, taken, machine.snapshot())));
+            out.point(FaultPoint.SNAPSHOT_MADE);
             peers.values().forEach(p -> p.offset = p.offset < 0 ? -1 : 0);
         }
         peer.offset = Math.max(0, Math.min(peer.offset, made.bytes().length));
         int from = (int) peer.offset;
         // Three bytes take four characters.
         int to = Math.min(made.bytes().length, from + (settings.bytes() - HEAD) * 3 / 4);
-        out.point(Point.SNAPSHOT_SENDING);
+        out.point(FaultPoint.SNAPSHOT_SENDING);
         send(
                 life,
                 message(Message.Kind.SNAPSHOT, null, made.index(), made.at(), now)
@@ -419,7 +425,7 @@
 
     /** What a life answered to entries. */
     private void acknowledged(long now, Message m) {
-        out.point(Point.ACKNOWLEDGEMENT_COUNTED);
+        out.point(FaultPoint.ACKNOWLEDGEMENT_COUNTED);
         Peer peer = answerer(now, m);
         if (peer == null) {
             return;
@@ -461,7 +467,7 @@
 
     /** What a life has of a snapshot. */
     private void heard(long now, Message m) {
-        out.point(Point.ACKNOWLEDGEMENT_COUNTED);
+        out.point(FaultPoint.ACKNOWLEDGEMENT_COUNTED);
         Peer peer = answerer(now, m);
         if (peer != null && made != null && m.index() == made.index() && peer.offset >= 0) {
             peer.offset = m.offset();
@@ -570,8 +576,8 @@
         }
         Map<String, Long> change = goes.isEmpty() ? comes : goes;
         if (!change.isEmpty()) {
-            out.point(Point.VIEW_PROPOSING);
-            write(now, Entry.Kind.VIEW, change, null, members.number() + 1, null);
+            out.point(FaultPoint.VIEW_PROPOSING);
+            write(now, LogEntry.Kind.VIEW, change, null, members.number() + 1, null);
         }
     }
 
@@ -585,7 +591,7 @@
 
     private void follow(long now, Term its, Life whom, String why) {
         if (leads()) {
-            out.note(new Note(Note.Kind.LEADS_NO_MORE, view, why));
+            out.note(new ConsensusEvent(ConsensusEvent.Kind.LEADS_NO_MORE, view, why));
         }
         if (its.compareTo(term) > 0) {
             term = its;
@@ -618,7 +624,7 @@
     }
 
     private void entries(long now, Message m) {
-        out.point(Point.ENTRIES_TAKEN);
+        out.point(FaultPoint.ENTRIES_TAKEN);
         for (int i = 0; i < m.entries().size(); i++) {
             if (m.entries().get(i).index() != m.index() + 1 + i) {
                 count("malformed");
@@ -638,7 +644,7 @@
             acknowledge(now, m, false, m.index() <= commit ? -1 : m.index() - 1);
             return;
         }
-        for (Entry e : m.entries()) {
+        for (LogEntry e : m.entries()) {
             Term held = log.termAt(e.index());
             if (e.index() > log.base() && !e.term().equals(held)) {
                 if (e.index() <= commit) {
@@ -653,9 +659,9 @@
         }
         long match = m.index() + m.entries().size();
         acknowledged = Math.max(acknowledged, match);
-        out.point(Point.ENTRIES_KEPT);
+        out.point(FaultPoint.ENTRIES_KEPT);
         acknowledge(now, m, true, match);
-        out.point(Point.ENTRIES_ACKNOWLEDGED);
+        out.point(FaultPoint.ENTRIES_ACKNOWLEDGED);
         if (Math.min(m.offset(), match) > commit) {
             commit = Math.min(m.offset(), match);
             applyAll(now);
@@ -671,7 +677,7 @@
     }
 
     private void snapshot(long now, Message m) {
-        out.point(Point.SNAPSHOT_TAKEN);
+        out.point(FaultPoint.SNAPSHOT_TAKEN);
         if (!ofLeader(now, m)) {
             return;
         }
@@ -695,7 +701,7 @@
             return;
         }
         try {
-            Wire.Snapshot whole = Wire.snapshot(partial.bytes().toByteArray());
+            MessageCodec.Snapshot whole = MessageCodec.snapshot(partial.bytes().toByteArray());
             log.reset(m.index(), m.at(), whole.view());
             view = whole.view();
             commit = m.index();
@@ -705,10 +711,14 @@
             machine.restore(whole.machine());
             acknowledged = m.index();
             forgetTaken(now);
-            out.point(Point.SNAPSHOT_RESTORED);
-            out.note(new Note(Note.Kind.RESTORED, view, "by " + m.from() + " up to " + m.index()));
+            out.point(FaultPoint.SNAPSHOT_RESTORED);
+            out.note(
+                    new ConsensusEvent(
+                            ConsensusEvent.Kind.RESTORED,
+                            view,
+                            "by " + m.from() + " up to " + m.index()));
             acknowledge(now, m, true, m.index());
-        } catch (Wire.Refused e) {
+        } catch (MessageCodec.Refused e) {
             count("snapshot " + e.getMessage());
         } finally {
             partial = null;
@@ -720,28 +730,30 @@
 
     private void applyAll(long now) {
         while (applied < commit) {
-            out.point(Point.DECREED);
-            Entry e = log.get(applied + 1);
+            out.point(FaultPoint.DECREED);
+            LogEntry e = log.get(applied + 1);
             applied++;
             if (e.hasView()) {
                 view = e.view();
                 machine.view(view);
                 out.note(
-                        new Note(
-                                e.kind() == Entry.Kind.FOUND ? Note.Kind.FOUNDED : Note.Kind.VIEW,
+                        new ConsensusEvent(
+                                e.kind() == LogEntry.Kind.FOUND
+                                        ? ConsensusEvent.Kind.FOUNDED
+                                        : ConsensusEvent.Kind.VIEW,
                                 view,
                                 "decree " + e.index()));
-            } else if (e.kind() == Entry.Kind.COMMAND
+            } else if (e.kind() == LogEntry.Kind.COMMAND
                     && e.number() > taken.getOrDefault(e.by(), 0L)) {
                 taken.remove(e.by()); // to the end of the order
                 taken.put(e.by(), e.number());
                 if (taken.size() > TAKEN) {
                     taken.remove(taken.keySet().iterator().next());
                 }
-                machine.apply(new Token(e.term().epoch(), e.index()), e.by(), e.command());
+                machine.apply(new FencingToken(e.term().epoch(), e.index()), e.by(), e.command());
             }
             forgetTaken(now);
-            out.point(Point.APPLIED);
+            out.point(FaultPoint.APPLIED);
         }
         if (log.size() > settings.kept()) {
             log.compact(applied, view);
@@ -782,7 +794,7 @@
                 return;
             }
         }
-        write(now, Entry.Kind.COMMAND, Map.of(), by, number, command);
+        write(now, LogEntry.Kind.COMMAND, Map.of(), by, number, command);
     }
 
     // ---- Sending
@@ -794,7 +806,7 @@
 
     private void send(Life to, Message m) {
         try {
-            out.send(to.name(), Wire.write(settings.fleet(), m));
+            out.send(to.name(), MessageCodec.write(settings.fleet(), m));
         } catch (UncheckedIOException e) {
             count("not sent");
         }
@@ -994,7 +1006,7 @@
             votes.clear();
             votes.put(me.name(), me);
             votesOfNew = voter() ? 0 : 1;
-            out.point(Point.VOTE_ASKING);
+            out.point(FaultPoint.VOTE_ASKING);
             askAll(
                     message(Message.Kind.VOTE_ASK, null, log.last(), log.lastTerm(), now)
                             .says(toFound, voter(), true));
@@ -1002,7 +1014,7 @@
         }
 
         void voteAsked(long now, Message m) {
-            out.point(Point.VOTE_TAKEN);
+            out.point(FaultPoint.VOTE_TAKEN);
             boolean free =
                     m.term().compareTo(term) > 0
                             || m.term().equals(term) && m.from().equals(votedFor);
@@ -1015,16 +1027,16 @@
             boolean had = voter();
             follow(now, m.term(), null, m.from() + " is voted for");
             votedFor = m.from();
-            out.point(Point.VOTE_PROMISED);
+            out.point(FaultPoint.VOTE_PROMISED);
             send(
                     m.from(),
                     message(Message.Kind.VOTE, m.from(), 0, membership(), m.number())
                             .says(true, had, true));
-            out.point(Point.VOTE_TOLD);
+            out.point(FaultPoint.VOTE_TOLD);
         }
 
         void voted(long now, Message m) {
-            out.point(Point.VOTE_COUNTED);
+            out.point(FaultPoint.VOTE_COUNTED);
             if (candidate
                     && m.yes()
                     && m.term().equals(term)
--- a/src/main/java/myrtleladder/consensus/AgreeSettings.java
+++ b/src/main/java/myrtleladder/consensus/ConsensusSettings.java
@@ -16,7 +16,7 @@
  * @param kept entries that are kept for those who lag; who lags further gets a snapshot
  * @param bytes largest datagram
  */
-public record AgreeSettings(
+public record ConsensusSettings(
         String fleet,
         List<String> council,
         long beat,
@@ -32,7 +32,7 @@
     static final int MOST = 9;
 
     /** Refuses a council that decides nothing, by name. */
-    public AgreeSettings {
+    public ConsensusSettings {
         council = List.copyOf(council);
         if (council.isEmpty()
                 || council.size() > MOST
@@ -43,8 +43,8 @@
     }
 
     /** What holds unless it is configured otherwise: a leader that died is replaced within 3 s. */
-    public static AgreeSettings of(String fleet, List<String> council) {
-        return new AgreeSettings(
+    public static ConsensusSettings of(String fleet, List<String> council) {
+        return new ConsensusSettings(
                 fleet, council, 200_000, 800_000, 3_000_000, 3_000_000, 256, 1_400);
     }
 
--- a/src/main/java/myrtleladder/consensus/Point.java
+++ b/src/main/java/myrtleladder/consensus/FaultPoint.java
@@ -4,7 +4,7 @@
  * The places at which the world can go wrong between two steps of an agreement; {@code
  * docs/faults.md} lists them. Tests fail at each in turn. Numbers are stable: new points come last.
  */
-public enum Point {
+public enum FaultPoint {
     /** Before a candidate asks for votes. */
     VOTE_ASKING,
     /** A question for a vote has come and nothing was done about it. */
--- a/src/main/java/myrtleladder/consensus/Entry.java
+++ b/src/main/java/myrtleladder/consensus/LogEntry.java
@@ -13,7 +13,7 @@
  * @param number of the proposer's command: taken in once, however often it arrives
  * @param command what is handed to the machine, else null
  */
-record Entry(
+record LogEntry(
         long index,
         Term term,
         Kind kind,
@@ -39,7 +39,7 @@
     }
 
     /** The same with its view worked out. */
-    Entry after(View before) {
+    LogEntry after(View before) {
         if (!hasView()) {
             return this;
         }
@@ -53,7 +53,7 @@
                     }
                 });
         long epoch = kind == Kind.FOUND ? term.epoch() : before.epoch();
-        return new Entry(
+        return new LogEntry(
                 index, term, kind, change, new View(epoch, number, lives), by, number, command);
     }
 }
--- a/src/main/java/myrtleladder/consensus/Message.java
+++ b/src/main/java/myrtleladder/consensus/Message.java
@@ -30,7 +30,7 @@
         boolean yes,
         boolean voter,
         boolean ripe,
-        List<Entry> entries,
+        List<LogEntry> entries,
         byte[] bytes,
         Map<String, Long> cut) {
     /** The format, told in each message; another one is refused. */
@@ -72,7 +72,7 @@
                 entries, bytes, cut);
     }
 
-    Message with(List<Entry> itsEntries, long decided) {
+    Message with(List<LogEntry> itsEntries, long decided) {
         return new Message(
                 kind,
                 from,
--- a/src/main/java/myrtleladder/consensus/Wire.java
+++ b/src/main/java/myrtleladder/consensus/MessageCodec.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 
 /** Messages and snapshots as JSON, and back. What is not exactly as written here is refused. */
-final class Wire {
+final class MessageCodec {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int HEX = 16;
 
@@ -22,7 +22,7 @@
             ("{\"v\":" + Message.VERSION + ",\"agree\":")
                     .getBytes(java.nio.charset.StandardCharsets.US_ASCII);
 
-    private Wire() {}
+    private MessageCodec() {}
 
     static boolean isOurs(byte[] datagram) {
         return datagram.length >= BEGINS.length
@@ -83,7 +83,7 @@
                     }
                     if (!m.entries().isEmpty()) {
                         json.writeArrayFieldStart("log");
-                        for (Entry e : m.entries()) {
+                        for (LogEntry e : m.entries()) {
                             entry(json, e);
                         }
                         json.writeEndArray();
@@ -92,7 +92,7 @@
     }
 
     /** How many bytes an entry takes in a message. */
-    static int size(Entry entry) {
+    static int size(LogEntry entry) {
         return write(
                         json -> {
                             json.writeFieldName("e");
@@ -117,7 +117,7 @@
                 });
     }
 
-    private static void entry(JsonGenerator json, Entry e) throws IOException {
+    private static void entry(JsonGenerator json, LogEntry e) throws IOException {
         json.writeStartObject();
         json.writeNumberField("i", e.index());
         term(json, "term", e.term());
@@ -192,14 +192,14 @@
             return view < 0 ? null : new View(epoch, view, lives);
         }
 
-        Entry entry() throws Refused {
-            Entry.Kind its = kind == null ? null : Entry.Kind.valueOf(kind);
+        LogEntry entry() throws Refused {
+            LogEntry.Kind its = kind == null ? null : LogEntry.Kind.valueOf(kind);
             expect(
                     its != null
                             && term != null
                             && index > 0
-                            && (its == Entry.Kind.COMMAND) == (by != null));
-            return new Entry(index, term, its, cut, null, by, number, by == null ? null : bytes);
+                            && (its == LogEntry.Kind.COMMAND) == (by != null));
+            return new LogEntry(index, term, its, cut, null, by, number, by == null ? null : bytes);
         }
     }
 
@@ -218,7 +218,7 @@
             if (!fleet.equals(f.fleet)) {
                 throw new Refused("foreign");
             }
-            List<Entry> entries = new ArrayList<>();
+            List<LogEntry> entries = new ArrayList<>();
             for (Fields e : f.log) {
                 entries.add(e.entry());
             }
--- a/src/main/java/myrtleladder/consensus/Log.java
+++ b/src/main/java/myrtleladder/consensus/ReplicatedLog.java
@@ -6,8 +6,8 @@
 /**
  * The entries of one life from a base on, behind which a snapshot stands for all that came before.
  */
-final class Log {
-    private final List<Entry> entries = new ArrayList<>();
+final class ReplicatedLog {
+    private final List<LogEntry> entries = new ArrayList<>();
     private long base;
     private Term baseTerm = Term.NONE;
     private View baseView = View.NONE;
@@ -32,7 +32,7 @@
         return entries.size();
     }
 
-    Entry get(long index) {
+    LogEntry get(long index) {
         return entries.get((int) (index - base - 1));
     }
 
@@ -43,7 +43,7 @@
                 : index > base && index <= last() ? get(index).term() : null;
     }
 
-    void add(Entry entry) {
+    void add(LogEntry entry) {
         entries.add(entry.after(view()));
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -13,7 +13,7 @@
 import myrtleladder.cluster.MemberCarrier;
 import myrtleladder.cluster.PointFault;
 import myrtleladder.cluster.WorkCarrier;
-import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.error.OperatorError.NoFile;
@@ -21,8 +21,8 @@
 import myrtleladder.gossip.Meta;
 import myrtleladder.gossip.Settings;
 import myrtleladder.loadbalancer.server.Running;
-import myrtleladder.maintenance.Agenda;
-import myrtleladder.maintenance.WorkSettings;
+import myrtleladder.maintenance.MaintenanceSettings;
+import myrtleladder.maintenance.MaintenanceStateMachine;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -129,10 +129,10 @@
             InetSocketAddress at =
                     listen == null ? null : Own.address(file, "admin.listen", listen);
             FleetConfig fleet = own.fleet() == null ? null : fleet(own.fleet(), name);
-            AgreeSettings council =
+            ConsensusSettings council =
                     fleet == null || own.fleet().council() == null
                             ? null
-                            : AgreeSettings.of(own.fleet().name(), own.fleet().council());
+                            : ConsensusSettings.of(own.fleet().name(), own.fleet().council());
             int status =
                     myrtleladder.loadbalancer.server.Main.run(
                             new String[] {"serve"},
@@ -149,17 +149,17 @@
                 String name,
                 InetSocketAddress at,
                 FleetConfig fleet,
-                AgreeSettings council) {
+                ConsensusSettings council) {
             MemberCarrier members =
                     fleet == null ? null : MemberCarrier.start(balancer.loop(), fleet);
             AgreeCarrier agreement = null;
             WorkCarrier work = null;
             if (council != null) {
                 Consumer<Enum<?>> points = PointFault.of(System.getProperty(PointFault.PROPERTY));
-                Agenda agenda = new Agenda();
+                MaintenanceStateMachine agenda = new MaintenanceStateMachine();
                 agreement = AgreeCarrier.start(members, council, agenda, points);
-                WorkSettings settings =
-                        WorkSettings.of(
+                MaintenanceSettings settings =
+                        MaintenanceSettings.of(
                                 own.fleet().name(),
                                 LONGEST_ATTEMPT,
                                 1_000_000 * own.fleet().longestWorkS());
--- a/src/main/java/myrtleladder/loadbalancer/admin/Own.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Own.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import myrtleladder.consensus.AgreeSettings;
+import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadFile;
 import myrtleladder.toml.TomlFile;
@@ -141,7 +141,7 @@
         TomlFile.range(file, "fleet.longest-work-s", fleet.longestWorkS(), 1, DAY_S);
         if (fleet.council() != null) {
             try {
-                AgreeSettings.of(fleet.name(), fleet.council());
+                ConsensusSettings.of(fleet.name(), fleet.council());
             } catch (IllegalArgumentException e) {
                 throw new BadFile(file, 0, "fleet.council", e.getMessage());
             }
--- a/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/WorkDesk.java
@@ -16,18 +16,18 @@
 import java.util.concurrent.Callable;
 import myrtleladder.cluster.Balancing;
 import myrtleladder.cluster.WorkCarrier;
-import myrtleladder.consensus.Token;
+import myrtleladder.consensus.FencingToken;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.BadPlan;
 import myrtleladder.error.OperatorError.NoMajority;
 import myrtleladder.error.OperatorError.OldPermit;
 import myrtleladder.error.OperatorError.PeerBusy;
 import myrtleladder.error.OperatorError.UnknownMachine;
-import myrtleladder.maintenance.Job;
-import myrtleladder.maintenance.Part;
-import myrtleladder.maintenance.State;
-import myrtleladder.maintenance.Step;
-import myrtleladder.maintenance.Terms;
+import myrtleladder.maintenance.JobState;
+import myrtleladder.maintenance.MachineSpec;
+import myrtleladder.maintenance.MaintenanceJob;
+import myrtleladder.maintenance.OperatorCommand;
+import myrtleladder.maintenance.PlanTerms;
 import myrtleladder.toml.TomlFile;
 
 /**
@@ -50,7 +50,7 @@
             @JsonProperty(required = true) String name,
             @JsonProperty("at-once") Integer atOnce,
             @JsonProperty("per-zone") Integer perZone,
-            Terms.Apart apart,
+            PlanTerms.Apart apart,
             @JsonProperty("keep-percent") Integer keepPercent,
             Integer priority,
             String deadline,
@@ -82,16 +82,18 @@
 
     /** Takes what was posted; says how many steps are to be decided. */
     String post(String what, String body) throws OperatorError, JsonProcessingException {
-        List<Step> steps =
+        List<OperatorCommand> steps =
                 switch (what) {
                     case "" -> plan(TomlFile.parse(PLAN, body, PlanFile.class));
                     case "done" -> done(word(body));
-                    case "halt" -> List.of(Step.halt(String.valueOf(word(body).why())));
-                    case "resume" -> List.of(Step.resume());
-                    case "safe" -> List.of(Step.safe(onLoop(work::epoch)));
-                    case "withdraw" -> List.of(Step.withdraw(named(word(body)), word(body).why()));
-                    case "first" -> List.of(Step.first(named(word(body))));
-                    case "ended" -> List.of(Step.ended(need("process", word(body).process())));
+                    case "halt" -> List.of(OperatorCommand.halt(String.valueOf(word(body).why())));
+                    case "resume" -> List.of(OperatorCommand.resume());
+                    case "safe" -> List.of(OperatorCommand.safe(onLoop(work::epoch)));
+                    case "withdraw" ->
+                            List.of(OperatorCommand.withdraw(named(word(body)), word(body).why()));
+                    case "first" -> List.of(OperatorCommand.first(named(word(body))));
+                    case "ended" ->
+                            List.of(OperatorCommand.ended(need("process", word(body).process())));
                     default ->
                             throw new BadPlan(
                                     "/work/" + what,
@@ -135,30 +137,30 @@
         return got;
     }
 
-    private List<Step> done(Word word) throws OperatorError {
+    private List<OperatorCommand> done(Word word) throws OperatorError {
         String machine = need("machine", word.machine());
         if (word.epoch() == null || word.index() == null) {
             throw new BadPlan("epoch, index", "of the permit are missing");
         }
-        Token permit = new Token(word.epoch(), word.index());
-        Job[] job = onLoop(() -> new Job[] {work.job(machine)});
+        FencingToken permit = new FencingToken(word.epoch(), word.index());
+        MaintenanceJob[] job = onLoop(() -> new MaintenanceJob[] {work.job(machine)});
         if (job[0] == null) {
             throw new UnknownMachine(machine, "has no work on the agenda");
         }
-        boolean goesOn = job[0].state() == State.OUT || job[0].state() == State.OVERDUE;
+        boolean goesOn = job[0].state() == JobState.OUT || job[0].state() == JobState.OVERDUE;
         if (!goesOn || !permit.equals(job[0].permit())) {
             throw new OldPermit(machine, "is " + job[0].state() + " by " + job[0].permit());
         }
-        return List.of(Step.done(machine, permit));
+        return List.of(OperatorCommand.done(machine, permit));
     }
 
-    private List<Step> plan(PlanFile file) throws OperatorError {
+    private List<OperatorCommand> plan(PlanFile file) throws OperatorError {
         need("name", file.name());
         List<Balancing.Upstream> listed = onLoop(work::upstreams);
-        List<Part> parts = new ArrayList<>();
+        List<MachineSpec> parts = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (MachinePart m : file.machines()) {
-            Part part = part(m, listed);
+            MachineSpec part = part(m, listed);
             if (!names.add(part.machine())) {
                 throw new BadPlan("machine", part.machine() + " is named twice");
             }
@@ -172,13 +174,13 @@
                     "is not within 0 and "
                             + (parts.size() > MOST_MACHINES ? MOST_MACHINES : WHOLE));
         }
-        Terms terms =
-                new Terms(
+        PlanTerms terms =
+                new PlanTerms(
                         file.name(),
                         parts.size(),
                         atOnce,
                         or(file.perZone(), atOnce),
-                        file.apart() == null ? Terms.Apart.NOTHING : file.apart(),
+                        file.apart() == null ? PlanTerms.Apart.NOTHING : file.apart(),
                         keep,
                         listed.size(),
                         or(file.priority(), 0),
@@ -186,10 +188,10 @@
         if (terms.never() != null) {
             throw new BadPlan(file.name(), terms.never());
         }
-        return Step.plan(terms, parts);
+        return OperatorCommand.plan(terms, parts);
     }
 
-    private Part part(MachinePart m, List<Balancing.Upstream> listed) throws OperatorError {
+    private MachineSpec part(MachinePart m, List<Balancing.Upstream> listed) throws OperatorError {
         String machine =
                 need(
                         "machine",
@@ -202,7 +204,7 @@
                     m.seconds() + " is not within 1 and " + longestS + " (fleet.longest-work-s)");
         }
         if (m.upstream() == null) {
-            return new Part(machine, null, need("member", m.member()), 0, 0, 0, m.seconds());
+            return new MachineSpec(machine, null, need("member", m.member()), 0, 0, 0, m.seconds());
         }
         Balancing.Upstream its =
                 listed.stream()
@@ -212,7 +214,7 @@
                                 () ->
                                         new UnknownMachine(
                                                 m.upstream(), "is not on discovery's list"));
-        return new Part(
+        return new MachineSpec(
                 machine,
                 m.upstream(),
                 m.member(),
--- a/src/main/java/myrtleladder/maintenance/State.java
+++ b/src/main/java/myrtleladder/maintenance/JobState.java
@@ -1,7 +1,7 @@
 package myrtleladder.maintenance;
 
 /** Where a machine's work stands. */
-public enum State {
+public enum JobState {
     /** It waits for its turn. */
     ASKED(false, false),
     /** It is its turn: all stop sending there, and say so when nothing is in flight any more. */
@@ -27,7 +27,7 @@
     private final boolean aside;
     private final boolean over;
 
-    State(boolean aside, boolean over) {
+    JobState(boolean aside, boolean over) {
         this.aside = aside;
         this.over = over;
     }
--- a/src/main/java/myrtleladder/maintenance/Json.java
+++ b/src/main/java/myrtleladder/maintenance/JsonMaps.java
@@ -16,10 +16,10 @@
  * Objects of text, whole numbers, truths, objects and lists as JSON, and back; an absent value is
  * null.
  */
-final class Json {
+final class JsonMaps {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Json() {}
+    private JsonMaps() {}
 
     /** Names and values in turn. */
     static Map<String, Object> map(Object... pairs) {
--- a/src/main/java/myrtleladder/maintenance/Part.java
+++ b/src/main/java/myrtleladder/maintenance/MachineSpec.java
@@ -11,7 +11,7 @@
  * @param zone with kind and cell as discovery tells them
  * @param seconds so long its work takes at most
  */
-public record Part(
+public record MachineSpec(
         String machine,
         String upstream,
         String member,
@@ -20,7 +20,7 @@
         long cell,
         long seconds) {
     Map<String, Object> toMap() {
-        return Json.map(
+        return JsonMaps.map(
                 "machine",
                 machine,
                 "upstream",
@@ -37,14 +37,14 @@
                 seconds);
     }
 
-    static Part of(Map<String, Object> map) {
-        return new Part(
-                Json.text(map, "machine"),
-                Json.text(map, "upstream"),
-                Json.text(map, "member"),
-                Json.number(map, "zone"),
-                Json.number(map, "kind"),
-                Json.number(map, "cell"),
-                Json.number(map, "seconds"));
+    static MachineSpec of(Map<String, Object> map) {
+        return new MachineSpec(
+                JsonMaps.text(map, "machine"),
+                JsonMaps.text(map, "upstream"),
+                JsonMaps.text(map, "member"),
+                JsonMaps.number(map, "zone"),
+                JsonMaps.number(map, "kind"),
+                JsonMaps.number(map, "cell"),
+                JsonMaps.number(map, "seconds"));
     }
 }
--- a/src/main/java/myrtleladder/maintenance/Command.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.consensus.Token;
+import myrtleladder.consensus.FencingToken;
 
 /**
  * One step of the agenda as it goes into the log. What a step needs to know of the world stands in
@@ -15,14 +15,14 @@
  * @param text a reason for people
  * @param down machines that fail by themselves, for orders and permits
  */
-record Command(
+record MaintenanceCommand(
         Kind kind,
         String name,
-        Token token,
+        FencingToken token,
         long at,
         String text,
-        Terms terms,
-        Part part,
+        PlanTerms terms,
+        MachineSpec part,
         List<String> down) {
     /** What is to happen. */
     enum Kind {
@@ -64,33 +64,35 @@
         FIRST
     }
 
-    static Command of(Kind kind, String name, Token token) {
-        return new Command(kind, name, token, 0, null, null, null, List.of());
+    static MaintenanceCommand of(Kind kind, String name, FencingToken token) {
+        return new MaintenanceCommand(kind, name, token, 0, null, null, null, List.of());
     }
 
-    Command because(String why) {
-        return new Command(kind, name, token, at, why, terms, part, down);
+    MaintenanceCommand because(String why) {
+        return new MaintenanceCommand(kind, name, token, at, why, terms, part, down);
     }
 
-    Command until(long millis) {
-        return new Command(kind, name, token, millis, text, terms, part, down);
+    MaintenanceCommand until(long millis) {
+        return new MaintenanceCommand(kind, name, token, millis, text, terms, part, down);
     }
 
-    Command beside(List<String> itsDown) {
-        return new Command(kind, name, token, at, text, terms, part, List.copyOf(itsDown));
+    MaintenanceCommand beside(List<String> itsDown) {
+        return new MaintenanceCommand(
+                kind, name, token, at, text, terms, part, List.copyOf(itsDown));
     }
 
-    static Command plan(Terms terms) {
-        return new Command(Kind.PLAN, terms.plan(), null, 0, null, terms, null, List.of());
+    static MaintenanceCommand plan(PlanTerms terms) {
+        return new MaintenanceCommand(
+                Kind.PLAN, terms.plan(), null, 0, null, terms, null, List.of());
     }
 
-    static Command part(String plan, Part part) {
-        return new Command(Kind.PART, plan, null, 0, null, null, part, List.of());
+    static MaintenanceCommand part(String plan, MachineSpec part) {
+        return new MaintenanceCommand(Kind.PART, plan, null, 0, null, null, part, List.of());
     }
 
     byte[] write() {
-        return Json.write(
-                Json.map(
+        return JsonMaps.write(
+                JsonMaps.map(
                         "do",
                         kind.name(),
                         "name",
@@ -112,24 +114,25 @@
     }
 
     @SuppressWarnings("unchecked") // a list of anything else is refused below
-    static Command read(byte[] bytes) throws IOException {
-        Map<String, Object> map = Json.read(bytes);
+    static MaintenanceCommand read(byte[] bytes) throws IOException {
+        Map<String, Object> map = JsonMaps.read(bytes);
         try {
-            Map<String, Object> terms = Json.object(map, "terms");
-            Map<String, Object> part = Json.object(map, "part");
+            Map<String, Object> terms = JsonMaps.object(map, "terms");
+            Map<String, Object> part = JsonMaps.object(map, "part");
             List<String> down = (List<String>) map.getOrDefault("down", List.of());
-            Token token =
+            FencingToken token =
                     map.containsKey("epoch")
-                            ? new Token(Json.number(map, "epoch"), Json.number(map, "index"))
+                            ? new FencingToken(
+                                    JsonMaps.number(map, "epoch"), JsonMaps.number(map, "index"))
                             : null;
-            return new Command(
-                    Kind.valueOf(Json.text(map, "do")),
-                    Json.text(map, "name"),
+            return new MaintenanceCommand(
+                    Kind.valueOf(JsonMaps.text(map, "do")),
+                    JsonMaps.text(map, "name"),
                     token,
-                    Json.number(map, "at"),
-                    Json.text(map, "text"),
-                    terms == null ? null : Terms.of(terms),
-                    part == null ? null : Part.of(part),
+                    JsonMaps.number(map, "at"),
+                    JsonMaps.text(map, "text"),
+                    terms == null ? null : PlanTerms.of(terms),
+                    part == null ? null : MachineSpec.of(part),
                     down);
         } catch (ClassCastException | IllegalArgumentException | NullPointerException e) {
             throw new IOException("not a step of an agenda", e);
--- a/src/main/java/myrtleladder/maintenance/Work.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceCoordinator.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import myrtleladder.consensus.Agreement;
+import myrtleladder.consensus.ConsensusNode;
+import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Token;
 
 /**
  * One life's part in the work on machines. It keeps away from machines that are on the agenda, says
@@ -25,7 +25,7 @@
  * plans that it knows, but for those reserved. A leader proposes a permit only when whoever has not
  * said to keep away can have no leave.
  */
-public final class Work {
+public final class MaintenanceCoordinator {
     private static final String BEAT = "work";
 
     /** A proposal that has had no effect for so long is made again. */
@@ -33,19 +33,19 @@
 
     private static final byte[] BEGINS = "{\"leave\":".getBytes(StandardCharsets.US_ASCII);
 
-    private final WorkSettings settings;
+    private final MaintenanceSettings settings;
     private final Life me;
-    private final Agreement agreement;
-    private final Agenda agenda;
+    private final ConsensusNode agreement;
+    private final MaintenanceStateMachine agenda;
     private final Out out;
     private final Map<Life, Long> leaves = new HashMap<>();
     private final Map<String, Long> proposed = new HashMap<>();
     private final Map<Life, Long> unseen = new HashMap<>();
-    private final Map<String, State> seen = new TreeMap<>();
+    private final Map<String, JobState> seen = new TreeMap<>();
     private final Map<String, Long> refused = new TreeMap<>();
     private Set<String> present = Set.of();
     private Set<String> aside = Set.of();
-    private Token plan;
+    private FencingToken plan;
     private long planSince;
     private boolean led;
     private long ledSince;
@@ -61,7 +61,7 @@
          */
         void send(String name, byte[] datagram);
 
-        /** Asks for {@link Work#due} after a delay by the steady clock. */
+        /** Asks for {@link MaintenanceCoordinator#due} after a delay by the steady clock. */
         void timer(String token, long delay);
 
         /** Unix time in milliseconds; it may jump. */
@@ -83,16 +83,21 @@
         boolean judged(String upstream);
 
         /** A job is in another state; for the log. */
-        void moved(Job job);
+        void moved(MaintenanceJob job);
 
         /** A point of fault is passed; only tests do anything here. */
-        default void point(WorkPoint point) {}
+        default void point(MaintenanceFaultPoint point) {}
     }
 
     /**
      * The work of a life that was not started yet; {@code agenda} is what {@code agreement} feeds.
      */
-    public Work(WorkSettings settings, Life me, Agreement agreement, Agenda agenda, Out out) {
+    public MaintenanceCoordinator(
+            MaintenanceSettings settings,
+            Life me,
+            ConsensusNode agreement,
+            MaintenanceStateMachine agenda,
+            Out out) {
         this.settings = settings;
         this.me = me;
         this.agreement = agreement;
@@ -134,14 +139,14 @@
     /** A datagram has come. */
     public void received(long now, byte[] datagram) {
         try {
-            Map<String, Object> m = Json.read(datagram);
-            Life from = life(Json.object(m, "from"));
-            if (!settings.fleet().equals(Json.text(m, "fleet"))) {
+            Map<String, Object> m = JsonMaps.read(datagram);
+            Life from = life(JsonMaps.object(m, "from"));
+            if (!settings.fleet().equals(JsonMaps.text(m, "fleet"))) {
                 count("foreign");
-            } else if (Json.text(m, "leave").equals("ask")) {
-                leaveAsked(now, from, Json.number(m, "at"));
-            } else if (life(Json.object(m, "to")).equals(me)) {
-                leaveTaken(now, from, Json.number(m, "at"), Json.number(m, "upto"));
+            } else if (JsonMaps.text(m, "leave").equals("ask")) {
+                leaveAsked(now, from, JsonMaps.number(m, "at"));
+            } else if (life(JsonMaps.object(m, "to")).equals(me)) {
+                leaveTaken(now, from, JsonMaps.number(m, "at"), JsonMaps.number(m, "upto"));
             } else {
                 count("other life");
             }
@@ -175,11 +180,11 @@
 
     /** Whether this process may send to an upstream at this moment. */
     public boolean maySend(long now, String upstream) {
-        Job job = agenda.ofUpstream(upstream).orElse(null);
+        MaintenanceJob job = agenda.ofUpstream(upstream).orElse(null);
         if (job == null) {
             return true;
         }
-        boolean known = hasLeave(now) && !agenda.isDoubtful(job) || job.state() == State.WARMING;
+        boolean known = hasLeave(now) && !agenda.isDoubtful(job) || job.state() == JobState.WARMING;
         return !job.state().aside() && (known || job.reserved() && member);
     }
 
@@ -199,7 +204,7 @@
     }
 
     /** What a job waits for, for people; null if it waits for nothing. */
-    public String waits(long now, Job job) {
+    public String waits(long now, MaintenanceJob job) {
         if (agenda.halted() != null) {
             return "halted: " + agenda.halted();
         }
@@ -210,10 +215,10 @@
         if (!gone.isEmpty()) {
             return "for " + gone + ", of which it is not known that they have ended";
         }
-        if (job.state() == State.ASKED) {
+        if (job.state() == JobState.ASKED) {
             return agenda.hinders(job, out.failing());
         }
-        if (job.state() == State.DRAINING) {
+        if (job.state() == JobState.DRAINING) {
             List<Life> others = new ArrayList<>(agenda.mustBeClear());
             others.removeAll(job.clear());
             return others.isEmpty()
@@ -227,15 +232,15 @@
     // ----------------------------------------------------------------------------------
 
     private void notice() {
-        List<Job> jobs = agenda.jobs();
-        seen.keySet().retainAll(jobs.stream().map(Job::machine).toList());
-        for (Job job : jobs) {
+        List<MaintenanceJob> jobs = agenda.jobs();
+        seen.keySet().retainAll(jobs.stream().map(MaintenanceJob::machine).toList());
+        for (MaintenanceJob job : jobs) {
             if (seen.put(job.machine(), job.state()) != job.state()) {
                 out.moved(job);
                 switch (job.state()) {
-                    case DRAINING -> out.point(WorkPoint.ORDERED);
-                    case OUT -> out.point(WorkPoint.GRANTED);
-                    case WARMING -> out.point(WorkPoint.DONE);
+                    case DRAINING -> out.point(MaintenanceFaultPoint.ORDERED);
+                    case OUT -> out.point(MaintenanceFaultPoint.GRANTED);
+                    case WARMING -> out.point(MaintenanceFaultPoint.DONE);
                     default -> {}
                 }
             }
@@ -244,7 +249,7 @@
 
     private void keepAway(long now) {
         Set<String> away = new TreeSet<>();
-        for (Job job : agenda.jobs()) {
+        for (MaintenanceJob job : agenda.jobs()) {
             String upstream = job.part().upstream();
             if (upstream != null && !job.state().over() && !maySend(now, upstream)) {
                 away.add(upstream);
@@ -259,28 +264,32 @@
     /** Tells the fleet what it waits for from this process. */
     private void say(long now) {
         if (!agenda.registered(me)) {
-            propose(now, Command.of(Command.Kind.REGISTER, me.name(), null));
+            propose(now, MaintenanceCommand.of(MaintenanceCommand.Kind.REGISTER, me.name(), null));
             return;
         }
-        Token latest = agenda.known().values().stream().max(Token::compareTo).orElse(null);
+        FencingToken latest =
+                agenda.known().values().stream().max(FencingToken::compareTo).orElse(null);
         if (latest != null && !latest.equals(plan)) {
             plan = latest;
             planSince = now;
-            out.point(WorkPoint.PLANNED);
+            out.point(MaintenanceFaultPoint.PLANNED);
         }
-        Token knows = agenda.knows(me);
+        FencingToken knows = agenda.knows(me);
         // What was sent before it was known must not be out any more when others go by that.
         if (latest != null
                 && (knows == null || knows.compareTo(latest) < 0)
                 && now - planSince >= settings.attempt()) {
-            propose(now, Command.of(Command.Kind.KNOW, me.name(), latest));
+            propose(now, MaintenanceCommand.of(MaintenanceCommand.Kind.KNOW, me.name(), latest));
         }
-        for (Job job : agenda.jobs()) {
+        for (MaintenanceJob job : agenda.jobs()) {
             String upstream = job.part().upstream();
-            if (job.state() == State.DRAINING
+            if (job.state() == JobState.DRAINING
                     && !job.clear().contains(me)
                     && (upstream == null || out.inFlight(upstream) == 0)) {
-                propose(now, Command.of(Command.Kind.CLEAR, job.machine(), job.ordered()));
+                propose(
+                        now,
+                        MaintenanceCommand.of(
+                                MaintenanceCommand.Kind.CLEAR, job.machine(), job.ordered()));
             }
         }
     }
@@ -290,7 +299,7 @@
      * log once in a while: steps are decided one after the other, and those of this process wait
      * behind it.
      */
-    public void propose(long now, Step step) {
+    public void propose(long now, OperatorCommand step) {
         if (isNew(now, new String(step.bytes(), StandardCharsets.UTF_8))) {
             agreement.propose(now, step.bytes());
         }
@@ -307,16 +316,16 @@
     }
 
     /** Proposes once, and again when that has had no effect for long. */
-    private void propose(long now, Command command) {
+    private void propose(long now, MaintenanceCommand command) {
         byte[] bytes = command.write();
         if (!isNew(now, command.kind() + " " + command.name() + " " + command.token())) {
             return;
         }
         switch (command.kind()) {
-            case ORDER -> out.point(WorkPoint.ORDERING);
-            case CLEAR -> out.point(WorkPoint.CLEARING);
-            case GRANT -> out.point(WorkPoint.GRANTING);
-            case TAKEN_IN -> out.point(WorkPoint.TAKING_IN);
+            case ORDER -> out.point(MaintenanceFaultPoint.ORDERING);
+            case CLEAR -> out.point(MaintenanceFaultPoint.CLEARING);
+            case GRANT -> out.point(MaintenanceFaultPoint.GRANTING);
+            case TAKEN_IN -> out.point(MaintenanceFaultPoint.TAKING_IN);
             default -> {}
         }
         agreement.propose(now, bytes);
@@ -328,11 +337,11 @@
     private void askLeave(long now) {
         Life leader = agreement.leader();
         if (leader != null && !leader.equals(me)) {
-            out.point(WorkPoint.LEAVE_ASKING);
+            out.point(MaintenanceFaultPoint.LEAVE_ASKING);
             out.send(
                     leader.name(),
-                    Json.write(
-                            Json.map(
+                    JsonMaps.write(
+                            JsonMaps.map(
                                     "leave",
                                     "ask",
                                     "fleet",
@@ -349,16 +358,16 @@
      * goes.
      */
     private void leaveAsked(long now, Life from, long at) {
-        out.point(WorkPoint.LEAVE_ASKED);
+        out.point(MaintenanceFaultPoint.LEAVE_ASKED);
         if (!agreement.leads() || !agreement.decides(now) || !agenda.registered(from)) {
             return;
         }
         leaves.put(from, now);
-        out.point(WorkPoint.LEAVE_GIVEN);
+        out.point(MaintenanceFaultPoint.LEAVE_GIVEN);
         out.send(
                 from.name(),
-                Json.write(
-                        Json.map(
+                JsonMaps.write(
+                        JsonMaps.map(
                                 "leave",
                                 "given",
                                 "fleet",
@@ -374,7 +383,7 @@
     }
 
     private void leaveTaken(long now, Life from, long at, long upto) {
-        out.point(WorkPoint.LEAVE_TAKEN);
+        out.point(MaintenanceFaultPoint.LEAVE_TAKEN);
         if (from.equals(agreement.leader()) && agreement.applied() >= upto && at <= now) {
             leaveUntil = Math.max(leaveUntil, at + settings.leave());
         }
@@ -396,8 +405,8 @@
         if (!agenda.isSafe() && now - epochSince >= settings.longest()) {
             propose(
                     now,
-                    new Command(
-                            Command.Kind.SAFE,
+                    new MaintenanceCommand(
+                            MaintenanceCommand.Kind.SAFE,
                             me.name(),
                             null,
                             epoch,
@@ -416,20 +425,23 @@
             } else if (now - unseen.computeIfAbsent(life, l -> now) >= settings.lost()) {
                 propose(
                         now,
-                        Command.of(Command.Kind.GONE, life.name(), null)
+                        MaintenanceCommand.of(MaintenanceCommand.Kind.GONE, life.name(), null)
                                 .because(Long.toHexString(life.life())));
             }
         }
         List<String> failing = out.failing();
         boolean ordered = false;
-        for (Job job : agenda.jobs()) {
+        for (MaintenanceJob job : agenda.jobs()) {
             switch (job.state()) {
                 case ASKED -> {
                     // One at a time: the next is judged with this one out.
                     if (!ordered && waits(now, job) == null) {
                         propose(
                                 now,
-                                Command.of(Command.Kind.ORDER, job.machine(), job.asked())
+                                MaintenanceCommand.of(
+                                                MaintenanceCommand.Kind.ORDER,
+                                                job.machine(),
+                                                job.asked())
                                         .beside(failing));
                         ordered = true;
                     }
@@ -437,7 +449,12 @@
                 case DRAINING -> grant(now, job, failing);
                 case OUT -> {
                     if (out.wallMillis() > job.until()) {
-                        propose(now, Command.of(Command.Kind.OVERDUE, job.machine(), job.permit()));
+                        propose(
+                                now,
+                                MaintenanceCommand.of(
+                                        MaintenanceCommand.Kind.OVERDUE,
+                                        job.machine(),
+                                        job.permit()));
                     }
                 }
                 case WARMING -> judge(now, job);
@@ -446,7 +463,7 @@
         }
     }
 
-    private void grant(long now, Job job, List<String> failing) {
+    private void grant(long now, MaintenanceJob job, List<String> failing) {
         boolean silent =
                 agenda.gone().stream()
                         .allMatch(l -> job.clear().contains(l) || !mayHaveLeave(now, l));
@@ -454,23 +471,31 @@
             long until = out.wallMillis() + 1_000 * job.part().seconds();
             propose(
                     now,
-                    Command.of(Command.Kind.GRANT, job.machine(), job.ordered())
+                    MaintenanceCommand.of(
+                                    MaintenanceCommand.Kind.GRANT, job.machine(), job.ordered())
                             .until(until)
                             .beside(failing));
         }
     }
 
-    private void judge(long now, Job job) {
+    private void judge(long now, MaintenanceJob job) {
         String upstream = job.part().upstream();
         if (upstream == null) {
-            propose(now, Command.of(Command.Kind.TAKEN_IN, job.machine(), job.permit()));
+            propose(
+                    now,
+                    MaintenanceCommand.of(
+                            MaintenanceCommand.Kind.TAKEN_IN, job.machine(), job.permit()));
         } else if (out.judged(upstream)) {
             String worse = out.worse(upstream);
             propose(
                     now,
                     worse == null
-                            ? Command.of(Command.Kind.TAKEN_IN, job.machine(), job.permit())
-                            : Command.of(Command.Kind.FAIL, job.machine(), job.permit())
+                            ? MaintenanceCommand.of(
+                                    MaintenanceCommand.Kind.TAKEN_IN, job.machine(), job.permit())
+                            : MaintenanceCommand.of(
+                                            MaintenanceCommand.Kind.FAIL,
+                                            job.machine(),
+                                            job.permit())
                                     .because(worse));
         }
     }
@@ -480,10 +505,10 @@
     }
 
     private static Map<String, Object> map(Life life) {
-        return Json.map("name", life.name(), "life", life.life());
+        return JsonMaps.map("name", life.name(), "life", life.life());
     }
 
     private static Life life(Map<String, Object> map) {
-        return new Life(Json.text(map, "name"), Json.number(map, "life"));
+        return new Life(JsonMaps.text(map, "name"), JsonMaps.number(map, "life"));
     }
 }
--- a/src/main/java/myrtleladder/maintenance/WorkPoint.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceFaultPoint.java
@@ -4,7 +4,7 @@
  * The places at which the world can go wrong between two steps of the work on machines; {@code
  * docs/faults.md} lists them. Tests fail at each in turn. Numbers are stable: new points come last.
  */
-public enum WorkPoint {
+public enum MaintenanceFaultPoint {
     /** Before a leader proposes that it is a machine's turn. */
     ORDERING,
     /** It is known to be a machine's turn, and nothing was done about it. */
--- a/src/main/java/myrtleladder/maintenance/Job.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceJob.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import myrtleladder.consensus.FencingToken;
 import myrtleladder.consensus.Life;
-import myrtleladder.consensus.Token;
 
 /**
  * One machine on the agenda.
@@ -22,28 +22,29 @@
  * @param clear who has said to send nothing there any more, since it was ordered
  * @param why a reason for people, null for none
  */
-public record Job(
-        Part part,
+public record MaintenanceJob(
+        MachineSpec part,
         String plan,
-        Token asked,
+        FencingToken asked,
         long number,
         boolean reserved,
         boolean first,
-        State state,
-        Token ordered,
-        Token permit,
+        JobState state,
+        FencingToken ordered,
+        FencingToken permit,
         long until,
         Set<Life> clear,
         String why) {
-    static Job of(Part part, String plan, Token asked, long number, String refused) {
-        return new Job(
+    static MaintenanceJob of(
+            MachineSpec part, String plan, FencingToken asked, long number, String refused) {
+        return new MaintenanceJob(
                 part,
                 plan,
                 asked,
                 number,
                 false,
                 false,
-                refused == null ? State.ASKED : State.REFUSED,
+                refused == null ? JobState.ASKED : JobState.REFUSED,
                 null,
                 null,
                 0,
@@ -56,32 +57,32 @@
         return part.machine();
     }
 
-    Job reserve() {
-        return new Job(
+    MaintenanceJob reserve() {
+        return new MaintenanceJob(
                 part, plan, asked, number, true, first, state, ordered, permit, until, clear, why);
     }
 
-    Job before() {
-        return new Job(
+    MaintenanceJob before() {
+        return new MaintenanceJob(
                 part, plan, asked, number, reserved, true, state, ordered, permit, until, clear,
                 why);
     }
 
-    Job now(State next, String reason) {
-        return new Job(
+    MaintenanceJob now(JobState next, String reason) {
+        return new MaintenanceJob(
                 part, plan, asked, number, reserved, first, next, ordered, permit, until, clear,
                 reason);
     }
 
-    Job order(Token order) {
-        return new Job(
+    MaintenanceJob order(FencingToken order) {
+        return new MaintenanceJob(
                 part,
                 plan,
                 asked,
                 number,
                 reserved,
                 first,
-                State.DRAINING,
+                JobState.DRAINING,
                 order,
                 null,
                 0,
@@ -89,10 +90,10 @@
                 null);
     }
 
-    Job cleared(Life by) {
+    MaintenanceJob cleared(Life by) {
         Set<Life> all = new HashSet<>(clear);
         all.add(by);
-        return new Job(
+        return new MaintenanceJob(
                 part,
                 plan,
                 asked,
@@ -107,14 +108,24 @@
                 why);
     }
 
-    Job permit(Token token, long millis) {
-        return new Job(
-                part, plan, asked, number, reserved, first, State.OUT, ordered, token, millis,
-                clear, null);
+    MaintenanceJob permit(FencingToken token, long millis) {
+        return new MaintenanceJob(
+                part,
+                plan,
+                asked,
+                number,
+                reserved,
+                first,
+                JobState.OUT,
+                ordered,
+                token,
+                millis,
+                clear,
+                null);
     }
 
     Map<String, Object> toMap() {
-        return Json.map(
+        return JsonMaps.map(
                 "part",
                 part.toMap(),
                 "plan",
@@ -141,43 +152,43 @@
                 why);
     }
 
-    static Job of(Map<String, Object> map) {
-        return new Job(
-                Part.of(Json.object(map, "part")),
-                Json.text(map, "plan"),
+    static MaintenanceJob of(Map<String, Object> map) {
+        return new MaintenanceJob(
+                MachineSpec.of(JsonMaps.object(map, "part")),
+                JsonMaps.text(map, "plan"),
                 token(map, "asked"),
-                Json.number(map, "number"),
+                JsonMaps.number(map, "number"),
                 (Boolean) map.get("reserved"),
                 (Boolean) map.get("first"),
-                State.valueOf(Json.text(map, "state")),
+                JobState.valueOf(JsonMaps.text(map, "state")),
                 token(map, "ordered"),
                 token(map, "permit"),
-                Json.number(map, "until"),
-                Set.copyOf(lives(Json.list(map, "clear"))),
-                Json.text(map, "why"));
+                JsonMaps.number(map, "until"),
+                Set.copyOf(lives(JsonMaps.list(map, "clear"))),
+                JsonMaps.text(map, "why"));
     }
 
     /** In an order of its own: the same agenda has the same bytes. */
     static List<Map<String, Object>> lives(Collection<Life> lives) {
         return lives.stream()
                 .sorted(Comparator.comparing(Life::name).thenComparing(Life::life))
-                .map(l -> Json.map("name", l.name(), "life", l.life()))
+                .map(l -> JsonMaps.map("name", l.name(), "life", l.life()))
                 .toList();
     }
 
     static List<Life> lives(List<Map<String, Object>> maps) {
         return maps.stream()
-                .map(m -> new Life(Json.text(m, "name"), Json.number(m, "life")))
+                .map(m -> new Life(JsonMaps.text(m, "name"), JsonMaps.number(m, "life")))
                 .toList();
     }
 
-    static List<Object> token(Token token) {
+    static List<Object> token(FencingToken token) {
         return token == null ? null : List.of(token.epoch(), token.index());
     }
 
-    static Token token(Map<String, Object> map, String name) {
+    static FencingToken token(Map<String, Object> map, String name) {
         return map.get(name) instanceof List<?> two
-                ? new Token((Long) two.get(0), (Long) two.get(1))
+                ? new FencingToken((Long) two.get(0), (Long) two.get(1))
                 : null;
     }
 }
--- a/src/main/java/myrtleladder/maintenance/WorkSettings.java
+++ b/src/main/java/myrtleladder/maintenance/MaintenanceSettings.java
@@ -13,14 +13,15 @@
  * @param longest the longest work; so long nothing is taken out after a founding, since what was
  *     granted before it may be going on
  */
-public record WorkSettings(
+public record MaintenanceSettings(
         String fleet, long beat, long leave, long attempt, long drift, long lost, long longest) {
     private static final long MILLION = 1_000_000;
     private static final long SPARE = 50_000;
 
     /** What holds unless it is configured otherwise, for work of so many microseconds at most. */
-    public static WorkSettings of(String fleet, long attempt, long longest) {
-        return new WorkSettings(fleet, 200_000, 1_500_000, attempt, 1_000, 3_000_000, longest);
+    public static MaintenanceSettings of(String fleet, long attempt, long longest) {
+        return new MaintenanceSettings(
+                fleet, 200_000, 1_500_000, attempt, 1_000, 3_000_000, longest);
     }
 
     /**
--- a/src/main/java/myrtleladder/maintenance/Terms.java
+++ b/src/main/java/myrtleladder/maintenance/PlanTerms.java
@@ -14,7 +14,7 @@
  * @param priority the greater goes first among plans with one deadline
  * @param deadline by when it is wanted, as Unix time in milliseconds; 0 for none
  */
-public record Terms(
+public record PlanTerms(
         String plan,
         long machines,
         long atOnce,
@@ -52,7 +52,7 @@
     }
 
     Map<String, Object> toMap() {
-        return Json.map(
+        return JsonMaps.map(
                 "plan",
                 plan,
                 "machines",
@@ -73,16 +73,16 @@
                 deadline);
     }
 
-    static Terms of(Map<String, Object> map) {
-        return new Terms(
-                Json.text(map, "plan"),
-                Json.number(map, "machines"),
-                Json.number(map, "atOnce"),
-                Json.number(map, "perZone"),
-                Apart.valueOf(Json.text(map, "apart")),
-                Json.number(map, "keep"),
-                Json.number(map, "all"),
-                Json.number(map, "priority"),
-                Json.number(map, "deadline"));
+    static PlanTerms of(Map<String, Object> map) {
+        return new PlanTerms(
+                JsonMaps.text(map, "plan"),
+                JsonMaps.number(map, "machines"),
+                JsonMaps.number(map, "atOnce"),
+                JsonMaps.number(map, "perZone"),
+                Apart.valueOf(JsonMaps.text(map, "apart")),
+                JsonMaps.number(map, "keep"),
+                JsonMaps.number(map, "all"),
+                JsonMaps.number(map, "priority"),
+                JsonMaps.number(map, "deadline"));
     }
 }
