--- a/src/main/java/myrtleladder/error/OperatorError.java
+++ b/src/main/java/myrtleladder/error/OperatorError.java
@@ -39,7 +39,7 @@
     }
 
     /** A variable of the environment that the platform sets is not there. */
-    public static final class NotTold extends OperatorError {
+    public static final class MissingEnvironmentVariable extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y101";
 
@@ -51,13 +51,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public NotTold(String variable) {
+        public MissingEnvironmentVariable(String variable) {
             super(CODE, "the environment does not say " + variable, REMEDY, null);
         }
     }
 
     /** A file is not there, or can't be read. */
-    public static final class NoFile extends OperatorError {
+    public static final class UnreadableFile extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y102";
 
@@ -68,7 +68,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public NoFile(Path file, String why) {
+        public UnreadableFile(Path file, String why) {
             super(CODE, file + ": " + why, REMEDY, null);
         }
     }
@@ -77,7 +77,7 @@
      * A file of ours is wrong. {@code line} counts from 1, 0 if it is not known; {@code key} is
      * empty if no one key is at fault.
      */
-    public static final class BadFile extends OperatorError {
+    public static final class InvalidConfigurationFile extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y103";
 
@@ -89,7 +89,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public BadFile(Path file, int line, String key, String why) {
+        public InvalidConfigurationFile(Path file, int line, String key, String why) {
             super(
                     CODE,
                     file
@@ -103,7 +103,7 @@
     }
 
     /** The platform's configuration file can't be used. */
-    public static final class BadConfiguration extends OperatorError {
+    public static final class InvalidPlatformFile extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y104";
 
@@ -115,7 +115,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public BadConfiguration(Path file, String why) {
+        public InvalidPlatformFile(Path file, String why) {
             super(CODE, file + ": " + why, REMEDY, null);
         }
     }
@@ -143,7 +143,7 @@
     }
 
     /** An option of the command line has a value that can't be used. */
-    public static final class BadOption extends OperatorError {
+    public static final class InvalidOption extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y201";
 
@@ -153,13 +153,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public BadOption(String option, String why) {
+        public InvalidOption(String option, String why) {
             super(CODE, option + ": " + why, REMEDY, null);
         }
     }
 
     /** A line of input is not what the wire prescribes. */
-    public static final class BadInput extends OperatorError {
+    public static final class InvalidInput extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y202";
 
@@ -171,7 +171,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public BadInput(String why) {
+        public InvalidInput(String why) {
             super(CODE, why, REMEDY, null);
         }
     }
@@ -194,7 +194,7 @@
     }
 
     /** A process that was asked does not answer. */
-    public static final class NobodyAnswers extends OperatorError {
+    public static final class ProcessUnreachable extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y302";
 
@@ -206,13 +206,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public NobodyAnswers(String address, Throwable cause) {
+        public ProcessUnreachable(String address, Throwable cause) {
             super(CODE, address + ": nobody answers there", REMEDY, cause);
         }
     }
 
     /** A process that was asked does not have that part switched on. */
-    public static final class PartOff extends OperatorError {
+    public static final class PartNotConfigured extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y303";
 
@@ -223,13 +223,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public PartOff(String address, String part) {
+        public PartNotConfigured(String address, String part) {
             super(CODE, address + ": " + part + " is not switched on there", REMEDY, null);
         }
     }
 
     /** A process that was asked is there and did not do it. */
-    public static final class PeerBusy extends OperatorError {
+    public static final class PeerOverloaded extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y304";
 
@@ -240,13 +240,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public PeerBusy(String address, String why) {
+        public PeerOverloaded(String address, String why) {
             super(CODE, address + ": " + why, REMEDY, null);
         }
     }
 
     /** Discovery has sent something that can't be read; it was skipped. */
-    public static final class BadList extends OperatorError {
+    public static final class InvalidEndpointList extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y305";
 
@@ -257,7 +257,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public BadList(SocketAddress discovery, String why) {
+        public InvalidEndpointList(SocketAddress discovery, String why) {
             super(
                     CODE,
                     "discovery at " + discovery + " sent a line that can't be read: " + why,
@@ -267,7 +267,7 @@
     }
 
     /** There is no build of the program to play with. */
-    public static final class NoBuild extends OperatorError {
+    public static final class MissingBuild extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y401";
 
@@ -277,13 +277,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public NoBuild(Path file, String why) {
+        public MissingBuild(Path file, String why) {
             super(CODE, file + ": " + why, REMEDY, null);
         }
     }
 
     /** A process of an experiment has ended before the experiment began. */
-    public static final class EndedAtStart extends OperatorError {
+    public static final class StartFailed extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y402";
 
@@ -294,13 +294,13 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public EndedAtStart(Path logs) {
+        public StartFailed(Path logs) {
             super(CODE, "a balancer has ended at its start; its log is in " + logs, REMEDY, null);
         }
     }
 
     /** A plan of work can't be taken. */
-    public static final class BadPlan extends OperatorError {
+    public static final class InvalidPlan extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y501";
 
@@ -311,7 +311,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public BadPlan(String field, String why) {
+        public InvalidPlan(String field, String why) {
             super(CODE, field + ": " + why, REMEDY, null);
         }
     }
@@ -334,7 +334,7 @@
     }
 
     /** A report is not about the work that is going on. */
-    public static final class OldPermit extends OperatorError {
+    public static final class StalePermit extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y503";
 
@@ -345,7 +345,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public OldPermit(String machine, String why) {
+        public StalePermit(String machine, String why) {
             super(CODE, machine + ": " + why, REMEDY, null);
         }
     }
@@ -369,7 +369,7 @@
     }
 
     /** Nobody has foreseen this. */
-    public static final class Unexpected extends OperatorError {
+    public static final class UnexpectedError extends OperatorError {
         /** Of all errors of this type. */
         public static final String CODE = "Y901";
 
@@ -380,7 +380,7 @@
         private static final long serialVersionUID = 1L;
 
         /** Says what happened. */
-        public Unexpected(Throwable cause) {
+        public UnexpectedError(Throwable cause) {
             super(CODE, "not foreseen: " + cause, REMEDY, cause);
         }
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminClient.java
@@ -8,9 +8,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadOption;
-import myrtleladder.error.OperatorError.NobodyAnswers;
-import myrtleladder.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError.InvalidOption;
+import myrtleladder.error.OperatorError.PeerOverloaded;
+import myrtleladder.error.OperatorError.ProcessUnreachable;
 
 /** Asks the admin server of a process. */
 final class AdminClient {
@@ -38,7 +38,7 @@
         return switch (response.statusCode()) {
             case OK -> Optional.of(response.body());
             case NOT_FOUND -> Optional.empty();
-            default -> throw new PeerBusy(address, response.body().trim());
+            default -> throw new PeerOverloaded(address, response.body().trim());
         };
     }
 
@@ -50,9 +50,10 @@
                             .build();
             return http.send(request, HttpResponse.BodyHandlers.ofString());
         } catch (IllegalArgumentException e) {
-            throw new BadOption("--at", address + " is not an address and port as 127.0.0.1:9464");
+            throw new InvalidOption(
+                    "--at", address + " is not an address and port as 127.0.0.1:9464");
         } catch (IOException e) {
-            throw new NobodyAnswers(address, e);
+            throw new ProcessUnreachable(address, e);
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminRequestRouter.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminRequestRouter.java
@@ -11,8 +11,8 @@
 import myrtleladder.cluster.MembershipRuntime;
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.NoMajority;
-import myrtleladder.error.OperatorError.OldPermit;
-import myrtleladder.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError.PeerOverloaded;
+import myrtleladder.error.OperatorError.StalePermit;
 import myrtleladder.error.OperatorError.UnknownMachine;
 
 /**
@@ -93,10 +93,10 @@
         if (error instanceof UnknownMachine) {
             return HttpResponseStatus.NOT_FOUND;
         }
-        if (error instanceof OldPermit) {
+        if (error instanceof StalePermit) {
             return HttpResponseStatus.CONFLICT;
         }
-        if (error instanceof NoMajority || error instanceof PeerBusy) {
+        if (error instanceof NoMajority || error instanceof PeerOverloaded) {
             return HttpResponseStatus.SERVICE_UNAVAILABLE;
         }
         return HttpResponseStatus.BAD_REQUEST;
--- a/src/main/java/myrtleladder/loadbalancer/admin/FleetCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/FleetCommand.java
@@ -5,7 +5,7 @@
 import java.io.PrintWriter;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import myrtleladder.error.OperatorError.PartOff;
+import myrtleladder.error.OperatorError.PartNotConfigured;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -44,7 +44,8 @@
         public Integer call() throws Exception {
             AdminClient client = new AdminClient(address);
             String members =
-                    client.get("/members").orElseThrow(() -> new PartOff(address, "[fleet]"));
+                    client.get("/members")
+                            .orElseThrow(() -> new PartNotConfigured(address, "[fleet]"));
             PrintWriter out = spec.commandLine().getOut();
             if (isJson) {
                 out.println(members);
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.NoFile;
-import myrtleladder.error.OperatorError.Unexpected;
+import myrtleladder.error.OperatorError.UnexpectedError;
+import myrtleladder.error.OperatorError.UnreadableFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -62,9 +62,10 @@
             return known;
         }
         if (error instanceof NoSuchFileException missing) {
-            return new NoFile(Path.of(missing.getFile()), "there is no such file or folder");
+            return new UnreadableFile(
+                    Path.of(missing.getFile()), "there is no such file or folder");
         }
-        return new Unexpected(error);
+        return new UnexpectedError(error);
     }
 
     /** The version of the program, from the manifest of its jar. */
--- a/src/main/java/myrtleladder/loadbalancer/admin/MaintenancePlanReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MaintenancePlanReader.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import myrtleladder.cluster.LoadBalancerControl.Upstream;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadPlan;
+import myrtleladder.error.OperatorError.InvalidPlan;
 import myrtleladder.error.OperatorError.UnknownMachine;
 import myrtleladder.maintenance.MachineSpec;
 import myrtleladder.maintenance.OperatorCommand;
@@ -83,10 +83,10 @@
         List<MachineSpec> machines = machines(request.machines());
         int keepPercent = orDefault(request.keepPercent(), DEFAULT_KEEP_PERCENT);
         if (machines.size() > MAX_MACHINES) {
-            throw new BadPlan("machine", "is not within 0 and " + MAX_MACHINES);
+            throw new InvalidPlan("machine", "is not within 0 and " + MAX_MACHINES);
         }
         if (keepPercent < 0 || keepPercent > MAX_PERCENT) {
-            throw new BadPlan("keep-percent", "is not within 0 and " + MAX_PERCENT);
+            throw new InvalidPlan("keep-percent", "is not within 0 and " + MAX_PERCENT);
         }
         int atOnce = orDefault(request.atOnce(), DEFAULT_AT_ONCE);
         PlanTerms terms =
@@ -101,7 +101,7 @@
                         orDefault(request.priority(), DEFAULT_PRIORITY),
                         deadlineMs(request.deadline()));
         if (terms.never() != null) {
-            throw new BadPlan(request.name(), terms.never());
+            throw new InvalidPlan(request.name(), terms.never());
         }
         return OperatorCommand.plan(terms, machines);
     }
@@ -112,7 +112,7 @@
         for (MachineRequest request : requests) {
             MachineSpec machine = machine(request);
             if (!names.add(machine.machine())) {
-                throw new BadPlan("machine", machine.machine() + " is named twice");
+                throw new InvalidPlan("machine", machine.machine() + " is named twice");
             }
             machines.add(machine);
         }
@@ -122,7 +122,7 @@
     private MachineSpec machine(MachineRequest request) throws OperatorError {
         String name = requireName("machine", nameOf(request));
         if (request.seconds() < 1 || request.seconds() > longestWorkS) {
-            throw new BadPlan(
+            throw new InvalidPlan(
                     name + ".seconds",
                     request.seconds()
                             + " is not within 1 and "
@@ -161,9 +161,9 @@
     }
 
     /** Checks a name that has to be there; returns it. */
-    static String requireName(String field, String name) throws BadPlan {
+    static String requireName(String field, String name) throws InvalidPlan {
         if (name == null || name.isBlank() || name.length() > MAX_NAME_LENGTH) {
-            throw new BadPlan(field, "is missing or too long");
+            throw new InvalidPlan(field, "is missing or too long");
         }
         return name;
     }
@@ -172,14 +172,14 @@
         return value == null ? defaultValue : value;
     }
 
-    private static long deadlineMs(String text) throws BadPlan {
+    private static long deadlineMs(String text) throws InvalidPlan {
         if (text == null) {
             return NO_DEADLINE;
         }
         try {
             return Instant.parse(text).toEpochMilli();
         } catch (DateTimeParseException e) {
-            throw new BadPlan("deadline", text + " is not a time as 2026-12-02T06:00:00Z");
+            throw new InvalidPlan("deadline", text + " is not a time as 2026-12-02T06:00:00Z");
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/MaintenanceRequestHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MaintenanceRequestHandler.java
@@ -13,10 +13,10 @@
 import myrtleladder.cluster.MaintenanceStatus;
 import myrtleladder.consensus.FencingToken;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadPlan;
+import myrtleladder.error.OperatorError.InvalidPlan;
 import myrtleladder.error.OperatorError.NoMajority;
-import myrtleladder.error.OperatorError.OldPermit;
-import myrtleladder.error.OperatorError.PeerBusy;
+import myrtleladder.error.OperatorError.PeerOverloaded;
+import myrtleladder.error.OperatorError.StalePermit;
 import myrtleladder.error.OperatorError.UnknownMachine;
 import myrtleladder.maintenance.JobState;
 import myrtleladder.maintenance.MaintenanceJob;
@@ -112,7 +112,7 @@
                 yield List.of(OperatorCommand.ended(ended));
             }
             default ->
-                    throw new BadPlan(
+                    throw new InvalidPlan(
                             "/work/" + action,
                             "is none of done, halt, resume, safe, withdraw, first, ended");
         };
@@ -122,7 +122,7 @@
         return TomlFile.parse(BODY, body, Request.class);
     }
 
-    private static String machineOrPlan(Request request) throws BadPlan {
+    private static String machineOrPlan(Request request) throws InvalidPlan {
         return MaintenancePlanReader.requireName(
                 "machine or plan", request.machine() == null ? request.plan() : request.machine());
     }
@@ -139,7 +139,7 @@
     private OperatorCommand done(Request request) throws OperatorError {
         String machine = MaintenancePlanReader.requireName("machine", request.machine());
         if (request.epoch() == null || request.index() == null) {
-            throw new BadPlan("epoch, index", "of the permit are missing");
+            throw new InvalidPlan("epoch, index", "of the permit are missing");
         }
         FencingToken permit = new FencingToken(request.epoch(), request.index());
         MaintenanceJob job =
@@ -148,13 +148,13 @@
                                 () -> new UnknownMachine(machine, "has no work on the agenda"));
         boolean isOut = job.state() == JobState.OUT || job.state() == JobState.OVERDUE;
         if (!isOut || !permit.equals(job.permit())) {
-            throw new OldPermit(machine, "is " + job.state() + " by " + job.permit());
+            throw new StalePermit(machine, "is " + job.state() + " by " + job.permit());
         }
         return OperatorCommand.done(machine, permit);
     }
 
-    private <T> T onEventLoop(Callable<T> task) throws PeerBusy {
+    private <T> T onEventLoop(Callable<T> task) throws PeerOverloaded {
         return EventLoopQueries.await(maintenance.submit(task))
-                .orElseThrow(() -> new PeerBusy(process, "the event loop is busy"));
+                .orElseThrow(() -> new PeerOverloaded(process, "the event loop is busy"));
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 import myrtleladder.consensus.ConsensusSettings;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.error.OperatorError.InvalidConfigurationFile;
 import myrtleladder.loadbalancer.admin.OperatorConfiguration.AdminSection;
 import myrtleladder.loadbalancer.admin.OperatorConfiguration.FleetSection;
 import myrtleladder.loadbalancer.admin.OperatorConfiguration.LogLevel;
@@ -57,7 +57,7 @@
         return new OperatorConfiguration(log, admin, read.fleet());
     }
 
-    private LogSection complete(LogSection read) throws BadFile {
+    private LogSection complete(LogSection read) throws InvalidConfigurationFile {
         LogSection defaults = OperatorConfiguration.DEFAULTS.log();
         if (read == null) {
             return defaults;
@@ -66,7 +66,8 @@
                 read.levels() == null ? defaults.levels() : new TreeMap<>(read.levels());
         for (String subsystem : levels.keySet()) {
             if (!SUBSYSTEM.matcher(subsystem).matches()) {
-                throw new BadFile(file, 0, "log.levels." + subsystem, "is not a subsystem as node");
+                throw new InvalidConfigurationFile(
+                        file, 0, "log.levels." + subsystem, "is not a subsystem as node");
             }
         }
         return new LogSection(
@@ -81,7 +82,8 @@
         }
         InetSocketAddress listen = parseAddress(file, "admin.listen", admin.listen());
         if (!listen.getAddress().isLoopbackAddress()) {
-            throw new BadFile(file, 0, "admin.listen", admin.listen() + " is not of the loopback");
+            throw new InvalidConfigurationFile(
+                    file, 0, "admin.listen", admin.listen() + " is not of the loopback");
         }
     }
 
@@ -110,7 +112,7 @@
         }
     }
 
-    private void checkCouncil(FleetSection fleet) throws BadFile {
+    private void checkCouncil(FleetSection fleet) throws InvalidConfigurationFile {
         List<String> council = fleet.council();
         if (council == null) {
             return;
@@ -118,18 +120,18 @@
         try {
             ConsensusSettings.of(fleet.name(), council);
         } catch (IllegalArgumentException e) {
-            throw new BadFile(file, 0, "fleet.council", e.getMessage());
+            throw new InvalidConfigurationFile(file, 0, "fleet.council", e.getMessage());
         }
     }
 
-    private void checkName(String key, String name) throws BadFile {
+    private void checkName(String key, String name) throws InvalidConfigurationFile {
         if (name.isBlank() || name.length() > MAX_NAME_LENGTH) {
             throw badName(key, name);
         }
     }
 
-    private BadFile badName(String key, String name) {
-        return new BadFile(file, 0, key, "\"" + name + "\" is empty or too long");
+    private InvalidConfigurationFile badName(String key, String name) {
+        return new InvalidConfigurationFile(file, 0, key, "\"" + name + "\" is empty or too long");
     }
 
     /**
@@ -140,7 +142,8 @@
      * @param key that has the text as its value, for the error
      * @throws BadFile if the text is no address and port
      */
-    static InetSocketAddress parseAddress(Path file, String key, String text) throws BadFile {
+    static InetSocketAddress parseAddress(Path file, String key, String text)
+            throws InvalidConfigurationFile {
         int colon = text.lastIndexOf(':');
         byte[] host =
                 colon < 0
@@ -158,7 +161,8 @@
         }
     }
 
-    private static BadFile badAddress(Path file, String key, String text) {
-        return new BadFile(file, 0, key, text + " is not an address and port as 127.0.0.1:9464");
+    private static InvalidConfigurationFile badAddress(Path file, String key, String text) {
+        return new InvalidConfigurationFile(
+                file, 0, key, text + " is not an address and port as 127.0.0.1:9464");
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
@@ -14,7 +14,7 @@
 import myrtleladder.cluster.MaintenanceRuntime;
 import myrtleladder.cluster.MembershipRuntime;
 import myrtleladder.consensus.ConsensusSettings;
-import myrtleladder.error.OperatorError.BadFile;
+import myrtleladder.error.OperatorError.InvalidConfigurationFile;
 import myrtleladder.gossip.GossipSettings;
 import myrtleladder.gossip.MemberMetadata;
 import myrtleladder.loadbalancer.server.RunningBalancer;
@@ -81,7 +81,7 @@
     }
 
     private Attachments attachments(OperatorConfiguration configuration, String name)
-            throws BadFile {
+            throws InvalidConfigurationFile {
         String adminListen = configuration.admin().listen();
         InetSocketAddress adminAddress =
                 adminListen == null
@@ -101,7 +101,8 @@
     }
 
     private FleetConfiguration fleetConfiguration(
-            OperatorConfiguration.FleetSection section, String name) throws BadFile {
+            OperatorConfiguration.FleetSection section, String name)
+            throws InvalidConfigurationFile {
         MemberMetadata metadata =
                 new MemberMetadata(
                         section.zone() == null ? "" : section.zone(),
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
@@ -11,9 +11,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadConfiguration;
-import myrtleladder.error.OperatorError.BadInput;
-import myrtleladder.error.OperatorError.NoFile;
+import myrtleladder.error.OperatorError.InvalidInput;
+import myrtleladder.error.OperatorError.InvalidPlatformFile;
+import myrtleladder.error.OperatorError.UnreadableFile;
 import myrtleladder.loadbalancer.policy.SettingsCheck;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
@@ -58,25 +58,25 @@
         try {
             text = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new NoFile(file, "can't be read: " + e);
+            throw new UnreadableFile(file, "can't be read: " + e);
         }
         try (JsonParser json = JSON.createParser(text)) {
             return read(json);
-        } catch (BadInput e) {
-            throw new BadConfiguration(file, e.what());
+        } catch (InvalidInput e) {
+            throw new InvalidPlatformFile(file, e.what());
         } catch (JsonProcessingException e) {
-            throw new BadConfiguration(
+            throw new InvalidPlatformFile(
                     file,
                     "line "
                             + e.getLocation().getLineNr()
                             + ": "
                             + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException | IllegalArgumentException e) {
-            throw new BadConfiguration(file, String.valueOf(e.getMessage()));
+            throw new InvalidPlatformFile(file, String.valueOf(e.getMessage()));
         }
     }
 
-    private static BalancerConfig read(JsonParser json) throws BadInput, IOException {
+    private static BalancerConfig read(JsonParser json) throws InvalidInput, IOException {
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         long seed = 0;
@@ -84,7 +84,7 @@
         EndpointList known = EndpointList.EMPTY;
         SettingsReader.ParsedSettings settings = null;
         if (json.nextToken() != JsonToken.START_OBJECT) {
-            throw new BadInput("not a JSON object");
+            throw new InvalidInput("not a JSON object");
         }
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -125,11 +125,11 @@
         return new MachineLimits(sockets, memoryMb);
     }
 
-    private static long parseSeed(String hex) throws BadInput {
+    private static long parseSeed(String hex) throws InvalidInput {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("field seed is not a hex number: " + hex);
+            throw new InvalidInput("field seed is not a hex number: " + hex);
         }
     }
 
@@ -138,7 +138,7 @@
      *
      * @throws BadInput if it is not an address
      */
-    static InetSocketAddress parseAddress(String text) throws BadInput {
+    static InetSocketAddress parseAddress(String text) throws InvalidInput {
         int colon = text.lastIndexOf(':');
         String name = text.substring(0, Math.max(colon, 0));
         InetAddress host = NetUtil.createInetAddressFromIpAddressString(name);
@@ -149,6 +149,6 @@
         } catch (IllegalArgumentException e) {
             // A malformed port; the message below serves for it too.
         }
-        throw new BadInput("not an address: " + text);
+        throw new InvalidInput("not an address: " + text);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -25,7 +25,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.Request;
 
 /**
@@ -229,7 +229,7 @@
             }
             long waitedUs = balancer.clock().nowUs() - pending.receivedUs();
             request = server.parse(message, uri, waitedUs);
-        } catch (BadInput e) {
+        } catch (InvalidInput e) {
             respondBadRequest(message, e.what());
             return;
         } catch (IllegalArgumentException e) {
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryCall.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryCall.java
@@ -9,7 +9,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.timeout.ReadTimeoutException;
 import java.io.IOException;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 
 /**
  * One call to discovery, and the last handler of its pipeline: reads endpoint lists from the lines
@@ -92,10 +92,10 @@
         EndpointList list;
         try (JsonParser json = BalancerConfig.JSON.createParser(bytes)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("not a JSON object");
+                throw new InvalidInput("not a JSON object");
             }
             list = EndpointList.read(json);
-        } catch (BadInput e) {
+        } catch (InvalidInput e) {
             listener.malformedList(e.what());
             return;
         } catch (IOException e) {
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -15,7 +15,7 @@
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.error.OperatorError.BadList;
+import myrtleladder.error.OperatorError.InvalidEndpointList;
 import myrtleladder.loadbalancer.policy.ListKind;
 
 /**
@@ -228,7 +228,9 @@
         scheduleRepair();
         if (!isMalformedListLogged) {
             isMalformedListLogged = true;
-            LOG.log(System.Logger.Level.WARNING, new BadList(address, reason).getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    new InvalidEndpointList(address, reason).getMessage());
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.Upstream;
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.settings.SettingsReader;
@@ -73,7 +73,7 @@
      * @throws BadInput if a field is missing or malformed
      * @throws IOException if it is not JSON
      */
-    static EndpointList read(JsonParser json) throws BadInput, IOException {
+    static EndpointList read(JsonParser json) throws InvalidInput, IOException {
         long version = -1;
         boolean isFull = false;
         List<Endpoint> endpoints = null;
@@ -99,7 +99,7 @@
         return new EndpointList(version, isFull, endpoints);
     }
 
-    private static Endpoint readEndpoint(JsonParser json) throws BadInput, IOException {
+    private static Endpoint readEndpoint(JsonParser json) throws InvalidInput, IOException {
         String id = null;
         InetSocketAddress address = null;
         String zone = "";
@@ -136,9 +136,9 @@
      *
      * @throws BadInput with the name of the field, unless it is valid
      */
-    static void require(boolean isValid, String field) throws BadInput {
+    static void require(boolean isValid, String field) throws InvalidInput {
         if (!isValid) {
-            throw new BadInput("field " + field + " is missing or not understood");
+            throw new InvalidInput("field " + field + " is missing or not understood");
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
@@ -14,7 +14,7 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
@@ -209,7 +209,8 @@
      *
      * @throws BadInput if a field is missing or malformed, or a request with this id is open
      */
-    Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs) throws BadInput {
+    Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs)
+            throws InvalidInput {
         boolean isNew = !balancer.isOpen(RequestParser.requestId(message));
         RequestParser.require(isNew, RequestParser.REQUEST_ID_HEADER);
         return parser.parse(message, uri, waitedUs);
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -12,8 +12,8 @@
 import myrtleladder.error.OperatorError;
 import myrtleladder.error.OperatorError.AddressTaken;
 import myrtleladder.error.OperatorError.LimitsTooSmall;
-import myrtleladder.error.OperatorError.NotTold;
-import myrtleladder.error.OperatorError.Unexpected;
+import myrtleladder.error.OperatorError.MissingEnvironmentVariable;
+import myrtleladder.error.OperatorError.UnexpectedError;
 import myrtleladder.loadbalancer.simulator.Adapter;
 import myrtleladder.signal.Signals;
 
@@ -89,7 +89,7 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             if (config == null) {
-                throw new NotTold(CONFIG_VARIABLE);
+                throw new MissingEnvironmentVariable(CONFIG_VARIABLE);
             }
             return serve(Path.of(config), group, isWarmupOnly, beforeOpen);
         } catch (Exception e) {
@@ -163,7 +163,7 @@
     }
 
     private static OperatorError asOperatorError(Exception e) {
-        return e instanceof OperatorError error ? error : new Unexpected(e);
+        return e instanceof OperatorError error ? error : new UnexpectedError(e);
     }
 
     private static Future<Void> drain(BalancerConfig config, LoadBalancerServer server) {
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.Effect;
 import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.policy.RequestClass;
@@ -35,7 +35,7 @@
      *
      * @throws BadInput if it has none
      */
-    static String requestId(FullHttpRequest message) throws BadInput {
+    static String requestId(FullHttpRequest message) throws InvalidInput {
         String id = message.headers().get(REQUEST_ID_HEADER);
         require(id != null && !id.isEmpty(), REQUEST_ID_HEADER);
         return id;
@@ -48,7 +48,8 @@
      * @param waitedUs how long the request has waited here, in microseconds: taken off its time
      * @throws BadInput if a field is missing or malformed; names the field
      */
-    Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs) throws BadInput {
+    Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs)
+            throws InvalidInput {
         HttpHeaders headers = message.headers();
         int classIndex = settings.classes().indexOf(headers.get(CLASS_HEADER));
         require(classIndex >= 0, CLASS_HEADER);
@@ -85,7 +86,7 @@
     }
 
     private static long parseNumber(HttpHeaders headers, String name, long defaultValue)
-            throws BadInput {
+            throws InvalidInput {
         String text = headers.get(name);
         if (text == null) {
             return defaultValue;
@@ -95,7 +96,7 @@
             require(number >= 0, name);
             return number;
         } catch (NumberFormatException e) {
-            throw new BadInput("bad " + name);
+            throw new InvalidInput("bad " + name);
         }
     }
 
@@ -104,9 +105,9 @@
      *
      * @throws BadInput with the name of the field, unless it is valid
      */
-    static void require(boolean isValid, String field) throws BadInput {
+    static void require(boolean isValid, String field) throws InvalidInput {
         if (!isValid) {
-            throw new BadInput("bad or missing " + field);
+            throw new InvalidInput("bad or missing " + field);
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.Effect;
 import myrtleladder.loadbalancer.policy.Limits;
 import myrtleladder.loadbalancer.policy.LoadReport;
@@ -110,13 +110,13 @@
          *
          * @throws BadInput if it stands for none
          */
-        <T> T choice(String name, Map<String, T> values, T defaultValue) throws BadInput {
+        <T> T choice(String name, Map<String, T> values, T defaultValue) throws InvalidInput {
             String text = strings.get(name);
             if (text == null) {
                 return defaultValue;
             }
             if (!values.containsKey(text)) {
-                throw new BadInput("setting " + name + " has the unknown value " + text);
+                throw new InvalidInput("setting " + name + " has the unknown value " + text);
             }
             return values.get(text);
         }
@@ -128,7 +128,7 @@
      * @throws BadInput if a string is none of its choices
      * @throws IOException if it is not JSON
      */
-    public static ParsedSettings read(JsonParser json) throws BadInput, IOException {
+    public static ParsedSettings read(JsonParser json) throws InvalidInput, IOException {
         JsonObject root = readObject(json);
         JsonObject report = root.object("report");
         Settings settings =
@@ -158,7 +158,7 @@
                 names(root.list("kinds"), ""));
     }
 
-    private static List<RequestClass> requestClasses(List<JsonObject> objects) throws BadInput {
+    private static List<RequestClass> requestClasses(List<JsonObject> objects) throws InvalidInput {
         List<RequestClass> classes = new ArrayList<>();
         for (JsonObject object : objects) {
             classes.add(
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
@@ -5,7 +5,7 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 
 /**
  * The command {@code adapter}: reads batches of events on standard input, a line each, and writes
@@ -40,7 +40,7 @@
                 out.flush();
             }
             return EXIT_OK;
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInput | IOException e) {
             err.println("line " + Math.max(lineNumber, 1) + ": " + e.getMessage());
             return EXIT_BAD_INPUT;
         }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadFeature;
 import java.io.IOException;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
@@ -35,13 +35,13 @@
      * @throws BadInput if it is malformed; events before the malformed one have been dispatched
      * @throws IOException never for bytes in memory, but by the parser's interface
      */
-    void read(byte[] line, int length) throws BadInput, IOException {
+    void read(byte[] line, int length) throws InvalidInput, IOException {
         double nowS = Double.NaN;
         boolean areEventsFirst = false;
         boolean hasEvents = false;
         try (JsonParser json = JSON.createParser(line, 0, length)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("not a JSON object");
+                throw new InvalidInput("not a JSON object");
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
@@ -61,17 +61,17 @@
                 }
             }
             if (json.nextToken() != null) {
-                throw new BadInput("text after the end of the batch");
+                throw new InvalidInput("text after the end of the batch");
             }
         } catch (JsonProcessingException e) {
-            throw new BadInput(
+            throw new InvalidInput(
                     "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
         if (Double.isNaN(nowS)) {
-            throw new BadInput("no clock (moment-s)");
+            throw new InvalidInput("no clock (moment-s)");
         }
         if (!hasEvents) {
-            throw new BadInput("no array of events (input)");
+            throw new InvalidInput("no array of events (input)");
         }
         if (areEventsFirst) {
             dispatchSkippedEvents(line, length, SettingsReader.toMicros(nowS));
@@ -80,7 +80,7 @@
 
     /** The time came after the events: reads these now that it is known. */
     private void dispatchSkippedEvents(byte[] line, int length, long nowUs)
-            throws BadInput, IOException {
+            throws InvalidInput, IOException {
         try (JsonParser json = JSON.createParser(line, 0, length)) {
             json.nextToken();
             while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -95,12 +95,12 @@
         }
     }
 
-    private void dispatchEvents(JsonParser json, long nowUs) throws BadInput, IOException {
+    private void dispatchEvents(JsonParser json, long nowUs) throws InvalidInput, IOException {
         while (json.nextToken() == JsonToken.START_OBJECT) {
             dispatcher.dispatch(EventReader.read(json), nowUs);
         }
         if (json.currentToken() != JsonToken.END_ARRAY) {
-            throw new BadInput("an event that is not an object");
+            throw new InvalidInput("an event that is not an object");
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.AttemptEnd;
 import myrtleladder.loadbalancer.policy.ListKind;
 import myrtleladder.loadbalancer.policy.LoadReport;
@@ -62,7 +62,7 @@
      *
      * @throws BadInput if a field is missing or malformed, or the instance does not exist
      */
-    void dispatch(SimulatorEvent event, long nowUs) throws BadInput {
+    void dispatch(SimulatorEvent event, long nowUs) throws InvalidInput {
         EventReader.require(event.kind != null, "kind");
         if (!EVENT_KINDS.contains(event.kind)) {
             err.println("skipped an event of unknown kind " + event.kind);
@@ -96,14 +96,14 @@
         }
     }
 
-    private void create(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+    private void create(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         EventReader.require(event.settings != null, "facts");
         integer(event.seed, "init-seed");
         reportNames.put(instance, event.settings.reportNames());
         instances.create(instance, nowUs, event.seedBits, event.settings.balancer());
     }
 
-    private void upstreams(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+    private void upstreams(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         ListKind kind = event.listForm == null ? null : LIST_KINDS.get(event.listForm);
         EventReader.require(kind != null, "form");
         EventReader.require(event.upstreams != null || kind == ListKind.UNAVAILABLE, "elements");
@@ -111,7 +111,7 @@
         instances.deliver(instance, b -> b.upstreams(nowUs, kind, upstreams));
     }
 
-    private void request(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+    private void request(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         EventReader.require(event.requestId != null, "corr");
         EventReader.require(!Double.isNaN(event.timeLeftS), "time-budget-s");
         int classIndex = integer(event.classIndex, "lane");
@@ -130,7 +130,7 @@
         instances.deliver(instance, b -> b.request(nowUs, request));
     }
 
-    private void attemptEnd(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+    private void attemptEnd(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         EventReader.require(event.requestId != null, "corr");
         EventReader.require(event.upstream != null, "upstream");
         EventReader.require(event.isConcluded != null, "last");
@@ -146,34 +146,34 @@
         instances.deliver(instance, b -> b.outcome(nowUs, end));
     }
 
-    private void probeResult(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+    private void probeResult(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         EventReader.require(event.upstream != null, "upstream");
         Outcome outcome = outcome(event);
         LoadReport load = loadReport(event, instance);
         instances.deliver(instance, b -> b.probed(nowUs, event.upstream, outcome, load));
     }
 
-    private void peerMessage(SimulatorEvent event, int instance, long nowUs) throws BadInput {
+    private void peerMessage(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         int peer = integer(event.peer, "from");
         EventReader.require(event.peerMessage != null, "body");
         byte[] message;
         try {
             message = HexFormat.of().parseHex(event.peerMessage);
         } catch (IllegalArgumentException e) {
-            throw new BadInput("field body is not hex digits");
+            throw new InvalidInput("field body is not hex digits");
         }
         instances.deliver(instance, b -> b.peerMessage(nowUs, peer, message));
     }
 
-    private static long tookUs(SimulatorEvent event) throws BadInput {
+    private static long tookUs(SimulatorEvent event) throws InvalidInput {
         EventReader.require(!Double.isNaN(event.tookS), "took-s");
         return SettingsReader.toMicros(event.tookS);
     }
 
-    private static Outcome outcome(SimulatorEvent event) throws BadInput {
+    private static Outcome outcome(SimulatorEvent event) throws InvalidInput {
         int ordinal = integer(event.outcome, "ending");
         if (ordinal < 0 || ordinal >= OUTCOMES.length) {
-            throw new BadInput("field ending has no outcome " + ordinal);
+            throw new InvalidInput("field ending has no outcome " + ordinal);
         }
         return OUTCOMES[ordinal];
     }
@@ -195,7 +195,7 @@
         return SettingsReader.toLoadReport(values);
     }
 
-    private static int integer(double value, String field) throws BadInput {
+    private static int integer(double value, String field) throws InvalidInput {
         EventReader.require(!Double.isNaN(value), field);
         return (int) value;
     }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import myrtleladder.error.OperatorError.BadInput;
+import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.Upstream;
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.settings.SettingsReader;
@@ -28,7 +28,7 @@
      * @throws BadInput if a field is malformed
      * @throws IOException if it is not JSON
      */
-    static SimulatorEvent read(JsonParser json) throws BadInput, IOException {
+    static SimulatorEvent read(JsonParser json) throws InvalidInput, IOException {
         SimulatorEvent event = new SimulatorEvent();
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -79,7 +79,7 @@
     }
 
     private static boolean readNumber(SimulatorEvent event, String name, JsonParser json)
-            throws BadInput, IOException {
+            throws InvalidInput, IOException {
         switch (name) {
             case "who" -> event.instance = number(json, name);
             case "attempt" -> event.attempt = number(json, name);
@@ -99,7 +99,7 @@
     }
 
     private static void readSeed(SimulatorEvent event, String name, JsonParser json)
-            throws BadInput, IOException {
+            throws InvalidInput, IOException {
         event.seed = number(json, name);
         event.seedBits =
                 json.currentToken() == JsonToken.VALUE_NUMBER_INT
@@ -109,7 +109,7 @@
 
     private static boolean readNested(
             SimulatorEvent event, String name, JsonParser json, JsonToken value)
-            throws BadInput, IOException {
+            throws InvalidInput, IOException {
         if (name.equals("facts") && value == JsonToken.START_OBJECT) {
             event.settings = SettingsReader.read(json);
         } else if (name.equals("feedback") && value == JsonToken.START_ARRAY) {
@@ -122,9 +122,9 @@
         return true;
     }
 
-    private static double number(JsonParser json, String name) throws BadInput, IOException {
+    private static double number(JsonParser json, String name) throws InvalidInput, IOException {
         if (!json.currentToken().isNumeric()) {
-            throw new BadInput("field " + name + " is not a number");
+            throw new InvalidInput("field " + name + " is not a number");
         }
         return json.getDoubleValue();
     }
@@ -144,7 +144,7 @@
         return Arrays.copyOf(values, count);
     }
 
-    private static List<Upstream> upstreams(JsonParser json) throws BadInput, IOException {
+    private static List<Upstream> upstreams(JsonParser json) throws InvalidInput, IOException {
         List<Upstream> upstreams = new ArrayList<>();
         while (json.nextToken() == JsonToken.START_OBJECT) {
             upstreams.add(upstream(json));
@@ -152,7 +152,7 @@
         return upstreams;
     }
 
-    private static Upstream upstream(JsonParser json) throws BadInput, IOException {
+    private static Upstream upstream(JsonParser json) throws InvalidInput, IOException {
         String id = null;
         int zone = 0;
         int kind = 0;
@@ -187,9 +187,9 @@
      *
      * @throws BadInput with the name of the field, unless it is present and valid
      */
-    static void require(boolean isValid, String field) throws BadInput {
+    static void require(boolean isValid, String field) throws InvalidInput {
         if (!isValid) {
-            throw new BadInput("field " + field + " is missing or not understood");
+            throw new InvalidInput("field " + field + " is missing or not understood");
         }
     }
 }
--- a/src/main/java/myrtleladder/testbed/Main.java
+++ b/src/main/java/myrtleladder/testbed/Main.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
-import myrtleladder.error.OperatorError.BadOption;
+import myrtleladder.error.OperatorError.InvalidOption;
 import myrtleladder.testbed.experiment.Experiment;
 import myrtleladder.testbed.experiment.ExperimentRun;
 import myrtleladder.testbed.experiment.ProgramBuild;
@@ -62,7 +62,7 @@
             Experiment read = Experiment.read(file);
             int count = plays == null ? read.plays() : plays;
             if (count < 1) {
-                throw new BadOption("--plays", count + " is less than 1");
+                throw new InvalidOption("--plays", count + " is less than 1");
             }
             long first = seed == null ? read.seed() : seed;
             return LongStream.range(first, first + count).mapToObj(read::withSeed).toList();
--- a/src/main/java/myrtleladder/testbed/experiment/ProgramBuild.java
+++ b/src/main/java/myrtleladder/testbed/experiment/ProgramBuild.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadFile;
-import myrtleladder.error.OperatorError.NoBuild;
+import myrtleladder.error.OperatorError.InvalidConfigurationFile;
+import myrtleladder.error.OperatorError.MissingBuild;
 
 /** A build of the program: its folder, and the command that starts one balancer there. */
 public record ProgramBuild(Path home, List<String> command) {
@@ -21,20 +21,20 @@
         try {
             run = new TomlMapper().readTree(Files.readString(deploy)).path("run");
         } catch (JsonProcessingException e) {
-            throw new BadFile(
+            throw new InvalidConfigurationFile(
                     deploy,
                     e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
                     "",
                     e.getOriginalMessage());
         } catch (IOException e) {
-            throw new NoBuild(deploy, "is missing or can't be read");
+            throw new MissingBuild(deploy, "is missing or can't be read");
         }
         if (!run.isTextual()) {
-            throw new BadFile(deploy, 0, "run", "is missing");
+            throw new InvalidConfigurationFile(deploy, 0, "run", "is missing");
         }
         Path jar = home.resolve("target/myrtleladder-loadbalancer.jar");
         if (!Files.exists(jar)) {
-            throw new NoBuild(jar, "is missing");
+            throw new MissingBuild(jar, "is missing");
         }
         return new ProgramBuild(home.toAbsolutePath(), List.of("/bin/sh", "-c", run.asText()));
     }
--- a/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
+++ b/src/main/java/myrtleladder/testbed/process/BalancerFleet.java
@@ -22,7 +22,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.EndedAtStart;
+import myrtleladder.error.OperatorError.StartFailed;
 import myrtleladder.testbed.checker.Checker;
 import myrtleladder.testbed.checker.Rules;
 import myrtleladder.testbed.checker.Violation;
@@ -175,7 +175,7 @@
             }
         }
         if (!up) {
-            throw new EndedAtStart(layout.folder());
+            throw new StartFailed(layout.folder());
         }
     }
 
--- a/src/main/java/myrtleladder/toml/TomlFile.java
+++ b/src/main/java/myrtleladder/toml/TomlFile.java
@@ -16,8 +16,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import myrtleladder.error.OperatorError;
-import myrtleladder.error.OperatorError.BadFile;
-import myrtleladder.error.OperatorError.NoFile;
+import myrtleladder.error.OperatorError.InvalidConfigurationFile;
+import myrtleladder.error.OperatorError.UnreadableFile;
 
 /**
  * Reads TOML into records. Unknown keys are rejected, so that a mistyped one is not taken for a
@@ -55,11 +55,11 @@
         try {
             text = Files.readString(file);
         } catch (NoSuchFileException e) {
-            throw new NoFile(file, "there is no such file");
+            throw new UnreadableFile(file, "there is no such file");
         } catch (MalformedInputException e) {
-            throw new NoFile(file, "is not UTF-8");
+            throw new UnreadableFile(file, "is not UTF-8");
         } catch (IOException e) {
-            throw new NoFile(file, "can't be read: " + e);
+            throw new UnreadableFile(file, "can't be read: " + e);
         }
         return parse(file, text, type);
     }
@@ -70,11 +70,12 @@
      * @param file the name of the text in errors
      * @throws BadFile if it is neither or does not fit the record
      */
-    public static <T> T parse(Path file, String text, Class<T> type) throws BadFile {
+    public static <T> T parse(Path file, String text, Class<T> type)
+            throws InvalidConfigurationFile {
         try {
             return (text.stripLeading().startsWith("{") ? JSON : TOML).readValue(text, type);
         } catch (JsonMappingException e) {
-            throw new BadFile(
+            throw new InvalidConfigurationFile(
                     file,
                     lineOf(text, e.getPath()),
                     e.getPath().stream()
@@ -92,7 +93,8 @@
                             .replaceAll(" \\(class .*", ""));
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
-            throw new BadFile(file, at == null ? 0 : at.getLineNr(), "", e.getOriginalMessage());
+            throw new InvalidConfigurationFile(
+                    file, at == null ? 0 : at.getLineNr(), "", e.getOriginalMessage());
         }
     }
 
@@ -102,9 +104,10 @@
      * @throws BadFile with the key if it is not, or is NaN
      */
     public static void checkRange(Path file, String key, double value, double min, double max)
-            throws BadFile {
+            throws InvalidConfigurationFile {
         if (!(value >= min && value <= max)) {
-            throw new BadFile(file, 0, key, value + " is not within " + min + " and " + max);
+            throw new InvalidConfigurationFile(
+                    file, 0, key, value + " is not within " + min + " and " + max);
         }
     }
 
