--- a/src/main/java/myrtleladder/loadbalancer/policy/AdmissionControl.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/AdmissionControl.java
@@ -1,18 +1,24 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Whether a request sent now is likely answered within its latency target. Where all in flight is
- * known, that is the load before it times the pace of this upstream's queue; else the in-flight
- * limit of {@link ConcurrencyLimiter}.
+ * Decides whether a request sent now is likely to be answered within its latency target. If the load
+ * of all balancers is known, the estimate is the load times the delay per request of the upstream's
+ * queue. Otherwise the in-flight limit of {@link ConcurrencyLimiter} decides.
  */
 final class AdmissionControl {
-    /** Part of the time left that a queue may take, where loads are probed. */
+    /**
+     * Fraction of the time left until the latency target that the queue may use, where loads are
+     * probed.
+     */
     private static final double PROBED_SHARE = 0.6;
 
-    /** Part of the time left that a queue may take, where peers report their loads. */
+    /** The same fraction where peers report their loads. */
     static final double REPORTED_SHARE = 0.8;
 
-    /** Load below which there is always room; a full request less what messages round. */
+    /**
+     * Load below which an upstream always has capacity: one request less the rounding of peer
+     * messages.
+     */
     private static final double IDLE_LOAD = 1 - 1 / PeerLoadExchange.UNITS_PER_REQUEST;
 
     private final LoadVisibility visibility;
@@ -33,6 +39,7 @@
         this.statistics = statistics;
     }
 
+    /** Whether the upstream is likely to answer a request sent now within its latency target. */
     boolean hasRoom(UpstreamState upstream, RequestState request, long nowUs) {
         if (!visibility.isComplete()) {
             return limiter.hasRoom(upstream, loads.loadOfOthers(upstream, nowUs), nowUs);
@@ -43,7 +50,7 @@
                         <= timeShare * (request.targetAtUs - nowUs);
     }
 
-    /** Whether a request's latency target is missed even if it is sent now. */
+    /** Whether a request would miss its latency target even if it were sent now. */
     boolean isTooLate(RequestState request, long nowUs) {
         return nowUs + leastAnswerTimeUs(request) > request.targetAtUs;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Attempt.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Attempt.java
@@ -6,7 +6,8 @@
     final long sentAtUs;
 
     /**
-     * Whether the upstream was at the in-flight limit: only then does an answer raise the limit.
+     * Whether the upstream was at its in-flight limit at the send. Only then does an answer raise
+     * the limit.
      */
     boolean isAtLimit;
 
@@ -15,10 +16,10 @@
     /** False once its outcome proves that it never ran. */
     boolean mayHaveRun = true;
 
-    /** Whether another attempt was begun because this one went unanswered. */
+    /** Whether another attempt was started because this one got no answer. */
     boolean isHedged;
 
-    /** Load of the upstream right after the send, in mean requests, this attempt included. */
+    /** Load of the upstream right after the send, in mean requests, including this attempt. */
     double loadAtSend;
 
     Attempt(UpstreamState upstream, long sentAtUs) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
@@ -1,30 +1,35 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * An in-flight limit for each upstream by additive increase and multiplicative decrease (AIMD) on
- * the waiting seen in its answers. Only answers move the limit, with one cut at most for each round
- * of sends, or one slow answer would close it.
+ * Adjusts an in-flight limit for each upstream by additive increase and multiplicative decrease
+ * (AIMD), depending on the queueing delay of its answers. The limit is cut at most once for each
+ * round trip. Otherwise one group of slow answers would reduce it to its minimum.
  */
 final class ConcurrencyLimiter {
-    /** In flight by all balancers before anything is known, in requests; a short queue. */
+    /**
+     * Initial in-flight limit of an upstream over all balancers, in requests; gives a short queue.
+     */
     static final double FIRST_TOTAL = 3;
 
-    /** Lower bound of the in-flight limit, in requests. */
+    /** Minimum in-flight limit, in requests. */
     private static final double LEAST_LIMIT = 0.05;
 
-    /** Factor of the smallest cut on too long a wait. */
+    /** Factor on the limit for a delay just above the target. */
     private static final double SMALLEST_CUT = 0.8;
 
-    /** Factor of the deepest cut on too long a wait. */
+    /** Minimum factor on the limit for a delay above the target. */
     private static final double DEEPEST_CUT = 0.4;
 
-    /** Factor of the cut on a rejection; a full queue is plain. */
+    /** Factor on the limit after a rejection, which shows that the queue is full. */
     private static final double REJECTION_CUT = 0.7;
 
-    /** Increase for a round of answers in time, in requests. */
+    /** Increase for each round trip without too long a delay, in requests. */
     private static final double INCREASE = 0.3;
 
-    /** Growth of the least service time, log per microsecond; doubles in half a minute. */
+    /**
+     * Growth rate of the minimum service time, as natural logarithm per microsecond: it doubles in
+     * 30 seconds.
+     */
     private static final double MIN_SERVICE_TIME_GROWTH = Math.log(2) / 30e6;
 
     private final int groupSize;
@@ -37,12 +42,12 @@
         this.slowStart = slowStart;
     }
 
-    /** The limit of a newly listed upstream. */
+    /** The in-flight limit of a newly listed upstream. */
     double firstLimit() {
         return Math.max(1, FIRST_TOTAL / groupSize);
     }
 
-    /** An attempt was answered. */
+    /** Adjusts the limit to an answer. */
     void recordAnswer(
             UpstreamState upstream,
             RequestState request,
@@ -53,7 +58,7 @@
         adjust(upstream, attempt, waitUs, request.requestClass.latencyTargetUs(), nowUs);
     }
 
-    /** No answer is the longest waiting there is; the work may still run there. */
+    /** Adjusts the limit to a missing answer: the request may still be queued or running there. */
     void recordNoAnswer(
             UpstreamState upstream,
             RequestState request,
@@ -91,9 +96,9 @@
     }
 
     /**
-     * What of an answer's time was waiting: all beyond the least service time seen lately. The
-     * reported service time will not do: it rises with the load of an upstream that slows down when
-     * crowded.
+     * The queueing delay of an answer: the time beyond the minimum service time seen recently. The
+     * reported service time is no substitute, because it rises with the load of an upstream that
+     * slows down under load.
      */
     private static double waitOf(
             UpstreamState upstream, RequestState request, long tookUs, long nowUs) {
@@ -112,22 +117,22 @@
                         : upstream.minServiceTime);
     }
 
-    /** The service time of a hinted request at a time for each unit of work; 0 without a hint. */
+    /** The service time of a request by its work hint, microseconds; 0 without a hint. */
     static double ownServiceTimeUs(RequestState request, double serviceTimePerWork) {
         return request.hasWorkHint() ? request.cost * serviceTimePerWork : 0;
     }
 
-    /** Lets no attempt follow for a pause after one that took so long. */
+    /** Sends no further attempt to an upstream for a pause that depends on the last answer time. */
     void pauseAfter(UpstreamState upstream, long tookUs, long nowUs) {
         upstream.pausedUntilUs =
                 Math.max(upstream.pausedUntilUs, nowUs + pauseUs(upstream, tookUs, nowUs));
     }
 
     /**
-     * The pause that makes an in-flight limit under 1 true on average. With many balancers one
-     * request of each is a long queue, and taken as 1 such a limit shortened it no further. A short
-     * queue by all together is always left. The time is bounded: a starting balancer's first
-     * answers wait for its own cold code.
+     * The pause that enforces an in-flight limit below 1 on average. With many balancers, one request
+     * of each makes a long queue, so such a limit cannot be rounded up to 1. The limit is never
+     * below a short queue divided among all balancers. The answer time that counts is bounded,
+     * because the first answers of a starting balancer are slowed down by its own cold code.
      */
     private long pauseUs(UpstreamState upstream, long tookUs, long nowUs) {
         double limit =
@@ -142,7 +147,10 @@
                         * (1 / limit - 1));
     }
 
-    /** Whether one more fits under the limit with so many of others in flight. */
+    /**
+     * Whether one more request is within the limit, given the load of other balancers. Always false
+     * during a pause.
+     */
     boolean hasRoom(UpstreamState upstream, double loadOfOthers, long nowUs) {
         return nowUs >= upstream.pausedUntilUs
                 && upstream.inFlight + loadOfOthers + 1
@@ -150,7 +158,7 @@
                                 1, upstream.concurrencyLimit * slowStart.factor(upstream, nowUs));
     }
 
-    /** Whether one more would be above the limit. */
+    /** Whether one more request would exceed the limit. */
     static boolean isAtLimit(UpstreamState upstream, double loadOfOthers) {
         return upstream.inFlight + loadOfOthers + 1 > upstream.concurrencyLimit;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/DeadlineTimer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/DeadlineTimer.java
@@ -4,12 +4,12 @@
 import java.util.PriorityQueue;
 
 /**
- * Gives out requests shortly before their deadlines, and sets a timer for the next. On the sweep
- * alone, an answer came up to a sweep less the margin after the deadline, and that is beyond the
- * slack where ticks are short.
+ * Returns requests shortly before their deadlines, and sets a timer for the next one. The periodic
+ * sweep alone is too coarse: answers would come up to a sweep less the margin after the deadline,
+ * which exceeds the permitted slack if ticks are short.
  */
 final class DeadlineTimer {
-    /** The timer of the next deadline. */
+    /** Token of the timer for the next deadline. */
     static final String TIMER = "due";
 
     private final long marginUs;
@@ -20,7 +20,7 @@
                             .thenComparingLong(request -> request.sequence));
     private long timerAtUs = Long.MAX_VALUE;
 
-    /** Creates a timer that gives out requests {@code marginUs} before their deadlines. */
+    /** Creates a timer that returns requests {@code marginUs} before their deadlines. */
     DeadlineTimer(long marginUs, LoadBalancer.Actions actions) {
         this.marginUs = marginUs;
         this.actions = actions;
@@ -30,7 +30,7 @@
         byDeadline.add(request);
     }
 
-    /** The timer that was set is due. */
+    /** Records that the timer has expired. */
     void recordTimer(long nowUs) {
         timerAtUs = nowUs >= timerAtUs ? Long.MAX_VALUE : timerAtUs;
     }
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Removes a due request that is neither ended nor streaming; null if there is none, and then
-     * the timer is set for the next one.
+     * Removes and returns a due request that is neither ended nor streaming. If there is none, sets
+     * the timer for the next request and returns null.
      */
     RequestState pollDue(long nowUs) {
         while (!byDeadline.isEmpty()) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstScheduler.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstScheduler.java
@@ -3,10 +3,11 @@
 import java.util.Collection;
 
 /**
- * Weighted round-robin by earliest deadline first (EDF): picks in proportion to weight / (in-flight
- * + 1)^bias. Each candidate's deadline is the inverse of that figure behind its own last pick, and
- * the earliest is taken. One that could not be picked for a while is due at once, but is owed no
- * more than that. Not safe for use by several threads at once.
+ * Weighted round-robin by earliest deadline first (EDF): picks in proportion to weight / (in-flight +
+ * 1)^bias. The deadline of a candidate is that of its last pick plus the inverse of this value, and
+ * the candidate with the earliest deadline is picked. One that was not available for a while is due
+ * at once, but does not catch up on the picks that it missed. Not safe for use by several threads at
+ * once.
  */
 public final class EarliestDeadlineFirstScheduler {
     private final double bias;
@@ -14,23 +15,23 @@
     /** Virtual time: the deadline of the last pick. */
     private double virtualTime;
 
-    /** A candidate; its place in virtual time is the scheduler's own. */
+    /** A candidate. Its position in virtual time belongs to one scheduler. */
     public static class Candidate extends UtilisationWeights.Weighted {
-        /** The deadline at which it was picked last, or the virtual time when it came. */
+        /** The deadline of its last pick, or the virtual time at which it was first seen. */
         private double lastDeadline = Double.NaN;
 
-        /** What of its work is in flight, in requests. */
+        /** Its load in flight, in requests. */
         public double inFlight() {
             return 0;
         }
     }
 
-    /** Creates a scheduler with an exponent for what is in flight. */
+    /** Creates a scheduler with an exponent for the load in flight. */
     public EarliestDeadlineFirstScheduler(double bias) {
         this.bias = bias;
     }
 
-    /** Picks one of the candidates, null if there are none. */
+    /** Picks one of the candidates; null if there are none. */
     public <T extends Candidate> T pick(Collection<T> candidates) {
         T earliest = null;
         double earliestDeadline = Double.POSITIVE_INFINITY;
--- a/src/main/java/myrtleladder/loadbalancer/policy/EndpointSubscription.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/EndpointSubscription.java
@@ -2,12 +2,15 @@
 
 import java.util.SplittableRandom;
 
-/** The subscription to the endpoint list, asked for again with exponential backoff and jitter. */
+/** Subscribes to the endpoint list, and retries with exponential backoff and jitter. */
 final class EndpointSubscription {
-    /** Mean pause before the first new attempt, microseconds. */
+    /** Mean delay before the first retry, microseconds. */
     private static final long FIRST_BACKOFF_US = 1_000_000;
 
-    /** Greatest mean pause, microseconds; an update has 6 s to come through. */
+    /**
+     * Maximum mean delay, microseconds. Endpoint changes have to be received within 6 s, which must
+     * leave time for a retry.
+     */
     private static final long LONGEST_BACKOFF_US = 2_000_000;
 
     private final boolean isEnabled;
@@ -28,13 +31,13 @@
         }
     }
 
-    /** A call failed: plans the next one; draws a random number. */
+    /** Records a failed call and schedules the next one; draws a random number. */
     void recordFailure(long nowUs) {
         backoffUs = Math.min(LONGEST_BACKOFF_US, backoffUs == 0 ? FIRST_BACKOFF_US : 2 * backoffUs);
         retryAtUs = nowUs + Jitter.around(random, backoffUs);
     }
 
-    /** A list or a change came. */
+    /** Records that a list or a change was received. */
     void recordSuccess() {
         backoffUs = 0;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/HedgingPolicy.java
@@ -1,27 +1,35 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Which requests are hedged: those whose only outstanding attempt is at an upstream that has
- * answered nothing since. One that vanished or hangs is known only after several answer times; by
- * then the time in which a keyed request may be repeated was often over, and it failed at its
- * deadline with nothing else to be done.
+ * Decides which requests are hedged: those whose only outstanding attempt is at an upstream that has
+ * answered nothing since the attempt was sent. Outlier ejection detects an upstream that hangs or
+ * has vanished only after several answer times. By then the time in which a keyed request may be
+ * repeated was often over, and the request could only fail at its deadline.
  *
- * <p>A token bucket bounds hedges to a small share of requests.
+ * <p>A token bucket limits hedges to a small fraction of requests.
  */
 final class HedgingPolicy {
-    /** Hedges allowed for each request. */
+    /** Hedges earned by each request. */
     private static final double TOKENS_PER_REQUEST = 0.02;
 
-    /** Most hedges saved up. */
+    /** Size of the token bucket, in hedges. */
     private static final double MOST_TOKENS = 3;
 
-    /** Typical answer times to wait for an answer where enough other answers are missed. */
+    /**
+     * Typical answer times after which to hedge if at least {@link #MIN_MISSED_ANSWERS} other answers
+     * are missing too.
+     */
     private static final double HEDGE_ANSWER_TIMES = 3;
 
-    /** Answers that should have come meanwhile and did not, for a silence to mean much. */
+    /**
+     * Answers expected from the upstream since the attempt was sent. With fewer, the lack of answers
+     * is no evidence that it hangs.
+     */
     private static final double MISSED_ANSWERS = 2;
 
-    /** Part of the time in which a keyed request may be repeated after which to hedge. */
+    /**
+     * Fraction of the time that upstreams remember a key for after which to hedge a keyed request.
+     */
     private static final double MEMORY_SPAN_SHARE = 0.6;
 
     private final RequestStatistics statistics;
@@ -33,7 +41,7 @@
         this.delayTarget = delayTarget;
     }
 
-    /** A request has arrived: part of a hedge is earned. */
+    /** Adds the tokens that an arriving request earns. */
     void earnTokens() {
         tokens = Math.min(MOST_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
@@ -46,7 +54,7 @@
         tokens--;
     }
 
-    /** Whether the last attempt is the only one outstanding and has gone unanswered too long. */
+    /** Whether the only outstanding attempt is the last one and has got no answer for too long. */
     boolean isDue(RequestState request, long nowUs) {
         if (request.isEnded
                 || request.isStreaming
@@ -75,10 +83,13 @@
                         Math.max(
                                 upstream.answerTimeUs,
                                 statistics.classAnswerTimeUs(request.request.classIndex())));
-        return Math.max(seenUs, delayTarget.tightestUs()); // nothing is seen at first
+        return Math.max(seenUs, delayTarget.tightestUs()); // before the first answers
     }
 
-    /** To a balancer that sees few answers of an upstream, its silence says little. */
+    /**
+     * Time after which to hedge, microseconds. It is longer if this balancer gets few answers from
+     * the upstream, because then their absence is weak evidence.
+     */
     private double timeoutUs(RequestState request, Attempt last, double typicalUs, long nowUs) {
         double missed =
                 last.upstream.completedWorkRate
--- a/src/main/java/myrtleladder/loadbalancer/policy/Jitter.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Jitter.java
@@ -2,11 +2,11 @@
 
 import java.util.SplittableRandom;
 
-/** Random periods, so that balancers drift apart. */
+/** Random periods, which keep balancers from acting at the same moments. */
 final class Jitter {
     private Jitter() {}
 
-    /** A random period from half to one and a half of the mean, in the unit of the mean. */
+    /** Draws a random period from half to one and a half times the mean, in the mean's unit. */
     static long around(SplittableRandom random, long mean) {
         return mean / 2 + random.nextLong(mean);
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/KeyAffinity.java
@@ -1,11 +1,11 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Which upstream a key belongs to: the same at every balancer, by weighted rendezvous hashing among
- * the upstreams that are not ejected.
+ * Assigns keys to upstreams by weighted rendezvous hashing among the upstreams that are not ejected,
+ * so that every balancer chooses the same one.
  */
 final class KeyAffinity {
-    /** How much likelier a key's upstream is in the own zone where crossing costs. */
+    /** Weight of upstreams in the balancer's own zone where crossing zones costs. */
     private static final double OWN_ZONE_FACTOR = 4;
 
     private final boolean isEnabled;
@@ -24,12 +24,12 @@
         this.zones = zones;
     }
 
-    /** Whether keys are better served where they were before. */
+    /** Whether an upstream serves a key with less work if it has served it before. */
     boolean isEnabled() {
         return isEnabled;
     }
 
-    /** The upstream of a request's key; null without a key or where affinity is of no use. */
+    /** The upstream of a request's key; null without a key or if affinity is disabled. */
     UpstreamState upstreamOf(RequestState request, long nowUs) {
         String key = request.request.key();
         if (!isEnabled || key == null) {
@@ -47,7 +47,7 @@
         return best;
     }
 
-    /** The logarithm method of weighted rendezvous hashing, weighted by rating and zone. */
+    /** The logarithmic method of weighted rendezvous hashing, weighted by rating and zone. */
     private double score(String key, UpstreamState upstream) {
         long hash =
                 RendezvousHash.combine(key.hashCode(), RendezvousHash.mix(upstream.id.hashCode()));
--- a/src/main/java/myrtleladder/loadbalancer/policy/Limits.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Limits.java
@@ -1,19 +1,19 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * What the balancer may do.
+ * Limits on a balancer, and which actions it may take.
  *
- * @param maxAttempts attempts of a request, the first included
+ * @param maxAttempts maximum attempts of a request, including the first
  * @param hedging whether a request may have more than one outstanding attempt
  * @param probes whether upstreams may be probed
  * @param cancel whether outstanding attempts may be cancelled
  * @param peers whether balancers may send messages to each other
- * @param maxOpen requests that may be open at once
- * @param retryAfter whether rejections may say when to come back
- * @param maxRetryAfterUs longest such advice
- * @param connectTimeoutUs time within which a connection must be established
- * @param connectIdleUs time after which idle connections are closed
- * @param streamsPerConnection requests that share a connection
+ * @param maxOpen maximum number of open requests; the decision module does not enforce it
+ * @param retryAfter whether rejections may carry a retry-after time
+ * @param maxRetryAfterUs maximum retry-after time, microseconds
+ * @param connectTimeoutUs time within which a connection must be established, microseconds
+ * @param connectIdleUs time after which idle connections are closed, microseconds
+ * @param streamsPerConnection requests that may share a connection at once
  */
 public record Limits(
         int maxAttempts,
--- a/src/main/java/myrtleladder/loadbalancer/policy/ListKind.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ListKind.java
@@ -1,12 +1,13 @@
 package myrtleladder.loadbalancer.policy;
 
-/**
- * What a list of upstreams is: changes, the complete list, the complete list as stored before a
- * restart, or a failed call.
- */
+/** What an event of service discovery contains. */
 public enum ListKind {
+    /** Only the entries that have changed. */
     CHANGES,
+    /** The complete list. */
     COMPLETE,
+    /** The complete list as stored before a restart of the balancer. */
     RESTORED,
+    /** Nothing: the call to service discovery failed. */
     UNAVAILABLE
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
@@ -6,73 +6,79 @@
  * The complete interface of the decision module: events come in as method calls, decisions go out
  * through {@link Actions}. {@link UtilisationLoadBalancer} is the implementation.
  *
- * <p>All times are microseconds of one clock that only advances; {@code now} is passed in with each
- * event and durations are microseconds too. An instance is not safe for use by several threads at
+ * <p>All times are microseconds of one clock that never goes back; {@code nowUs} is passed in with
+ * each event. Durations are microseconds too. An instance is not safe for use by several threads at
  * once: call it from one thread, or guard it by one lock. It never blocks, and it calls {@link
- * Actions} only from within an event.
+ * Actions} only while it handles an event.
  */
 public interface LoadBalancer {
 
     /** Starts the instance: sets its first timer. Call it once, before any other event. */
-    void start(long now);
+    void start(long nowUs);
 
-    /** The list of upstreams, or changes of it, as discovery reported it. */
-    void upstreams(long now, ListKind kind, List<Upstream> entries);
+    /** Service discovery has delivered upstreams, or failed to; see {@link EndpointListKind}. */
+    void upstreams(long nowUs, ListKind kind, List<Upstream> entries);
 
-    /** A client's request has arrived; one final answer is owed from here on. */
-    void request(long now, Request request);
+    /** A client's request has arrived. The balancer has to give it one final answer. */
+    void request(long nowUs, Request request);
 
-    /** The end of one attempt. */
-    void outcome(long now, AttemptEnd end);
+    /** An attempt has ended. */
+    void outcome(long nowUs, AttemptEnd end);
 
-    /** A streamed answer has begun; the attempt is neither cancelled nor retried from now on. */
-    void opened(long now, String request, int attempt);
+    /**
+     * A streamed answer has begun. The request's attempts are neither cancelled nor retried from
+     * now on.
+     */
+    void opened(long nowUs, String requestId, int attemptIndex);
 
-    /** The client has disconnected; no answer is owed for this request any more. */
-    void clientGone(long now, String request);
+    /** The client has disconnected: the request no longer needs a final answer. */
+    void clientGone(long nowUs, String requestId);
 
-    /** The result of a probe; {@code load} is null if none came along. */
-    void probed(long now, String upstream, Outcome outcome, LoadReport load);
+    /** A probe has ended; {@code load} is null if there was no load report. */
+    void probed(long nowUs, String upstreamId, Outcome outcome, LoadReport load);
 
-    /** A timer that was set through {@link Actions#timer} is due. */
-    void timer(long now, String token);
+    /** A timer that was set through {@link Actions#setTimer} has expired. */
+    void timer(long nowUs, String token);
 
-    /** A message from another balancer of the tier. */
-    void peerMessage(long now, int from, byte[] body);
+    /** A message from another balancer of the group, by its position in the group. */
+    void peerMessage(long nowUs, int from, byte[] body);
 
-    /** Where the decisions go. Every call takes effect at the time of the event being handled. */
+    /** Executes the decisions. Each call takes effect at the time of the event being handled. */
     interface Actions {
-        /** Starts an attempt; {@code timeout} 0 lets it run until the client gives up. */
-        void send(String request, String upstream, long timeout);
+        /** Starts an attempt. With a timeout of 0 it runs until the client gives up. */
+        void send(String requestId, String upstreamId, long timeoutUs);
 
-        /** Final answer: rejected, a retry is harmless. {@code retryAfter} 0 gives no advice. */
-        void refuse(String request, long retryAfter);
+        /**
+         * Gives the final answer that the request was rejected and that a retry does no harm. A
+         * {@code retryAfterUs} of 0 gives no retry-after time.
+         */
+        void refuse(String requestId, long retryAfterUs);
 
-        /** Final answer: failed; the request may have run. */
-        void fail(String request);
+        /** Gives the final answer that the request has failed; it may have run. */
+        void fail(String requestId);
 
-        /** Stops waiting for an attempt. */
-        void cancel(String request, int attempt);
+        /** Cancels an outstanding attempt. */
+        void cancel(String requestId, int attemptIndex);
 
-        /** Asks for a call of {@link LoadBalancer#timer} after {@code delay}. */
-        void timer(String token, long delay);
+        /** Asks for a call of {@link LoadBalancer#onTimer} after a delay. */
+        void timer(String token, long delayUs);
 
         /** Asks an upstream for its load. */
-        void probe(String upstream);
+        void probe(String upstreamId);
 
         /** Closes idle connections to an upstream. */
-        void closeIdle(String upstream);
+        void closeIdle(String upstreamId);
 
-        /** Subscribes to changes of the list, or ends that. */
-        void watch(boolean on);
+        /** Subscribes to changes of the endpoint list, or cancels the subscription. */
+        void watch(boolean isSubscribed);
 
-        /** Asks for the complete list once. */
+        /** Asks for the complete endpoint list once. */
         void fetch();
 
-        /** Sends a message to one peer, or to all if {@code peer} is negative. */
+        /** Sends a message to one peer, or to all peers if {@code peer} is negative. */
         void tell(int peer, byte[] body);
 
-        /** A line for the operators. */
+        /** Writes a line to the log for operators. */
         void log(String text);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadEstimator.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadEstimator.java
@@ -1,10 +1,10 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Estimates what is in flight at an upstream, in mean requests. */
+/** Estimates the load in flight at an upstream, in mean requests. */
 final class LoadEstimator {
     private final RequestStatistics statistics;
 
-    /** A peer's message counts for so long: twice the tightest latency target. */
+    /** Time for which a peer's message is valid: twice the tightest latency target. */
     private final double peerLoadLifetimeUs;
 
     LoadEstimator(RequestStatistics statistics, QueueingDelayTarget delayTarget) {
@@ -12,21 +12,24 @@
         this.peerLoadLifetimeUs = 2 * delayTarget.tightestUs() / delayTarget.share();
     }
 
-    /** The size of a request, in mean requests; 1 without a hint. */
+    /** The cost of a request, in mean requests; 1 without a work hint. */
     double sizeOf(RequestState request) {
         return request.hasWorkHint() ? request.cost / Math.max(statistics.meanCost(), 1) : 1;
     }
 
     /**
-     * What this balancer has in flight, half by count and half by hinted work in mean requests: one
-     * heavy request holds up many.
+     * The load of this balancer: the average of the number of its requests in flight and of their
+     * cost in mean requests, because one expensive request delays many others.
      */
     double ownLoad(UpstreamState upstream) {
         double size = Math.max(0, upstream.workInFlight) / Math.max(statistics.meanCost(), 1);
         return (upstream.inFlight + size) / 2;
     }
 
-    /** What other balancers have in flight, by their messages or by what was last seen of it. */
+    /**
+     * The load of the other balancers, by their messages or by the last observation, which decreases
+     * with time as the upstream works through its queue.
+     */
     double loadOfOthers(UpstreamState upstream, long nowUs) {
         double seen =
                 upstream.othersInFlight > 0
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadReport.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadReport.java
@@ -3,12 +3,12 @@
 /**
  * A load report of an upstream; a value that it does not report is NaN.
  *
- * @param utilisation share of its capacity in use, nominally 0 to 1
- * @param active requests that it works on
- * @param waiting requests that wait there
- * @param serviceTimeUs recent service time of a request
- * @param servedPerSecond answers without an error
- * @param errorsPerSecond answers with an error
+ * @param utilisation fraction of its capacity in use, nominally 0 to 1
+ * @param active requests being processed
+ * @param waiting requests queued at the upstream
+ * @param serviceTimeUs recent service time of a request, microseconds
+ * @param servedPerSecond responses without an error
+ * @param errorsPerSecond responses with an error
  */
 public record LoadReport(
         double utilisation,
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadVisibility.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadVisibility.java
@@ -1,23 +1,23 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * How a balancer learns the complete load of an upstream, other balancers' included. With neither
- * way it relies on an in-flight limit of its own.
+ * How a balancer learns the load of an upstream over all balancers. If it does not, it relies on an
+ * in-flight limit of its own.
  *
- * @param byPeers peers report their in-flight to each other: {@link PeerLoadExchange}
+ * @param byPeers peers report their load in flight to each other: {@link PeerLoadExchange}
  * @param byProbes upstreams are probed before a pick: {@link OnDemandProber}
  */
 record LoadVisibility(boolean byPeers, boolean byProbes) {
-    /** Points of the result that load information may cost for each request. */
+    /** Points of the score that load information may cost per request. */
     private static final double BUDGET_POINTS = 0.02;
 
-    /** Stands for a price of 0 when dividing by it. */
+    /** Minimum price of a probe, to avoid a division by 0. */
     private static final double LEAST_PRICE = 1e-6;
 
-    /** Bytes that a peer message is priced by; observed: the price is for each 256 bytes. */
+    /** The price of a peer message is charged for each 256 bytes. */
     private static final int PRICED_BYTES = 256;
 
-    /** Messages are sent once at the send of an attempt and once at its end. */
+    /** One message is sent at the send of an attempt and one at its end. */
     private static final double MESSAGES_PER_ATTEMPT = 2.0;
 
     static LoadVisibility of(Settings settings) {
@@ -38,7 +38,7 @@
         return new LoadVisibility(byPeers, byProbes);
     }
 
-    /** Probes that the budget allows for each request. */
+    /** Probes that the budget allows per request. */
     static double probesPerRequest(Settings settings) {
         return BUDGET_POINTS / Math.max(settings.prices().probe(), LEAST_PRICE);
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
@@ -1,26 +1,27 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Probes the subset for its load before a pick, where probes are cheap enough and reports come no
- * other way. Upstreams that do not answer meanwhile are taken for hanging and left out.
+ * Probes the load of the upstreams of the subset before a pick. Used if load reports come by probe
+ * only and probes are cheap enough. Upstreams that do not answer in time are considered hanging and
+ * are excluded from the pick.
  */
 final class OnDemandProber {
-    /** The timer that ends the wait for answers. */
+    /** Token of the timer that ends the wait for answers. */
     static final String TIMER = "ask";
 
-    /** Requests' worth of probing saved up for those queued. */
+    /** Size of the token bucket for probes, in requests. */
     private static final double MOST_SAVED_REQUESTS = 10;
 
-    /** Expected round trip of a probe until one was seen, microseconds. */
+    /** Assumed round-trip time of a probe before the first answer, microseconds. */
     private static final long FIRST_ROUND_TRIP_US = 5_000;
 
-    /** Round trips to wait for the answers before a pick. */
+    /** Round-trip times to wait for answers before a pick. */
     private static final int WAIT_ROUND_TRIPS = 2;
 
-    /** Round trips after which a load is not fresh any more. */
+    /** Round-trip times for which a reported load is fresh. */
     private static final int FRESH_ROUND_TRIPS = 4;
 
-    /** Greatest load taken from an answer, in requests. */
+    /** Maximum load accepted from an answer, in requests; more is clamped. */
     private static final int GREATEST_LOAD = 255;
 
     private final boolean isEnabled;
@@ -50,7 +51,7 @@
         this.actions = actions;
     }
 
-    /** A request has arrived: it earns its probes, a client's retry no more than one. */
+    /** Adds the tokens that an arriving request earns; a client's retry earns only one. */
     void earnTokens(boolean isRetry) {
         tokens =
                 Math.min(
@@ -58,12 +59,12 @@
                         MOST_SAVED_REQUESTS * probesPerRequest);
     }
 
-    /** Whether picks wait for answers to probes. */
+    /** Whether picks are waiting for answers to probes. */
     boolean isWaiting(long nowUs) {
         return nowUs < decideAtUs;
     }
 
-    /** Probes what is not known of the subset, unless no request is queued. */
+    /** Probes the upstreams of the subset whose load is unknown, if a request is queued. */
     void probe(RequestQueue queue, long nowUs) {
         if (!isEnabled || isWaiting(nowUs) || queue.isEmpty()) {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Whether its load is fresh, or will be: a probe is under way. */
+    /** Whether its load is fresh, or a recent probe is outstanding. */
     private boolean isKnown(UpstreamState upstream, long nowUs) {
         return isFresh(upstream, nowUs)
                 || (isProbeOutstanding(upstream)
@@ -100,20 +101,21 @@
         return nowUs - upstream.othersSeenAtUs <= FRESH_ROUND_TRIPS * roundTripUs;
     }
 
-    /** Whether on-demand probing is in use and has a fresh load of that upstream. */
+    /** Whether on-demand probing is enabled and has a fresh load of that upstream. */
     boolean hasFreshLoad(UpstreamState upstream, long nowUs) {
         return isEnabled && isFresh(upstream, nowUs);
     }
 
     /**
-     * Whether on-demand probing is in use and has no fresh load: the upstream hangs, or probing was
-     * too expensive. In an overload, sends without a fresh load crowded every upstream.
+     * Whether on-demand probing is enabled and has no fresh load, because the upstream hangs or the
+     * probe budget is used up. Such an upstream is excluded: in an overload, sends without a fresh
+     * load would overload every upstream.
      */
     boolean isUnresponsive(UpstreamState upstream, long nowUs) {
         return isEnabled && !isFresh(upstream, nowUs);
     }
 
-    /** Takes in the load that a probe was answered with, null if none. */
+    /** Records the load in the answer to a probe; null if there was none. */
     void recordAnswer(UpstreamState upstream, LoadReport load, long nowUs) {
         if (!isEnabled || load == null || !(load.active() >= 0)) {
             return;
@@ -130,7 +132,7 @@
                                 RequestStatistics.UPSTREAM_SMOOTHING));
     }
 
-    /** Ends the wait if no probe of the subset is outstanding; whether it did. */
+    /** Ends the wait if no probe of the subset is outstanding; returns whether it did. */
     boolean endWaitIfComplete(long nowUs) {
         if (!isEnabled) {
             return false;
--- a/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The requests that are owed a final answer or have outstanding attempts, and the final answers
- * that this balancer gives of its own: rejections and failures.
+ * The requests that need a final answer or have outstanding attempts. Gives the final answers that do
+ * not come from an upstream: rejections and failures.
  */
 final class OpenRequests {
     private final Limits limits;
@@ -29,24 +29,24 @@
         this.actions = actions;
     }
 
-    /** Adds a request, which is queued from here on. */
+    /** Adds a new request and queues it. */
     void add(RequestState request, long nowUs) {
         byId.put(request.request.id(), request);
         deadlines.add(request);
         queue.add(request, nowUs);
     }
 
-    /** The request with that name; null if it is not open. */
+    /** The request with that identifier; null if it is not open. */
     RequestState get(String id) {
         return byId.get(id);
     }
 
-    /** All of them, in no order. */
+    /** All open requests, in no particular order. */
     Collection<RequestState> all() {
         return byId.values();
     }
 
-    /** Gives their final answers to those whose deadlines are close. */
+    /** Gives a final answer to each request whose deadline is close. */
     void finishDue(long nowUs) {
         RequestState due = deadlines.pollDue(nowUs);
         while (due != null) {
@@ -55,7 +55,10 @@
         }
     }
 
-    /** Gives a request that could not be served its final answer: a rejection where permitted. */
+    /**
+     * Gives a final answer to a request that could not be served: a rejection if permitted, else a
+     * failure.
+     */
     void finish(RequestState request, long nowUs) {
         queue.remove(request);
         if (RetryPolicy.mayReject(request)) {
@@ -71,8 +74,8 @@
     }
 
     /**
-     * When to come back: what is queued now is served or rejected within its latency target, so
-     * that the queue is new then. 0 gives no advice.
+     * The retry-after time: after one latency target, all requests that are queued now have been
+     * served or rejected. 0 gives no retry-after time.
      */
     private long retryAfterUs(RequestState request) {
         return limits.retryAfter()
@@ -80,7 +83,10 @@
                 : 0;
     }
 
-    /** Nothing is owed any more: cancels what is outstanding, unless the answer is streaming. */
+    /**
+     * Ends a request that no longer needs an answer. Cancels its outstanding attempts unless the
+     * answer is being streamed.
+     */
     void conclude(RequestState request) {
         queue.remove(request);
         request.isEnded = true;
@@ -98,7 +104,7 @@
         }
     }
 
-    /** Forgets an ended request once no attempt of it is outstanding. */
+    /** Removes an ended request if no attempt of it is outstanding. */
     void removeIfDone(RequestState request) {
         if (request.outstandingAttempts() == 0) {
             byId.remove(request.request.id());
--- a/src/main/java/myrtleladder/loadbalancer/policy/Outcome.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Outcome.java
@@ -2,19 +2,19 @@
 
 /** How an attempt ended. */
 public enum Outcome {
-    /** Served. */
+    /** Served without an error. */
     OK(false),
-    /** An error; it may have run. */
+    /** Answered with an error; may have run. */
     ERROR(false),
-    /** Rejected unseen. */
+    /** Rejected by the upstream without running it. */
     FULL(true),
-    /** No answer in time; it may have run or still run. */
+    /** Not answered in time; may have run, or may still run. */
     TIMEOUT(false),
-    /** No connection could be had. */
+    /** No connection to the upstream could be established. */
     CONNECT_FAILED(true),
-    /** Broken while outstanding; it may have run. */
+    /** The connection broke while the attempt was outstanding; may have run. */
     RESET(false),
-    /** Called off; it may have run. */
+    /** Cancelled by the balancer; may have run. */
     CANCELLED(false),
     /** Never sent. */
     MOOT(true);
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
@@ -1,8 +1,10 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Learns from the end of each attempt: health, pace, in-flight limit and statistics. */
+/**
+ * Updates health, delay per request, in-flight limit and statistics at the end of each attempt.
+ */
 final class OutcomeRecorder {
-    /** An upstream that rejects with a smaller load than this is draining, not full. */
+    /** An upstream that rejects a request at a smaller load than this is draining, not full. */
     private static final double SHORT_QUEUE = 3;
 
     private final boolean isReportedByPeers;
@@ -24,7 +26,7 @@
         this.prober = prober;
     }
 
-    /** Takes in the end of an attempt, which does not count as in flight any more. */
+    /** Records the end of an attempt that is no longer counted as in flight. */
     void record(RequestState request, Attempt attempt, AttemptEnd end, long nowUs) {
         UpstreamState upstream = attempt.upstream;
         switch (end.outcome()) {
@@ -37,7 +39,7 @@
                 ejection.recordError(upstream, nowUs);
             }
             case MOOT -> {
-                // Never sent: says nothing of the upstream.
+                // Never sent, so no evidence about the upstream.
             }
             default -> throw new AssertionError(end.outcome());
         }
@@ -65,7 +67,10 @@
         limiter.recordNoAnswer(upstream, request, attempt, tookUs, nowUs);
     }
 
-    /** With an answer since the send, its table of connections was full; without, it is dead. */
+    /**
+     * If the upstream has answered since the send, its connection table was full. Otherwise it is
+     * down and is ejected.
+     */
     private void recordConnectFailure(Attempt attempt, long nowUs) {
         if (attempt.upstream.lastAnswerAtUs < attempt.sentAtUs) {
             ejection.eject(attempt.upstream, nowUs);
@@ -73,8 +78,8 @@
     }
 
     /**
-     * One that rejects with next to nothing to do is draining, and the list has yet to say so; any
-     * other is full, with a load that would just miss the latency target.
+     * An upstream that rejects at almost no load is draining, although the endpoint list does not say
+     * so yet. Any other is full: its load is assumed to be what just misses the latency target.
      */
     private void recordRejection(RequestState request, Attempt attempt, long nowUs) {
         UpstreamState upstream = attempt.upstream;
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * Ejects upstreams that hang, fail to connect, reject while idle or mostly return errors. Each
- * further ejection lasts twice as long, until an answer comes. Below a panic threshold of healthy
- * upstreams ejections are ignored.
+ * Ejects upstreams that hang, refuse connections, reject requests while idle or mostly return errors.
+ * Each further ejection lasts twice as long, until the upstream answers. If the fraction of healthy
+ * upstreams is below the panic threshold, ejections are ignored.
  */
 final class OutlierEjection {
-    /** Typical answer times without an answer that mean that an upstream hangs. */
+    /** An upstream hangs if it answers nothing for this number of typical answer times. */
     static final double HANG_ANSWER_TIMES = 6;
 
-    /** Duration of the first ejection, microseconds. Doubled each time. */
+    /** Duration of the first ejection, microseconds. Doubles with each further one. */
     static final long FIRST_EJECTION_US = 1_000_000;
 
-    /** Duration up to which ejections grow, microseconds. */
+    /** Maximum duration of an ejection, microseconds. */
     private static final long LONGEST_EJECTION_US = 8_000_000;
 
-    /** Panic threshold: with a smaller share of upstreams left, ejections are ignored. */
+    /** Fraction of healthy upstreams below which ejections are ignored. */
     private static final double PANIC_THRESHOLD = 0.4;
 
     /** Smoothed error rate above which an upstream is ejected. */
@@ -31,6 +31,7 @@
         this.delayTarget = delayTarget;
     }
 
+    /** Ejects an upstream, unless it is ejected already. */
     void eject(UpstreamState upstream, long nowUs) {
         if (upstream.ejectedUntilUs <= nowUs) {
             upstream.ejectedUntilUs = nowUs + upstream.nextEjectionUs;
@@ -38,7 +39,7 @@
         }
     }
 
-    /** An answer came: the upstream is healthy. */
+    /** Records an answer, which ends an ejection: the upstream is healthy. */
     void recordSuccess(UpstreamState upstream) {
         upstream.isHanging = false;
         upstream.ejectedUntilUs = 0;
@@ -46,7 +47,7 @@
         upstream.errorRate *= 1 - RequestStatistics.UPSTREAM_SMOOTHING;
     }
 
-    /** An attempt ended with an error or a reset. */
+    /** Records an error or a reset, and ejects the upstream if its error rate is too high. */
     void recordError(UpstreamState upstream, long nowUs) {
         upstream.errorRate += RequestStatistics.UPSTREAM_SMOOTHING * (1 - upstream.errorRate);
         if (upstream.errorRate > GREATEST_ERROR_RATE) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Ejects each upstream that has answered nothing for too long with requests in flight. */
+    /** Ejects each upstream with requests in flight that has answered nothing for too long. */
     void ejectHanging(List<UpstreamState> upstreams, long nowUs) {
         for (UpstreamState upstream : upstreams) {
             long quietUs = nowUs - upstream.lastProgressAtUs;
@@ -73,13 +74,16 @@
         }
     }
 
-    /** After its time is over, an ejected upstream gets one request at a time until an answer. */
+    /**
+     * Whether an upstream may not be sent a request now. After an ejection it gets one request at a
+     * time until it answers.
+     */
     boolean isEjected(UpstreamState upstream, long nowUs) {
         return upstream.ejectedUntilUs > nowUs
                 || (upstream.isUnprovenSinceEjection() && upstream.inFlight > 0);
     }
 
-    /** Whether so few upstreams are left that ejections must be ignored. */
+    /** Whether so few upstreams are healthy that ejections must be ignored. */
     boolean isPanic(List<UpstreamState> upstreams, long nowUs) {
         int left = 0;
         for (UpstreamState upstream : upstreams) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Balancers that share an upstream report to each other what they have in flight there. A message
- * has three bytes that name the upstream and one with the in-flight in eighths of a request.
+ * Exchanges the load in flight at an upstream between the balancers that share it. A message has three
+ * bytes that identify the upstream and one byte with the load in eighths of a request.
  */
 final class PeerLoadExchange {
-    /** Length of a message: three bytes name the upstream, one is in-flight. */
+    /** Length of a message: three bytes for the upstream, one for the load. */
     static final int MESSAGE_BYTES = 4;
 
-    /** Parts of a request in which messages count. */
+    /** Messages carry the load in this fraction of a request. */
     static final double UNITS_PER_REQUEST = 8;
 
     private static final int BYTE_MASK = 255;
@@ -38,7 +38,7 @@
         this.actions = actions;
     }
 
-    /** Reports what we have in flight at an upstream to the others that use it. */
+    /** Reports this balancer's load at an upstream to the peers that share it. */
     void report(UpstreamState upstream) {
         if (!isEnabled || !upstreams.contains(upstream)) {
             return;
@@ -58,7 +58,7 @@
         return new byte[] {(byte) (hash >> 16), (byte) (hash >> 8), (byte) hash, units};
     }
 
-    /** Takes in a message. A malformed one, or one of an unknown upstream, changes nothing. */
+    /** Records a message. Ignores it if it is malformed or its upstream is unknown. */
     void receive(int from, byte[] body, long nowUs) {
         if (!isEnabled || body.length != MESSAGE_BYTES || from < 0 || from >= groupSize) {
             return;
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeriodicProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeriodicProber.java
@@ -5,14 +5,14 @@
 import java.util.SplittableRandom;
 
 /**
- * A slow steady probing of upstreams in turn where reports come no other way; its rate follows from
- * price and traffic.
+ * Probes all upstreams in turn at a low rate. Used if load reports come by probe only and on-demand
+ * probing is disabled. The rate depends on the price of a probe and on traffic.
  */
 final class PeriodicProber {
-    /** Points of the result that probing may cost for each request. */
+    /** Points of the score that probing may cost per request. */
     private static final double BUDGET_POINTS = 0.003;
 
-    /** Least time between two probes of one upstream, microseconds. */
+    /** Minimum mean time between two probes of one upstream, microseconds. */
     private static final long LEAST_GAP_US = 300_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -43,12 +43,12 @@
         this.actions = actions;
     }
 
-    /** Plans the first probe; draws a random number. */
+    /** Schedules the first probe; draws a random number. */
     void start(long nowUs) {
         nextProbeAtUs = nowUs + Jitter.around(random, LEAST_GAP_US);
     }
 
-    /** Probes the upstream that was probed the longest ago, if a probe is due. */
+    /** Probes the upstream with the oldest probe, if a probe is due. */
     void probeIfDue(long nowUs) {
         if (!isEnabled || nowUs < nextProbeAtUs || upstreams.isEmpty()) {
             return;
--- a/src/main/java/myrtleladder/loadbalancer/policy/QueueingDelayTarget.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/QueueingDelayTarget.java
@@ -1,19 +1,23 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * How much of a latency target may go into waiting at an upstream.
+ * The queueing delay that the in-flight limits aim at.
  *
- * @param share of a class's latency target
- * @param tightestUs that share of the tightest class's latency target, rounded down
+ * @param share the queueing delay as a fraction of a class's latency target
+ * @param tightestUs that fraction of the tightest latency target of all classes, rounded down,
+ *     microseconds
  */
 record QueueingDelayTarget(double share, long tightestUs) {
-    /** Waiting aimed at under our own in-flight limit, as a share of the latency target. */
+    /** Queueing delay as a fraction of the latency target, in large groups. */
     private static final double SHARE = 0.18;
 
-    /** Added in small groups; there the queue at an upstream is mostly our own. */
+    /** Added in small groups, where most of an upstream's queue is this balancer's own. */
     private static final double SMALL_GROUP_SHARE = 0.12;
 
-    /** Balancers up to which a group is small; above, the addition shrinks. */
+    /**
+     * Maximum number of balancers in a small group. In larger ones the addition shrinks in inverse
+     * proportion.
+     */
     private static final double SMALL_GROUP = 4;
 
     static QueueingDelayTarget of(Settings settings) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/Ratings.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Ratings.java
@@ -1,9 +1,16 @@
 package myrtleladder.loadbalancer.policy;
 
-/** What an upstream's rating means. */
+/**
+ * What the ratings in the endpoint list say about the capacity of upstreams. Every kind but {@link
+ * #NONE} is used as relative capacity.
+ */
 public enum Ratings {
+    /** The list has no ratings. */
     NONE,
+    /** The nominal capacity. */
     NOMINAL,
+    /** An approximate capacity. */
     ROUGH,
+    /** The current capacity. */
     LIVE
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RendezvousHash.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RendezvousHash.java
@@ -2,10 +2,10 @@
 
 /**
  * The mixing function behind rendezvous (highest random weight) hashing. Every balancer computes
- * the same values, so that all agree on subsets and affinities without talking to each other.
+ * the same values, so that all agree on subsets and affinities without communication.
  */
 final class RendezvousHash {
-    /** 2^64 divided by the golden ratio: spreads small inputs over all bits (as in SplitMix64). */
+    /** 2^64 divided by the golden ratio: spreads small inputs over all bits, as in SplitMix64. */
     private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
     /** Bits dropped from a hash so that the rest fits the 53-bit mantissa of a double. */
@@ -23,7 +23,7 @@
         return z ^ (z >>> 31);
     }
 
-    /** The hash of a pair: an item's own hash and the salt of whoever ranks it. */
+    /** The hash of an item's own hash and the salt of the balancer that ranks it. */
     static long combine(int itemHash, long salt) {
         return mix(itemHash * GOLDEN_GAMMA ^ salt);
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * Each balancer uses a subset of a large fleet: the upstreams that rank lowest for it by rendezvous
- * hashing. With few requests a second it would know next to nothing of dozens of upstreams; of few
- * it can learn everything, and none needs a connection to everyone.
+ * Selects the subset of a large fleet that a balancer uses: the upstreams that rank lowest for it by
+ * rendezvous hashing. With few requests per second, a balancer learns too little about dozens of
+ * upstreams but enough about a few. It also avoids a connection between each balancer and each
+ * upstream.
  */
 final class RendezvousSubsetting {
-    /** Balancers to an upstream; few enough to report to and to be connected. */
+    /** Balancers that share an upstream; few enough to send load reports to all of them. */
     static final int BALANCERS_PER_UPSTREAM = 12;
 
-    /** Least upstreams in a subset; with one there is no pick. */
+    /** Minimum size of a subset; with 1 there would be no choice. */
     static final int LEAST_UPSTREAMS = 2;
 
     private final int groupSize;
@@ -38,14 +39,14 @@
         return Math.min(size(), upstreams.size());
     }
 
-    /** The subset as if no upstream were ejected; a view. */
+    /** The subset without replacements for ejected upstreams; a view. */
     List<UpstreamState> withoutReplacements() {
         return upstreams.ranked().subList(0, boundedSize());
     }
 
     /**
-     * The subset with a replacement for each ejected upstream; a view. The ejected stay in but do
-     * not count, or nothing is left to ask when many fail.
+     * The subset with a replacement for each ejected upstream; a view. Ejected upstreams stay in it
+     * without being counted. Otherwise no candidates would be left when many fail.
      */
     List<UpstreamState> upstreams(long nowUs) {
         List<UpstreamState> ranked = upstreams.ranked();
@@ -56,17 +57,17 @@
         return ranked.subList(0, size);
     }
 
-    /** Whether so few of all upstreams are healthy that ejections are ignored. */
+    /** Whether so few of all listed upstreams are healthy that ejections are ignored. */
     boolean isPanic(long nowUs) {
         return ejection.isPanic(upstreams.ranked(), nowUs);
     }
 
-    /** Whether that upstream is ejected; {@link #isPanic} says whether that is ignored. */
+    /** Whether that upstream is ejected; ignored if {@link #isPanic}. */
     boolean isEjected(UpstreamState upstream, long nowUs) {
         return ejection.isEjected(upstream, nowUs);
     }
 
-    /** The other balancers that have an upstream in their subset, by position. */
+    /** The positions of the other balancers that have an upstream in their subset. */
     List<Integer> peersSharing(UpstreamState upstream) {
         List<Integer> peers = new ArrayList<>();
         int size = boundedSize();
@@ -78,7 +79,7 @@
         return peers;
     }
 
-    /** Counts no further than needed, or large groups burn CPU. */
+    /** Stops counting as soon as the result is known, which saves CPU in large groups. */
     private boolean isInSubsetOf(int peer, UpstreamState upstream, int size) {
         long salt = UpstreamState.subsetSalt(peer);
         long rank = upstream.rankFor(salt);
--- a/src/main/java/myrtleladder/loadbalancer/policy/Reports.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Reports.java
@@ -1,8 +1,11 @@
 package myrtleladder.loadbalancer.policy;
 
-/** How load reports come: within answers, by probes alone, or not at all. */
+/** Where load reports of upstreams come from. */
 public enum Reports {
+    /** Attached to responses. */
     IN_ANSWERS,
+    /** Only in response to a probe. */
     BY_PROBE,
+    /** Upstreams report no load. */
     NONE
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Request.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Request.java
@@ -1,14 +1,14 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * A request of a client.
+ * A client's request.
  *
- * @param id name of the request, unique while it is open
+ * @param id identifier of the request, unique while it is open
  * @param classIndex index of its class in the settings
- * @param tenant index of its tenant in the settings; one that is not there has no allowance
+ * @param tenant index of its tenant in the settings; an unknown tenant has no rate limit
  * @param key idempotency and affinity key; null without one
- * @param expectedWork hint of its work in the unit of the settings; 0 without a hint
- * @param timeLeftUs until the client gives up; not positive if it has
+ * @param expectedWork hint of its work, in the unit of the settings; 0 without a hint
+ * @param timeLeftUs time until the client gives up, microseconds; zero or negative if it has
  * @param isWrite whether it changes data
  * @param isRetry whether the client marked it as a retry
  */
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestClass.java
@@ -3,15 +3,15 @@
 /**
  * A class of requests.
  *
- * @param latencyTargetUs time from arrival within which an answer has its full value
- * @param latencyTargetStretch lengthens the latency target by that multiple of the request's own
- *     work
- * @param timeoutUs time from arrival after which clients give up
- * @param priorityWeight value of an answer in time
- * @param lateFactor part of that value that a late answer has; 0 for none
- * @param effect whether a request may run more than once
- * @param scope which upstreams discard the repeat of a keyed request
- * @param memorySpanUs for how long they do
+ * @param latencyTargetUs time from arrival within which an answer has its full value, microseconds
+ * @param latencyTargetStretch added to the latency target for each unit of the request's expected
+ *     work, microseconds
+ * @param timeoutUs time from arrival after which clients give up, microseconds
+ * @param priorityWeight value of an answer within the latency target
+ * @param lateFactor fraction of that value that a late answer has; 0 for none
+ * @param effect idempotency of the requests
+ * @param scope which upstreams discard the repeat of a request with an idempotency key
+ * @param memorySpanUs how long upstreams remember an idempotency key, microseconds
  * @param isStream whether answers are streamed
  */
 public record RequestClass(
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
@@ -4,9 +4,11 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Moves requests from the queue to upstreams: first sends, retries and hedges. */
+/** Sends requests to upstreams: first attempts from the queue, retries and hedges. */
 final class RequestDispatcher {
-    /** Queued requests without an upstream after which the others are not looked at. */
+    /**
+     * Stops going through the queue after this number of requests for which no upstream was found.
+     */
     private static final int MOST_MISSES = 3;
 
     private final OpenRequests requests;
@@ -52,7 +54,9 @@
         this.actions = actions;
     }
 
-    /** Sends queued requests as long as upstreams have room: first keys to their upstreams. */
+    /**
+     * Sends queued requests as long as upstreams have capacity, those with key affinity first.
+     */
     void dispatchQueued(long nowUs) {
         if (affinity.isEnabled() && queue.size() > 1) {
             dispatchToAffinityUpstreams(nowUs);
@@ -61,8 +65,9 @@
     }
 
     /**
-     * With scarce room the first in the queue would take it, keys be served everywhere without a
-     * warm cache, and the overload last.
+     * Sends requests to the upstreams of their keys, before any others. Otherwise, with scarce
+     * capacity, the first requests of the queue would occupy those upstreams: keys would be served
+     * everywhere without a warm cache, and the overload would persist.
      */
     private void dispatchToAffinityUpstreams(long nowUs) {
         boolean isPanic = eligibility.isPanic(nowUs);
@@ -109,7 +114,10 @@
         peers.report(upstream);
     }
 
-    /** An attempt is not outstanding any more; its outcome has yet to be recorded. */
+    /**
+     * Marks an attempt as no longer outstanding. The caller then records its outcome with {@link
+     * OutcomeRecorder}.
+     */
     void recordEnd(RequestState request, Attempt attempt, Outcome outcome) {
         attempt.isOutstanding = false;
         attempt.mayHaveRun = !outcome.neverRan;
@@ -118,8 +126,9 @@
     }
 
     /**
-     * The last outstanding attempt has ended, and the request needs an answer. One that never ran
-     * is queued again; one that may have run is retried at once where that is permitted.
+     * Retries a request whose last outstanding attempt has ended without an answer, or gives it a
+     * final answer. A request that never ran is queued again. One that may have run is retried at
+     * once if that is permitted.
      */
     void retryOrFinish(RequestState request, long nowUs) {
         if (deadlines.isDue(request, nowUs)) {
@@ -148,7 +157,7 @@
         }
     }
 
-    /** Hedges the requests for which that is due, oldest first, as far as the budget goes. */
+    /** Hedges the requests that are due for it, oldest first, as far as the budget allows. */
     void hedge(long nowUs) {
         List<RequestState> due = new ArrayList<>();
         for (RequestState request : requests.all()) {
@@ -162,7 +171,7 @@
         }
     }
 
-    /** The mark on the last attempt keeps the pick from its upstream. */
+    /** Setting isHedged on the last attempt before the pick excludes its upstream from the pick. */
     private void hedge(RequestState request, long nowUs) {
         Attempt last = request.lastAttempt();
         last.isHedged = true;
@@ -174,7 +183,10 @@
         }
     }
 
-    /** Finishes queued requests that are too late where late is worth nothing; demotes others. */
+    /**
+     * Rejects queued requests that can no longer meet their latency target if a late answer has no
+     * value, and lowers the priority of others.
+     */
     void shedLate(long nowUs) {
         for (RequestState request : queue.snapshot()) {
             if (admission.isTooLate(request, nowUs)) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestQueue.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Requests that wait for room at an upstream: highest priority first, then the latest arrival. */
+/**
+ * Requests that wait for capacity at an upstream, in order of dispatch: highest priority first, then
+ * the latest arrival.
+ */
 final class RequestQueue {
     private final KeyAffinity affinity;
     private final TreeSet<RequestState> queue =
@@ -17,14 +20,14 @@
         this.affinity = affinity;
     }
 
-    /** Adds a request; the upstream that its key belongs to is determined anew. */
+    /** Adds a request, and determines the upstream of its key. */
     void add(RequestState request, long nowUs) {
         request.affinityUpstream = affinity.upstreamOf(request, nowUs);
         queue.add(request);
         request.isQueued = true;
     }
 
-    /** Removes a request; one that is not in the queue is left alone. */
+    /** Removes a request; does nothing if it is not in the queue. */
     void remove(RequestState request) {
         if (request.isQueued) {
             queue.remove(request);
@@ -32,7 +35,7 @@
         request.isQueued = false;
     }
 
-    /** Puts a late request to the place that its value when late gives it. */
+    /** Lowers the priority of a late request by the factor that a late answer has on its value. */
     void demoteLate(RequestState request, double lateFactor, long nowUs) {
         request.isLate = true;
         remove(request);
@@ -53,12 +56,12 @@
         return queue.isEmpty() ? null : queue.first();
     }
 
-    /** The request that follows another one; null if there is none. */
+    /** The request after another one in the queue; null if there is none. */
     RequestState following(RequestState request) {
         return queue.higher(request);
     }
 
-    /** A copy in order, to be walked while requests come and go. */
+    /** A copy in order of dispatch, to iterate over while the queue changes. */
     List<RequestState> snapshot() {
         return new ArrayList<>(queue);
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A request from its arrival until its final answer is given and no attempt is outstanding. Written
- * by {@link RequestDispatcher}, its place in the queue by {@link RequestQueue}.
+ * The state of a request from its arrival until it has its final answer and no attempt is
+ * outstanding. {@link RequestDispatcher} writes it; {@link RequestQueue} writes the fields on its
+ * position in the queue.
  */
 final class RequestState {
     final Request request;
@@ -16,27 +17,28 @@
 
     final long arrivedAtUs;
 
-    /** When the client gives up. */
+    /** Time at which the client gives up. */
     final long deadlineUs;
 
-    /** When the latency target of its class is missed. */
+    /** Time until which an answer meets the latency target. */
     long targetAtUs;
 
-    /** In order of sending; an attempt's number is its index. */
+    /** In order of sending. */
     final List<Attempt> attempts = new ArrayList<>(1);
 
     /**
-     * Expected work: the hint, else the typical answer time of the class in microseconds, else 1.
+     * Expected work: the hint if there is one, else the typical answer time of the class in
+     * microseconds, or 1 if that is unknown.
      */
     double cost;
 
-    /** Place in the queue: the greatest is dispatched first. */
+    /** The request with the highest priority is dispatched first. */
     double priority;
 
-    /** Where the request's key is best served; null if nowhere. */
+    /** The upstream of the request's key; null without affinity. */
     UpstreamState affinityUpstream;
 
-    /** Whether the final answer was given or is not owed any more. */
+    /** Whether the final answer was given or is no longer needed. */
     boolean isEnded;
 
     /** Whether a streamed answer has begun. */
@@ -44,7 +46,7 @@
 
     boolean isQueued;
 
-    /** Whether its latency target can no longer be met; its priority was lowered then. */
+    /** Whether its priority was lowered because it can no longer meet its latency target. */
     boolean isLate;
 
     RequestState(Request request, RequestClass requestClass, long sequence, long nowUs) {
@@ -63,7 +65,7 @@
         return request.expectedWork() > 0;
     }
 
-    /** The first attempt that may have run, an outstanding one included; null if there is none. */
+    /** The first attempt that may have run, which includes outstanding ones; null if none may. */
     Attempt firstThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun) {
@@ -73,7 +75,7 @@
         return null;
     }
 
-    /** The attempt sent last; there must be one. */
+    /** The attempt sent last. There must be at least one. */
     Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
@@ -86,7 +88,7 @@
         return count;
     }
 
-    /** Whether an attempt at that upstream went unanswered for so long that it was hedged. */
+    /** Whether an attempt at that upstream got no answer for so long that it was hedged. */
     boolean isHedgedAwayFrom(UpstreamState upstream) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).isHedged && attempts.get(i).upstream == upstream) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestStatistics.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestStatistics.java
@@ -1,20 +1,20 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Smoothed figures over all upstreams: answer times, costs, rates of requests. */
+/** Smoothed statistics over all upstreams: answer times, costs and request rates. */
 final class RequestStatistics {
-    /** Smoothing of each answer into an upstream's own times. */
+    /** Weight of each sample in the smoothed values of an upstream. */
     static final double UPSTREAM_SMOOTHING = 0.15;
 
-    /** Smoothing of each answer into the times over all; many more answers feed them. */
+    /** Weight of each answer in the smoothed times of all upstreams, which have more samples. */
     static final double FLEET_SMOOTHING = 0.02;
 
-    /** Smoothing of each request into the mean cost. */
+    /** Weight of each request in the smoothed mean cost. */
     private static final double COST_SMOOTHING = 0.01;
 
-    /** Smoothing of each rejection into the time that requests wait before one. */
+    /** Weight of each rejection in the smoothed wait before a rejection. */
     private static final double REJECTION_SMOOTHING = 0.05;
 
-    /** Smoothing of each period into the rate of requests. */
+    /** Weight of each period in the smoothed request rate. */
     private static final double REQUEST_RATE_SMOOTHING = 0.1;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -30,7 +30,7 @@
     private long requestsInPeriod;
     private long requests;
 
-    /** Creates the figures with the pace to be taken for granted until answers come. */
+    /** Creates statistics with a delay per request to assume before the first answers. */
     RequestStatistics(int classes, double firstPaceUs) {
         this.classAnswerTimeUs = new double[classes];
         this.classAnswers = new long[classes];
@@ -38,12 +38,12 @@
         this.paceUs = firstPaceUs;
     }
 
-    /** Exponential smoothing; 0 stands for no value yet, and the first sample is taken whole. */
+    /** Exponential smoothing. An old value of 0 means none, and is replaced by the sample. */
     static double smooth(double old, double sample, double share) {
         return old == 0 ? sample : old + share * (sample - old);
     }
 
-    /** Counts an arriving request; its order of arrival, from 0. */
+    /** Counts an arriving request and returns its sequence number, from 0. */
     long nextSequence() {
         return requests++;
     }
@@ -57,7 +57,7 @@
         paceUs = smooth(paceUs, sampledPaceUs, FLEET_SMOOTHING);
         answerTimeUs = smooth(answerTimeUs, tookUs, FLEET_SMOOTHING);
         classAnswers[classIndex]++;
-        // A plain mean at first: the first answers are slow.
+        // An arithmetic mean at first, because the first answers are slow.
         double share = Math.max(FLEET_SMOOTHING, 1.0 / classAnswers[classIndex]);
         classAnswerTimeUs[classIndex] = smooth(classAnswerTimeUs[classIndex], tookUs, share);
     }
@@ -78,7 +78,7 @@
         minServiceTime = mean;
     }
 
-    /** Whether any request has arrived. */
+    /** Whether any request has arrived since the start. */
     boolean hasRequests() {
         return requests > 0;
     }
@@ -93,12 +93,12 @@
         return classAnswerTimeUs[classIndex];
     }
 
-    /** How long a class's requests typically waited before they were rejected. */
+    /** Typical wait of a class's requests before a rejection, microseconds. */
     double waitBeforeRejectionUs(int classIndex) {
         return waitBeforeRejectionUs[classIndex];
     }
 
-    /** Typical time that each request in a queue adds to it. */
+    /** Typical delay that each request in a queue adds, microseconds. */
     double paceUs() {
         return paceUs;
     }
@@ -108,7 +108,7 @@
         return meanCost;
     }
 
-    /** Mean over all upstreams of their least service times. */
+    /** Mean over all upstreams of their minimum service times. */
     double minServiceTime() {
         return minServiceTime;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
@@ -1,10 +1,10 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Which further attempts and which final answers a request's idempotency permits. */
+/** Decides which attempts and which final answers the idempotency of a request permits. */
 final class RetryPolicy {
     private final Limits limits;
 
-    /** Subtracted from time spans that an upstream remembers keys for, microseconds. */
+    /** Subtracted from the time that upstreams remember keys for, microseconds. */
     private final long marginUs;
 
     RetryPolicy(Limits limits, long marginUs) {
@@ -12,7 +12,7 @@
         this.marginUs = marginUs;
     }
 
-    /** Whether an attempt at that upstream is permitted. */
+    /** Whether an attempt at that upstream is permitted now. */
     boolean maySend(RequestState request, UpstreamState upstream, long nowUs) {
         if (request.isEnded
                 || request.isStreaming
@@ -43,14 +43,14 @@
                         && nowUs - first.sentAtUs < requestClass.memorySpanUs() - marginUs);
     }
 
-    /** Whether one of two upstreams recognises the keys that the other has seen. */
+    /** Whether each of two upstreams recognises the keys that the other has seen. */
     private static boolean sharesMemory(Scope scope, Upstream a, Upstream b) {
         return scope == Scope.ALL
                 || (scope == Scope.ZONE && a.zone() == b.zone())
                 || (scope == Scope.CELL && a.cell() == b.cell());
     }
 
-    /** Whether a request may be rejected, which promises that a retry is harmless. */
+    /** Whether a request may be rejected, which tells the client that a retry does no harm. */
     static boolean mayReject(RequestState request) {
         RequestClass requestClass = request.requestClass;
         return requestClass.effect() == Effect.SAFE
--- a/src/main/java/myrtleladder/loadbalancer/policy/RuleFigures.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RuleFigures.java
@@ -1,15 +1,17 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * The figures of the rules that a balancer is judged by.
+ * Parameters of the rules that a balancer has to follow. Times are microseconds.
  *
- * @param answerSlackUs time after the deadline within which the final answer must be given
+ * @param answerSlackUs time after a request's deadline by which its final answer must be given
  * @param askWithinUs the setting {@code ask-within-s}; no decision depends on it
- * @param startCapacity share of its capacity that an upstream starts with
+ * @param startCapacity fraction of its capacity that an upstream has when it is launched
  * @param slowStartUs time from its launch until an upstream has its full capacity
- * @param drainGraceUs time after an upstream leaves in which requests may still be sent to it
- * @param overloadMultiple multiple of its capacity that a cold upstream bears
- * @param overloadWindowUs time span over which that is measured
+ * @param drainGraceUs time after an upstream begins to drain or leaves the list in which requests
+ *     may still be sent to it
+ * @param overloadMultiple multiple of its current capacity up to which an upstream in slow start
+ *     may be loaded
+ * @param overloadWindowUs time window over which that load is measured
  */
 public record RuleFigures(
         long answerSlackUs,
--- a/src/main/java/myrtleladder/loadbalancer/policy/Scope.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Scope.java
@@ -1,11 +1,14 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Which upstreams discard the repeat of a keyed request: all, those of one zone, or those of one
- * cell.
+ * Which upstreams recognise the idempotency key of a request that one of them has seen, and discard
+ * the repeat.
  */
 public enum Scope {
+    /** All upstreams. */
     ALL,
+    /** Upstreams of the same zone. */
     ZONE,
+    /** Upstreams of the same cell. */
     CELL
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
@@ -5,22 +5,22 @@
 /**
  * All settings of an instance.
  *
- * @param zone index of the own zone
+ * @param zone index of this balancer's zone
  * @param zones number of zones
  * @param position index of this balancer in its group
- * @param groupSize balancers in the group
- * @param classes classes of requests, by index
+ * @param groupSize number of balancers in the group
+ * @param classes request classes, by index
  * @param tenants tenants, by index
- * @param overShareFactor factor on the priority of requests beyond a tenant's share
- * @param worthByWork whether the value of an answer grows with its work
- * @param limits what the balancer may do
- * @param rules the figures of the rules
+ * @param overShareFactor factor on the priority of requests beyond a tenant's rate limit
+ * @param worthByWork whether the value of an answer is proportional to its work
+ * @param limits limits and permitted actions
+ * @param rules parameters of the rules
  * @param prices what actions cost
- * @param reports how load reports come
+ * @param reports where load reports come from
  * @param ratings what the ratings of upstreams mean
- * @param askForList whether changes of the endpoint list come only to subscribers
- * @param warmKeys whether an upstream serves a key cheaper that it has served before
- * @param tickUs granularity of timers; 0 if they are exact
+ * @param askForList whether changes of the endpoint list are sent to subscribers only
+ * @param warmKeys whether an upstream serves a key with less work if it has served it before
+ * @param tickUs granularity of timers, microseconds; 0 if they are exact
  */
 public record Settings(
         int zone,
--- a/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SettingsCheck.java
@@ -1,10 +1,14 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Checks settings before a module is built on them; it decides nothing. */
+/** Validates the settings of an instance. */
 public final class SettingsCheck {
     private SettingsCheck() {}
 
-    /** Refuses bad settings with the name that the setting has in the file. */
+    /**
+     * Checks that all settings are in range.
+     *
+     * @throws IllegalArgumentException if one is not; the message has its name in the settings file
+     */
     public static void check(Settings s) {
         require(!s.classes().isEmpty(), "classes");
         require(s.zones() >= 1, "localities");
@@ -48,8 +52,8 @@
         require(s.rules().askWithinUs() >= 0, "rules.ask-within-s");
     }
 
-    private static void require(boolean good, String field) {
-        if (!good) {
+    private static void require(boolean isValid, String field) {
+        if (!isValid) {
             throw new IllegalArgumentException("bad setting: " + field);
         }
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SlowStart.java
@@ -4,31 +4,32 @@
 import java.util.SplittableRandom;
 
 /**
- * Slow start: an upstream that was launched recently has a fraction of its capacity, and gets work
- * through a token bucket.
+ * Slow start: a recently launched upstream has a fraction of its capacity, and gets work through a
+ * token bucket.
  *
- * <p>A cold upstream takes {@link RuleFigures#fallMultiple} times its capacity at most. Our part
- * follows from what a warm one does for us: over all balancers this sums to the capacity, however
- * unevenly traffic is spread. Work that was sent and rejected does not count, or a storm of
- * rejections would swell the budget.
+ * <p>A cold upstream may be loaded with at most {@link RuleParameters#overloadMultiple} times its
+ * capacity. This balancer's part of that budget follows from the work that a warm upstream completes
+ * for it: summed over all balancers, this is the capacity, however unevenly traffic is spread. Only
+ * completed work counts. If rejected work counted, a burst of rejections would raise the budget.
  *
- * <p>Nobody sees what the others send at this moment, so chance must not break the budget either:
- * see {@link #budgetRate}. The bucket starts at random, and what is saved is forgotten unless used
- * soon: all balancers take to the same upstream when its reports show it idle, and would all have
- * saved for it. A mean request's budget lets any request go and an expensive one leaves a debt, or
- * those that can best bear a slow upstream would never go to one.
+ * <p>A balancer does not see what others are sending at the moment, so random coincidence must not
+ * exceed the budget either: see {@link #budgetRate}. The bucket starts at a random level, and tokens
+ * that are not used soon expire. Otherwise, when the reports of an upstream show it idle, all
+ * balancers would spend their saved tokens on it at once. Tokens for a mean request admit any
+ * request, and an expensive one leaves the bucket in debt. Otherwise expensive requests, which bear
+ * a slow upstream best, would never be sent to one.
  */
 final class SlowStart {
-    /** Standard deviations kept free of a cold upstream's budget. */
+    /** Safety margin of the budget of a cold upstream, in standard deviations. */
     private static final double KEPT_DEVIATIONS = 5;
 
-    /** Least bucket of a cold upstream, in mean requests. */
+    /** Minimum size of a token bucket, in mean requests. */
     private static final double LEAST_BUCKET = 1.2;
 
-    /** Smoothing of each period into the rates of work completed. */
+    /** Weight of each period in the smoothed rates of completed work. */
     private static final double RATE_SMOOTHING = 0.08;
 
-    /** Saved budget that is not used for so long is forgotten, microseconds. */
+    /** Time after which unused tokens expire, microseconds. */
     private static final long UNUSED_BUDGET_LIFETIME_US = 250_000;
 
     private final RuleFigures rules;
@@ -39,7 +40,7 @@
     private final SplittableRandom random;
     private long periodsWithRequests;
 
-    /** Work that a warm upstream of rating 1 completes for this balancer in a microsecond. */
+    /** Work that a warm upstream of rating 1 completes for this balancer per microsecond. */
     private double warmRate;
 
     SlowStart(
@@ -56,7 +57,7 @@
         this.random = random;
     }
 
-    /** Share of its full capacity that an upstream has, rising with its age to 1. */
+    /** Fraction of its full capacity that an upstream has; rises to 1 with its age. */
     double factor(UpstreamState upstream, long nowUs) {
         double ageUs = Math.max(0, nowUs - upstream.endpoint.launchedAtUs());
         return upstream.endpoint.launchedAtUs() <= 0 || ageUs >= rules.slowStartUs()
@@ -64,7 +65,7 @@
                 : rules.startCapacity() + (1 - rules.startCapacity()) * ageUs / rules.slowStartUs();
     }
 
-    /** Gives a newly listed upstream its first tokens; draws a random number. */
+    /** Sets the initial tokens of a newly listed upstream; draws a random number. */
     void fillFirst(UpstreamState upstream, long nowUs) {
         upstream.slowStartTokens = firstTokens();
         upstream.slowStartTokensAtUs = nowUs;
@@ -72,8 +73,8 @@
     }
 
     /**
-     * Whether an upstream is warm or its bucket has enough for a mean request. Fills the bucket,
-     * and draws a random number where unused budget is forgotten.
+     * Whether an upstream is warm or its bucket has the tokens for a mean request. Refills the
+     * bucket, and draws a random number if unused tokens expire.
      */
     boolean hasRoom(UpstreamState upstream, long nowUs) {
         double factor = factor(upstream, nowUs);
@@ -105,10 +106,10 @@
     }
 
     /**
-     * Work that we may send to a cold upstream in a microsecond. All balancers together send about
-     * at random; so many mean requests are aimed at that {@link #KEPT_DEVIATIONS} standard
-     * deviations more are within the budget. A fixed part of the budget is too much of a small one,
-     * and leaves most of a large one idle.
+     * Work per microsecond that this balancer may send to a cold upstream. The sends of all balancers
+     * together are about a Poisson process. The target is the number of mean requests at which
+     * {@link #MARGIN_DEVIATIONS} standard deviations more are still within the budget. A fixed
+     * fraction would be too much of a small budget and would leave most of a large one unused.
      */
     private double budgetRate(UpstreamState upstream, double factor) {
         double budget = rules.overloadMultiple() * factor * warmRate * upstream.rating;
@@ -120,17 +121,17 @@
     }
 
     /**
-     * Takes a request's work from the bucket. At least a mean request: those with hints small
-     * enough for the bucket cost more than they say.
+     * Takes a request's work from the bucket, and at least that of a mean request: requests with
+     * hints small enough for the bucket cost more than their hint.
      */
     void charge(UpstreamState upstream, RequestState request) {
         upstream.slowStartTokens -= Math.max(request.cost, statistics.meanCost());
     }
 
     /**
-     * Smooths the rates at the end of a period, the first ones as a plain mean since requests come:
-     * from nothing, it took a restarted balancer seconds to see what a warm upstream does, and cold
-     * ones got nothing meanwhile.
+     * Updates the smoothed rates of completed work at the end of a period. The first periods with
+     * requests are averaged with equal weight. With smoothing from zero, a restarted balancer took
+     * seconds to learn the rate of a warm upstream, and sent nothing to cold ones meanwhile.
      */
     void measureRates(List<UpstreamState> subset, long nowUs, long periodUs) {
         periodsWithRequests += statistics.hasRequests() ? 1 : 0;
--- a/src/main/java/myrtleladder/loadbalancer/policy/Tenant.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Tenant.java
@@ -1,4 +1,9 @@
 package myrtleladder.loadbalancer.policy;
 
-/** A tenant: its allowance in requests a second across all balancers, 0 for none stated. */
+/**
+ * A tenant.
+ *
+ * @param allowance rate limit in requests per second across all balancers; 0 for no limit
+ * @param share the setting {@code share}; no decision depends on it
+ */
 public record Tenant(double allowance, double share) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/TenantShares.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/TenantShares.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A token bucket of one second for this balancer's part of each tenant's allowance. What lies
- * beyond it only loses its place among queued requests: that part is a guess, since traffic is not
- * spread alike.
+ * Token buckets for this balancer's equal part of each tenant's rate limit; each holds the tokens of
+ * one second. A request beyond the limit is not rejected but only gets a lower priority, because the
+ * tenant's traffic may not be spread evenly over the balancers.
  */
 final class TenantShares {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -22,7 +22,10 @@
         this.tokensAtUs = new long[tenants.size()];
     }
 
-    /** Takes a token; whether there was one, or the tenant is unknown or has no allowance. */
+    /**
+     * Takes a token and returns whether there was one; always true for an unknown tenant or one
+     * without a rate limit.
+     */
     boolean tryTake(int tenant, long nowUs) {
         if (tenant < 0 || tenant >= tokensAtUs.length || tenants.get(tenant).allowance() <= 0) {
             return true;
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamEligibility.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamEligibility.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Whether an upstream may get a request at all, room for it apart. */
+/** Decides whether an upstream may get a request, regardless of its load. */
 final class UpstreamEligibility {
     private final RendezvousSubsetting subsetting;
     private final OutlierEjection ejection;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Whether an upstream may get the request. Asking fills the slow-start bucket of a cold
-     * upstream, so that the conditions keep their order.
+     * Whether an upstream may get the request. The order of the conditions matters, because the last
+     * one refills the slow-start token bucket of a cold upstream.
      */
     boolean isEligible(UpstreamState upstream, RequestState request, long nowUs, boolean isPanic) {
         return retryPolicy.maySend(request, upstream, nowUs)
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamState.java
@@ -5,40 +5,41 @@
 import java.util.Map;
 
 /**
- * What this balancer knows of one process of an upstream. A restart of the upstream gets a new
- * instance; attempts keep the instance that they were sent to, also after it has left the list.
+ * The state that this balancer keeps of one process of an upstream. A restart of the upstream creates
+ * a new instance. An attempt refers to the instance that it was sent to, even after the process has
+ * left the list.
  *
- * <p>Each group of fields has one writer, named at the group; everyone else only reads it. Confined
- * to the thread that calls the load balancer.
+ * <p>Each group of fields is written by the classes named in its comment and read by all. Confined to
+ * the thread that calls the load balancer.
  */
 final class UpstreamState extends UtilisationWeights.Weighted {
-    /** A time before all events: something that has never happened. */
+    /** A time before all events, for events that have never happened. */
     static final long NEVER_US = Long.MIN_VALUE / 2;
 
-    /** Bits of the upstream's hash that peers send to each other. */
+    /** Bits of the hash that are sent in peer messages. */
     private static final int HASH_MASK = 0xFFFFFF;
 
-    /** Least utilisation that is taken for a report; slight rounding below 0 is accepted. */
+    /** Minimum plausible utilisation; accepts values slightly below 0. */
     private static final double LEAST_UTILISATION = -0.5;
 
-    /** Greatest utilisation that is taken for a report; slight excess is clamped to 1. */
+    /** Maximum plausible utilisation; values above 1 are clamped to 1. */
     private static final double GREATEST_UTILISATION = 2;
 
     final String id;
 
-    /** The 24 bits by which peers name this upstream in their messages. */
+    /** The 24 bits that identify this upstream in peer messages. */
     final int hash;
 
-    /** This balancer's rank for the upstream; the lowest ranks are its subset. */
+    /** The rank of this upstream for this balancer; the lowest ranks are its subset. */
     final long subsetRank;
 
     // Written by UpstreamTable.
 
-    /** The upstream as the endpoint list has it. */
+    /** The upstream's entry in the endpoint list. */
     Upstream endpoint;
 
     /**
-     * Relative capacity from the list; 1 where ratings are not used or the rating is not above 0.
+     * Relative capacity from the list; 1 if ratings are not used or the rating is not positive.
      */
     double rating = 1;
 
@@ -54,12 +55,12 @@
     /** Attempts of this balancer that are in flight. */
     int inFlight;
 
-    /** Their work, in microseconds where hints are given. */
+    /** Their expected work, in the unit of {@link RequestState#cost}. */
     double workInFlight;
 
-    // Written by OutcomeRecorder and OnDemandProber: the load of other balancers.
+    // Load of other balancers. Written by OutcomeRecorder and OnDemandProber.
 
-    /** Requests that others had in flight at {@link #othersSeenAtUs}. */
+    /** Requests of other balancers that were in flight at {@link #otherBalancersSeenAtUs}. */
     double othersInFlight;
 
     long othersSeenAtUs = NEVER_US;
@@ -71,10 +72,10 @@
 
     // Written by PeerLoadExchange.
 
-    /** The last message of each peer by its position in the group. */
+    /** The load in the last message of each peer, by the peer's position in the group. */
     final Map<Integer, PeerLoad> peerLoads = new HashMap<>();
 
-    /** Positions of the peers that have this upstream in their subset; null until computed. */
+    /** Positions of the peers that have this upstream in their subset; null if not computed. */
     List<Integer> sharingPeers;
 
     // Written by ConcurrencyLimiter.
@@ -84,57 +85,63 @@
 
     long limitCutAtUs;
 
-    /** No attempt is sent before this time where an in-flight limit below 1 applies. */
+    /** No attempt is sent before this time because of an in-flight limit below 1. */
     long pausedUntilUs;
 
     /**
-     * Least service time seen lately: microseconds for each unit of hinted work, or microseconds of
-     * a request without a hint. 0 before the first answer.
+     * Minimum service time seen recently: microseconds per unit of hinted work, or microseconds of a
+     * request without a hint. 0 before the first answer.
      */
     double minServiceTime;
 
     long minServiceTimeAtUs;
 
-    // Written by OutcomeRecorder and OutlierEjection: health.
+    // Health. Written by OutcomeRecorder and OutlierEjection; RequestDispatcher also writes
+    // lastProgressAtUs.
 
     /** Smoothed answer time in microseconds; 0 before the first answer. */
     double answerTimeUs;
 
-    /** Smoothed answer time divided by the load at the send: the pace of this upstream's queue. */
+    /** Smoothed answer time divided by the load at the send: the delay that each request adds. */
     double paceUs;
 
-    /** Smoothed share of attempts that ended with an error or a reset, 0 to 1. */
+    /** Smoothed fraction of attempts that ended with an error or a reset, 0 to 1. */
     double errorRate;
 
-    /** When an answer last came, or when the upstream was sent a request while idle. */
+    /**
+     * Time of the last answer, error or reset, or of the last send while nothing was in flight if
+     * that is later.
+     */
     long lastProgressAtUs;
 
     long lastAnswerAtUs = NEVER_US;
     long ejectedUntilUs;
 
-    /** Duration of the next ejection; doubles with each until an answer comes. */
+    /** Duration of the next ejection; doubles with each one until the upstream answers. */
     long nextEjectionUs = OutlierEjection.FIRST_EJECTION_US;
 
     boolean isHanging;
 
     // Written by SlowStart.
 
-    /** Smoothed work that this upstream completes for this balancer in a microsecond. */
+    /** Smoothed work that this upstream completes for this balancer per microsecond. */
     double completedWorkRate;
 
-    /** Work completed in the current period; OutcomeRecorder adds to it. */
+    /** Work completed in the current period. OutcomeRecorder adds to it. */
     double completedWork;
 
-    /** Token bucket while warming up, in units of work; RequestDispatcher takes from it. */
+    /** Token bucket during slow start, in units of work; may be negative. */
     double slowStartTokens;
 
     long slowStartTokensAtUs;
 
-    /** Since when the bucket has held enough for a mean request. */
+    /** Time since which the bucket has had the tokens for a mean request. */
     long slowStartTokensUnusedSinceUs;
 
     /**
-     * Creates the state of a newly listed process, seen from a balancer's position in its group.
+     * Creates the state of a newly listed process.
+     *
+     * @param balancerPosition position of this balancer in its group
      */
     UpstreamState(String id, int balancerPosition) {
         this.id = id;
@@ -142,7 +149,7 @@
         this.subsetRank = rankFor(subsetSalt(balancerPosition));
     }
 
-    /** The salt by which the balancer at a position ranks upstreams. */
+    /** The salt with which the balancer at a position ranks upstreams. */
     static long subsetSalt(int balancerPosition) {
         return RendezvousHash.mix(balancerPosition + 1);
     }
@@ -152,7 +159,7 @@
         return RendezvousHash.combine(hash, salt);
     }
 
-    /** Takes in a load report, null if there is none; an implausible one is ignored. */
+    /** Stores a load report. Ignores null and implausible reports. */
     void acceptReport(LoadReport newReport, long nowUs) {
         if (newReport == null || !isPlausible(newReport.utilisation())) {
             return;
@@ -161,12 +168,12 @@
         reportedAtUs = nowUs;
     }
 
-    /** NaN is not plausible either. */
+    /** False for NaN. */
     private static boolean isPlausible(double utilisation) {
         return utilisation >= LEAST_UTILISATION && utilisation <= GREATEST_UTILISATION;
     }
 
-    /** Whether nothing has answered since it was last ejected. */
+    /** Whether it has not answered since it was last ejected. */
     boolean isUnprovenSinceEjection() {
         return nextEjectionUs > OutlierEjection.FIRST_EJECTION_US;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The upstreams that the endpoint list has as ready, with their state. */
+/** The state of the upstreams that are ready according to the endpoint list. */
 final class UpstreamTable {
     private final int balancerPosition;
     private final boolean usesRatings;
@@ -33,7 +33,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Takes in changes, or a complete list where {@code isComplete}. */
+    /** Applies changes of the endpoint list, or a complete list if {@code isComplete}. */
     void update(List<Upstream> entries, boolean isComplete, long nowUs) {
         if (isComplete) {
             byId.keySet().retainAll(entries.stream().map(Upstream::id).toList());
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A new process starts afresh but for the learnt weight: what the old one had in flight and
-     * what was known of it say nothing now. {@code previous} is null for a new upstream.
+     * Creates the state of a new process. It keeps only the weight of the previous process; load and
+     * health of that one do not apply to it. {@code previous} is null for a new upstream.
      */
     private UpstreamState create(Upstream entry, UpstreamState previous, long nowUs) {
         UpstreamState created = new UpstreamState(entry.id(), balancerPosition);
@@ -80,7 +80,7 @@
         }
     }
 
-    /** All upstreams in the order of this balancer's preference; not to be changed. */
+    /** All upstreams by their rank for this balancer; callers must not modify the list. */
     List<UpstreamState> ranked() {
         return ranked;
     }
@@ -93,7 +93,7 @@
         return ranked.isEmpty();
     }
 
-    /** The upstream with that name; null if it is not listed. */
+    /** The upstream with that identifier; null if it is not listed. */
     UpstreamState byId(String id) {
         return byId.get(id);
     }
@@ -103,7 +103,7 @@
         return byHash.get(hash);
     }
 
-    /** Whether this is still the state of a listed process. */
+    /** Whether this is the current state of a listed upstream, and not that of an earlier process. */
     boolean contains(UpstreamState upstream) {
         return byId.get(upstream.id) == upstream;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -4,38 +4,42 @@
 import java.util.SplittableRandom;
 
 /**
- * A load balancer whose weights follow the utilisation that upstreams report: in each period every
- * upstream is reweighted by its distance from the mean ({@link UtilisationWeights}), and a request
- * goes to an upstream in proportion to weight / (load + 1)^bias ({@link WeightedLeastLoadPicker}).
- * What goes beyond that is a factor on the weight or a filter before the pick, each in a class of
- * its own; this class creates them, hands events to them and runs the periodic work.
+ * A load balancer whose weights follow the utilisation that upstreams report. In each period every
+ * upstream is reweighted by the distance of its utilisation from the mean ({@link
+ * UtilisationWeights}), and requests are sent in proportion to weight / (load + 1)^bias ({@link
+ * WeightedLeastLoadPicker}). All other rules are factors on the weight or filters before the pick,
+ * each in its own class. This class creates them, passes events to them and runs the periodic work.
  *
- * <p>Random numbers come from one seeded source, so that equal events give equal decisions. Not
+ * <p>Random numbers come from one seeded generator, so that equal events give equal decisions. Not
  * safe for use by several threads at once, see {@link LoadBalancer}.
  */
 public final class UtilisationLoadBalancer implements LoadBalancer {
     /** The timer of the periodic work. */
     private static final String SWEEP_TIMER = "sweep";
 
-    /** Mean time between sweeps with requests queued, microseconds, jittered. */
+    /** Mean time between sweeps while requests are queued, microseconds. Jittered. */
     private static final long SWEEP_US = 10_000;
 
-    /** The same with none queued; timers cost CPU in large groups. */
+    /**
+     * Mean time between sweeps while none is queued, microseconds. Longer, since timers cost CPU in
+     * large groups.
+     */
     private static final long IDLE_SWEEP_US = 50_000;
 
-    /** Mean reweighting period, microseconds. Jittered: balancers drift apart. */
+    /** Mean reweighting period, microseconds. Jittered, so that balancers do not act together. */
     private static final long REWEIGHTING_PERIOD_US = 250_000;
 
     /**
-     * Chance that a sweep dispatches what is queued, where peers report their loads. Their reports
-     * are a network delay old: else all would take the same freed place at once.
+     * Probability that a sweep dispatches queued requests where peers report their loads. Reports
+     * arrive after a network delay. Without the random choice, all balancers would send to the same
+     * freed upstream at once.
      */
     private static final double DISPATCH_CHANCE = 0.25;
 
-    /** Ticks by which a final answer precedes the deadline, since ticks are coarse. */
+    /** Timer ticks by which a final answer precedes the deadline, because ticks are coarse. */
     private static final long MARGIN_TICKS = 3;
 
-    /** Least tick that the margin is computed with, microseconds. */
+    /** Minimum tick used to compute that margin, microseconds. */
     private static final long LEAST_TICK_US = 1_000;
 
     private final Settings settings;
@@ -62,7 +66,12 @@
     private long nextReweightAtUs;
     private long nextSweepAtUs;
 
-    /** Creates an instance; bad settings are rejected with the field's name. */
+    /**
+     * Creates an instance.
+     *
+     * @param seed seed of its random numbers
+     * @throws IllegalArgumentException if a setting is out of range; the message names it
+     */
     public UtilisationLoadBalancer(Settings settings, long seed, Actions actions) {
         SettingsCheck.check(settings);
         this.settings = settings;
@@ -122,7 +131,7 @@
                         actions);
     }
 
-    /** The pace at which the first queue would just meet the tightest latency target. */
+    /** The delay per request at which the initial queue just meets the tightest latency target. */
     private static double firstPaceUs(Settings settings) {
         return AdmissionControl.REPORTED_SHARE
                 * QueueingDelayTarget.tightestLatencyTargetUs(settings)
@@ -154,7 +163,8 @@
         RequestState state =
                 new RequestState(request, requestClass, statistics.nextSequence(), now);
         if (request.isRetry()) {
-            // Its target runs from the first attempt, and mostly a rejection lies behind it.
+            // The latency target counts from the first attempt, which most likely waited for a
+            // rejection.
             state.targetAtUs -= (long) statistics.waitBeforeRejectionUs(request.classIndex());
         }
         state.cost = expectedCost(request);
@@ -191,7 +201,7 @@
             return;
         }
         Attempt attempt = request.attempts.get(end.attempt());
-        // Of the process that it was sent to, which may have left the list.
+        // The report is of the process that got the attempt, which may have left the list.
         attempt.upstream.acceptReport(end.load(), now);
         if (attempt.isOutstanding) {
             dispatcher.recordEnd(request, attempt, end.outcome());
@@ -210,24 +220,24 @@
     }
 
     @Override
-    public void opened(long now, String request, int attempt) {
-        RequestState state = requests.get(request);
+    public void opened(long now, String requestId, int attemptIndex) {
+        RequestState state = requests.get(requestId);
         if (state != null) {
             state.isStreaming = true;
         }
     }
 
     @Override
-    public void clientGone(long now, String request) {
-        RequestState state = requests.get(request);
+    public void clientGone(long now, String requestId) {
+        RequestState state = requests.get(requestId);
         if (state != null && !state.isEnded) {
             requests.conclude(state);
         }
     }
 
     @Override
-    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {
-        UpstreamState state = upstreams.byId(upstream);
+    public void probed(long now, String upstreamId, Outcome outcome, LoadReport load) {
+        UpstreamState state = upstreams.byId(upstreamId);
         if (state != null && outcome == Outcome.OK) {
             state.acceptReport(load, now);
             onDemandProber.recordAnswer(state, load, now);
@@ -257,7 +267,7 @@
         peers.receive(from, body, now);
     }
 
-    /** Sends what is queued, unless answers to probes are awaited. */
+    /** Sends queued requests, unless it is waiting for answers to probes. */
     private void dispatch(long nowUs) {
         if (!queue.isEmpty() && nextSweepAtUs - nowUs > 2 * SWEEP_US) {
             sweepAfter(Jitter.around(random, SWEEP_US), nowUs);
@@ -272,7 +282,7 @@
         actions.timer(SWEEP_TIMER, delayUs);
     }
 
-    /** The periodic work. The order of its steps fixes the order of random numbers. */
+    /** The periodic work. The order of its steps determines the order of random numbers. */
     private void sweep(long nowUs) {
         sweepAfter(Jitter.around(random, queue.isEmpty() ? IDLE_SWEEP_US : SWEEP_US), nowUs);
         requests.finishDue(nowUs);
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationWeights.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationWeights.java
@@ -3,31 +3,34 @@
 import java.util.Collection;
 
 /**
- * The weights of upstreams: in each period those below the mean utilisation of the fresh figures
- * gain and those above it lose, in proportion to their distance from it; one without a fresh figure
- * takes the mean weight.
+ * Computes the weights of upstreams. In each period, the weight of an upstream below the mean
+ * utilisation rises and that of one above it falls, by the distance from the mean. An upstream
+ * without a fresh utilisation gets the mean weight.
  */
 public final class UtilisationWeights {
-    /** Change of the log weight in a period, for a distance of 1.0 from the mean. */
+    /** Change of the log weight in a period for a distance of 1 from the mean. */
     private static final double GAIN = 1;
 
-    /** Share of the log weight that is forgotten each period. */
+    /** Fraction by which the log weight decays in each period. */
     private static final double LEAK = 0.02;
 
-    /** Bound of the log weight; 4.5 times as many in flight either way. */
+    /**
+     * Maximum absolute log weight. At a bias of 4 this is equivalent to a factor of 4.5 on the
+     * requests in flight, up or down.
+     */
     private static final double GREATEST_LOG_WEIGHT = 6;
 
     private UtilisationWeights() {}
 
-    /** What is kept of one upstream. */
+    /** The weight and the utilisation of one upstream. */
     public static class Weighted {
-        /** The weight's natural logarithm. */
+        /** Natural logarithm of the weight. */
         public double logWeight;
 
-        /** The weight by which picks go. */
+        /** Picks are in proportion to this weight. */
         public double weight = 1;
 
-        /** The last figure, 0 to 1; NaN if there is no fresh one. */
+        /** Last utilisation, 0 to 1; NaN if there is no fresh one. */
         public double utilisation = Double.NaN;
 
         private boolean hasFreshUtilisation() {
@@ -35,7 +38,7 @@
         }
     }
 
-    /** Carries out one period. */
+    /** Updates the weights at the end of a period. */
     public static void update(Collection<? extends Weighted> upstreams) {
         double sum = 0;
         int fresh = 0;
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightUpdater.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightUpdater.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Updates the weights from the utilisation that upstreams last reported. */
+/** Updates the weights by the last reported utilisations. */
 final class WeightUpdater {
-    /** Age above which a report says nothing, microseconds. The mean weight applies then. */
+    /** Age above which a report is no longer fresh, microseconds. */
     private static final long REPORT_LIFETIME_US = 3_000_000;
 
     private final RequestStatistics statistics;
@@ -13,7 +13,7 @@
         this.statistics = statistics;
     }
 
-    /** Carries out one period. */
+    /** Updates weights and the mean minimum service time at the end of a period. */
     void update(List<UpstreamState> upstreams, long nowUs) {
         double minServiceTimes = 0;
         for (UpstreamState upstream : upstreams) {
@@ -24,7 +24,7 @@
         UtilisationWeights.update(upstreams);
     }
 
-    /** The reported utilisation from 0 to 1; NaN without a fresh report. */
+    /** The reported utilisation, clamped to 0 to 1; NaN without a fresh report. */
     private static double freshUtilisation(UpstreamState upstream, long nowUs) {
         if (nowUs - upstream.reportedAtUs > REPORT_LIFETIME_US) {
             return Double.NaN;
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
@@ -6,26 +6,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Picks an upstream at random in proportion to weight / (load + 1)^bias among a sample of the
- * subset. Preferences are stated in terms of load: one of 2 makes up for a queue twice as long.
+ * Picks an upstream at random, in proportion to weight / (load + 1)^bias, from a sample of the subset.
+ * Preferences are factors on the load: a preference of 2 compensates for twice the load.
  */
 final class WeightedLeastLoadPicker {
-    /** Exponent of load and preferences; a clearly shorter queue nearly always wins. */
+    /** Exponent of load and preferences. With 4, a clearly shorter queue is nearly always picked. */
     private static final double BIAS = 4;
 
-    /** Preference for the upstream of a request's key, where affinity saves work. */
+    /** Preference for the upstream of a request's key. */
     private static final double AFFINITY_PREFERENCE = 2.5;
 
-    /** Upstreams that a pick draws among. That of the key is always one of them. */
+    /** Candidates of a random pick. The upstream of the key is always one of them. */
     private static final int SAMPLE_SIZE = 12;
 
-    /** Preference for an upstream just back from ejection. */
+    /** Preference for an upstream that has not answered since its ejection. */
     private static final double UNPROVEN_PREFERENCE = 0.74;
 
-    /** The same for a request that cannot be retried. */
+    /** The same for a request that is not idempotent. */
     private static final double UNPROVEN_PREFERENCE_UNSAFE = 0.38;
 
-    /** Exponent of the share of attempts without an error. */
+    /** Exponent of the fraction of attempts without an error. */
     private static final double SUCCESS_EXPONENT = 2;
 
     private final RendezvousSubsetting subsetting;
@@ -53,12 +53,12 @@
         this.random = random;
     }
 
-    /** Picks an upstream that has room for the request now; null if there is none. */
+    /** Picks an upstream that has capacity for the request now; null if there is none. */
     UpstreamState pickWithRoom(RequestState request, long nowUs) {
         return pick(request, nowUs, true);
     }
 
-    /** Picks an upstream for a retry, which is not made to wait for room; null if there is none. */
+    /** Picks an upstream for a retry, which does not wait for capacity; null if there is none. */
     UpstreamState pickForRetry(RequestState request, long nowUs) {
         return pick(request, nowUs, false);
     }
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Leaves a random few, and the upstream of the key if it is among them. Drawn among all of a
-     * large fleet, the preference for it was one against dozens: its keys were served everywhere,
-     * and everywhere without a warm cache.
+     * Reduces the candidates to a random sample that includes the upstream of the key if it is a
+     * candidate. Without a sample, that upstream competes with dozens of others in a large fleet,
+     * so that a key is served everywhere and without a warm cache.
      */
     private void sample(List<UpstreamState> candidates, UpstreamState affinityUpstream) {
         if (candidates.size() <= SAMPLE_SIZE) {
--- a/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
@@ -1,8 +1,8 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Prefers upstreams of the own zone by what crossing to another one costs. */
+/** Prefers upstreams of the balancer's own zone, depending on the price of crossing zones. */
 final class ZonePreference {
-    /** Preference of the own zone for each point that crossing costs. */
+    /** Added to the preference for the own zone per point that crossing costs. */
     private static final double PREFERENCE_PER_POINT = 80;
 
     private final int zone;
@@ -13,7 +13,7 @@
         this.ownZoneFactor = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
     }
 
-    /** A factor on the weight: 1 in other zones, 1 or more in the own. */
+    /** The preference for an upstream: 1 in other zones, 1 or more in the own zone. */
     double factor(UpstreamState upstream) {
         return upstream.endpoint.zone() == zone ? ownZoneFactor : 1;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/package-info.java
@@ -1,39 +1,41 @@
 /**
- * Load-balancing decisions for proxies, without I/O, clocks or threads. {@link
+ * Load-balancing decisions for proxies, without I/O, clocks or threads of its own. {@link
  * myrtleladder.loadbalancer.policy.LoadBalancer} is the interface: events come in as method calls
  * with their time, decisions go out through its {@code Actions}. {@link
- * myrtleladder.loadbalancer.policy.UtilisationLoadBalancer} implements it and hands each event to
+ * myrtleladder.loadbalancer.policy.UtilisationLoadBalancer} implements it and passes each event to
  * the classes of this package.
  *
- * <h2>The way of a request</h2>
+ * <h2>Life cycle of a request</h2>
  *
  * <ol>
- *   <li>It arrives: {@code RequestState} is created with a cost and a priority ({@code
- *       TenantShares}), and {@code OpenRequests} puts it into the {@code RequestQueue} and the
- *       {@code DeadlineTimer}. {@code KeyAffinity} determines the upstream of its key.
- *   <li>Where loads are probed before a pick, {@code OnDemandProber} asks the subset first.
- *   <li>{@code RequestDispatcher} takes the queue in order of priority and has {@code
- *       WeightedLeastLoadPicker} pick an upstream for each. Candidates are the subset of {@code
- *       RendezvousSubsetting}, less what is excluded by {@code UpstreamEligibility} (after {@code
- *       RetryPolicy}, {@code OutlierEjection}, {@code OnDemandProber} and {@code SlowStart}) and by
- *       {@code AdmissionControl} (which asks {@code ConcurrencyLimiter} where the load of other
- *       balancers is not known).
+ *   <li>The request arrives. {@code RequestState} is created with a cost and a priority, which is
+ *       lower beyond the tenant's rate limit ({@code TenantTokenBuckets}). {@code OpenRequests}
+ *       adds it to the {@code RequestQueue} and the {@code DeadlineTimer}. {@code KeyAffinity}
+ *       determines the upstream of its key.
+ *   <li>If loads are probed before a pick, {@code OnDemandProber} probes the subset.
+ *   <li>{@code RequestDispatcher} goes through the queue in order of priority and has {@code
+ *       WeightedLeastLoadPicker} pick an upstream for each request. Candidates are the upstreams of
+ *       the subset ({@code RendezvousSubsetting}) that {@code UpstreamEligibility} and {@code
+ *       AdmissionControl} let through. Eligibility depends on {@code RetryPolicy}, {@code
+ *       OutlierEjection}, {@code OnDemandProber} and {@code SlowStart}; admission on the load, or
+ *       on {@code ConcurrencyLimiter} if the load of other balancers is unknown.
  *   <li>The attempt is sent, and {@code PeerLoadExchange} reports the upstream's load to the peers
  *       that share it.
- *   <li>Its end goes to {@code OutcomeRecorder}, which updates health, limits and {@code
- *       RequestStatistics}. An attempt that failed is followed by a retry, or by a final answer of
+ *   <li>When the attempt ends, {@code OutcomeRecorder} updates health, limits and {@code
+ *       RequestStatistics}. A failed attempt is followed by a retry, or by a final answer from
  *       {@code OpenRequests}.
- *   <li>A periodic sweep finishes what is close to its deadline, ejects hanging upstreams, sheds
- *       late requests, hedges ({@code HedgingPolicy}), updates the weights ({@code WeightUpdater}),
- *       renews the subscription ({@code EndpointSubscription}) and probes ({@code PeriodicProber}).
+ *   <li>A periodic sweep gives final answers to requests close to their deadlines, ejects hanging
+ *       upstreams, sheds late requests, hedges ({@code HedgingPolicy}), updates the weights ({@code
+ *       WeightUpdater}), renews the subscription ({@code EndpointSubscription}) and probes ({@code
+ *       PeriodicProber}).
  * </ol>
  *
- * <h2>Where the mechanism is from</h2>
+ * <h2>The algorithm</h2>
  *
- * <p>Weights follow utilisation by its distance from the mean ({@link
- * myrtleladder.loadbalancer.policy.UtilisationWeights}), and picks follow weight / (in-flight +
- * 1)^bias, as in weighted least-request balancing. The load balancer draws in that proportion; the
- * data plane takes the earliest deadline first ({@link
+ * <p>The weight of an upstream changes by the distance of its utilisation from the mean ({@link
+ * myrtleladder.loadbalancer.policy.UtilisationWeights}). Picks are in proportion to weight /
+ * (in-flight + 1)^bias, as in weighted least-request balancing. The load balancer draws at random
+ * in that proportion; the data plane uses earliest deadline first scheduling ({@link
  * myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler}). docs/system.md describes how
  * the data plane uses both.
  *
--- a/src/test/java/myrtleladder/loadbalancer/policy/CapacityFigures.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/CapacityFigures.java
@@ -6,31 +6,32 @@
 import java.util.function.Supplier;
 
 /**
- * Measures of state and time at several sizes, and the slope between them, for docs/CAPACITY.md.
+ * Measurements of memory and time at several sizes, and the cost of one more unit of size, for
+ * docs/CAPACITY.md.
  */
 public final class CapacityFigures {
     private static final int COLLECTIONS = 4;
     private static final double FEW = 1e-9;
 
-    /** One size and what was measured there. */
+    /** A size and the value measured at it. */
     private record Point(double size, double value) {}
 
     private final String name;
     private final String unit;
     private final List<Point> points = new ArrayList<>();
 
-    /** Names what is measured, and in what. */
+    /** Creates an empty series with the name and the unit of its values. */
     public CapacityFigures(String name, String unit) {
         this.name = name;
         this.unit = unit;
     }
 
-    /** Takes in one measure. */
+    /** Adds a measurement. */
     public void add(double size, double value) {
         points.add(new Point(size, value));
     }
 
-    /** The slope of the least squares: what one more costs. */
+    /** Slope of the least-squares line: the cost of one more unit of size. */
     public double slope() {
         double sizes = points.stream().mapToDouble(Point::size).average().orElseThrow();
         double values = points.stream().mapToDouble(Point::value).average().orElseThrow();
@@ -43,7 +44,7 @@
         return above / Math.max(below, FEW);
     }
 
-    /** Prints a line of the page's table. */
+    /** Prints a row of the table in docs/CAPACITY.md. */
     public void print() {
         StringBuilder line = new StringBuilder("capacity | " + name + " | ");
         for (Point p : points) {
@@ -53,7 +54,7 @@
                 line + unit + " | slope " + String.format(Locale.ROOT, "%.4f", slope()) + " |");
     }
 
-    /** Bytes of heap that stay when all else is collected, for what is made and kept meanwhile. */
+    /** Heap in bytes that an object occupies, measured after garbage collections. */
     public static long held(Supplier<Object> made) {
         long before = used();
         Object kept = made.get();
--- a/src/test/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiterTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiterTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The in-flight limit follows the waiting seen in answers. */
+/** The in-flight limit depends on the queueing delay of answers. */
 class ConcurrencyLimiterTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * A limit under 1 counted as 1: 14 balancers went on sending a full upstream 14 requests at a
-     * time.
+     * Guards against rounding an in-flight limit below 1 up to 1: 14 balancers then kept sending 14
+     * requests at a time to a full upstream.
      */
     @ParameterizedTest(name = "{0} balancers")
     @CsvSource({"1, 0", "14, 100"})
@@ -44,7 +44,7 @@
         for (int i = 0; i < 8; i++) {
             String slow = host.request(0, 2 * SECOND);
             for (int ms = 0; host.lastUpstream(slow) == null; ms++) {
-                assertTrue(ms < 2_000, "never sent");
+                assertTrue(ms < 2_000, "not sent within 2 s");
                 host.advance(MILLI);
             }
             long took = i == 0 ? 20 * MILLI : SECOND / 4;
@@ -59,7 +59,10 @@
         assertTrue(pause >= leastPauseMs && pause < 2_000, "paused for " + pause + " ms");
     }
 
-    /** It began as if it had seen waits, and after a restart left an idle fleet nearly unused. */
+    /**
+     * Guards against pauses before any queueing delay was seen: a restarted balancer left an idle
+     * fleet nearly unused.
+     */
     @Test
     void thereIsNoPauseBeforeAnyWaitWasSeen() {
         settings.groupSize(14);
--- a/src/test/java/myrtleladder/loadbalancer/policy/DeadlineTimerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DeadlineTimerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Final answers are given before deadlines. */
+/** Final answers are given before the deadline. */
 class DeadlineTimerTest {
     private static final long MILLI = SimulatedHost.MILLI;
     private final SettingsBuilder settings = new SettingsBuilder();
@@ -19,7 +19,10 @@
         assertEquals(1, host.rejected.size());
     }
 
-    /** Baseline incidents idf3e8b, if6c2b8, i4f07b8: the sweep was coarser than the slack. */
+    /**
+     * Guards against answers after the deadline because the sweep is coarser than the permitted slack
+     * (incidents idf3e8b, if6c2b8 and i4f07b8).
+     */
     @Test
     void queuedRequestIsAnsweredBeforeDeadlineWhateverTheSweep() {
         settings.tickUs(MILLI);
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionCompatibilityTest.java
@@ -8,11 +8,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Pins every decision of the module, bit by bit: each action that it calls, in order, with all
- * arguments, in scenarios that a seed determines. A change of structure or names must leave them as
- * they are, down to the last rounding and draw of a random number; whoever changes a rule changes
- * these files on purpose and says so. The logs are of the 64-bit x86 platform: {@code Math.exp} and
- * {@code Math.pow} may differ on others.
+ * Compares every action of the decision module, in order and with all arguments, with recorded files.
+ * A seed determines the scenarios. Refactoring must not change any action, rounding or random number.
+ * A change of the decision rules must update the recorded files deliberately and say so. They were
+ * recorded on 64-bit x86: {@code Math.exp} and {@code Math.pow} may differ on other platforms.
  */
 class DecisionCompatibilityTest {
     private static final int SHORT = 400;
@@ -26,7 +25,7 @@
                 DecisionScenario.play(variant, 1, SHORT).log.toString());
     }
 
-    /** One line each: variant, seed, SHA-256 of the log, and how often each action was called. */
+    /** Each line has the variant, the seed, the SHA-256 of the log and the count of each action. */
     @Test
     void longScenariosHaveTheSameDigests() throws Exception {
         StringBuilder lines = new StringBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionModuleTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionModuleTest.java
@@ -21,9 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What makes the decision module one module: the deploy file names its files and nothing else, and
- * nothing in it does I/O, reads a clock or starts a thread. The limits on its lines that stood here
- * before were lifted; width of lines is the formatter's.
+ * The deploy file lists exactly the files of the decision module, and no class of the module does I/O,
+ * reads a clock or starts a thread.
  */
 class DecisionModuleTest {
     private static final String PACKAGE = "myrtleladder.loadbalancer.policy";
@@ -95,7 +94,7 @@
         NO_CLOCK.check(classes(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS));
     }
 
-    /** This test itself does I/O, so the rule finds it among the tests. */
+    /** Shows that the I/O rule detects a violation: this test class itself does I/O. */
     @Test
     void theRuleOnIoFindsAnOffender() {
         assertThrows(
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
@@ -13,9 +13,10 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * A group of balancers before simulated upstreams, wholly determined by a variant of the settings
- * and a seed. Upstreams slow down, fail, hang, reject, drain, restart and go; clients leave, peers
- * talk, lists fail.
+ * Simulates a group of balancers and their upstreams. A variant of the settings and a seed determine
+ * everything. Upstreams slow down, fail, hang, reject requests, drain, restart and stop; clients
+ * disconnect, peers exchange messages, and calls to service discovery fail. The names of variants and
+ * of logged actions occur in recorded files.
  */
 final class DecisionScenario {
     /** The variants of settings. */
@@ -24,23 +25,23 @@
                     "alone", "reports", "probing", "peers", "tenants", "streams", "many", "hedges",
                     "asking");
 
-    /** Upstreams, where they are not 16. */
+    /** Number of upstreams of variants in which it is not 16. */
     private static final Map<String, Integer> SIZES =
             Map.of("peers", 30, "alone", 6, "many", 30, "hedges", 6, "asking", 8);
 
-    /** Variants with one balancer in place of three. */
+    /** Variants with one balancer instead of three. */
     private static final Set<String> ALONE = Set.of("alone", "tenants", "hedges");
 
-    /** What balancers are told of the size of their group, where it is not the true one. */
+    /** Configured group size of variants in which it differs from the number of balancers. */
     private static final Map<String, Integer> STATED = Map.of("many", 16, "asking", 64);
 
     private static final long MILLI = 1_000;
     private static final long SECOND = 1_000_000;
 
-    /** Every action called, a line each. */
+    /** All actions, one line each: time, position of the balancer, name and arguments. */
     final StringBuilder log = new StringBuilder();
 
-    /** How often each action was called. */
+    /** Number of calls of each action. */
     final Map<String, Integer> counts = new TreeMap<>();
 
     private final String variant;
@@ -67,6 +68,11 @@
         State state = State.READY;
         long launchedAt;
         int running;
+
+        /**
+         * How it misbehaves: 0 not at all, 1 is slow, 2 fails connections, 3 hangs, 4 rejects, 5
+         * returns errors.
+         */
         int mode;
 
         Machine(int index) {
@@ -75,7 +81,7 @@
         }
     }
 
-    /** One balancer of the group with what it has been asked to do. */
+    /** One balancer of the group, and the state of the actions that it called. */
     private final class Instance implements LoadBalancer.Actions {
         final int position;
         final Map<String, Integer> attempts = new HashMap<>();
@@ -287,7 +293,10 @@
         return VARIANTS;
     }
 
-    /** Plays a variant with a seed until so many events have been handed to the balancers. */
+    /**
+     * Runs a variant with a seed until the balancers have been passed {@code minEvents} events or a few
+     * more.
+     */
     static DecisionScenario play(String variant, long seed, int length) {
         DecisionScenario scenario = new DecisionScenario(variant, seed);
         scenario.run(seed, length);
@@ -437,7 +446,7 @@
                 m.mode == 5 ? 20 : 0);
     }
 
-    /** A client's request; the rate swings from calm to more than the upstreams can serve. */
+    /** Sends a request; the rate alternates between low and more than the upstreams can serve. */
     private void arrive() {
         Instance at = group.get(random.nextInt(group.size()));
         String id = "r" + requests++;
@@ -445,7 +454,7 @@
         String key = random.nextInt(3) == 0 ? "k" + random.nextInt(12) : null;
         long work = random.nextInt(4) == 0 ? 0 : 5 * MILLI + random.nextLong(40 * MILLI);
         long left = random.nextInt(10) == 0 ? 60 * MILLI : 2 * SECOND;
-        Request request =
+        Request newRequest =
                 new Request(
                         id,
                         cls,
@@ -455,9 +464,9 @@
                         left,
                         random.nextInt(5) == 0,
                         random.nextInt(20) == 0);
-        at.open.put(id, request);
+        at.open.put(id, newRequest);
         count();
-        at.balancer.request(now, request);
+        at.balancer.request(now, newRequest);
         if (random.nextInt(25) == 0) {
             after(
                     1 + random.nextLong(300 * MILLI),
@@ -472,7 +481,8 @@
     }
 
     /**
-     * Something happens to a machine, and as a rule the balancers hear of it from the list, late.
+     * Changes the state of a random upstream. Balancers are notified of changes in the endpoint list
+     * after a random delay.
      */
     private void disturb() {
         Machine m = machines.get(random.nextInt(machines.size()));
--- a/src/test/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstSchedulerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstSchedulerTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Weights follow utilisation by its distance from the mean; picks follow weight / (in-flight +
- * 1)^bias.
+ * Weights change by the distance of the utilisation from the mean. Picks are in proportion to weight /
+ * (in-flight + 1)^bias.
  */
 class EarliestDeadlineFirstSchedulerTest {
     private static final class Up extends EarliestDeadlineFirstScheduler.Candidate {
--- a/src/test/java/myrtleladder/loadbalancer/policy/EndpointSubscriptionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/EndpointSubscriptionTest.java
@@ -7,29 +7,30 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** The subscription to the endpoint list and its backoff. */
+/** The subscription to the endpoint list is retried with backoff. */
 class EndpointSubscriptionTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
     private final SettingsBuilder settings = new SettingsBuilder();
 
-    /** The module looks at what is due so often when it holds nothing. */
+    /** Maximum time between sweeps with no request queued. */
     private static final long IDLE_SWEEP_US = 75 * SimulatedHost.MILLI;
 
     @Test
     void subscriptionIsAskedForWhereTheListMustBeAsked() {
         settings.askForList(true);
         SimulatedHost host = SimulatedHost.of(settings);
-        assertTrue(host.actions.contains(host.nowUs + " watch true"));
+        assertTrue(host.actions.contains(host.nowUs + " subscribe true"));
         host.balancer.upstreams(host.nowUs, ListKind.UNAVAILABLE, List.of());
         host.advance(5 * SECOND);
-        assertTrue(host.actions.stream().filter(d -> d.endsWith("watch true")).count() >= 2);
+        assertTrue(host.actions.stream().filter(d -> d.endsWith("subscribe true")).count() >= 2);
         settings.askForList(false);
         assertTrue(SimulatedHost.of(settings).actions.isEmpty());
     }
 
     /**
-     * A whole fleet went on calling an overbooked discovery at one pace, however long it failed.
+     * Guards against retries at a constant rate: a whole fleet kept calling an overloaded service
+     * discovery, however long it failed.
      */
     @Test
     void failedSubscriptionIsRetriedWithBackoffUntilListComes() {
@@ -43,8 +44,8 @@
         }
         double mean = grown.stream().mapToLong(p -> p).average().orElseThrow();
         assertTrue(mean > 1.5 * SECOND, "in the end after " + grown);
-        // What discovery has to tell counts as told after 6 s: two calls have to fit, one of which
-        // may fail.
+        // Balancers must know a change within 6 s, which has to leave time for two calls, one of
+        // which may fail.
         assertTrue(
                 grown.stream().allMatch(p -> p <= 3 * SECOND + IDLE_SWEEP_US),
                 "in the end after " + grown);
@@ -52,13 +53,13 @@
         assertTrue(pauseAfterFailure(host) <= 2 * SECOND);
     }
 
-    /** How long after a failure the list is asked for again. */
+    /** Time from a failed call to the next subscription, microseconds. */
     private static long pauseAfterFailure(SimulatedHost host) {
         long failed = host.nowUs;
         host.actions.clear();
         host.balancer.upstreams(host.nowUs, ListKind.UNAVAILABLE, List.of());
-        while (host.actions.stream().noneMatch(line -> line.endsWith("watch true"))) {
-            assertTrue(host.nowUs - failed < 60 * SECOND, "never asked again");
+        while (host.actions.stream().noneMatch(line -> line.endsWith("subscribe true"))) {
+            assertTrue(host.nowUs - failed < 60 * SECOND, "no retry within 60 s");
             host.advance(10 * MILLI);
         }
         return host.nowUs - failed;
--- a/src/test/java/myrtleladder/loadbalancer/policy/Golden.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/Golden.java
@@ -16,16 +16,16 @@
 import java.util.TreeMap;
 
 /**
- * Compares texts with the golden files under {@code src/test/resources/compatibility}. What differs
- * is left under {@code target/compatibility}, so that it can be compared by eye; nothing ever
- * rewrites a golden file.
+ * Compares texts with the golden files under {@code src/test/resources/compatibility}. A text that
+ * differs is written to {@code target/compatibility} for manual comparison. Golden files are never
+ * updated automatically.
  */
 public final class Golden {
     private static final Path ACTUAL = Path.of("target", "compatibility");
 
     private Golden() {}
 
-    /** Fails unless there is such a golden file and the text is exactly the same. */
+    /** Fails unless the golden file exists and is equal to the text. */
     public static void assertMatches(String name, String actual) throws IOException {
         String golden = find(name);
         if (!actual.equals(golden)) {
@@ -33,13 +33,13 @@
             Files.createDirectories(file.getParent());
             Files.writeString(file, actual);
         }
-        assertEquals(golden, actual, name + " differs; the present text is under " + ACTUAL);
+        assertEquals(golden, actual, name + " differs from the golden file; the actual text is in " + ACTUAL);
     }
 
-    /** The text of a golden file, which has to be there. */
+    /** The text of a golden file; fails if it does not exist. */
     public static String read(String name) throws IOException {
         String text = find(name);
-        assertNotNull(text, "there is no golden file " + name);
+        assertNotNull(text, "missing golden file " + name);
         return text;
     }
 
@@ -50,8 +50,8 @@
     }
 
     /**
-     * A record as text by its values alone, so that a change of a name of ours does not show: enums
-     * by their place, records, lists and maps with what they hold.
+     * The values of a record as text without the names of Java identifiers, so that renaming does not
+     * change it: enum constants by ordinal; records, lists and maps by their contents.
      */
     public static String values(Object value) throws ReflectiveOperationException {
         if (value instanceof Enum<?> constant) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/HedgingPolicyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/HedgingPolicyTest.java
@@ -10,14 +10,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which requests are hedged, and how many. */
+/** Which requests are hedged, and how many of them. */
 class HedgingPolicyTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     /**
-     * The attempt at a vanished upstream was out until the deadline; no repeat was allowed then.
+     * Guards against detecting a vanished upstream too late: the attempt stayed outstanding until the
+     * deadline, when a repeat was no longer permitted.
      */
     @ParameterizedTest(name = "class {0} within {1} ms")
     @CsvSource({"0, 1000", "1, 700"})
@@ -31,12 +32,12 @@
         assertNotEquals("u0", host.lastUpstream(id));
         assertTrue(
                 host.actions.stream().noneMatch(line -> line.contains("cancel")),
-                "it may still answer");
+                "the first attempt may still be answered");
     }
 
     /**
-     * With answers of 400 ms and 1 s for repeats each slow one was sent twice, with no room to
-     * spare.
+     * Guards against hedging every slow request: with answer times of 400 ms and a key remembered for
+     * 1 s, each slow request was sent twice, although there was no spare capacity.
      */
     @Test
     void nothingIsHedgedWhereMemorySpanIsShortAgainstAnswerTimes() {
@@ -51,7 +52,7 @@
         assertEquals(1, host.sends.get(id).size());
     }
 
-    /** When many are slow at once, second copies of all of them only make it worse. */
+    /** If many requests are slow at once, hedging all of them only adds load. */
     @Test
     void hedgesAreBoundedByBudget() {
         settings.hedging(true);
@@ -68,7 +69,7 @@
         assertEquals(8 + 3, ids.stream().mapToInt(id -> host.sends.get(id).size()).sum());
     }
 
-    @ParameterizedTest(name = "class {0}, second copies {1}")
+    @ParameterizedTest(name = "class {0}, hedging {1}")
     @CsvSource({"0, false", "1, false", "2, false", "2, true"})
     void unsafeRequestsAreNeverHedgedNorAnyWhereHedgingIsOff(int cls, boolean secondCopies) {
         settings.hedging(secondCopies);
@@ -79,7 +80,7 @@
         assertEquals(1, host.sends.get(id).size());
     }
 
-    /** One that answers others is slow with this one, not silent. */
+    /** An upstream that answers other requests does not hang: it is only slow with this one. */
     @Test
     void attemptAtUpstreamThatAnswersOthersIsNotHedged() {
         settings.hedging(true);
@@ -93,7 +94,7 @@
             others += host.lastUpstream(other).equals("u0") ? 1 : 0;
             host.endAttempt(other, Outcome.OK, 5 * MILLI, SimulatedHost.report(0.5));
         }
-        assertTrue(others > 0, "u0 has answered " + others);
+        assertTrue(others > 0, "u0 answered " + others + " other requests");
         assertEquals(1, host.sends.get(id).size());
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/KeyAffinityTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Keys are served by one upstream where that saves work. */
+/** Requests with the same key go to the same upstream where that saves work. */
 class KeyAffinityTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * At 60 upstreams a key's home was one preference against dozens, and keys were cold
-     * everywhere.
+     * Guards against losing affinity in large fleets: with 60 upstreams, the one of the key competed
+     * with dozens of others, and keys were served everywhere without a warm cache.
      */
     @Test
     void keyKeepsItsUpstreamInLargeFleet() {
@@ -46,7 +46,7 @@
             host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
         }
         int most = host.sendsPerUpstream.values().stream().max(Integer::compare).orElse(0);
-        assertTrue(most > 240, "at its home " + most + " of 400");
+        assertTrue(most > 240, most + " of 400 requests at the upstream of the key");
     }
 
     @Test
--- a/src/test/java/myrtleladder/loadbalancer/policy/LogLines.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/LogLines.java
@@ -7,23 +7,23 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** The lines that a class logs meanwhile. */
+/** Captures the messages that a class logs through java.util.logging, until it is closed. */
 public final class LogLines extends Handler implements AutoCloseable {
     private static final int PATIENCE_S = 20;
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
     private final Logger logger;
 
-    /** Those of a class, from now on. */
+    /** Starts to capture the messages of a class. */
     public LogLines(Class<?> of) {
         logger = Logger.getLogger(of.getName());
         logger.addHandler(this);
     }
 
-    /** Waits for the next line. */
+    /** Waits for the next message; fails after 20 s. */
     public String next() throws InterruptedException {
         String line = lines.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (line == null) {
-            throw new AssertionError("nothing was logged");
+            throw new AssertionError("nothing was logged within " + PATIENCE_S + " s");
         }
         return line;
     }
--- a/src/test/java/myrtleladder/loadbalancer/policy/OnDemandProberTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/OnDemandProberTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Loads are probed before picks where probes are cheap. */
+/** Loads are probed before a pick where probes are cheap. */
 class OnDemandProberTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Incident ief6859: with the budget for probingHost spent, picks on old lines crowded all
-     * servers.
+     * Guards against picks by old load reports when the probe budget is spent: they overloaded all
+     * upstreams (incident ief6859).
      */
     @Test
     void nothingIsSentWithoutFreshLoadWhenProbeBudgetIsSpent() {
@@ -60,7 +60,7 @@
             host.request(0, 2 * SECOND);
             host.advance(20 * MILLI);
         }
-        assertTrue(host.probes.size() > 10, "asked " + host.probes.size());
+        assertTrue(host.probes.size() > 10, host.probes.size() + " probes");
         assertTrue(host.sends.isEmpty(), host.sends.toString());
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/OutlierEjectionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/OutlierEjectionTest.java
@@ -8,7 +8,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** Unhealthy upstreams are ejected, and come back. */
+/** Unhealthy upstreams are ejected, and are used again after their ejection. */
 class OutlierEjectionTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Standard day rough-2 of a deployment with deploys: a draining upstream looks idle and takes
-     * all.
+     * Guards against sending all requests to a draining upstream, which looks idle because it rejects
+     * them (seen on the standard day rough-2 of a deployment with rolling restarts).
      */
     @Test
     void upstreamThatRejectsWithShortQueueIsEjectedAsDraining() {
--- a/src/test/java/myrtleladder/loadbalancer/policy/PeerLoadExchangeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/PeerLoadExchangeTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Balancers report their in-flight to peers. */
+/** Balancers report their load in flight to peers. */
 class PeerLoadExchangeTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -19,8 +19,8 @@
         settings.peers(true);
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(40);
         host.serve(0, 20 * MILLI, upstream -> 0.5);
-        long told = host.actions.stream().filter(d -> d.contains(" tell ")).count();
-        assertTrue(told > 8 && told < 40 && told % 2 == 0, "told " + told);
+        long told = host.actions.stream().filter(d -> d.contains(" send-to-peer ")).count();
+        assertTrue(told > 8 && told < 40 && told % 2 == 0, told + " messages");
         settings.peers(false);
         SimulatedHost silent = SimulatedHost.of(settings).listUpstreams(40);
         silent.serve(0, 20 * MILLI, upstream -> 0.5);
--- a/src/test/java/myrtleladder/loadbalancer/policy/PeriodicProberTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/PeriodicProberTest.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import org.junit.jupiter.api.Test;
 
-/** Upstreams are probed in turn where reports come no other way. */
+/** Upstreams are probed in turn where load reports come by probe only. */
 class PeriodicProberTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private final SettingsBuilder settings = new SettingsBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RandomEventsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random legal event sequences against the independent checker, and the checker against planted
- * breaches.
+ * Runs random valid event sequences and checks the decisions with the independent {@link
+ * RuleChecker}.
  */
 class RandomEventsTest {
     private static final long SECOND = SimulatedHost.SECOND;
@@ -73,7 +73,7 @@
         host.checker.finish(host.nowUs);
         assertEquals(List.of(), host.checker.breaches);
         assertTrue(
-                served > (seed > 12 ? 150 : 200), "served " + served); // a subset is half the fleet
+                served > (seed > 12 ? 150 : 200), "served " + served); // a balancer in a group of 40 uses a subset
     }
 
     private static void gather(SimulatedHost host, SplittableRandom random, List<Out> out) {
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Answers the probes, now and then not at all, and plays peers that say anything, garbled too.
+     * Answers most probes, and sends a message from a random peer, which may be corrupted.
      */
     private static void gossip(SimulatedHost host, SplittableRandom random) {
         List<String> asked = List.copyOf(host.probes);
--- a/src/test/java/myrtleladder/loadbalancer/policy/RendezvousSubsettingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RendezvousSubsettingTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Subsets of upstreams in large groups of balancers. */
+/** In large groups, each balancer uses a subset of the upstreams. */
 class RendezvousSubsettingTest {
     private static final long MILLI = SimulatedHost.MILLI;
     private final SettingsBuilder settings = new SettingsBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/policy/RequestQueueTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RequestQueueTest.java
@@ -11,15 +11,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Queueing by priority, and load shedding. */
+/** The queue is ordered by priority, and late requests are shed. */
 class RequestQueueTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     /**
-     * A restarted balancer's first answers are slow by its own cold code. As long as they made up
-     * what a class was held to take, it refused all that it held, while upstreams stood idle.
+     * Guards against shedding while upstreams are idle: the first answers of a restarted balancer are
+     * slow because of its own cold code. While the typical answer time of a class consisted of
+     * these, the balancer rejected all queued requests.
      */
     @Test
     void firstSlowAnswersAreSoonForgottenInAnswerTimeOfClass() {
@@ -82,7 +83,7 @@
         }
     }
 
-    /** Refused at once and told nothing, clients came back into the same line. */
+    /** Guards against rejections without a retry-after: clients retried into the same queue. */
     @ParameterizedTest
     @CsvSource({"0, 0", "200, 200", "2500, 500"})
     void rejectionHasRetryAfterWherePermitted(int maxMs, int expectedMs) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/RetryPolicyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RetryPolicyTest.java
@@ -6,7 +6,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are sent again, by their idempotency. */
+/** Retries depend on the idempotency of the request. */
 class RetryPolicyTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -48,8 +48,8 @@
     }
 
     /**
-     * A restart between attempts does not lift rule 2: the earlier one may have run in the old
-     * process.
+     * A restart of the upstream between attempts does not permit more retries, because the earlier
+     * attempt may have run in the old process.
      */
     @Test
     void restartBetweenAttemptsKeepsKeyedRequestToItsZoneAndUnsafeOneUnsent() {
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -9,8 +9,16 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * The four rules, judged from outside on what was told and what was done; it shares no code with
- * the module.
+ * Checks the four rules that a balancer has to follow, by its events and actions. It shares no code with
+ * the decision module. Each violation begins with the number of its rule:
+ *
+ * <ol>
+ *   <li>each request gets one final answer in time, and no attempt after it;
+ *   <li>attempts and rejections respect the idempotency of the request, and only hedging may have
+ *       two attempts outstanding at once;
+ *   <li>nothing is sent to an upstream after its drain grace period;
+ *   <li>an upstream in slow start is not loaded beyond its budget.
+ * </ol>
  */
 final class RuleChecker {
     final List<String> breaches = new ArrayList<>();
@@ -33,7 +41,11 @@
         final List<Boolean> ran = new ArrayList<>();
     }
 
-    /** {@code warmWorkPerMicro}: the most that a warm upstream does in this test. */
+    /**
+     * Creates a checker.
+     *
+     * @param warmWorkPerMicro maximum work that a warm upstream completes per microsecond
+     */
     RuleChecker(Settings settings, double warmWorkPerMicro) {
         this.settings = settings;
         this.warmWorkPerMicro = warmWorkPerMicro;
@@ -69,14 +81,14 @@
         Case c = cases.get(id);
         Upstream u = listed.get(upstream);
         if (c.over) {
-            breaches.add("1: sent after the end " + id);
+            breaches.add("1: attempt sent after the final answer " + id);
         }
         if (!settings.limits().hedging() && c.out.contains(true)) {
-            breaches.add("2: two attempts at once " + id);
+            breaches.add("2: two outstanding attempts without hedging " + id);
         }
         int first = c.ran.indexOf(true);
         if (first >= 0 && c.cls.effect() == Effect.UNSAFE) {
-            breaches.add("2: unsafe request sent again " + id);
+            breaches.add("2: non-idempotent request sent again " + id);
         }
         if (first >= 0 && c.cls.effect() == Effect.KEYED) {
             Sent s = c.sent.get(first);
@@ -85,12 +97,12 @@
                             || (c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone())
                             || (c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell());
             if (!near || now - s.at > c.cls.memorySpanUs()) {
-                breaches.add("2: keyed request sent outside its group or time " + id);
+                breaches.add("2: keyed request repeated outside its deduplication scope or time " + id);
             }
         }
         Long closed = closedAt.get(upstream);
         if (closed != null && now - closed > settings.rules().drainGraceUs()) {
-            breaches.add("3: sent to a drained upstream " + upstream);
+            breaches.add("3: attempt sent to a drained upstream " + upstream);
         }
         cold(now, u, c.request.expectedWork());
         c.sent.add(new Sent(now, u));
@@ -116,7 +128,7 @@
                         * warmWorkPerMicro
                         * settings.rules().overloadWindowUs();
         if (window.stream().mapToLong(w -> w[1]).sum() > budget) {
-            breaches.add("4: cold upstream pushed over " + u.id());
+            breaches.add("4: cold upstream overloaded " + u.id());
         }
     }
 
@@ -135,7 +147,7 @@
         if (mayHaveRun
                 && (c.cls.effect() == Effect.UNSAFE
                         || (c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL))) {
-            breaches.add("2: refused though it may have run " + id);
+            breaches.add("2: rejected although it may have run " + id);
         }
         answered(now, id);
     }
@@ -168,7 +180,7 @@
 
     private void late(long now, String id, Case c) {
         if (now > c.deadline + settings.rules().answerSlackUs()) {
-            breaches.add("1: no answer in time " + id);
+            breaches.add("1: no final answer in time " + id);
         }
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleCheckerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleCheckerTest.java
@@ -7,7 +7,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** The checker of the rules finds planted breaches. */
+/** {@link RuleChecker} detects each kind of violation. */
 class RuleCheckerTest {
     private static final long SECOND = SimulatedHost.SECOND;
 
--- a/src/test/java/myrtleladder/loadbalancer/policy/SettingsBuilder.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SettingsBuilder.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds settings for tests; what is not set has a default. May be changed and built again. */
+/** Builds settings for tests, with defaults. May be changed and built again. */
 final class SettingsBuilder {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -123,7 +123,10 @@
         return this;
     }
 
-    /** Class 0 is safe, 1 keyed, 2 unsafe. */
+    /**
+     * Builds settings with one request class for each {@link Idempotency}: 0 idempotent, 1 idempotent
+     * by key, 2 not idempotent.
+     */
     Settings build() {
         List<RequestClass> classes = new ArrayList<>();
         for (Effect effect : Effect.values()) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/SettingsCheckTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SettingsCheckTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Bad settings are rejected. */
+/** Settings that are out of range are rejected. */
 class SettingsCheckTest {
     private final SettingsBuilder settings = new SettingsBuilder();
 
--- a/src/test/java/myrtleladder/loadbalancer/policy/SimulatedHost.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SimulatedHost.java
@@ -7,17 +7,19 @@
 import java.util.PriorityQueue;
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
-/** A host for one module in tests: keeps its clock and timers, and all that it did. */
+/**
+ * Runs one load balancer in tests: simulates its clock and its timers, and records its actions.
+ */
 class SimulatedHost implements LoadBalancer.Actions {
     static final long SECOND = 1_000_000;
     static final long MILLI = 1_000;
 
     private static final long DEFAULT_SEED = 7;
 
-    /** The clock, microseconds. */
+    /** The simulated time, microseconds. */
     long nowUs = 100 * SECOND;
 
-    /** Every action but timers, a line each: time, name, arguments. */
+    /** All actions except timers, one line each: time, name and arguments. */
     final List<String> actions = new ArrayList<>();
 
     final Map<String, List<String>> sends = new HashMap<>();
@@ -66,7 +68,7 @@
         balancer.upstreams(nowUs, ListKind.CHANGES, List.of(endpoint));
     }
 
-    /** Class 0 is safe, 1 keyed, 2 unsafe. */
+    /** Sends a request without a key; for classes see {@link SettingsBuilder#build}. */
     String request(int cls, long timeLeft) {
         return request(cls, timeLeft, null, 20 * MILLI);
     }
@@ -101,8 +103,8 @@
     }
 
     /**
-     * Sends a request, lets it be served after {@code took} with the upstream's utilisation; its
-     * upstream.
+     * Sends a request and answers it after {@code tookUs} with the upstream's utilisation. Returns
+     * the upstream, or null if the request was queued.
      */
     String serve(int cls, long took, java.util.function.ToDoubleFunction<String> utilisation) {
         String id = request(cls, 2 * SECOND);
@@ -120,14 +122,14 @@
                 utilisation, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    /** How many attempts were sent to an upstream. */
+    /** Number of attempts that were sent to an upstream. */
     int sendsTo(String upstream) {
         return sendsPerUpstream.getOrDefault(upstream, 0);
     }
 
     /**
-     * Serves 200 requests everywhere in 20 ms, then sends more until one goes to u0, which the test
-     * leaves unanswered.
+     * Answers 200 requests after 20 ms each, then sends more until one goes to u0. Returns that one,
+     * which is left unanswered.
      */
     String requestToFirstUpstream(int cls) {
         for (int i = 0; i < 200; i++) {
@@ -141,10 +143,10 @@
             advance(20 * MILLI);
             endAttempt(id, Outcome.OK, 20 * MILLI, report(0.5));
         }
-        throw new AssertionError("none went to u0");
+        throw new AssertionError("no request was sent to u0");
     }
 
-    /** Moves the clock, and calls each timer at its time. */
+    /** Advances the clock, and calls each timer when it expires. */
     void advance(long by) {
         long until = nowUs + by;
         while (!timers.isEmpty() && timers.peek().at <= until) {
@@ -167,7 +169,7 @@
 
     @Override
     public void refuse(String request, long retryAfter) {
-        actions.add(nowUs + " refuse " + request);
+        actions.add(nowUs + " reject " + request);
         rejected.add(request);
         retryAfterUs.add(retryAfter);
         if (checker != null) {
@@ -208,7 +210,7 @@
 
     @Override
     public void watch(boolean on) {
-        actions.add(nowUs + " watch " + on);
+        actions.add(nowUs + " subscribe " + on);
     }
 
     @Override
@@ -218,7 +220,7 @@
 
     @Override
     public void tell(int peer, byte[] body) {
-        actions.add(nowUs + " tell " + peer);
+        actions.add(nowUs + " send-to-peer " + peer);
         peerMessages.add(body);
     }
 
--- a/src/test/java/myrtleladder/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SlowStartTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cold upstreams get work, but not more than they bear. */
+/** Cold upstreams get work, but not more than their budget. */
 class SlowStartTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -40,7 +40,7 @@
                 host.sendsPerUpstream.toString());
     }
 
-    /** One request more; whatever is out 20 ms later is served then. */
+    /** Sends one request, and 20 ms later answers all outstanding requests. */
     private static void requestAndServeAll(
             SimulatedHost host, double utilisationOfFirst, double ofOthers) {
         host.request(0, 2 * SECOND);
@@ -57,9 +57,10 @@
     }
 
     /**
-     * What 14 balancers, up for some seconds, send each second to an upstream that has just
-     * started, in requests of equal work, each serving 50 a second on two warm ones. One that can
-     * do what those do may be sent 3 times 0.2 of it.
+     * The requests that 14 balancers send to a newly launched upstream in each second. The balancers
+     * have been running for some seconds, and each of them serves 50 requests of equal work per
+     * second on two warm upstreams. The budget of the new upstream begins at 3 times 0.2 of what a
+     * warm one serves.
      */
     private static List<Integer> sentToColdUpstream(
             SettingsBuilder settings, int before, int seconds) {
@@ -90,8 +91,8 @@
     }
 
     /**
-     * Each alone was so careful that the reports of 36 new upstreams stayed at 0.1, beside 24 at
-     * 0.9.
+     * Guards against budgets that are too small: 36 new upstreams stayed at a utilisation of 0.1,
+     * while 24 others were at 0.9.
      */
     @ParameterizedTest(name = "balancers up for {0} s")
     @ValueSource(ints = {1, 10})
@@ -106,9 +107,8 @@
     }
 
     /**
-     * The users' page puts down to chance what lies within N + 2 root N + 2 calls of all balancers
-     * together, in each window of the settings' length; N is what the settings allow at its
-     * beginning.
+     * The rule allows for random variation: N + 2 sqrt(N) + 2 calls of all balancers together in each
+     * window of the configured length, where N is the budget at the beginning of the window.
      */
     @ParameterizedTest(name = "{0} balancers, {1} a second each")
     @CsvSource({"20, 10", "20, 50", "30, 5", "30, 20"})
@@ -127,29 +127,32 @@
             }
             host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs));
         }
-        int[] sentAt = new int[100];
+        int[] sentByTenth = new int[100];
         for (SimulatedHost host : balancers) {
-            int before = host.sendsTo("u0");
+            int sentSoFar = host.sendsTo("u0");
             for (int i = 0; i < 10 * each; i++) {
                 requestAndServeAll(host, 0.1, 0.8);
                 host.advance(SECOND / each - 20 * MILLI);
-                int now = host.sendsTo("u0");
-                sentAt[i * 10 / each] += now - before;
-                before = now;
+                int sentNow = host.sendsTo("u0");
+                sentByTenth[i * 10 / each] += sentNow - sentSoFar;
+                sentSoFar = sentNow;
             }
         }
         double warm = group * each / 2.0;
-        for (int from = 0; from + 10 <= sentAt.length; from++) {
-            int inWindow = Arrays.stream(sentAt, from, from + 10).sum();
+        for (int from = 0; from + 10 <= sentByTenth.length; from++) {
+            int inWindow = Arrays.stream(sentByTenth, from, from + 10).sum();
             double n = 3 * warm * (0.2 + 0.8 * from / 200);
             assertTrue(
                     inWindow <= n + 2 * Math.sqrt(n) + 2, inWindow + " of " + n + " from " + from);
         }
-        int sent = Arrays.stream(sentAt).sum();
-        assertTrue(sent > warm / 4, sent + " sent, " + warm + " a second by a warm one");
+        int sent = Arrays.stream(sentByTenth).sum();
+        assertTrue(sent > warm / 4, sent + " sent; a warm upstream serves " + warm + " per second");
     }
 
-    /** The rate of work was smoothed from nothing: seconds went by with the cold ones idle. */
+    /**
+     * Guards against smoothing the rate of completed work from zero: cold upstreams then got nothing
+     * for seconds after a restart of the balancer.
+     */
     @Test
     void restartedBalancerSoonUsesColdUpstreams() {
         settings.groupSize(14);
@@ -171,13 +174,13 @@
                 host.endAttempt(id, Outcome.OK, 20 * MILLI, SimulatedHost.report(0.1));
             }
         }
-        int sent = host.sendsPerUpstream.values().stream().mapToInt(n -> n).sum();
+        int sent = host.sendsPerUpstream.values().stream().mapToInt(count -> count).sum();
         assertTrue(sent > 20, "sent " + sent);
     }
 
     /**
-     * A request dearer than the mean never had the budget, though it is the one that can bear to
-     * wait.
+     * Guards against a budget that never admits a request of more than the mean cost, although such
+     * requests tolerate a slow upstream best.
      */
     @Test
     void expensiveRequestMayGoToColdUpstream() {
@@ -195,8 +198,8 @@
     }
 
     /**
-     * Incident i618e92: small hints passed the bucket one by one, and their true work pushed the
-     * server over.
+     * Guards against charging only the work hint of a request: requests with small hints passed the
+     * token bucket, and their true work overloaded the upstream (incident i618e92).
      */
     @Test
     void coldUpstreamIsChargedMeanRequestForEachSmallHint() {
@@ -239,6 +242,6 @@
         int sent = host.sends.size();
         assertTrue(sent < 20);
         assertEquals(
-                20, host.rejected.size(), "all answered: none was served by this test's upstream");
+                20, host.rejected.size(), "the upstream answers none, so all must be rejected");
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/TenantSharesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/TenantSharesTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests beyond a tenant's share have a lower priority. */
+/** Requests beyond a tenant's rate limit get a lower priority. */
 class TenantSharesTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private final SettingsBuilder settings = new SettingsBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/policy/UpstreamTableTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UpstreamTableTest.java
@@ -7,7 +7,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** The endpoint list is applied at once. */
+/** Changes of the endpoint list take effect at once. */
 class UpstreamTableTest {
     private static final long MILLI = SimulatedHost.MILLI;
     private final SettingsBuilder settings = new SettingsBuilder();
--- a/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a decision and an upstream cost one of 440 balancers, from 100 upstreams to the target's
- * 6,300.
+ * Measures the time of a decision and the heap per upstream of one of 440 balancers, with 100 to 6,300
+ * upstreams.
  */
 @Tag("long")
 class UtilisationLoadBalancerCapacityTest {
@@ -23,7 +23,7 @@
     private static final int IN_FLIGHT = 32;
     private static final long BETWEEN = 4_000;
 
-    /** Takes note of where requests are sent, and nothing else. */
+    /** Records where requests are sent, and nothing else. */
     private static final class Sent extends SimulatedHost {
         final Deque<AttemptEnd> out = new ArrayDeque<>();
 
@@ -85,7 +85,7 @@
         CapacityFigures time = new CapacityFigures("module, a request with its outcome", "us");
         CapacityFigures heap = new CapacityFigures("module, heap", "KB");
         CapacityFigures list = new CapacityFigures("module, a change of one entry", "us");
-        serve(balancer(UPSTREAMS[0]), WARM_UP); // loads its classes
+        serve(balancer(UPSTREAMS[0]), WARM_UP); // loads the classes
         for (int upstreams : UPSTREAMS) {
             heap.add(upstreams, CapacityFigures.held(() -> balancer(upstreams)) / 1_024.0);
             Sent h = balancer(upstreams);
@@ -105,6 +105,6 @@
         time.print();
         heap.print();
         list.print();
-        assertTrue(heap.slope() < 4, "KB of heap for each upstream: " + heap.slope());
+        assertTrue(heap.slope() < 4, "heap per upstream in KB: " + heap.slope());
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Properties of the load balancer as a whole. */
+/** Properties of the load balancer that involve several of its classes. */
 class UtilisationLoadBalancerTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
--- a/src/test/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPickerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPickerTest.java
@@ -7,7 +7,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** Which upstreams picks go to: weights, load, ratings and zones. */
+/** Picks depend on weights, load, ratings and zones. */
 class WeightedLeastLoadPickerTest {
     private static final long SECOND = SimulatedHost.SECOND;
     private static final long MILLI = SimulatedHost.MILLI;
@@ -27,8 +27,7 @@
     }
 
     /**
-     * The answer of the process before a restart told its load, and the new one was held to be as
-     * busy.
+     * Guards against applying the load report of the process before a restart to the new process.
      */
     @Test
     void reportOfProcessBeforeRestartIsNotAppliedToNewProcess() {
