--- a/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ConcurrencyLimiter.java
@@ -9,19 +9,19 @@
     /**
      * Initial in-flight limit of an upstream over all balancers, in requests; gives a short queue.
      */
-    static final double FIRST_TOTAL = 3;
+    static final double INITIAL_TOTAL_LIMIT = 3;
 
     /** Minimum in-flight limit, in requests. */
-    private static final double LEAST_LIMIT = 0.05;
+    private static final double MIN_LIMIT = 0.05;
 
     /** Factor on the limit for a delay just above the target. */
-    private static final double SMALLEST_CUT = 0.8;
+    private static final double MAX_CUT_FACTOR = 0.8;
 
     /** Minimum factor on the limit for a delay above the target. */
-    private static final double DEEPEST_CUT = 0.4;
+    private static final double MIN_CUT_FACTOR = 0.4;
 
     /** Factor on the limit after a rejection, which shows that the queue is full. */
-    private static final double REJECTION_CUT = 0.7;
+    private static final double REJECTION_CUT_FACTOR = 0.7;
 
     /** Increase for each round trip without too long a delay, in requests. */
     private static final double INCREASE = 0.3;
@@ -43,8 +43,8 @@
     }
 
     /** The in-flight limit of a newly listed upstream. */
-    double firstLimit() {
-        return Math.max(1, FIRST_TOTAL / groupSize);
+    double initialLimit() {
+        return Math.max(1, INITIAL_TOTAL_LIMIT / groupSize);
     }
 
     /** Adjusts the limit to an answer. */
@@ -52,10 +52,10 @@
             UpstreamState upstream,
             RequestState request,
             Attempt attempt,
-            long tookUs,
+            long durationUs,
             long nowUs) {
-        double waitUs = waitOf(upstream, request, tookUs, nowUs);
-        adjust(upstream, attempt, waitUs, request.requestClass.latencyTargetUs(), nowUs);
+        double queueingDelayUs = queueingDelayUs(upstream, request, durationUs, nowUs);
+        adjust(upstream, attempt, queueingDelayUs, request.requestClass.latencyTargetUs(), nowUs);
     }
 
     /** Adjusts the limit to a missing answer: the request may still be queued or running there. */
@@ -63,31 +63,36 @@
             UpstreamState upstream,
             RequestState request,
             Attempt attempt,
-            long tookUs,
+            long durationUs,
             long nowUs) {
-        double waitUs = tookUs - ownServiceTimeUs(request, upstream.minServiceTime);
-        adjust(upstream, attempt, waitUs, request.requestClass.latencyTargetUs(), nowUs);
+        double queueingDelayUs = durationUs - ownServiceTimeUs(request, upstream.minServiceTime);
+        adjust(upstream, attempt, queueingDelayUs, request.requestClass.latencyTargetUs(), nowUs);
     }
 
     void recordRejection(UpstreamState upstream) {
         upstream.concurrencyLimit =
                 Math.max(
-                        LEAST_LIMIT,
-                        Math.min(upstream.concurrencyLimit, upstream.inFlight + 1) * REJECTION_CUT);
+                        MIN_LIMIT,
+                        Math.min(upstream.concurrencyLimit, upstream.inFlight + 1)
+                                * REJECTION_CUT_FACTOR);
     }
 
     private void adjust(
             UpstreamState upstream,
             Attempt attempt,
-            double waitUs,
+            double queueingDelayUs,
             long latencyTargetUs,
             long nowUs) {
-        double targetUs = delayTarget.share() * latencyTargetUs;
-        if (waitUs > targetUs) {
-            if (attempt.sentAtUs >= upstream.limitCutAtUs) {
-                double cut = Math.max(DEEPEST_CUT, Math.min(SMALLEST_CUT, targetUs / waitUs));
-                upstream.concurrencyLimit = Math.max(LEAST_LIMIT, upstream.concurrencyLimit * cut);
-                upstream.limitCutAtUs = nowUs;
+        double targetUs = delayTarget.latencyTargetFraction() * latencyTargetUs;
+        if (queueingDelayUs > targetUs) {
+            if (attempt.sentAtUs >= upstream.lastLimitCutAtUs) {
+                double cutFactor =
+                        Math.max(
+                                MIN_CUT_FACTOR,
+                                Math.min(MAX_CUT_FACTOR, targetUs / queueingDelayUs));
+                upstream.concurrencyLimit =
+                        Math.max(MIN_LIMIT, upstream.concurrencyLimit * cutFactor);
+                upstream.lastLimitCutAtUs = nowUs;
             }
         } else if (attempt.isAtLimit) {
             upstream.concurrencyLimit +=
@@ -100,19 +105,22 @@
      * reported service time is no substitute, because it rises with the load of an upstream that
      * slows down under load.
      */
-    private static double waitOf(
-            UpstreamState upstream, RequestState request, long tookUs, long nowUs) {
-        boolean hinted = request.hasWorkHint();
-        double reported = upstream.report == null ? Double.NaN : upstream.report.serviceTimeUs();
+    private static double queueingDelayUs(
+            UpstreamState upstream, RequestState request, long durationUs, long nowUs) {
+        boolean hasHint = request.hasWorkHint();
+        double reported =
+                upstream.loadReport == null ? Double.NaN : upstream.loadReport.serviceTimeUs();
         double sample =
-                hinted ? tookUs / request.cost : reported > 0 ? reported : upstream.answerTimeUs;
+                hasHint
+                        ? durationUs / request.cost
+                        : reported > 0 ? reported : upstream.answerTimeUs;
         double grown =
                 upstream.minServiceTime
                         * Math.exp((nowUs - upstream.minServiceTimeAtUs) * MIN_SERVICE_TIME_GROWTH);
         upstream.minServiceTime = upstream.minServiceTime == 0 ? sample : Math.min(sample, grown);
         upstream.minServiceTimeAtUs = nowUs;
-        return tookUs
-                - (hinted
+        return durationUs
+                - (hasHint
                         ? ownServiceTimeUs(request, upstream.minServiceTime)
                         : upstream.minServiceTime);
     }
@@ -123,27 +131,30 @@
     }
 
     /** Sends no further attempt to an upstream for a pause that depends on the last answer time. */
-    void pauseAfter(UpstreamState upstream, long tookUs, long nowUs) {
+    void pauseAfter(UpstreamState upstream, long durationUs, long nowUs) {
         upstream.pausedUntilUs =
-                Math.max(upstream.pausedUntilUs, nowUs + pauseUs(upstream, tookUs, nowUs));
+                Math.max(upstream.pausedUntilUs, nowUs + pauseUs(upstream, durationUs, nowUs));
     }
 
     /**
-     * The pause that enforces an in-flight limit below 1 on average. With many balancers, one request
-     * of each makes a long queue, so such a limit cannot be rounded up to 1. The limit is never
-     * below a short queue divided among all balancers. The answer time that counts is bounded,
-     * because the first answers of a starting balancer are slowed down by its own cold code.
+     * The pause that enforces an in-flight limit below 1 on average. With many balancers, one
+     * request of each makes a long queue, so such a limit cannot be rounded up to 1. The limit is
+     * never below a short queue divided among all balancers. The answer time that counts is
+     * bounded, because the first answers of a starting balancer are slowed down by its own cold
+     * code.
      */
-    private long pauseUs(UpstreamState upstream, long tookUs, long nowUs) {
+    private long pauseUs(UpstreamState upstream, long durationUs, long nowUs) {
         double limit =
                 Math.max(
-                        FIRST_TOTAL / groupSize,
-                        upstream.concurrencyLimit * slowStart.factor(upstream, nowUs));
+                        INITIAL_TOTAL_LIMIT / groupSize,
+                        upstream.concurrencyLimit * slowStart.capacityFraction(upstream, nowUs));
         if (limit >= 1) {
             return 0;
         }
         return (long)
-                (Math.min(tookUs, delayTarget.tightestUs() / delayTarget.share() / 2)
+                (Math.min(
+                                durationUs,
+                                delayTarget.tightestUs() / delayTarget.latencyTargetFraction() / 2)
                         * (1 / limit - 1));
     }
 
@@ -151,15 +162,17 @@
      * Whether one more request is within the limit, given the load of other balancers. Always false
      * during a pause.
      */
-    boolean hasRoom(UpstreamState upstream, double loadOfOthers, long nowUs) {
+    boolean hasCapacity(UpstreamState upstream, double otherBalancersLoad, long nowUs) {
         return nowUs >= upstream.pausedUntilUs
-                && upstream.inFlight + loadOfOthers + 1
+                && upstream.inFlight + otherBalancersLoad + 1
                         <= Math.max(
-                                1, upstream.concurrencyLimit * slowStart.factor(upstream, nowUs));
+                                1,
+                                upstream.concurrencyLimit
+                                        * slowStart.capacityFraction(upstream, nowUs));
     }
 
     /** Whether one more request would exceed the limit. */
-    static boolean isAtLimit(UpstreamState upstream, double loadOfOthers) {
-        return upstream.inFlight + loadOfOthers + 1 > upstream.concurrencyLimit;
+    static boolean isAtLimit(UpstreamState upstream, double otherBalancersLoad) {
+        return upstream.inFlight + otherBalancersLoad + 1 > upstream.concurrencyLimit;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/DeadlineTimer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/DeadlineTimer.java
@@ -31,7 +31,7 @@
     }
 
     /** Records that the timer has expired. */
-    void recordTimer(long nowUs) {
+    void recordTimerExpiry(long nowUs) {
         timerAtUs = nowUs >= timerAtUs ? Long.MAX_VALUE : timerAtUs;
     }
 
@@ -63,7 +63,7 @@
     private void setTimer(long atUs, long nowUs) {
         if (atUs < timerAtUs) {
             timerAtUs = atUs;
-            actions.timer(TIMER, atUs - nowUs);
+            actions.setTimer(TIMER, atUs - nowUs);
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Scope.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/DeduplicationScope.java
@@ -4,7 +4,7 @@
  * Which upstreams recognise the idempotency key of a request that one of them has seen, and discard
  * the repeat.
  */
-public enum Scope {
+public enum DeduplicationScope {
     /** All upstreams. */
     ALL,
     /** Upstreams of the same zone. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstScheduler.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/EarliestDeadlineFirstScheduler.java
@@ -3,11 +3,11 @@
 import java.util.Collection;
 
 /**
- * Weighted round-robin by earliest deadline first (EDF): picks in proportion to weight / (in-flight +
- * 1)^bias. The deadline of a candidate is that of its last pick plus the inverse of this value, and
- * the candidate with the earliest deadline is picked. One that was not available for a while is due
- * at once, but does not catch up on the picks that it missed. Not safe for use by several threads at
- * once.
+ * Weighted round-robin by earliest deadline first (EDF): picks in proportion to weight / (in-flight
+ * + 1)^bias. The deadline of a candidate is that of its last pick plus the inverse of this value,
+ * and the candidate with the earliest deadline is picked. One that was not available for a while is
+ * due at once, but does not catch up on the picks that it missed. Not safe for use by several
+ * threads at once.
  */
 public final class EarliestDeadlineFirstScheduler {
     private final double bias;
--- a/src/main/java/myrtleladder/loadbalancer/policy/ListKind.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/EndpointListKind.java
@@ -1,7 +1,7 @@
 package myrtleladder.loadbalancer.policy;
 
 /** What an event of service discovery contains. */
-public enum ListKind {
+public enum EndpointListKind {
     /** Only the entries that have changed. */
     CHANGES,
     /** The complete list. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/EndpointSubscription.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/EndpointSubscription.java
@@ -5,13 +5,13 @@
 /** Subscribes to the endpoint list, and retries with exponential backoff and jitter. */
 final class EndpointSubscription {
     /** Mean delay before the first retry, microseconds. */
-    private static final long FIRST_BACKOFF_US = 1_000_000;
+    private static final long INITIAL_BACKOFF_US = 1_000_000;
 
     /**
      * Maximum mean delay, microseconds. Endpoint changes have to be received within 6 s, which must
      * leave time for a retry.
      */
-    private static final long LONGEST_BACKOFF_US = 2_000_000;
+    private static final long MAX_BACKOFF_US = 2_000_000;
 
     private final boolean isEnabled;
     private final SplittableRandom random;
@@ -27,13 +27,13 @@
 
     void start() {
         if (isEnabled) {
-            actions.watch(true);
+            actions.setSubscribed(true);
         }
     }
 
     /** Records a failed call and schedules the next one; draws a random number. */
     void recordFailure(long nowUs) {
-        backoffUs = Math.min(LONGEST_BACKOFF_US, backoffUs == 0 ? FIRST_BACKOFF_US : 2 * backoffUs);
+        backoffUs = Math.min(MAX_BACKOFF_US, backoffUs == 0 ? INITIAL_BACKOFF_US : 2 * backoffUs);
         retryAtUs = nowUs + Jitter.around(random, backoffUs);
     }
 
@@ -45,7 +45,7 @@
     void retryIfDue(long nowUs) {
         if (isEnabled && nowUs >= retryAtUs) {
             retryAtUs = Long.MAX_VALUE;
-            actions.watch(true);
+            actions.setSubscribed(true);
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Effect.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Idempotency.java
@@ -1,11 +1,11 @@
 package myrtleladder.loadbalancer.policy;
 
 /** Idempotency of a request: whether it may run more than once. */
-public enum Effect {
+public enum Idempotency {
     /** May run any number of times at any upstream. */
-    SAFE,
+    IDEMPOTENT,
     /** Upstreams that share a {@link DeduplicationScope} discard a repeat with the same key. */
-    KEYED,
+    IDEMPOTENT_BY_KEY,
     /** Must not run twice. */
-    UNSAFE
+    NON_IDEMPOTENT
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/KeyAffinity.java
@@ -1,8 +1,8 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Assigns keys to upstreams by weighted rendezvous hashing among the upstreams that are not ejected,
- * so that every balancer chooses the same one.
+ * Assigns keys to upstreams by weighted rendezvous hashing among the upstreams that are not
+ * ejected, so that every balancer chooses the same one.
  */
 final class KeyAffinity {
     /** Weight of upstreams in the balancer's own zone where crossing zones costs. */
@@ -51,9 +51,9 @@
     private double score(String key, UpstreamState upstream) {
         long hash =
                 RendezvousHash.combine(key.hashCode(), RendezvousHash.mix(upstream.id.hashCode()));
-        double unit = RendezvousHash.toUnitInterval(hash);
+        double uniform = RendezvousHash.toUnitInterval(hash);
         return -upstream.rating
-                / Math.log(unit)
-                * (zones.factor(upstream) > 1 ? OWN_ZONE_FACTOR : 1);
+                / Math.log(uniform)
+                * (zones.preference(upstream) > 1 ? OWN_ZONE_FACTOR : 1);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Limits.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Limits.java
@@ -5,25 +5,25 @@
  *
  * @param maxAttempts maximum attempts of a request, including the first
  * @param hedging whether a request may have more than one outstanding attempt
- * @param probes whether upstreams may be probed
- * @param cancel whether outstanding attempts may be cancelled
- * @param peers whether balancers may send messages to each other
- * @param maxOpen maximum number of open requests; the decision module does not enforce it
+ * @param probing whether upstreams may be probed
+ * @param cancellation whether outstanding attempts may be cancelled
+ * @param peerMessages whether balancers may send messages to each other
+ * @param maxOpenRequests maximum number of open requests; the decision module does not enforce it
  * @param retryAfter whether rejections may carry a retry-after time
  * @param maxRetryAfterUs maximum retry-after time, microseconds
  * @param connectTimeoutUs time within which a connection must be established, microseconds
- * @param connectIdleUs time after which idle connections are closed, microseconds
+ * @param idleConnectionTimeoutUs time after which idle connections are closed, microseconds
  * @param streamsPerConnection requests that may share a connection at once
  */
 public record Limits(
         int maxAttempts,
         boolean hedging,
-        boolean probes,
-        boolean cancel,
-        boolean peers,
-        int maxOpen,
+        boolean probing,
+        boolean cancellation,
+        boolean peerMessages,
+        int maxOpenRequests,
         boolean retryAfter,
         long maxRetryAfterUs,
         long connectTimeoutUs,
-        long connectIdleUs,
+        long idleConnectionTimeoutUs,
         int streamsPerConnection) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadBalancer.java
@@ -17,31 +17,31 @@
     void start(long nowUs);
 
     /** Service discovery has delivered upstreams, or failed to; see {@link EndpointListKind}. */
-    void upstreams(long nowUs, ListKind kind, List<Upstream> entries);
+    void onEndpointList(long nowUs, EndpointListKind kind, List<Upstream> entries);
 
     /** A client's request has arrived. The balancer has to give it one final answer. */
-    void request(long nowUs, Request request);
+    void onRequest(long nowUs, Request request);
 
     /** An attempt has ended. */
-    void outcome(long nowUs, AttemptEnd end);
+    void onAttemptEnd(long nowUs, AttemptEnd end);
 
     /**
      * A streamed answer has begun. The request's attempts are neither cancelled nor retried from
      * now on.
      */
-    void opened(long nowUs, String requestId, int attemptIndex);
+    void onStreamOpened(long nowUs, String requestId, int attemptIndex);
 
     /** The client has disconnected: the request no longer needs a final answer. */
-    void clientGone(long nowUs, String requestId);
+    void onClientDisconnected(long nowUs, String requestId);
 
     /** A probe has ended; {@code load} is null if there was no load report. */
-    void probed(long nowUs, String upstreamId, Outcome outcome, LoadReport load);
+    void onProbeResult(long nowUs, String upstreamId, Outcome outcome, LoadReport load);
 
     /** A timer that was set through {@link Actions#setTimer} has expired. */
-    void timer(long nowUs, String token);
+    void onTimer(long nowUs, String token);
 
     /** A message from another balancer of the group, by its position in the group. */
-    void peerMessage(long nowUs, int from, byte[] body);
+    void onPeerMessage(long nowUs, int from, byte[] body);
 
     /** Executes the decisions. Each call takes effect at the time of the event being handled. */
     interface Actions {
@@ -52,31 +52,31 @@
          * Gives the final answer that the request was rejected and that a retry does no harm. A
          * {@code retryAfterUs} of 0 gives no retry-after time.
          */
-        void refuse(String requestId, long retryAfterUs);
+        void reject(String requestId, long retryAfterUs);
 
         /** Gives the final answer that the request has failed; it may have run. */
         void fail(String requestId);
 
         /** Cancels an outstanding attempt. */
-        void cancel(String requestId, int attemptIndex);
+        void cancelAttempt(String requestId, int attemptIndex);
 
         /** Asks for a call of {@link LoadBalancer#onTimer} after a delay. */
-        void timer(String token, long delayUs);
+        void setTimer(String token, long delayUs);
 
         /** Asks an upstream for its load. */
         void probe(String upstreamId);
 
         /** Closes idle connections to an upstream. */
-        void closeIdle(String upstreamId);
+        void closeIdleConnections(String upstreamId);
 
         /** Subscribes to changes of the endpoint list, or cancels the subscription. */
-        void watch(boolean isSubscribed);
+        void setSubscribed(boolean isSubscribed);
 
         /** Asks for the complete endpoint list once. */
-        void fetch();
+        void fetchEndpointList();
 
         /** Sends a message to one peer, or to all peers if {@code peer} is negative. */
-        void tell(int peer, byte[] body);
+        void sendToPeer(int peer, byte[] body);
 
         /** Writes a line to the log for operators. */
         void log(String text);
--- a/src/main/java/myrtleladder/loadbalancer/policy/LoadEstimator.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadEstimator.java
@@ -9,11 +9,12 @@
 
     LoadEstimator(RequestStatistics statistics, QueueingDelayTarget delayTarget) {
         this.statistics = statistics;
-        this.peerLoadLifetimeUs = 2 * delayTarget.tightestUs() / delayTarget.share();
+        this.peerLoadLifetimeUs =
+                2 * delayTarget.tightestUs() / delayTarget.latencyTargetFraction();
     }
 
     /** The cost of a request, in mean requests; 1 without a work hint. */
-    double sizeOf(RequestState request) {
+    double relativeCost(RequestState request) {
         return request.hasWorkHint() ? request.cost / Math.max(statistics.meanCost(), 1) : 1;
     }
 
@@ -22,19 +23,21 @@
      * cost in mean requests, because one expensive request delays many others.
      */
     double ownLoad(UpstreamState upstream) {
-        double size = Math.max(0, upstream.workInFlight) / Math.max(statistics.meanCost(), 1);
-        return (upstream.inFlight + size) / 2;
+        double meanRequests =
+                Math.max(0, upstream.workInFlight) / Math.max(statistics.meanCost(), 1);
+        return (upstream.inFlight + meanRequests) / 2;
     }
 
     /**
-     * The load of the other balancers, by their messages or by the last observation, which decreases
-     * with time as the upstream works through its queue.
+     * The load of the other balancers, by their messages or by the last observation, which
+     * decreases with time as the upstream works through its queue.
      */
-    double loadOfOthers(UpstreamState upstream, long nowUs) {
-        double seen =
-                upstream.othersInFlight > 0
-                        ? upstream.othersInFlight
-                                - (nowUs - upstream.othersSeenAtUs) / Math.max(1, upstream.paceUs)
+    double otherBalancersLoad(UpstreamState upstream, long nowUs) {
+        double observed =
+                upstream.otherBalancersInFlight > 0
+                        ? upstream.otherBalancersInFlight
+                                - (nowUs - upstream.otherBalancersSeenAtUs)
+                                        / Math.max(1, upstream.delayPerRequestUs)
                         : 0;
         double reported = 0;
         for (PeerLoad load : upstream.peerLoads.values()) {
@@ -43,6 +46,6 @@
                             ? load.units() / PeerLoadExchange.UNITS_PER_REQUEST
                             : 0;
         }
-        return Math.max(Math.max(0, seen), reported);
+        return Math.max(Math.max(0, observed), reported);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Reports.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/LoadReportSource.java
@@ -1,11 +1,11 @@
 package myrtleladder.loadbalancer.policy;
 
 /** Where load reports of upstreams come from. */
-public enum Reports {
+public enum LoadReportSource {
     /** Attached to responses. */
-    IN_ANSWERS,
+    RESPONSES,
     /** Only in response to a probe. */
-    BY_PROBE,
+    PROBES,
     /** Upstreams report no load. */
     NONE
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OnDemandProber.java
@@ -10,10 +10,10 @@
     static final String TIMER = "ask";
 
     /** Size of the token bucket for probes, in requests. */
-    private static final double MOST_SAVED_REQUESTS = 10;
+    private static final double MAX_SAVED_REQUESTS = 10;
 
     /** Assumed round-trip time of a probe before the first answer, microseconds. */
-    private static final long FIRST_ROUND_TRIP_US = 5_000;
+    private static final long INITIAL_ROUND_TRIP_US = 5_000;
 
     /** Round-trip times to wait for answers before a pick. */
     private static final int WAIT_ROUND_TRIPS = 2;
@@ -22,7 +22,7 @@
     private static final int FRESH_ROUND_TRIPS = 4;
 
     /** Maximum load accepted from an answer, in requests; more is clamped. */
-    private static final int GREATEST_LOAD = 255;
+    private static final int MAX_LOAD = 255;
 
     private final boolean isEnabled;
     private final double probesPerRequest;
@@ -32,8 +32,8 @@
     private final AdmissionControl admission;
     private final LoadBalancer.Actions actions;
     private double tokens;
-    private double roundTripUs = FIRST_ROUND_TRIP_US;
-    private long decideAtUs;
+    private double roundTripUs = INITIAL_ROUND_TRIP_US;
+    private long waitUntilUs;
 
     OnDemandProber(
             Settings settings,
@@ -52,16 +52,16 @@
     }
 
     /** Adds the tokens that an arriving request earns; a client's retry earns only one. */
-    void earnTokens(boolean isRetry) {
+    void addTokens(boolean isRetry) {
         tokens =
                 Math.min(
                         tokens + (isRetry ? 1 : probesPerRequest),
-                        MOST_SAVED_REQUESTS * probesPerRequest);
+                        MAX_SAVED_REQUESTS * probesPerRequest);
     }
 
     /** Whether picks are waiting for answers to probes. */
     boolean isWaiting(long nowUs) {
-        return nowUs < decideAtUs;
+        return nowUs < waitUntilUs;
     }
 
     /** Probes the upstreams of the subset whose load is unknown, if a request is queued. */
@@ -71,34 +71,34 @@
         }
         boolean isPanic = subsetting.isPanic(nowUs);
         for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
-            if (!isKnown(upstream, nowUs)
+            if (!isLoadKnownOrRequested(upstream, nowUs)
                     && (isPanic || !subsetting.isEjected(upstream, nowUs))
                     && tokens >= 1
-                    && admission.hasRoom(upstream, queue.first(), nowUs)) {
+                    && admission.hasCapacity(upstream, queue.first(), nowUs)) {
                 tokens--;
                 upstream.onDemandProbedAtUs = nowUs;
                 actions.probe(upstream.id);
-                decideAtUs = nowUs + (long) (WAIT_ROUND_TRIPS * roundTripUs);
+                waitUntilUs = nowUs + (long) (WAIT_ROUND_TRIPS * roundTripUs);
             }
         }
         if (isWaiting(nowUs)) {
-            actions.timer(TIMER, decideAtUs - nowUs);
+            actions.setTimer(TIMER, waitUntilUs - nowUs);
         }
     }
 
     /** Whether its load is fresh, or a recent probe is outstanding. */
-    private boolean isKnown(UpstreamState upstream, long nowUs) {
+    private boolean isLoadKnownOrRequested(UpstreamState upstream, long nowUs) {
         return isFresh(upstream, nowUs)
                 || (isProbeOutstanding(upstream)
                         && nowUs - upstream.onDemandProbedAtUs < delayTarget.tightestUs());
     }
 
     private static boolean isProbeOutstanding(UpstreamState upstream) {
-        return upstream.othersSeenAtUs < upstream.onDemandProbedAtUs;
+        return upstream.otherBalancersSeenAtUs < upstream.onDemandProbedAtUs;
     }
 
     private boolean isFresh(UpstreamState upstream, long nowUs) {
-        return nowUs - upstream.othersSeenAtUs <= FRESH_ROUND_TRIPS * roundTripUs;
+        return nowUs - upstream.otherBalancersSeenAtUs <= FRESH_ROUND_TRIPS * roundTripUs;
     }
 
     /** Whether on-demand probing is enabled and has a fresh load of that upstream. */
@@ -120,9 +120,9 @@
         if (!isEnabled || load == null || !(load.active() >= 0)) {
             return;
         }
-        upstream.othersInFlight =
-                Math.max(0, Math.min(load.active(), GREATEST_LOAD) - upstream.inFlight);
-        upstream.othersSeenAtUs = nowUs;
+        upstream.otherBalancersInFlight =
+                Math.max(0, Math.min(load.active(), MAX_LOAD) - upstream.inFlight);
+        upstream.otherBalancersSeenAtUs = nowUs;
         roundTripUs =
                 Math.max(
                         tickUs,
@@ -142,7 +142,7 @@
                 return false;
             }
         }
-        decideAtUs = nowUs;
+        waitUntilUs = nowUs;
         return true;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The requests that need a final answer or have outstanding attempts. Gives the final answers that do
- * not come from an upstream: rejections and failures.
+ * The requests that need a final answer or have outstanding attempts. Gives the final answers that
+ * do not come from an upstream: rejections and failures.
  */
 final class OpenRequests {
     private final Limits limits;
     private final RequestQueue queue;
-    private final DeadlineTimer deadlines;
+    private final DeadlineTimer deadlineTimer;
     private final RequestStatistics statistics;
     private final LoadBalancer.Actions actions;
     private final Map<String, RequestState> byId = new HashMap<>();
@@ -19,12 +19,12 @@
     OpenRequests(
             Limits limits,
             RequestQueue queue,
-            DeadlineTimer deadlines,
+            DeadlineTimer deadlineTimer,
             RequestStatistics statistics,
             LoadBalancer.Actions actions) {
         this.limits = limits;
         this.queue = queue;
-        this.deadlines = deadlines;
+        this.deadlineTimer = deadlineTimer;
         this.statistics = statistics;
         this.actions = actions;
     }
@@ -32,7 +32,7 @@
     /** Adds a new request and queues it. */
     void add(RequestState request, long nowUs) {
         byId.put(request.request.id(), request);
-        deadlines.add(request);
+        deadlineTimer.add(request);
         queue.add(request, nowUs);
     }
 
@@ -47,11 +47,11 @@
     }
 
     /** Gives a final answer to each request whose deadline is close. */
-    void finishDue(long nowUs) {
-        RequestState due = deadlines.pollDue(nowUs);
+    void rejectOrFailDue(long nowUs) {
+        RequestState due = deadlineTimer.pollDue(nowUs);
         while (due != null) {
-            finish(due, nowUs);
-            due = deadlines.pollDue(nowUs);
+            rejectOrFail(due, nowUs);
+            due = deadlineTimer.pollDue(nowUs);
         }
     }
 
@@ -59,10 +59,10 @@
      * Gives a final answer to a request that could not be served: a rejection if permitted, else a
      * failure.
      */
-    void finish(RequestState request, long nowUs) {
+    void rejectOrFail(RequestState request, long nowUs) {
         queue.remove(request);
         if (RetryPolicy.mayReject(request)) {
-            actions.refuse(request.request.id(), retryAfterUs(request));
+            actions.reject(request.request.id(), retryAfterUs(request));
             if (!request.request.isRetry()) {
                 statistics.recordRejection(
                         request.request.classIndex(), nowUs - request.arrivedAtUs);
@@ -90,7 +90,7 @@
     void conclude(RequestState request) {
         queue.remove(request);
         request.isEnded = true;
-        if (limits.cancel() && !request.isStreaming) {
+        if (limits.cancellation() && !request.isStreaming) {
             cancelOutstanding(request);
         }
         removeIfDone(request);
@@ -99,7 +99,7 @@
     private void cancelOutstanding(RequestState request) {
         for (int i = 0; i < request.attempts.size(); i++) {
             if (request.attempts.get(i).isOutstanding) {
-                actions.cancel(request.request.id(), i);
+                actions.cancelAttempt(request.request.id(), i);
             }
         }
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutcomeRecorder.java
@@ -1,11 +1,9 @@
 package myrtleladder.loadbalancer.policy;
 
-/**
- * Updates health, delay per request, in-flight limit and statistics at the end of each attempt.
- */
+/** Updates health, delay per request, in-flight limit and statistics at the end of each attempt. */
 final class OutcomeRecorder {
     /** An upstream that rejects a request at a smaller load than this is draining, not full. */
-    private static final double SHORT_QUEUE = 3;
+    private static final double SHORT_QUEUE_LOAD = 3;
 
     private final boolean isReportedByPeers;
     private final RequestStatistics statistics;
@@ -30,8 +28,8 @@
     void record(RequestState request, Attempt attempt, AttemptEnd end, long nowUs) {
         UpstreamState upstream = attempt.upstream;
         switch (end.outcome()) {
-            case OK -> recordAnswer(request, attempt, end.tookUs(), nowUs);
-            case TIMEOUT, CANCELLED -> recordNoAnswer(request, attempt, end.tookUs(), nowUs);
+            case OK -> recordAnswer(request, attempt, end.durationUs(), nowUs);
+            case TIMEOUT, CANCELLED -> recordNoAnswer(request, attempt, end.durationUs(), nowUs);
             case CONNECT_FAILED -> recordConnectFailure(attempt, nowUs);
             case FULL -> recordRejection(request, attempt, nowUs);
             case ERROR, RESET -> {
@@ -43,10 +41,10 @@
             }
             default -> throw new AssertionError(end.outcome());
         }
-        limiter.pauseAfter(upstream, end.tookUs(), nowUs);
+        limiter.pauseAfter(upstream, end.durationUs(), nowUs);
     }
 
-    private void recordAnswer(RequestState request, Attempt attempt, long tookUs, long nowUs) {
+    private void recordAnswer(RequestState request, Attempt attempt, long durationUs, long nowUs) {
         UpstreamState upstream = attempt.upstream;
         upstream.lastProgressAtUs = nowUs;
         upstream.lastAnswerAtUs = nowUs;
@@ -54,17 +52,21 @@
         upstream.completedWork += request.cost;
         upstream.answerTimeUs =
                 RequestStatistics.smooth(
-                        upstream.answerTimeUs, tookUs, RequestStatistics.UPSTREAM_SMOOTHING);
-        double sampledPaceUs = paceUs(attempt, tookUs);
-        upstream.paceUs = smoothPace(upstream, sampledPaceUs);
-        limiter.recordAnswer(upstream, request, attempt, tookUs, nowUs);
-        statistics.recordAnswer(request.request.classIndex(), tookUs, sampledPaceUs);
+                        upstream.answerTimeUs, durationUs, RequestStatistics.UPSTREAM_SMOOTHING);
+        double sampledDelayPerRequestUs = delayPerRequestUs(attempt, durationUs);
+        upstream.delayPerRequestUs = smoothDelayPerRequestUs(upstream, sampledDelayPerRequestUs);
+        limiter.recordAnswer(upstream, request, attempt, durationUs, nowUs);
+        statistics.recordAnswer(request.request.classIndex(), durationUs, sampledDelayPerRequestUs);
     }
 
-    private void recordNoAnswer(RequestState request, Attempt attempt, long tookUs, long nowUs) {
+    private void recordNoAnswer(
+            RequestState request, Attempt attempt, long durationUs, long nowUs) {
         UpstreamState upstream = attempt.upstream;
-        upstream.paceUs = Math.max(upstream.paceUs, smoothPace(upstream, paceUs(attempt, tookUs)));
-        limiter.recordNoAnswer(upstream, request, attempt, tookUs, nowUs);
+        upstream.delayPerRequestUs =
+                Math.max(
+                        upstream.delayPerRequestUs,
+                        smoothDelayPerRequestUs(upstream, delayPerRequestUs(attempt, durationUs)));
+        limiter.recordNoAnswer(upstream, request, attempt, durationUs, nowUs);
     }
 
     /**
@@ -78,28 +80,33 @@
     }
 
     /**
-     * An upstream that rejects at almost no load is draining, although the endpoint list does not say
-     * so yet. Any other is full: its load is assumed to be what just misses the latency target.
+     * An upstream that rejects at almost no load is draining, although the endpoint list does not
+     * say so yet. Any other is full: its load is assumed to be what just misses the latency target.
      */
     private void recordRejection(RequestState request, Attempt attempt, long nowUs) {
         UpstreamState upstream = attempt.upstream;
         limiter.recordRejection(upstream);
         boolean isLoadKnown = isReportedByPeers || prober.hasFreshLoad(upstream, nowUs);
-        if (isLoadKnown && attempt.loadAtSend < SHORT_QUEUE) {
+        if (isLoadKnown && attempt.loadAtSend < SHORT_QUEUE_LOAD) {
             ejection.eject(upstream, nowUs);
         } else {
-            double fullLoad = request.requestClass.latencyTargetUs() / Math.max(upstream.paceUs, 1);
-            upstream.othersInFlight = Math.max(upstream.othersInFlight, fullLoad);
-            upstream.othersSeenAtUs = nowUs;
+            double fullLoad =
+                    request.requestClass.latencyTargetUs()
+                            / Math.max(upstream.delayPerRequestUs, 1);
+            upstream.otherBalancersInFlight = Math.max(upstream.otherBalancersInFlight, fullLoad);
+            upstream.otherBalancersSeenAtUs = nowUs;
         }
     }
 
-    private static double paceUs(Attempt attempt, long tookUs) {
-        return tookUs / Math.max(1, attempt.loadAtSend);
+    private static double delayPerRequestUs(Attempt attempt, long durationUs) {
+        return durationUs / Math.max(1, attempt.loadAtSend);
     }
 
-    private static double smoothPace(UpstreamState upstream, double sampledPaceUs) {
+    private static double smoothDelayPerRequestUs(
+            UpstreamState upstream, double sampledDelayPerRequestUs) {
         return RequestStatistics.smooth(
-                upstream.paceUs, sampledPaceUs, RequestStatistics.UPSTREAM_SMOOTHING);
+                upstream.delayPerRequestUs,
+                sampledDelayPerRequestUs,
+                RequestStatistics.UPSTREAM_SMOOTHING);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OutlierEjection.java
@@ -3,25 +3,25 @@
 import java.util.List;
 
 /**
- * Ejects upstreams that hang, refuse connections, reject requests while idle or mostly return errors.
- * Each further ejection lasts twice as long, until the upstream answers. If the fraction of healthy
- * upstreams is below the panic threshold, ejections are ignored.
+ * Ejects upstreams that hang, refuse connections, reject requests while idle or mostly return
+ * errors. Each further ejection lasts twice as long, until the upstream answers. If the fraction of
+ * healthy upstreams is below the panic threshold, ejections are ignored.
  */
 final class OutlierEjection {
     /** An upstream hangs if it answers nothing for this number of typical answer times. */
     static final double HANG_ANSWER_TIMES = 6;
 
     /** Duration of the first ejection, microseconds. Doubles with each further one. */
-    static final long FIRST_EJECTION_US = 1_000_000;
+    static final long INITIAL_EJECTION_US = 1_000_000;
 
     /** Maximum duration of an ejection, microseconds. */
-    private static final long LONGEST_EJECTION_US = 8_000_000;
+    private static final long MAX_EJECTION_US = 8_000_000;
 
     /** Fraction of healthy upstreams below which ejections are ignored. */
     private static final double PANIC_THRESHOLD = 0.4;
 
     /** Smoothed error rate above which an upstream is ejected. */
-    private static final double GREATEST_ERROR_RATE = 0.5;
+    private static final double MAX_ERROR_RATE = 0.5;
 
     private final RequestStatistics statistics;
     private final QueueingDelayTarget delayTarget;
@@ -35,7 +35,7 @@
     void eject(UpstreamState upstream, long nowUs) {
         if (upstream.ejectedUntilUs <= nowUs) {
             upstream.ejectedUntilUs = nowUs + upstream.nextEjectionUs;
-            upstream.nextEjectionUs = Math.min(LONGEST_EJECTION_US, upstream.nextEjectionUs * 2);
+            upstream.nextEjectionUs = Math.min(MAX_EJECTION_US, upstream.nextEjectionUs * 2);
         }
     }
 
@@ -43,14 +43,14 @@
     void recordSuccess(UpstreamState upstream) {
         upstream.isHanging = false;
         upstream.ejectedUntilUs = 0;
-        upstream.nextEjectionUs = FIRST_EJECTION_US;
+        upstream.nextEjectionUs = INITIAL_EJECTION_US;
         upstream.errorRate *= 1 - RequestStatistics.UPSTREAM_SMOOTHING;
     }
 
     /** Records an error or a reset, and ejects the upstream if its error rate is too high. */
     void recordError(UpstreamState upstream, long nowUs) {
         upstream.errorRate += RequestStatistics.UPSTREAM_SMOOTHING * (1 - upstream.errorRate);
-        if (upstream.errorRate > GREATEST_ERROR_RATE) {
+        if (upstream.errorRate > MAX_ERROR_RATE) {
             eject(upstream, nowUs);
         }
     }
@@ -58,7 +58,7 @@
     /** Ejects each upstream with requests in flight that has answered nothing for too long. */
     void ejectHanging(List<UpstreamState> upstreams, long nowUs) {
         for (UpstreamState upstream : upstreams) {
-            long quietUs = nowUs - upstream.lastProgressAtUs;
+            long sinceProgressUs = nowUs - upstream.lastProgressAtUs;
             double expectedUs =
                     HANG_ANSWER_TIMES
                                     * Math.max(
@@ -67,7 +67,7 @@
                                                     statistics.answerTimeUs()),
                                             delayTarget.tightestUs())
                             + upstream.workInFlight * Math.max(1, upstream.minServiceTime);
-            if (!upstream.isHanging && upstream.inFlight > 0 && quietUs > expectedUs) {
+            if (!upstream.isHanging && upstream.inFlight > 0 && sinceProgressUs > expectedUs) {
                 upstream.isHanging = true;
                 eject(upstream, nowUs);
             }
@@ -85,10 +85,10 @@
 
     /** Whether so few upstreams are healthy that ejections must be ignored. */
     boolean isPanic(List<UpstreamState> upstreams, long nowUs) {
-        int left = 0;
+        int healthy = 0;
         for (UpstreamState upstream : upstreams) {
-            left += isEjected(upstream, nowUs) ? 0 : 1;
+            healthy += isEjected(upstream, nowUs) ? 0 : 1;
         }
-        return left < PANIC_THRESHOLD * upstreams.size();
+        return healthy < PANIC_THRESHOLD * upstreams.size();
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Exchanges the load in flight at an upstream between the balancers that share it. A message has three
- * bytes that identify the upstream and one byte with the load in eighths of a request.
+ * Exchanges the load in flight at an upstream between the balancers that share it. A message has
+ * three bytes that identify the upstream and one byte with the load in eighths of a request.
  */
 final class PeerLoadExchange {
     /** Length of a message: three bytes for the upstream, one for the load. */
@@ -14,7 +14,7 @@
     static final double UNITS_PER_REQUEST = 8;
 
     private static final int BYTE_MASK = 255;
-    private static final int GREATEST_UNITS = 255;
+    private static final int MAX_UNITS = 255;
 
     private final boolean isEnabled;
     private final int groupSize;
@@ -49,12 +49,12 @@
         byte[] body = encode(upstream.hash, loads.ownLoad(upstream));
         List<Integer> peers = upstream.sharingPeers;
         for (int i = 0; i < peers.size(); i++) {
-            actions.tell(peers.get(i), body);
+            actions.sendToPeer(peers.get(i), body);
         }
     }
 
     private static byte[] encode(int hash, double load) {
-        byte units = (byte) Math.min(GREATEST_UNITS, Math.round(load * UNITS_PER_REQUEST));
+        byte units = (byte) Math.min(MAX_UNITS, Math.round(load * UNITS_PER_REQUEST));
         return new byte[] {(byte) (hash >> 16), (byte) (hash >> 8), (byte) hash, units};
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeriodicProber.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeriodicProber.java
@@ -13,12 +13,12 @@
     private static final double BUDGET_POINTS = 0.003;
 
     /** Minimum mean time between two probes of one upstream, microseconds. */
-    private static final long LEAST_GAP_US = 300_000;
+    private static final long MIN_PERIOD_US = 300_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final boolean isEnabled;
-    private final double price;
+    private final double probePrice;
     private final UpstreamTable upstreams;
     private final RequestStatistics statistics;
     private final SplittableRandom random;
@@ -34,9 +34,9 @@
             LoadBalancer.Actions actions) {
         this.isEnabled =
                 !visibility.byProbes()
-                        && settings.reports() == Reports.BY_PROBE
-                        && settings.limits().probes();
-        this.price = settings.prices().probe();
+                        && settings.loadReportSource() == LoadReportSource.PROBES
+                        && settings.limits().probing();
+        this.probePrice = settings.prices().probe();
         this.upstreams = upstreams;
         this.statistics = statistics;
         this.random = random;
@@ -45,7 +45,7 @@
 
     /** Schedules the first probe; draws a random number. */
     void start(long nowUs) {
-        nextProbeAtUs = nowUs + Jitter.around(random, LEAST_GAP_US);
+        nextProbeAtUs = nowUs + Jitter.around(random, MIN_PERIOD_US);
     }
 
     /** Probes the upstream with the oldest probe, if a probe is due. */
@@ -53,11 +53,11 @@
         if (!isEnabled || nowUs < nextProbeAtUs || upstreams.isEmpty()) {
             return;
         }
-        double probesPerRequest = price > 0 ? BUDGET_POINTS / price : 1;
+        double probesPerRequest = probePrice > 0 ? BUDGET_POINTS / probePrice : 1;
         double perSecond =
                 Math.min(
                         probesPerRequest * Math.max(statistics.requestsPerSecond(), 1),
-                        upstreams.size() * MICROS_PER_SECOND / LEAST_GAP_US);
+                        upstreams.size() * MICROS_PER_SECOND / MIN_PERIOD_US);
         nextProbeAtUs = nowUs + Jitter.around(random, (long) (MICROS_PER_SECOND / perSecond));
         UpstreamState oldest =
                 Collections.min(
--- a/src/main/java/myrtleladder/loadbalancer/policy/Prices.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Prices.java
@@ -4,16 +4,16 @@
  * What actions cost, in points of the score, for each unit of the action. All are at least 0.
  *
  * @param crossZone a request sent to another zone
- * @param waste the setting {@code waste}; no decision depends on it
+ * @param wastedWork the setting {@code waste}; no decision depends on it
  * @param probe a probe
- * @param peer a message to a peer, for each 256 bytes
- * @param lateFail the setting {@code late-fail}; no decision depends on it
+ * @param peerMessage a message to a peer, for each 256 bytes
+ * @param lateFailure the setting {@code late-fail}; no decision depends on it
  * @param handshake the setting {@code handshake}; no decision depends on it
  */
 public record Prices(
         double crossZone,
-        double waste,
+        double wastedWork,
         double probe,
-        double peer,
-        double lateFail,
+        double peerMessage,
+        double lateFailure,
         double handshake) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RendezvousSubsetting.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Selects the subset of a large fleet that a balancer uses: the upstreams that rank lowest for it by
- * rendezvous hashing. With few requests per second, a balancer learns too little about dozens of
+ * Selects the subset of a large fleet that a balancer uses: the upstreams that rank lowest for it
+ * by rendezvous hashing. With few requests per second, a balancer learns too little about dozens of
  * upstreams but enough about a few. It also avoids a connection between each balancer and each
  * upstream.
  */
@@ -14,7 +14,7 @@
     static final int BALANCERS_PER_UPSTREAM = 12;
 
     /** Minimum size of a subset; with 1 there would be no choice. */
-    static final int LEAST_UPSTREAMS = 2;
+    static final int MIN_SUBSET_SIZE = 2;
 
     private final int groupSize;
     private final int position;
@@ -31,7 +31,7 @@
     private int size() {
         return (int)
                 Math.max(
-                        LEAST_UPSTREAMS,
+                        MIN_SUBSET_SIZE,
                         Math.ceil((double) BALANCERS_PER_UPSTREAM * upstreams.size() / groupSize));
     }
 
@@ -51,8 +51,8 @@
     List<UpstreamState> upstreams(long nowUs) {
         List<UpstreamState> ranked = upstreams.ranked();
         int size = 0;
-        for (int left = size(); size < ranked.size() && left > 0; size++) {
-            left -= ejection.isEjected(ranked.get(size), nowUs) ? 0 : 1;
+        for (int remaining = size(); size < ranked.size() && remaining > 0; size++) {
+            remaining -= ejection.isEjected(ranked.get(size), nowUs) ? 0 : 1;
         }
         return ranked.subList(0, size);
     }
@@ -84,10 +84,10 @@
         long salt = UpstreamState.subsetSalt(peer);
         long rank = upstream.rankFor(salt);
         List<UpstreamState> ranked = upstreams.ranked();
-        int before = 0;
-        for (int i = 0; i < ranked.size() && before < size; i++) {
-            before += ranked.get(i).rankFor(salt) < rank ? 1 : 0;
+        int lowerRanked = 0;
+        for (int i = 0; i < ranked.size() && lowerRanked < size; i++) {
+            lowerRanked += ranked.get(i).rankFor(salt) < rank ? 1 : 0;
         }
-        return before < size;
+        return lowerRanked < size;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/Request.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Request.java
@@ -5,7 +5,7 @@
  *
  * @param id identifier of the request, unique while it is open
  * @param classIndex index of its class in the settings
- * @param tenant index of its tenant in the settings; an unknown tenant has no rate limit
+ * @param tenantIndex index of its tenant in the settings; an unknown tenant has no rate limit
  * @param key idempotency and affinity key; null without one
  * @param expectedWork hint of its work, in the unit of the settings; 0 without a hint
  * @param timeLeftUs time until the client gives up, microseconds; zero or negative if it has
@@ -15,7 +15,7 @@
 public record Request(
         String id,
         int classIndex,
-        int tenant,
+        int tenantIndex,
         String key,
         long expectedWork,
         long timeLeftUs,
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestDispatcher.java
@@ -9,11 +9,11 @@
     /**
      * Stops going through the queue after this number of requests for which no upstream was found.
      */
-    private static final int MOST_MISSES = 3;
+    private static final int MAX_MISSES = 3;
 
-    private final OpenRequests requests;
+    private final OpenRequests openRequests;
     private final RequestQueue queue;
-    private final DeadlineTimer deadlines;
+    private final DeadlineTimer deadlineTimer;
     private final KeyAffinity affinity;
     private final UpstreamEligibility eligibility;
     private final WeightedLeastLoadPicker picker;
@@ -22,13 +22,13 @@
     private final AdmissionControl admission;
     private final LoadEstimator loads;
     private final SlowStart slowStart;
-    private final PeerLoadExchange peers;
+    private final PeerLoadExchange peerLoads;
     private final LoadBalancer.Actions actions;
 
     RequestDispatcher(
-            OpenRequests requests,
+            OpenRequests openRequests,
             RequestQueue queue,
-            DeadlineTimer deadlines,
+            DeadlineTimer deadlineTimer,
             KeyAffinity affinity,
             UpstreamEligibility eligibility,
             WeightedLeastLoadPicker picker,
@@ -37,11 +37,11 @@
             AdmissionControl admission,
             LoadEstimator loads,
             SlowStart slowStart,
-            PeerLoadExchange peers,
+            PeerLoadExchange peerLoads,
             LoadBalancer.Actions actions) {
-        this.requests = requests;
+        this.openRequests = openRequests;
         this.queue = queue;
-        this.deadlines = deadlines;
+        this.deadlineTimer = deadlineTimer;
         this.affinity = affinity;
         this.eligibility = eligibility;
         this.picker = picker;
@@ -50,13 +50,11 @@
         this.admission = admission;
         this.loads = loads;
         this.slowStart = slowStart;
-        this.peers = peers;
+        this.peerLoads = peerLoads;
         this.actions = actions;
     }
 
-    /**
-     * Sends queued requests as long as upstreams have capacity, those with key affinity first.
-     */
+    /** Sends queued requests as long as upstreams have capacity, those with key affinity first. */
     void dispatchQueued(long nowUs) {
         if (affinity.isEnabled() && queue.size() > 1) {
             dispatchToAffinityUpstreams(nowUs);
@@ -75,7 +73,7 @@
             UpstreamState upstream = request.affinityUpstream;
             if (upstream != null
                     && !request.isLate
-                    && admission.hasRoom(upstream, request, nowUs)
+                    && admission.hasCapacity(upstream, request, nowUs)
                     && eligibility.isEligible(upstream, request, nowUs, isPanic)) {
                 send(request, upstream, nowUs);
             }
@@ -85,15 +83,15 @@
     private void dispatchByPriority(long nowUs) {
         int misses = 0;
         RequestState request = queue.first();
-        while (request != null && misses < MOST_MISSES) {
-            RequestState following = queue.following(request);
-            UpstreamState upstream = picker.pickWithRoom(request, nowUs);
+        while (request != null && misses < MAX_MISSES) {
+            RequestState next = queue.next(request);
+            UpstreamState upstream = picker.pickWithCapacity(request, nowUs);
             if (upstream != null) {
                 send(request, upstream, nowUs);
             } else {
                 misses++;
             }
-            request = following;
+            request = next;
         }
     }
 
@@ -106,19 +104,19 @@
         request.attempts.add(attempt);
         upstream.inFlight++;
         attempt.isAtLimit =
-                ConcurrencyLimiter.isAtLimit(upstream, loads.loadOfOthers(upstream, nowUs));
+                ConcurrencyLimiter.isAtLimit(upstream, loads.otherBalancersLoad(upstream, nowUs));
         upstream.workInFlight += request.cost;
         slowStart.charge(upstream, request);
         actions.send(request.request.id(), upstream.id, 0);
-        attempt.loadAtSend = loads.ownLoad(upstream) + loads.loadOfOthers(upstream, nowUs);
-        peers.report(upstream);
+        attempt.loadAtSend = loads.ownLoad(upstream) + loads.otherBalancersLoad(upstream, nowUs);
+        peerLoads.report(upstream);
     }
 
     /**
      * Marks an attempt as no longer outstanding. The caller then records its outcome with {@link
      * OutcomeRecorder}.
      */
-    void recordEnd(RequestState request, Attempt attempt, Outcome outcome) {
+    void markEnded(RequestState request, Attempt attempt, Outcome outcome) {
         attempt.isOutstanding = false;
         attempt.mayHaveRun = !outcome.neverRan;
         attempt.upstream.inFlight--;
@@ -130,37 +128,37 @@
      * final answer. A request that never ran is queued again. One that may have run is retried at
      * once if that is permitted.
      */
-    void retryOrFinish(RequestState request, long nowUs) {
-        if (deadlines.isDue(request, nowUs)) {
-            requests.finish(request, nowUs);
-        } else if (request.firstThatMayHaveRun() == null) {
-            queueAgainOrFinish(request, nowUs);
+    void retryOrGiveUp(RequestState request, long nowUs) {
+        if (deadlineTimer.isDue(request, nowUs)) {
+            openRequests.rejectOrFail(request, nowUs);
+        } else if (request.firstAttemptThatMayHaveRun() == null) {
+            requeueOrGiveUp(request, nowUs);
         } else {
-            retryAtOnceOrFinish(request, nowUs);
+            retryNowOrGiveUp(request, nowUs);
         }
     }
 
-    private void queueAgainOrFinish(RequestState request, long nowUs) {
+    private void requeueOrGiveUp(RequestState request, long nowUs) {
         if (retryPolicy.hasAttemptsLeft(request)) {
             queue.add(request, nowUs);
         } else {
-            requests.finish(request, nowUs);
+            openRequests.rejectOrFail(request, nowUs);
         }
     }
 
-    private void retryAtOnceOrFinish(RequestState request, long nowUs) {
+    private void retryNowOrGiveUp(RequestState request, long nowUs) {
         UpstreamState upstream = picker.pickForRetry(request, nowUs);
         if (upstream != null) {
             send(request, upstream, nowUs);
         } else {
-            requests.finish(request, nowUs);
+            openRequests.rejectOrFail(request, nowUs);
         }
     }
 
     /** Hedges the requests that are due for it, oldest first, as far as the budget allows. */
     void hedge(long nowUs) {
         List<RequestState> due = new ArrayList<>();
-        for (RequestState request : requests.all()) {
+        for (RequestState request : openRequests.all()) {
             if (hedging.isDue(request, nowUs)) {
                 due.add(request);
             }
@@ -175,7 +173,8 @@
     private void hedge(RequestState request, long nowUs) {
         Attempt last = request.lastAttempt();
         last.isHedged = true;
-        UpstreamState upstream = hedging.hasToken() ? picker.pickWithRoom(request, nowUs) : null;
+        UpstreamState upstream =
+                hedging.hasToken() ? picker.pickWithCapacity(request, nowUs) : null;
         last.isHedged = upstream != null;
         if (upstream != null) {
             hedging.takeToken();
@@ -196,11 +195,11 @@
     }
 
     private void shedOrDemote(RequestState request, long nowUs) {
-        double lateWorth = request.requestClass.lateFactor();
-        if (lateWorth <= 0) {
-            requests.finish(request, nowUs);
+        double lateValueFactor = request.requestClass.lateValueFactor();
+        if (lateValueFactor <= 0) {
+            openRequests.rejectOrFail(request, nowUs);
         } else if (!request.isLate) {
-            queue.demoteLate(request, lateWorth, nowUs);
+            queue.demoteLate(request, lateValueFactor, nowUs);
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestQueue.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestQueue.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 
 /**
- * Requests that wait for capacity at an upstream, in order of dispatch: highest priority first, then
- * the latest arrival.
+ * Requests that wait for capacity at an upstream, in order of dispatch: highest priority first,
+ * then the latest arrival.
  */
 final class RequestQueue {
     private final KeyAffinity affinity;
@@ -36,10 +36,10 @@
     }
 
     /** Lowers the priority of a late request by the factor that a late answer has on its value. */
-    void demoteLate(RequestState request, double lateFactor, long nowUs) {
+    void demoteLate(RequestState request, double lateValueFactor, long nowUs) {
         request.isLate = true;
         remove(request);
-        request.priority *= lateFactor;
+        request.priority *= lateValueFactor;
         add(request, nowUs);
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** The request after another one in the queue; null if there is none. */
-    RequestState following(RequestState request) {
+    RequestState next(RequestState request) {
         return queue.higher(request);
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestState.java
@@ -21,7 +21,7 @@
     final long deadlineUs;
 
     /** Time until which an answer meets the latency target. */
-    long targetAtUs;
+    long latencyTargetAtUs;
 
     /** In order of sending. */
     final List<Attempt> attempts = new ArrayList<>(1);
@@ -55,10 +55,10 @@
         this.sequence = sequence;
         this.arrivedAtUs = nowUs;
         this.deadlineUs = nowUs + request.timeLeftUs();
-        long target =
+        long targetUs =
                 requestClass.latencyTargetUs()
-                        + (long) (requestClass.latencyTargetStretch() * request.expectedWork());
-        this.targetAtUs = Math.min(deadlineUs, nowUs + target);
+                        + (long) (requestClass.latencyTargetUsPerWork() * request.expectedWork());
+        this.latencyTargetAtUs = Math.min(deadlineUs, nowUs + targetUs);
     }
 
     boolean hasWorkHint() {
@@ -66,7 +66,7 @@
     }
 
     /** The first attempt that may have run, which includes outstanding ones; null if none may. */
-    Attempt firstThatMayHaveRun() {
+    Attempt firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun) {
                 return attempts.get(i);
@@ -89,7 +89,7 @@
     }
 
     /** Whether an attempt at that upstream got no answer for so long that it was hedged. */
-    boolean isHedgedAwayFrom(UpstreamState upstream) {
+    boolean wasHedgedAt(UpstreamState upstream) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).isHedged && attempts.get(i).upstream == upstream) {
                 return true;
--- a/src/main/java/myrtleladder/loadbalancer/policy/RequestStatistics.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RequestStatistics.java
@@ -23,7 +23,7 @@
     private final long[] classAnswers;
     private final double[] waitBeforeRejectionUs;
     private double answerTimeUs;
-    private double paceUs;
+    private double delayPerRequestUs;
     private double meanCost;
     private double minServiceTime;
     private double requestsPerSecond;
@@ -31,16 +31,16 @@
     private long requests;
 
     /** Creates statistics with a delay per request to assume before the first answers. */
-    RequestStatistics(int classes, double firstPaceUs) {
+    RequestStatistics(int classes, double initialDelayPerRequestUs) {
         this.classAnswerTimeUs = new double[classes];
         this.classAnswers = new long[classes];
         this.waitBeforeRejectionUs = new double[classes];
-        this.paceUs = firstPaceUs;
+        this.delayPerRequestUs = initialDelayPerRequestUs;
     }
 
     /** Exponential smoothing. An old value of 0 means none, and is replaced by the sample. */
-    static double smooth(double old, double sample, double share) {
-        return old == 0 ? sample : old + share * (sample - old);
+    static double smooth(double old, double sample, double weight) {
+        return old == 0 ? sample : old + weight * (sample - old);
     }
 
     /** Counts an arriving request and returns its sequence number, from 0. */
@@ -53,13 +53,13 @@
         requestsInPeriod++;
     }
 
-    void recordAnswer(int classIndex, long tookUs, double sampledPaceUs) {
-        paceUs = smooth(paceUs, sampledPaceUs, FLEET_SMOOTHING);
-        answerTimeUs = smooth(answerTimeUs, tookUs, FLEET_SMOOTHING);
+    void recordAnswer(int classIndex, long durationUs, double sampledDelayPerRequestUs) {
+        delayPerRequestUs = smooth(delayPerRequestUs, sampledDelayPerRequestUs, FLEET_SMOOTHING);
+        answerTimeUs = smooth(answerTimeUs, durationUs, FLEET_SMOOTHING);
         classAnswers[classIndex]++;
         // An arithmetic mean at first, because the first answers are slow.
-        double share = Math.max(FLEET_SMOOTHING, 1.0 / classAnswers[classIndex]);
-        classAnswerTimeUs[classIndex] = smooth(classAnswerTimeUs[classIndex], tookUs, share);
+        double weight = Math.max(FLEET_SMOOTHING, 1.0 / classAnswers[classIndex]);
+        classAnswerTimeUs[classIndex] = smooth(classAnswerTimeUs[classIndex], durationUs, weight);
     }
 
     void recordRejection(int classIndex, long waitedUs) {
@@ -67,7 +67,7 @@
                 REJECTION_SMOOTHING * (waitedUs - waitBeforeRejectionUs[classIndex]);
     }
 
-    void measureRequestRate(long periodUs) {
+    void updateRequestRate(long periodUs) {
         requestsPerSecond +=
                 REQUEST_RATE_SMOOTHING
                         * (requestsInPeriod * MICROS_PER_SECOND / periodUs - requestsPerSecond);
@@ -99,8 +99,8 @@
     }
 
     /** Typical delay that each request in a queue adds, microseconds. */
-    double paceUs() {
-        return paceUs;
+    double delayPerRequestUs() {
+        return delayPerRequestUs;
     }
 
     /** Mean cost of a request; 0 before the first. */
--- a/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RetryPolicy.java
@@ -26,7 +26,7 @@
         if (request.outstandingAttempts() > 0 && !limits.hedging()) {
             return false;
         }
-        Attempt first = request.firstThatMayHaveRun();
+        Attempt first = request.firstAttemptThatMayHaveRun();
         return first == null || mayRepeat(request.requestClass, first, upstream, nowUs);
     }
 
@@ -36,25 +36,28 @@
 
     private boolean mayRepeat(
             RequestClass requestClass, Attempt first, UpstreamState upstream, long nowUs) {
-        return requestClass.effect() == Effect.SAFE
-                || (requestClass.effect() == Effect.KEYED
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                         && sharesMemory(
-                                requestClass.scope(), first.upstream.endpoint, upstream.endpoint)
-                        && nowUs - first.sentAtUs < requestClass.memorySpanUs() - marginUs);
+                                requestClass.deduplicationScope(),
+                                first.upstream.endpoint,
+                                upstream.endpoint)
+                        && nowUs - first.sentAtUs < requestClass.keyRetentionUs() - marginUs);
     }
 
     /** Whether each of two upstreams recognises the keys that the other has seen. */
-    private static boolean sharesMemory(Scope scope, Upstream a, Upstream b) {
-        return scope == Scope.ALL
-                || (scope == Scope.ZONE && a.zone() == b.zone())
-                || (scope == Scope.CELL && a.cell() == b.cell());
+    private static boolean sharesMemory(DeduplicationScope scope, Upstream a, Upstream b) {
+        return scope == DeduplicationScope.ALL
+                || (scope == DeduplicationScope.ZONE && a.zone() == b.zone())
+                || (scope == DeduplicationScope.CELL && a.cell() == b.cell());
     }
 
     /** Whether a request may be rejected, which tells the client that a retry does no harm. */
     static boolean mayReject(RequestState request) {
         RequestClass requestClass = request.requestClass;
-        return requestClass.effect() == Effect.SAFE
-                || request.firstThatMayHaveRun() == null
-                || (requestClass.effect() == Effect.KEYED && requestClass.scope() == Scope.ALL);
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || request.firstAttemptThatMayHaveRun() == null
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RuleFigures.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RuleParameters.java
@@ -5,19 +5,19 @@
  *
  * @param answerSlackUs time after a request's deadline by which its final answer must be given
  * @param askWithinUs the setting {@code ask-within-s}; no decision depends on it
- * @param startCapacity fraction of its capacity that an upstream has when it is launched
- * @param slowStartUs time from its launch until an upstream has its full capacity
+ * @param initialCapacityFraction fraction of its capacity that an upstream has when it is launched
+ * @param slowStartDurationUs time from its launch until an upstream has its full capacity
  * @param drainGraceUs time after an upstream begins to drain or leaves the list in which requests
  *     may still be sent to it
  * @param overloadMultiple multiple of its current capacity up to which an upstream in slow start
  *     may be loaded
  * @param overloadWindowUs time window over which that load is measured
  */
-public record RuleFigures(
+public record RuleParameters(
         long answerSlackUs,
         long askWithinUs,
-        double startCapacity,
-        long slowStartUs,
+        double initialCapacityFraction,
+        long slowStartDurationUs,
         long drainGraceUs,
         double overloadMultiple,
         long overloadWindowUs) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
@@ -11,15 +11,17 @@
  * @param groupSize number of balancers in the group
  * @param classes request classes, by index
  * @param tenants tenants, by index
- * @param overShareFactor factor on the priority of requests beyond a tenant's rate limit
- * @param worthByWork whether the value of an answer is proportional to its work
+ * @param overLimitPriorityFactor factor on the priority of requests beyond a tenant's rate limit
+ * @param isValueProportionalToWork whether the value of an answer is proportional to its work
  * @param limits limits and permitted actions
  * @param rules parameters of the rules
  * @param prices what actions cost
- * @param reports where load reports come from
- * @param ratings what the ratings of upstreams mean
- * @param askForList whether changes of the endpoint list are sent to subscribers only
- * @param warmKeys whether an upstream serves a key with less work if it has served it before
+ * @param loadReportSource where load reports come from
+ * @param ratingKind what the ratings of upstreams mean
+ * @param isListSubscriptionRequired whether changes of the endpoint list are sent to subscribers
+ *     only
+ * @param isKeyAffinityEnabled whether an upstream serves a key with less work if it has served it
+ *     before
  * @param tickUs granularity of timers, microseconds; 0 if they are exact
  */
 public record Settings(
@@ -29,13 +31,13 @@
         int groupSize,
         List<RequestClass> classes,
         List<Tenant> tenants,
-        double overShareFactor,
-        boolean worthByWork,
+        double overLimitPriorityFactor,
+        boolean isValueProportionalToWork,
         Limits limits,
-        RuleFigures rules,
+        RuleParameters rules,
         Prices prices,
-        Reports reports,
-        Ratings ratings,
-        boolean askForList,
-        boolean warmKeys,
+        LoadReportSource loadReportSource,
+        CapacityRatingKind ratingKind,
+        boolean isListSubscriptionRequired,
+        boolean isKeyAffinityEnabled,
         long tickUs) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/SlowStart.java
@@ -8,33 +8,34 @@
  * token bucket.
  *
  * <p>A cold upstream may be loaded with at most {@link RuleParameters#overloadMultiple} times its
- * capacity. This balancer's part of that budget follows from the work that a warm upstream completes
- * for it: summed over all balancers, this is the capacity, however unevenly traffic is spread. Only
- * completed work counts. If rejected work counted, a burst of rejections would raise the budget.
+ * capacity. This balancer's part of that budget follows from the work that a warm upstream
+ * completes for it: summed over all balancers, this is the capacity, however unevenly traffic is
+ * spread. Only completed work counts. If rejected work counted, a burst of rejections would raise
+ * the budget.
  *
  * <p>A balancer does not see what others are sending at the moment, so random coincidence must not
- * exceed the budget either: see {@link #budgetRate}. The bucket starts at a random level, and tokens
- * that are not used soon expire. Otherwise, when the reports of an upstream show it idle, all
- * balancers would spend their saved tokens on it at once. Tokens for a mean request admit any
+ * exceed the budget either: see {@link #budgetRate}. The bucket starts at a random level, and
+ * tokens that are not used soon expire. Otherwise, when the reports of an upstream show it idle,
+ * all balancers would spend their saved tokens on it at once. Tokens for a mean request admit any
  * request, and an expensive one leaves the bucket in debt. Otherwise expensive requests, which bear
  * a slow upstream best, would never be sent to one.
  */
 final class SlowStart {
     /** Safety margin of the budget of a cold upstream, in standard deviations. */
-    private static final double KEPT_DEVIATIONS = 5;
+    private static final double MARGIN_DEVIATIONS = 5;
 
     /** Minimum size of a token bucket, in mean requests. */
-    private static final double LEAST_BUCKET = 1.2;
+    private static final double MIN_BUCKET_SIZE = 1.2;
 
     /** Weight of each period in the smoothed rates of completed work. */
     private static final double RATE_SMOOTHING = 0.08;
 
     /** Time after which unused tokens expire, microseconds. */
-    private static final long UNUSED_BUDGET_LIFETIME_US = 250_000;
+    private static final long UNUSED_TOKEN_LIFETIME_US = 250_000;
 
-    private final RuleFigures rules;
+    private final RuleParameters rules;
     private final int groupSize;
-    private final boolean isLoadOfOthersKnown;
+    private final boolean isTotalLoadKnown;
     private final RequestStatistics statistics;
     private final LoadEstimator loads;
     private final SplittableRandom random;
@@ -51,23 +52,26 @@
             SplittableRandom random) {
         this.rules = settings.rules();
         this.groupSize = settings.groupSize();
-        this.isLoadOfOthersKnown = visibility.isComplete();
+        this.isTotalLoadKnown = visibility.isComplete();
         this.statistics = statistics;
         this.loads = loads;
         this.random = random;
     }
 
     /** Fraction of its full capacity that an upstream has; rises to 1 with its age. */
-    double factor(UpstreamState upstream, long nowUs) {
+    double capacityFraction(UpstreamState upstream, long nowUs) {
         double ageUs = Math.max(0, nowUs - upstream.endpoint.launchedAtUs());
-        return upstream.endpoint.launchedAtUs() <= 0 || ageUs >= rules.slowStartUs()
+        return upstream.endpoint.launchedAtUs() <= 0 || ageUs >= rules.slowStartDurationUs()
                 ? 1
-                : rules.startCapacity() + (1 - rules.startCapacity()) * ageUs / rules.slowStartUs();
+                : rules.initialCapacityFraction()
+                        + (1 - rules.initialCapacityFraction())
+                                * ageUs
+                                / rules.slowStartDurationUs();
     }
 
     /** Sets the initial tokens of a newly listed upstream; draws a random number. */
-    void fillFirst(UpstreamState upstream, long nowUs) {
-        upstream.slowStartTokens = firstTokens();
+    void initializeTokens(UpstreamState upstream, long nowUs) {
+        upstream.slowStartTokens = initialTokens();
         upstream.slowStartTokensAtUs = nowUs;
         upstream.slowStartTokensUnusedSinceUs = nowUs;
     }
@@ -76,47 +80,50 @@
      * Whether an upstream is warm or its bucket has the tokens for a mean request. Refills the
      * bucket, and draws a random number if unused tokens expire.
      */
-    boolean hasRoom(UpstreamState upstream, long nowUs) {
-        double factor = factor(upstream, nowUs);
-        if (factor >= 1) {
+    boolean hasBudget(UpstreamState upstream, long nowUs) {
+        double capacityFraction = capacityFraction(upstream, nowUs);
+        if (capacityFraction >= 1) {
             return true;
         }
-        if (isLoadOfOthersKnown && upstream.inFlight + loads.loadOfOthers(upstream, nowUs) >= 1) {
+        if (isTotalLoadKnown
+                && upstream.inFlight + loads.otherBalancersLoad(upstream, nowUs) >= 1) {
             return false;
         }
         double meanCost = statistics.meanCost();
-        double rate = budgetRate(upstream, factor);
-        double most = Math.max(rate * rules.overloadWindowUs(), LEAST_BUCKET * meanCost);
+        double rate = budgetRate(upstream, capacityFraction);
+        double bucketSize = Math.max(rate * rules.overloadWindowUs(), MIN_BUCKET_SIZE * meanCost);
         upstream.slowStartTokens =
                 Math.min(
-                        most,
+                        bucketSize,
                         upstream.slowStartTokens + rate * (nowUs - upstream.slowStartTokensAtUs));
         upstream.slowStartTokensAtUs = nowUs;
         if (upstream.slowStartTokens < meanCost) {
             upstream.slowStartTokensUnusedSinceUs = nowUs;
-        } else if (nowUs - upstream.slowStartTokensUnusedSinceUs > UNUSED_BUDGET_LIFETIME_US) {
-            upstream.slowStartTokens = firstTokens();
+        } else if (nowUs - upstream.slowStartTokensUnusedSinceUs > UNUSED_TOKEN_LIFETIME_US) {
+            upstream.slowStartTokens = initialTokens();
             upstream.slowStartTokensUnusedSinceUs = nowUs;
         }
         return upstream.slowStartTokens >= meanCost;
     }
 
-    private double firstTokens() {
+    private double initialTokens() {
         return statistics.meanCost() * (2 * random.nextDouble() - 1);
     }
 
     /**
-     * Work per microsecond that this balancer may send to a cold upstream. The sends of all balancers
-     * together are about a Poisson process. The target is the number of mean requests at which
-     * {@link #MARGIN_DEVIATIONS} standard deviations more are still within the budget. A fixed
-     * fraction would be too much of a small budget and would leave most of a large one unused.
+     * Work per microsecond that this balancer may send to a cold upstream. The sends of all
+     * balancers together are about a Poisson process. The target is the number of mean requests at
+     * which {@link #MARGIN_DEVIATIONS} standard deviations more are still within the budget. A
+     * fixed fraction would be too much of a small budget and would leave most of a large one
+     * unused.
      */
-    private double budgetRate(UpstreamState upstream, double factor) {
-        double budget = rules.overloadMultiple() * factor * warmRate * upstream.rating;
+    private double budgetRate(UpstreamState upstream, double capacityFraction) {
+        double budget = rules.overloadMultiple() * capacityFraction * warmRate * upstream.rating;
         double requests =
                 budget * groupSize * rules.overloadWindowUs() / Math.max(statistics.meanCost(), 1);
         double root =
-                Math.sqrt(requests + KEPT_DEVIATIONS * KEPT_DEVIATIONS / 4) - KEPT_DEVIATIONS / 2;
+                Math.sqrt(requests + MARGIN_DEVIATIONS * MARGIN_DEVIATIONS / 4)
+                        - MARGIN_DEVIATIONS / 2;
         return requests > 0 ? budget * root * root / requests : 0;
     }
 
@@ -133,20 +140,20 @@
      * requests are averaged with equal weight. With smoothing from zero, a restarted balancer took
      * seconds to learn the rate of a warm upstream, and sent nothing to cold ones meanwhile.
      */
-    void measureRates(List<UpstreamState> subset, long nowUs, long periodUs) {
+    void updateRates(List<UpstreamState> subset, long nowUs, long periodUs) {
         periodsWithRequests += statistics.hasRequests() ? 1 : 0;
-        double share = Math.max(RATE_SMOOTHING, 1.0 / Math.max(1, periodsWithRequests));
-        double sum = 0;
-        double ratings = 0;
+        double weight = Math.max(RATE_SMOOTHING, 1.0 / Math.max(1, periodsWithRequests));
+        double rateSum = 0;
+        double ratingSum = 0;
         for (UpstreamState upstream : subset) {
             upstream.completedWorkRate +=
-                    share * (upstream.completedWork / periodUs - upstream.completedWorkRate);
+                    weight * (upstream.completedWork / periodUs - upstream.completedWorkRate);
             upstream.completedWork = 0;
-            if (factor(upstream, nowUs) >= 1) {
-                sum += upstream.completedWorkRate;
-                ratings += upstream.rating;
+            if (capacityFraction(upstream, nowUs) >= 1) {
+                rateSum += upstream.completedWorkRate;
+                ratingSum += upstream.rating;
             }
         }
-        warmRate = ratings > 0 ? sum / ratings : warmRate;
+        warmRate = ratingSum > 0 ? rateSum / ratingSum : warmRate;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/TenantShares.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/TenantTokenBuckets.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Token buckets for this balancer's equal part of each tenant's rate limit; each holds the tokens of
- * one second. A request beyond the limit is not rejected but only gets a lower priority, because the
- * tenant's traffic may not be spread evenly over the balancers.
+ * Token buckets for this balancer's equal part of each tenant's rate limit; each holds the tokens
+ * of one second. A request beyond the limit is not rejected but only gets a lower priority, because
+ * the tenant's traffic may not be spread evenly over the balancers.
  */
-final class TenantShares {
+final class TenantTokenBuckets {
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final List<Tenant> tenants;
@@ -15,7 +15,7 @@
     private final double[] tokens;
     private final long[] tokensAtUs;
 
-    TenantShares(List<Tenant> tenants, int groupSize) {
+    TenantTokenBuckets(List<Tenant> tenants, int groupSize) {
         this.tenants = tenants;
         this.groupSize = groupSize;
         this.tokens = new double[tenants.size()];
@@ -27,12 +27,14 @@
      * without a rate limit.
      */
     boolean tryTake(int tenant, long nowUs) {
-        if (tenant < 0 || tenant >= tokensAtUs.length || tenants.get(tenant).allowance() <= 0) {
+        if (tenant < 0
+                || tenant >= tokensAtUs.length
+                || tenants.get(tenant).rateLimitPerSecond() <= 0) {
             return true;
         }
-        double perSecond = tenants.get(tenant).allowance() / groupSize;
-        double earned = perSecond * (nowUs - tokensAtUs[tenant]) / MICROS_PER_SECOND;
-        double available = Math.min(Math.max(perSecond, 1), tokens[tenant] + earned);
+        double tokensPerSecond = tenants.get(tenant).rateLimitPerSecond() / groupSize;
+        double earned = tokensPerSecond * (nowUs - tokensAtUs[tenant]) / MICROS_PER_SECOND;
+        double available = Math.min(Math.max(tokensPerSecond, 1), tokens[tenant] + earned);
         tokensAtUs[tenant] = nowUs;
         tokens[tenant] = available >= 1 ? available - 1 : available;
         return available >= 1;
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamEligibility.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamEligibility.java
@@ -27,14 +27,14 @@
     }
 
     /**
-     * Whether an upstream may get the request. The order of the conditions matters, because the last
-     * one refills the slow-start token bucket of a cold upstream.
+     * Whether an upstream may get the request. The order of the conditions matters, because the
+     * last one refills the slow-start token bucket of a cold upstream.
      */
     boolean isEligible(UpstreamState upstream, RequestState request, long nowUs, boolean isPanic) {
         return retryPolicy.maySend(request, upstream, nowUs)
-                && !request.isHedgedAwayFrom(upstream)
+                && !request.wasHedgedAt(upstream)
                 && (isPanic || !ejection.isEjected(upstream, nowUs))
                 && !prober.isUnresponsive(upstream, nowUs)
-                && slowStart.hasRoom(upstream, nowUs);
+                && slowStart.hasBudget(upstream, nowUs);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamState.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamState.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * The state that this balancer keeps of one process of an upstream. A restart of the upstream creates
- * a new instance. An attempt refers to the instance that it was sent to, even after the process has
- * left the list.
+ * The state that this balancer keeps of one process of an upstream. A restart of the upstream
+ * creates a new instance. An attempt refers to the instance that it was sent to, even after the
+ * process has left the list.
  *
- * <p>Each group of fields is written by the classes named in its comment and read by all. Confined to
- * the thread that calls the load balancer.
+ * <p>Each group of fields is written by the classes named in its comment and read by all. Confined
+ * to the thread that calls the load balancer.
  */
 final class UpstreamState extends UtilisationWeights.Weighted {
     /** A time before all events, for events that have never happened. */
@@ -20,10 +20,10 @@
     private static final int HASH_MASK = 0xFFFFFF;
 
     /** Minimum plausible utilisation; accepts values slightly below 0. */
-    private static final double LEAST_UTILISATION = -0.5;
+    private static final double MIN_UTILISATION = -0.5;
 
     /** Maximum plausible utilisation; values above 1 are clamped to 1. */
-    private static final double GREATEST_UTILISATION = 2;
+    private static final double MAX_UTILISATION = 2;
 
     final String id;
 
@@ -38,17 +38,15 @@
     /** The upstream's entry in the endpoint list. */
     Upstream endpoint;
 
-    /**
-     * Relative capacity from the list; 1 if ratings are not used or the rating is not positive.
-     */
+    /** Relative capacity from the list; 1 if ratings are not used or the rating is not positive. */
     double rating = 1;
 
-    // Written by acceptReport.
+    // Written by recordLoadReport.
 
     /** The last plausible load report; null before the first. */
-    LoadReport report;
+    LoadReport loadReport;
 
-    long reportedAtUs = NEVER_US;
+    long loadReportAtUs = NEVER_US;
 
     // Written by RequestDispatcher.
 
@@ -61,9 +59,9 @@
     // Load of other balancers. Written by OutcomeRecorder and OnDemandProber.
 
     /** Requests of other balancers that were in flight at {@link #otherBalancersSeenAtUs}. */
-    double othersInFlight;
+    double otherBalancersInFlight;
 
-    long othersSeenAtUs = NEVER_US;
+    long otherBalancersSeenAtUs = NEVER_US;
 
     // Written by OnDemandProber and PeriodicProber.
 
@@ -83,14 +81,14 @@
     /** In-flight limit of this balancer, in requests; may be a fraction. */
     double concurrencyLimit;
 
-    long limitCutAtUs;
+    long lastLimitCutAtUs;
 
     /** No attempt is sent before this time because of an in-flight limit below 1. */
     long pausedUntilUs;
 
     /**
-     * Minimum service time seen recently: microseconds per unit of hinted work, or microseconds of a
-     * request without a hint. 0 before the first answer.
+     * Minimum service time seen recently: microseconds per unit of hinted work, or microseconds of
+     * a request without a hint. 0 before the first answer.
      */
     double minServiceTime;
 
@@ -103,7 +101,7 @@
     double answerTimeUs;
 
     /** Smoothed answer time divided by the load at the send: the delay that each request adds. */
-    double paceUs;
+    double delayPerRequestUs;
 
     /** Smoothed fraction of attempts that ended with an error or a reset, 0 to 1. */
     double errorRate;
@@ -118,7 +116,7 @@
     long ejectedUntilUs;
 
     /** Duration of the next ejection; doubles with each one until the upstream answers. */
-    long nextEjectionUs = OutlierEjection.FIRST_EJECTION_US;
+    long nextEjectionUs = OutlierEjection.INITIAL_EJECTION_US;
 
     boolean isHanging;
 
@@ -160,21 +158,21 @@
     }
 
     /** Stores a load report. Ignores null and implausible reports. */
-    void acceptReport(LoadReport newReport, long nowUs) {
+    void recordLoadReport(LoadReport newReport, long nowUs) {
         if (newReport == null || !isPlausible(newReport.utilisation())) {
             return;
         }
-        report = newReport;
-        reportedAtUs = nowUs;
+        loadReport = newReport;
+        loadReportAtUs = nowUs;
     }
 
     /** False for NaN. */
     private static boolean isPlausible(double utilisation) {
-        return utilisation >= LEAST_UTILISATION && utilisation <= GREATEST_UTILISATION;
+        return utilisation >= MIN_UTILISATION && utilisation <= MAX_UTILISATION;
     }
 
     /** Whether it has not answered since it was last ejected. */
     boolean isUnprovenSinceEjection() {
-        return nextEjectionUs > OutlierEjection.FIRST_EJECTION_US;
+        return nextEjectionUs > OutlierEjection.INITIAL_EJECTION_US;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
@@ -27,7 +27,7 @@
             ConcurrencyLimiter limiter,
             SlowStart slowStart) {
         this.balancerPosition = settings.position();
-        this.usesRatings = settings.ratings() != Ratings.NONE;
+        this.usesRatings = settings.ratingKind() != CapacityRatingKind.NONE;
         this.statistics = statistics;
         this.limiter = limiter;
         this.slowStart = slowStart;
@@ -56,16 +56,16 @@
     }
 
     /**
-     * Creates the state of a new process. It keeps only the weight of the previous process; load and
-     * health of that one do not apply to it. {@code previous} is null for a new upstream.
+     * Creates the state of a new process. It keeps only the weight of the previous process; load
+     * and health of that one do not apply to it. {@code previous} is null for a new upstream.
      */
     private UpstreamState create(Upstream entry, UpstreamState previous, long nowUs) {
         UpstreamState created = new UpstreamState(entry.id(), balancerPosition);
         created.logWeight = previous == null ? 0 : previous.logWeight;
         created.weight = Math.exp(created.logWeight);
-        created.paceUs = statistics.paceUs();
-        created.concurrencyLimit = limiter.firstLimit();
-        slowStart.fillFirst(created, nowUs);
+        created.delayPerRequestUs = statistics.delayPerRequestUs();
+        created.concurrencyLimit = limiter.initialLimit();
+        slowStart.initializeTokens(created, nowUs);
         return created;
     }
 
@@ -103,7 +103,9 @@
         return byHash.get(hash);
     }
 
-    /** Whether this is the current state of a listed upstream, and not that of an earlier process. */
+    /**
+     * Whether this is the current state of a listed upstream, and not that of an earlier process.
+     */
     boolean contains(UpstreamState upstream) {
         return byId.get(upstream.id) == upstream;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -18,13 +18,13 @@
     private static final String SWEEP_TIMER = "sweep";
 
     /** Mean time between sweeps while requests are queued, microseconds. Jittered. */
-    private static final long SWEEP_US = 10_000;
+    private static final long SWEEP_PERIOD_US = 10_000;
 
     /**
      * Mean time between sweeps while none is queued, microseconds. Longer, since timers cost CPU in
      * large groups.
      */
-    private static final long IDLE_SWEEP_US = 50_000;
+    private static final long IDLE_SWEEP_PERIOD_US = 50_000;
 
     /** Mean reweighting period, microseconds. Jittered, so that balancers do not act together. */
     private static final long REWEIGHTING_PERIOD_US = 250_000;
@@ -34,13 +34,13 @@
      * arrive after a network delay. Without the random choice, all balancers would send to the same
      * freed upstream at once.
      */
-    private static final double DISPATCH_CHANCE = 0.25;
+    private static final double DISPATCH_PROBABILITY = 0.25;
 
     /** Timer ticks by which a final answer precedes the deadline, because ticks are coarse. */
     private static final long MARGIN_TICKS = 3;
 
     /** Minimum tick used to compute that margin, microseconds. */
-    private static final long LEAST_TICK_US = 1_000;
+    private static final long MIN_TICK_US = 1_000;
 
     private final Settings settings;
     private final Actions actions;
@@ -53,16 +53,16 @@
     private final RendezvousSubsetting subsetting;
     private final OnDemandProber onDemandProber;
     private final PeriodicProber periodicProber;
-    private final PeerLoadExchange peers;
+    private final PeerLoadExchange peerLoads;
     private final EndpointSubscription subscription;
-    private final TenantShares tenantShares;
-    private final DeadlineTimer deadlines;
+    private final TenantTokenBuckets tenantTokenBuckets;
+    private final DeadlineTimer deadlineTimer;
     private final HedgingPolicy hedging;
     private final RequestQueue queue;
-    private final OpenRequests requests;
+    private final OpenRequests openRequests;
     private final RequestDispatcher dispatcher;
-    private final OutcomeRecorder outcomes;
-    private final WeightUpdater weights;
+    private final OutcomeRecorder outcomeRecorder;
+    private final WeightUpdater weightUpdater;
     private long nextReweightAtUs;
     private long nextSweepAtUs;
 
@@ -78,9 +78,11 @@
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         this.visibility = LoadVisibility.of(settings);
-        long marginUs = MARGIN_TICKS * Math.max(settings.tickUs(), LEAST_TICK_US);
+        long marginUs = MARGIN_TICKS * Math.max(settings.tickUs(), MIN_TICK_US);
         QueueingDelayTarget delayTarget = QueueingDelayTarget.of(settings);
-        this.statistics = new RequestStatistics(settings.classes().size(), firstPaceUs(settings));
+        this.statistics =
+                new RequestStatistics(
+                        settings.classes().size(), initialDelayPerRequestUs(settings));
         LoadEstimator loads = new LoadEstimator(statistics, delayTarget);
         this.ejection = new OutlierEjection(statistics, delayTarget);
         this.slowStart = new SlowStart(settings, visibility, statistics, loads, random);
@@ -94,17 +96,19 @@
                         settings, visibility, delayTarget, subsetting, admission, actions);
         this.periodicProber =
                 new PeriodicProber(settings, visibility, upstreams, statistics, random, actions);
-        this.peers =
+        this.peerLoads =
                 new PeerLoadExchange(settings, visibility, upstreams, subsetting, loads, actions);
-        this.subscription = new EndpointSubscription(settings.askForList(), random, actions);
-        this.tenantShares = new TenantShares(settings.tenants(), settings.groupSize());
-        this.deadlines = new DeadlineTimer(marginUs, actions);
+        this.subscription =
+                new EndpointSubscription(settings.isListSubscriptionRequired(), random, actions);
+        this.tenantTokenBuckets = new TenantTokenBuckets(settings.tenants(), settings.groupSize());
+        this.deadlineTimer = new DeadlineTimer(marginUs, actions);
         this.hedging = new HedgingPolicy(statistics, delayTarget);
-        this.weights = new WeightUpdater(statistics);
-        this.outcomes =
+        this.weightUpdater = new WeightUpdater(statistics);
+        this.outcomeRecorder =
                 new OutcomeRecorder(visibility, statistics, ejection, limiter, onDemandProber);
         ZonePreference zones = new ZonePreference(settings);
-        KeyAffinity affinity = new KeyAffinity(settings.warmKeys(), upstreams, ejection, zones);
+        KeyAffinity affinity =
+                new KeyAffinity(settings.isKeyAffinityEnabled(), upstreams, ejection, zones);
         RetryPolicy retryPolicy = new RetryPolicy(settings.limits(), marginUs);
         UpstreamEligibility eligibility =
                 new UpstreamEligibility(
@@ -113,12 +117,13 @@
                 new WeightedLeastLoadPicker(
                         subsetting, eligibility, admission, slowStart, loads, zones, random);
         this.queue = new RequestQueue(affinity);
-        this.requests = new OpenRequests(settings.limits(), queue, deadlines, statistics, actions);
+        this.openRequests =
+                new OpenRequests(settings.limits(), queue, deadlineTimer, statistics, actions);
         this.dispatcher =
                 new RequestDispatcher(
-                        requests,
+                        openRequests,
                         queue,
-                        deadlines,
+                        deadlineTimer,
                         affinity,
                         eligibility,
                         picker,
@@ -127,55 +132,56 @@
                         admission,
                         loads,
                         slowStart,
-                        peers,
+                        peerLoads,
                         actions);
     }
 
     /** The delay per request at which the initial queue just meets the tightest latency target. */
-    private static double firstPaceUs(Settings settings) {
-        return AdmissionControl.REPORTED_SHARE
+    private static double initialDelayPerRequestUs(Settings settings) {
+        return AdmissionControl.REPORTED_TIME_FRACTION
                 * QueueingDelayTarget.tightestLatencyTargetUs(settings)
-                / ConcurrencyLimiter.FIRST_TOTAL;
+                / ConcurrencyLimiter.INITIAL_TOTAL_LIMIT;
     }
 
     @Override
-    public void start(long now) {
-        nextReweightAtUs = now + Jitter.around(random, REWEIGHTING_PERIOD_US);
-        periodicProber.start(now);
-        sweepAfter(SWEEP_US, now);
+    public void start(long nowUs) {
+        nextReweightAtUs = nowUs + Jitter.around(random, REWEIGHTING_PERIOD_US);
+        periodicProber.start(nowUs);
+        sweepAfter(SWEEP_PERIOD_US, nowUs);
         subscription.start();
     }
 
     @Override
-    public void upstreams(long now, ListKind kind, List<Upstream> entries) {
-        if (kind == ListKind.UNAVAILABLE) {
-            subscription.recordFailure(now);
+    public void onEndpointList(long nowUs, EndpointListKind kind, List<Upstream> entries) {
+        if (kind == EndpointListKind.UNAVAILABLE) {
+            subscription.recordFailure(nowUs);
             return;
         }
         subscription.recordSuccess();
-        upstreams.update(entries, kind != ListKind.CHANGES, now);
-        dispatch(now);
+        upstreams.update(entries, kind != EndpointListKind.CHANGES, nowUs);
+        dispatch(nowUs);
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long nowUs, Request request) {
         RequestClass requestClass = settings.classes().get(request.classIndex());
         RequestState state =
-                new RequestState(request, requestClass, statistics.nextSequence(), now);
+                new RequestState(request, requestClass, statistics.nextSequence(), nowUs);
         if (request.isRetry()) {
             // The latency target counts from the first attempt, which most likely waited for a
             // rejection.
-            state.targetAtUs -= (long) statistics.waitBeforeRejectionUs(request.classIndex());
+            state.latencyTargetAtUs -=
+                    (long) statistics.waitBeforeRejectionUs(request.classIndex());
         }
         state.cost = expectedCost(request);
-        state.priority = priority(state, now);
+        state.priority = priority(state, nowUs);
         statistics.recordArrival(state.cost);
-        hedging.earnTokens();
-        requests.add(state, now);
-        onDemandProber.earnTokens(request.isRetry());
-        onDemandProber.probe(queue, now);
-        dispatch(now);
-        requests.finishDue(now);
+        hedging.addTokens();
+        openRequests.add(state, nowUs);
+        onDemandProber.addTokens(request.isRetry());
+        onDemandProber.probe(queue, nowUs);
+        dispatch(nowUs);
+        openRequests.rejectOrFailDue(nowUs);
     }
 
     private double expectedCost(Request request) {
@@ -188,89 +194,91 @@
 
     private double priority(RequestState state, long nowUs) {
         return state.requestClass.priorityWeight()
-                / (settings.worthByWork() ? 1 : state.cost)
-                * (tenantShares.tryTake(state.request.tenant(), nowUs)
+                / (settings.isValueProportionalToWork() ? 1 : state.cost)
+                * (tenantTokenBuckets.tryTake(state.request.tenantIndex(), nowUs)
                         ? 1
-                        : settings.overShareFactor());
+                        : settings.overLimitPriorityFactor());
     }
 
     @Override
-    public void outcome(long now, AttemptEnd end) {
-        RequestState request = requests.get(end.request());
-        if (request == null || end.attempt() < 0 || end.attempt() >= request.attempts.size()) {
+    public void onAttemptEnd(long nowUs, AttemptEnd end) {
+        RequestState request = openRequests.get(end.requestId());
+        if (request == null
+                || end.attemptIndex() < 0
+                || end.attemptIndex() >= request.attempts.size()) {
             return;
         }
-        Attempt attempt = request.attempts.get(end.attempt());
+        Attempt attempt = request.attempts.get(end.attemptIndex());
         // The report is of the process that got the attempt, which may have left the list.
-        attempt.upstream.acceptReport(end.load(), now);
+        attempt.upstream.recordLoadReport(end.load(), nowUs);
         if (attempt.isOutstanding) {
-            dispatcher.recordEnd(request, attempt, end.outcome());
-            outcomes.record(request, attempt, end, now);
-            peers.report(attempt.upstream);
+            dispatcher.markEnded(request, attempt, end.outcome());
+            outcomeRecorder.record(request, attempt, end, nowUs);
+            peerLoads.report(attempt.upstream);
         }
         if (end.isConcluded()) {
             request.isEnded = true;
         }
         if (request.isEnded) {
-            requests.removeIfDone(request);
+            openRequests.removeIfDone(request);
         } else if (request.outstandingAttempts() == 0) {
-            dispatcher.retryOrFinish(request, now);
+            dispatcher.retryOrGiveUp(request, nowUs);
         }
-        dispatch(now);
+        dispatch(nowUs);
     }
 
     @Override
-    public void opened(long now, String requestId, int attemptIndex) {
-        RequestState state = requests.get(requestId);
+    public void onStreamOpened(long nowUs, String requestId, int attemptIndex) {
+        RequestState state = openRequests.get(requestId);
         if (state != null) {
             state.isStreaming = true;
         }
     }
 
     @Override
-    public void clientGone(long now, String requestId) {
-        RequestState state = requests.get(requestId);
+    public void onClientDisconnected(long nowUs, String requestId) {
+        RequestState state = openRequests.get(requestId);
         if (state != null && !state.isEnded) {
-            requests.conclude(state);
+            openRequests.conclude(state);
         }
     }
 
     @Override
-    public void probed(long now, String upstreamId, Outcome outcome, LoadReport load) {
+    public void onProbeResult(long nowUs, String upstreamId, Outcome outcome, LoadReport load) {
         UpstreamState state = upstreams.byId(upstreamId);
         if (state != null && outcome == Outcome.OK) {
-            state.acceptReport(load, now);
-            onDemandProber.recordAnswer(state, load, now);
+            state.recordLoadReport(load, nowUs);
+            onDemandProber.recordAnswer(state, load, nowUs);
         }
         if (state != null && outcome == Outcome.CONNECT_FAILED) {
-            ejection.eject(state, now);
+            ejection.eject(state, nowUs);
         }
-        if (onDemandProber.endWaitIfComplete(now)) {
-            dispatch(now);
+        if (onDemandProber.endWaitIfComplete(nowUs)) {
+            dispatch(nowUs);
         }
     }
 
     @Override
-    public void timer(long now, String token) {
+    public void onTimer(long nowUs, String token) {
         if (token.equals(DeadlineTimer.TIMER)) {
-            deadlines.recordTimer(now);
-            requests.finishDue(now);
+            deadlineTimer.recordTimerExpiry(nowUs);
+            openRequests.rejectOrFailDue(nowUs);
         } else if (token.equals(OnDemandProber.TIMER)) {
-            dispatch(now);
-        } else if (token.equals(SWEEP_TIMER) && now >= nextSweepAtUs) {
-            sweep(now);
+            dispatch(nowUs);
+        } else if (token.equals(SWEEP_TIMER) && nowUs >= nextSweepAtUs) {
+            sweep(nowUs);
         }
     }
 
     @Override
-    public void peerMessage(long now, int from, byte[] body) {
-        peers.receive(from, body, now);
+    public void onPeerMessage(long nowUs, int from, byte[] body) {
+        peerLoads.receive(from, body, nowUs);
     }
 
     /** Sends queued requests, unless it is waiting for answers to probes. */
     private void dispatch(long nowUs) {
-        if (!queue.isEmpty() && nextSweepAtUs - nowUs > 2 * SWEEP_US) {
-            sweepAfter(Jitter.around(random, SWEEP_US), nowUs);
+        if (!queue.isEmpty() && nextSweepAtUs - nowUs > 2 * SWEEP_PERIOD_US) {
+            sweepAfter(Jitter.around(random, SWEEP_PERIOD_US), nowUs);
         }
         if (!onDemandProber.isWaiting(nowUs)) {
             dispatcher.dispatchQueued(nowUs);
@@ -279,13 +287,15 @@
 
     private void sweepAfter(long delayUs, long nowUs) {
         nextSweepAtUs = nowUs + delayUs;
-        actions.timer(SWEEP_TIMER, delayUs);
+        actions.setTimer(SWEEP_TIMER, delayUs);
     }
 
     /** The periodic work. The order of its steps determines the order of random numbers. */
     private void sweep(long nowUs) {
-        sweepAfter(Jitter.around(random, queue.isEmpty() ? IDLE_SWEEP_US : SWEEP_US), nowUs);
-        requests.finishDue(nowUs);
+        sweepAfter(
+                Jitter.around(random, queue.isEmpty() ? IDLE_SWEEP_PERIOD_US : SWEEP_PERIOD_US),
+                nowUs);
+        openRequests.rejectOrFailDue(nowUs);
         ejection.ejectHanging(upstreams.ranked(), nowUs);
         dispatcher.shedLate(nowUs);
         if (settings.limits().hedging() && hedging.hasToken()) {
@@ -297,16 +307,16 @@
         subscription.retryIfDue(nowUs);
         periodicProber.probeIfDue(nowUs);
         onDemandProber.probe(queue, nowUs);
-        if (!visibility.byPeers() || random.nextDouble() < DISPATCH_CHANCE) {
+        if (!visibility.byPeers() || random.nextDouble() < DISPATCH_PROBABILITY) {
             dispatch(nowUs);
         }
     }
 
     private void reweight(long nowUs) {
         long periodUs = Jitter.around(random, REWEIGHTING_PERIOD_US);
-        slowStart.measureRates(subsetting.withoutReplacements(), nowUs, periodUs);
-        statistics.measureRequestRate(periodUs);
-        weights.update(upstreams.ranked(), nowUs);
+        slowStart.updateRates(subsetting.withoutReplacements(), nowUs, periodUs);
+        statistics.updateRequestRate(periodUs);
+        weightUpdater.update(upstreams.ranked(), nowUs);
         nextReweightAtUs = nowUs + periodUs;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationWeights.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationWeights.java
@@ -12,13 +12,13 @@
     private static final double GAIN = 1;
 
     /** Fraction by which the log weight decays in each period. */
-    private static final double LEAK = 0.02;
+    private static final double DECAY = 0.02;
 
     /**
      * Maximum absolute log weight. At a bias of 4 this is equivalent to a factor of 4.5 on the
      * requests in flight, up or down.
      */
-    private static final double GREATEST_LOG_WEIGHT = 6;
+    private static final double MAX_LOG_WEIGHT = 6;
 
     private UtilisationWeights() {}
 
@@ -50,20 +50,20 @@
         double logSum = 0;
         for (Weighted upstream : upstreams) {
             if (upstream.hasFreshUtilisation()) {
-                moveByDistance(upstream, mean);
+                adjustLogWeight(upstream, mean);
                 logSum += upstream.logWeight;
             }
         }
         for (Weighted upstream : upstreams) {
             if (!upstream.hasFreshUtilisation()) {
-                upstream.logWeight = fresh == 0 ? upstream.logWeight * (1 - LEAK) : logSum / fresh;
+                upstream.logWeight = fresh == 0 ? upstream.logWeight * (1 - DECAY) : logSum / fresh;
             }
             upstream.weight = Math.exp(upstream.logWeight);
         }
     }
 
-    private static void moveByDistance(Weighted upstream, double mean) {
-        double moved = upstream.logWeight * (1 - LEAK) + GAIN * (mean - upstream.utilisation);
-        upstream.logWeight = Math.max(-GREATEST_LOG_WEIGHT, Math.min(GREATEST_LOG_WEIGHT, moved));
+    private static void adjustLogWeight(Weighted upstream, double mean) {
+        double adjusted = upstream.logWeight * (1 - DECAY) + GAIN * (mean - upstream.utilisation);
+        upstream.logWeight = Math.max(-MAX_LOG_WEIGHT, Math.min(MAX_LOG_WEIGHT, adjusted));
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightUpdater.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightUpdater.java
@@ -26,9 +26,9 @@
 
     /** The reported utilisation, clamped to 0 to 1; NaN without a fresh report. */
     private static double freshUtilisation(UpstreamState upstream, long nowUs) {
-        if (nowUs - upstream.reportedAtUs > REPORT_LIFETIME_US) {
+        if (nowUs - upstream.loadReportAtUs > REPORT_LIFETIME_US) {
             return Double.NaN;
         }
-        return Math.max(0, Math.min(1, upstream.report.utilisation()));
+        return Math.max(0, Math.min(1, upstream.loadReport.utilisation()));
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
@@ -6,11 +6,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Picks an upstream at random, in proportion to weight / (load + 1)^bias, from a sample of the subset.
- * Preferences are factors on the load: a preference of 2 compensates for twice the load.
+ * Picks an upstream at random, in proportion to weight / (load + 1)^bias, from a sample of the
+ * subset. Preferences are factors on the load: a preference of 2 compensates for twice the load.
  */
 final class WeightedLeastLoadPicker {
-    /** Exponent of load and preferences. With 4, a clearly shorter queue is nearly always picked. */
+    /**
+     * Exponent of load and preferences. With 4, a clearly shorter queue is nearly always picked.
+     */
     private static final double BIAS = 4;
 
     /** Preference for the upstream of a request's key. */
@@ -23,7 +25,7 @@
     private static final double UNPROVEN_PREFERENCE = 0.74;
 
     /** The same for a request that is not idempotent. */
-    private static final double UNPROVEN_PREFERENCE_UNSAFE = 0.38;
+    private static final double UNPROVEN_PREFERENCE_NON_IDEMPOTENT = 0.38;
 
     /** Exponent of the fraction of attempts without an error. */
     private static final double SUCCESS_EXPONENT = 2;
@@ -54,7 +56,7 @@
     }
 
     /** Picks an upstream that has capacity for the request now; null if there is none. */
-    UpstreamState pickWithRoom(RequestState request, long nowUs) {
+    UpstreamState pickWithCapacity(RequestState request, long nowUs) {
         return pick(request, nowUs, true);
     }
 
@@ -63,12 +65,12 @@
         return pick(request, nowUs, false);
     }
 
-    private UpstreamState pick(RequestState request, long nowUs, boolean needsRoom) {
+    private UpstreamState pick(RequestState request, long nowUs, boolean needsCapacity) {
         boolean isPanic = eligibility.isPanic(nowUs);
         List<UpstreamState> candidates = new ArrayList<>();
         for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
             if (eligibility.isEligible(upstream, request, nowUs, isPanic)
-                    && (!needsRoom || admission.hasRoom(upstream, request, nowUs))) {
+                    && (!needsCapacity || admission.hasCapacity(upstream, request, nowUs))) {
                 candidates.add(upstream);
             }
         }
@@ -85,13 +87,13 @@
     private double score(UpstreamState upstream, RequestState request, long nowUs) {
         double preference =
                 upstream.rating
-                        * slowStart.factor(upstream, nowUs)
+                        * slowStart.capacityFraction(upstream, nowUs)
                         * Math.pow(1 - upstream.errorRate, SUCCESS_EXPONENT)
-                        * zones.factor(upstream)
+                        * zones.preference(upstream)
                         * (upstream == request.affinityUpstream ? AFFINITY_PREFERENCE : 1)
                         * unprovenPreference(upstream, request);
         double weight = upstream.weight * Math.pow(preference, BIAS);
-        double load = loads.ownLoad(upstream) + loads.loadOfOthers(upstream, nowUs);
+        double load = loads.ownLoad(upstream) + loads.otherBalancersLoad(upstream, nowUs);
         return weight / Math.pow(load + 1, BIAS);
     }
 
@@ -99,8 +101,8 @@
         if (!upstream.isUnprovenSinceEjection()) {
             return 1;
         }
-        return request.requestClass.effect() == Effect.UNSAFE
-                ? UNPROVEN_PREFERENCE_UNSAFE
+        return request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                ? UNPROVEN_PREFERENCE_NON_IDEMPOTENT
                 : UNPROVEN_PREFERENCE;
     }
 
@@ -121,10 +123,10 @@
     }
 
     private UpstreamState draw(List<UpstreamState> candidates, double[] scores, double sum) {
-        double x = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         UpstreamState last = null;
-        for (int i = 0; i < scores.length && x >= 0; i++) {
-            x -= scores[i];
+        for (int i = 0; i < scores.length && remaining >= 0; i++) {
+            remaining -= scores[i];
             last = scores[i] > 0 ? candidates.get(i) : last;
         }
         return last;
--- a/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
@@ -6,15 +6,15 @@
     private static final double PREFERENCE_PER_POINT = 80;
 
     private final int zone;
-    private final double ownZoneFactor;
+    private final double ownZonePreference;
 
     ZonePreference(Settings settings) {
         this.zone = settings.zone();
-        this.ownZoneFactor = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
+        this.ownZonePreference = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
     }
 
     /** The preference for an upstream: 1 in other zones, 1 or more in the own zone. */
-    double factor(UpstreamState upstream) {
-        return upstream.endpoint.zone() == zone ? ownZoneFactor : 1;
+    double preference(UpstreamState upstream) {
+        return upstream.endpoint.zone() == zone ? ownZonePreference : 1;
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.EndpointListKind;
 import myrtleladder.loadbalancer.policy.LoadBalancer;
 import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.policy.Settings;
@@ -52,7 +52,7 @@
         this.connections = connections;
         Settings moduleSettings = settings.balancer();
         this.balancer = new UtilisationLoadBalancer(moduleSettings, config.seed(), this);
-        LoadReportParser loadReports = new LoadReportParser(moduleSettings.reports());
+        LoadReportParser loadReports = new LoadReportParser(moduleSettings.loadReportSource());
         this.requests =
                 new RequestDispatcher(
                         loop,
@@ -78,8 +78,8 @@
     void start(DiscoveryClient source, EndpointList known) {
         discovery = source;
         events.run(() -> balancer.start(clock.nowUs()));
-        endpointsListed(ListKind.RESTORED, known);
-        if (!settings.balancer().askForList()) {
+        endpointsListed(EndpointListKind.RESTORED, known);
+        if (!settings.balancer().isListSubscriptionRequired()) {
             discovery.watch(true);
         }
         if (!known.endpoints().isEmpty()) {
@@ -126,22 +126,25 @@
     }
 
     /** Discovery has sent a list or changes of it, or the list known before the start is used. */
-    void endpointsListed(ListKind kind, EndpointList list) {
+    void endpointsListed(EndpointListKind kind, EndpointList list) {
         EndpointList effective = endpoints.update(list);
-        isReady |= kind == ListKind.COMPLETE || kind == ListKind.CHANGES;
+        isReady |= kind == EndpointListKind.COMPLETE || kind == EndpointListKind.CHANGES;
         apply(kind, effective);
     }
 
     /** A call to discovery has failed. */
     void listUnavailable() {
-        events.run(() -> balancer.upstreams(clock.nowUs(), ListKind.UNAVAILABLE, List.of()));
+        events.run(
+                () ->
+                        balancer.onEndpointList(
+                                clock.nowUs(), EndpointListKind.UNAVAILABLE, List.of()));
     }
 
-    private void apply(ListKind kind, EndpointList list) {
+    private void apply(EndpointListKind kind, EndpointList list) {
         connections.apply(list);
         events.run(
                 () ->
-                        balancer.upstreams(
+                        balancer.onEndpointList(
                                 clock.nowUs(),
                                 kind,
                                 list.endpoints().stream().map(e -> e.toModule(settings)).toList()));
@@ -179,7 +182,7 @@
     public void setDraining(Set<String> draining, Set<String> restarted) {
         EndpointList changes = endpoints.setDraining(draining, restarted, clock);
         if (!changes.endpoints().isEmpty()) {
-            apply(ListKind.CHANGES, changes);
+            apply(EndpointListKind.CHANGES, changes);
         }
     }
 
@@ -199,7 +202,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         requests.reject(request, retryAfter);
     }
 
@@ -209,17 +212,17 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         requests.cancel(request, attempt);
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void setTimer(String token, long delay) {
         lag.timerSet(clock.nowUs() + delay);
         loop.schedule(
                 () -> {
                     lag.timerFired();
-                    events.run(() -> balancer.timer(clock.nowUs(), token));
+                    events.run(() -> balancer.onTimer(clock.nowUs(), token));
                 },
                 delay,
                 TimeUnit.MICROSECONDS);
@@ -231,23 +234,23 @@
     }
 
     @Override
-    public void closeIdle(String upstream) {
+    public void closeIdleConnections(String upstream) {
         connections.closeIdle(upstream);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void setSubscribed(boolean on) {
         discovery.watch(on);
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpointList() {
         discovery.fetch();
     }
 
     /** Does nothing: there is no channel between balancers, and the settings tell the module so. */
     @Override
-    public void tell(int peer, byte[] body) {}
+    public void sendToPeer(int peer, byte[] body) {}
 
     @Override
     public void log(String text) {
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -16,7 +16,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.error.OperatorError.InvalidEndpointList;
-import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.EndpointListKind;
 
 /**
  * Follows the endpoint list of discovery: by one watch that stays open and begins at the version
@@ -217,7 +217,8 @@
         }
         // Not before all that has come is read: a request whose client has left is not to be sent
         // because of this list.
-        ListKind kind = list.isFull() ? ListKind.COMPLETE : ListKind.CHANGES;
+        EndpointListKind kind =
+                list.isFull() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES;
         loop.execute(() -> balancer.endpointsListed(kind, list));
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
@@ -42,7 +42,7 @@
                         loop,
                         transport,
                         settings.limits().connectTimeoutUs(),
-                        settings.limits().connectIdleUs(),
+                        settings.limits().idleConnectionTimeoutUs(),
                         Math.max(1, descriptors - clientDescriptors));
         BalancerRuntime balancer = new BalancerRuntime(loop, config, connections);
         DiscoveryClient discovery =
@@ -50,7 +50,7 @@
                         loop,
                         transport,
                         config.discovery(),
-                        settings.askForList(),
+                        settings.isListSubscriptionRequired(),
                         config.known().version(),
                         balancer);
         balancer.start(discovery, config.known());
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import myrtleladder.loadbalancer.policy.LoadReport;
-import myrtleladder.loadbalancer.policy.Reports;
+import myrtleladder.loadbalancer.policy.LoadReportSource;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
@@ -17,8 +17,8 @@
     private final boolean areReportsExpected;
     private boolean isBadReportLogged;
 
-    LoadReportParser(Reports reports) {
-        this.areReportsExpected = reports != Reports.NONE;
+    LoadReportParser(LoadReportSource reports) {
+        this.areReportsExpected = reports != LoadReportSource.NONE;
     }
 
     /**
--- a/src/main/java/myrtleladder/loadbalancer/server/ProbeSender.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ProbeSender.java
@@ -87,6 +87,6 @@
     }
 
     private void report(String upstream, Outcome outcome, LoadReport load) {
-        events.run(() -> balancer.probed(clock.nowUs(), upstream, outcome, load));
+        events.run(() -> balancer.onProbeResult(clock.nowUs(), upstream, outcome, load));
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestDispatcher.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import myrtleladder.loadbalancer.policy.AttemptEnd;
-import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Idempotency;
 import myrtleladder.loadbalancer.policy.Limits;
 import myrtleladder.loadbalancer.policy.LoadBalancer;
 import myrtleladder.loadbalancer.policy.LoadReport;
@@ -102,7 +102,7 @@
      */
     void dispatch(Request request, FullHttpRequest message, ResponseObserver observer) {
         counters.requests++;
-        if (limits.maxOpen() > 0 && openRequests.size() >= limits.maxOpen()) {
+        if (limits.maxOpenRequests() > 0 && openRequests.size() >= limits.maxOpenRequests()) {
             counters.rejected++;
             message.release();
             observer.onRejected(0);
@@ -112,7 +112,7 @@
         openRequests.put(request.id(), open);
         open.deadlineTimer =
                 loop.schedule(() -> expire(open), request.timeLeftUs(), TimeUnit.MICROSECONDS);
-        events.run(() -> balancer.request(clock.nowUs(), request));
+        events.run(() -> balancer.onRequest(clock.nowUs(), request));
     }
 
     /** The client of a request has closed its connection. */
@@ -120,7 +120,7 @@
         OpenRequest open = openRequests.get(id);
         if (open != null && !open.isConcluded) {
             concludeAbandoned(open);
-            events.run(() -> balancer.clientGone(clock.nowUs(), id));
+            events.run(() -> balancer.onClientDisconnected(clock.nowUs(), id));
         }
     }
 
@@ -143,7 +143,7 @@
                         counters.failed++;
                         conclude(open);
                         open.observer.onFailure();
-                        balancer.clientGone(clock.nowUs(), open.request.id());
+                        balancer.onClientDisconnected(clock.nowUs(), open.request.id());
                     }
                 });
     }
@@ -229,7 +229,7 @@
         }
         events.run(
                 () ->
-                        balancer.outcome(
+                        balancer.onAttemptEnd(
                                 clock.nowUs(),
                                 new AttemptEnd(
                                         id,
@@ -250,7 +250,7 @@
         long nowUs = clock.nowUs();
         if (!open.isConcluded && !open.observer.isConnected()) {
             concludeAbandoned(open);
-            events.run(() -> balancer.clientGone(clock.nowUs(), open.request.id()));
+            events.run(() -> balancer.onClientDisconnected(clock.nowUs(), open.request.id()));
         }
         if (open.isConcluded || nowUs >= endUs || nowUs >= retryableUntilUs(open, number)) {
             return false;
@@ -265,12 +265,12 @@
      */
     private long retryableUntilUs(OpenRequest open, int number) {
         RequestClass requestClass = classes.get(open.request.classIndex());
-        if (requestClass.effect() != Effect.KEYED) {
+        if (requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY) {
             return Long.MAX_VALUE;
         }
         return open.attempts.subList(0, number).stream()
                 .filter(attempt -> attempt.mayHaveRun)
-                .mapToLong(attempt -> attempt.sentUs + requestClass.memorySpanUs())
+                .mapToLong(attempt -> attempt.sentUs + requestClass.keyRetentionUs())
                 .findFirst()
                 .orElse(Long.MAX_VALUE);
     }
@@ -322,7 +322,7 @@
         }
         events.run(
                 () ->
-                        balancer.outcome(
+                        balancer.onAttemptEnd(
                                 clock.nowUs(),
                                 new AttemptEnd(
                                         open.request.id(),
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import myrtleladder.error.OperatorError.InvalidInput;
-import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Idempotency;
 import myrtleladder.loadbalancer.policy.Request;
 import myrtleladder.loadbalancer.policy.RequestClass;
 import myrtleladder.loadbalancer.settings.SettingsReader;
@@ -54,12 +54,12 @@
         int classIndex = settings.classes().indexOf(headers.get(CLASS_HEADER));
         require(classIndex >= 0, CLASS_HEADER);
         RequestClass requestClass = settings.balancer().classes().get(classIndex);
-        Effect effect = requestClass.effect();
-        HttpMethod method = effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        Idempotency idempotency = requestClass.idempotency();
+        HttpMethod method = idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         require(message.method().equals(method), "method");
         // Without the key upstreams could not discard a retry.
         require(
-                effect != Effect.KEYED || headers.contains(IDEMPOTENCY_KEY_HEADER),
+                idempotency != Idempotency.IDEMPOTENT_BY_KEY || headers.contains(IDEMPOTENCY_KEY_HEADER),
                 IDEMPOTENCY_KEY_HEADER);
         int tenant = tenantIndex(headers);
         require(tenant >= 0, TENANT_HEADER);
@@ -75,7 +75,7 @@
                 keys == null ? null : keys.get(0),
                 workHint,
                 Math.max(0, timeLeftUs - waitedUs),
-                effect != Effect.SAFE,
+                idempotency != Idempotency.IDEMPOTENT,
                 "1".equals(headers.get(CLIENT_RETRY_HEADER)));
     }
 
--- a/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
@@ -25,7 +25,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.Idempotency;
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
@@ -267,8 +267,9 @@
             int number = requestsSent++;
             int classIndex = number % config.settings().classes().size();
             String className = config.settings().classes().get(classIndex);
-            Effect effect = config.settings().balancer().classes().get(classIndex).effect();
-            boolean isGet = effect == Effect.SAFE;
+            Idempotency idempotency =
+                    config.settings().balancer().classes().get(classIndex).idempotency();
+            boolean isGet = idempotency == Idempotency.IDEMPOTENT;
             FullHttpRequest request =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.Map;
 import myrtleladder.error.OperatorError.InvalidInput;
-import myrtleladder.loadbalancer.policy.Effect;
+import myrtleladder.loadbalancer.policy.CapacityRatingKind;
+import myrtleladder.loadbalancer.policy.DeduplicationScope;
+import myrtleladder.loadbalancer.policy.Idempotency;
 import myrtleladder.loadbalancer.policy.Limits;
 import myrtleladder.loadbalancer.policy.LoadReport;
+import myrtleladder.loadbalancer.policy.LoadReportSource;
 import myrtleladder.loadbalancer.policy.Prices;
-import myrtleladder.loadbalancer.policy.Ratings;
-import myrtleladder.loadbalancer.policy.Reports;
 import myrtleladder.loadbalancer.policy.RequestClass;
-import myrtleladder.loadbalancer.policy.RuleFigures;
-import myrtleladder.loadbalancer.policy.Scope;
+import myrtleladder.loadbalancer.policy.RuleParameters;
 import myrtleladder.loadbalancer.policy.Settings;
 import myrtleladder.loadbalancer.policy.Tenant;
 
@@ -30,28 +30,40 @@
     public static final List<String> REPORTED =
             List.of("cpu", "active", "waiting", "avg_ms", "rps", "err_rps");
 
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("free", Effect.SAFE, "guarded", Effect.KEYED, "single_shot", Effect.UNSAFE);
-    private static final Map<String, Scope> SCOPES =
-            Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL);
-    private static final Map<String, Reports> REPORT_SOURCES =
+    private static final Map<String, Idempotency> EFFECTS =
+            Map.of(
+                    "free",
+                    Idempotency.IDEMPOTENT,
+                    "guarded",
+                    Idempotency.IDEMPOTENT_BY_KEY,
+                    "single_shot",
+                    Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> SCOPES =
+            Map.of(
+                    "all",
+                    DeduplicationScope.ALL,
+                    "zone",
+                    DeduplicationScope.ZONE,
+                    "cell",
+                    DeduplicationScope.CELL);
+    private static final Map<String, LoadReportSource> REPORT_SOURCES =
             Map.of(
                     "piggyback",
-                    Reports.IN_ANSWERS,
+                    LoadReportSource.RESPONSES,
                     "pull",
-                    Reports.BY_PROBE,
+                    LoadReportSource.PROBES,
                     "silent",
-                    Reports.NONE);
-    private static final Map<String, Ratings> RATINGS =
+                    LoadReportSource.NONE);
+    private static final Map<String, CapacityRatingKind> RATINGS =
             Map.of(
                     "silent",
-                    Ratings.NONE,
+                    CapacityRatingKind.NONE,
                     "nominal",
-                    Ratings.NOMINAL,
+                    CapacityRatingKind.NOMINAL,
                     "rough",
-                    Ratings.ROUGH,
+                    CapacityRatingKind.APPROXIMATE,
                     "live",
-                    Ratings.LIVE);
+                    CapacityRatingKind.LIVE);
 
     private SettingsReader() {}
 
@@ -144,8 +156,8 @@
                         limits(root.object("ceilings")),
                         rules(root.object("rules")),
                         prices(root.object("prices")),
-                        report.choice("via", REPORT_SOURCES, Reports.NONE),
-                        root.choice("weights", RATINGS, Ratings.NONE),
+                        report.choice("via", REPORT_SOURCES, LoadReportSource.NONE),
+                        root.choice("weights", RATINGS, CapacityRatingKind.NONE),
                         "on_request".equals(root.strings.get("discovery")),
                         root.object("extra").flag("warm-keys"),
                         root.timeUs("tick-s"));
@@ -168,8 +180,8 @@
                             object.timeUs("give-up-s"),
                             object.number("worth", 1),
                             object.number("late-worth", 0),
-                            object.choice("repeat", EFFECTS, Effect.UNSAFE),
-                            object.choice("dedup-scope", SCOPES, Scope.CELL),
+                            object.choice("repeat", EFFECTS, Idempotency.NON_IDEMPOTENT),
+                            object.choice("dedup-scope", SCOPES, DeduplicationScope.CELL),
                             object.timeUs("memory-span-s"),
                             object.flag("stream")));
         }
@@ -203,8 +215,8 @@
                 (int) object.number("multiplex", 1));
     }
 
-    private static RuleFigures rules(JsonObject object) {
-        return new RuleFigures(
+    private static RuleParameters rules(JsonObject object) {
+        return new RuleParameters(
                 object.timeUs("answer-slack-s"),
                 object.timeUs("ask-within-s"),
                 object.number("start-capacity", 1),
--- a/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             action(
                     "turn-away",
                     () -> {
@@ -113,7 +113,7 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             action(
                     "cancel",
                     () -> {
@@ -123,7 +123,7 @@
         }
 
         @Override
-        public void timer(String token, long delay) {
+        public void setTimer(String token, long delay) {
             action(
                     "remind",
                     () -> {
@@ -138,22 +138,22 @@
         }
 
         @Override
-        public void closeIdle(String upstream) {
+        public void closeIdleConnections(String upstream) {
             action("shut-idle", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
-        public void watch(boolean on) {
+        public void setSubscribed(boolean on) {
             action("tail", () -> json.writeBooleanField("want", on));
         }
 
         @Override
-        public void fetch() {
+        public void fetchEndpointList() {
             action("reload", () -> {});
         }
 
         @Override
-        public void tell(int peer, byte[] body) {
+        public void sendToPeer(int peer, byte[] body) {
             action(
                     "share",
                     () -> {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import myrtleladder.error.OperatorError.InvalidInput;
 import myrtleladder.loadbalancer.policy.AttemptEnd;
-import myrtleladder.loadbalancer.policy.ListKind;
+import myrtleladder.loadbalancer.policy.EndpointListKind;
 import myrtleladder.loadbalancer.policy.LoadReport;
 import myrtleladder.loadbalancer.policy.Outcome;
 import myrtleladder.loadbalancer.policy.Request;
@@ -34,16 +34,16 @@
                     "reminder",
                     "whisper");
     private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final Map<String, ListKind> LIST_KINDS =
+    private static final Map<String, EndpointListKind> LIST_KINDS =
             Map.of(
                     "update",
-                    ListKind.CHANGES,
+                    EndpointListKind.CHANGES,
                     "replace",
-                    ListKind.COMPLETE,
+                    EndpointListKind.COMPLETE,
                     "restored",
-                    ListKind.RESTORED,
+                    EndpointListKind.RESTORED,
                     "unavailable",
-                    ListKind.UNAVAILABLE);
+                    EndpointListKind.UNAVAILABLE);
 
     private final InstanceRegistry instances;
     private final PrintStream err;
@@ -81,16 +81,16 @@
             case "ping-result" -> probeResult(event, instance, nowUs);
             case "client-gone" -> {
                 EventReader.require(event.requestId != null, "corr");
-                instances.deliver(instance, b -> b.clientGone(nowUs, event.requestId));
+                instances.deliver(instance, b -> b.onClientDisconnected(nowUs, event.requestId));
             }
             case "opened" -> {
                 EventReader.require(event.requestId != null, "corr");
                 int attempt = integer(event.attempt, "attempt");
-                instances.deliver(instance, b -> b.opened(nowUs, event.requestId, attempt));
+                instances.deliver(instance, b -> b.onStreamOpened(nowUs, event.requestId, attempt));
             }
             case "reminder" -> {
                 EventReader.require(event.timerToken != null, "ctx");
-                instances.deliver(instance, b -> b.timer(nowUs, event.timerToken));
+                instances.deliver(instance, b -> b.onTimer(nowUs, event.timerToken));
             }
             default -> peerMessage(event, instance, nowUs);
         }
@@ -104,11 +104,12 @@
     }
 
     private void upstreams(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
-        ListKind kind = event.listForm == null ? null : LIST_KINDS.get(event.listForm);
+        EndpointListKind kind = event.listForm == null ? null : LIST_KINDS.get(event.listForm);
         EventReader.require(kind != null, "form");
-        EventReader.require(event.upstreams != null || kind == ListKind.UNAVAILABLE, "elements");
+        EventReader.require(
+                event.upstreams != null || kind == EndpointListKind.UNAVAILABLE, "elements");
         List<Upstream> upstreams = event.upstreams == null ? List.of() : event.upstreams;
-        instances.deliver(instance, b -> b.upstreams(nowUs, kind, upstreams));
+        instances.deliver(instance, b -> b.onEndpointList(nowUs, kind, upstreams));
     }
 
     private void request(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
@@ -127,7 +128,7 @@
                         SettingsReader.toMicros(event.timeLeftS),
                         event.isWrite,
                         event.isRetry);
-        instances.deliver(instance, b -> b.request(nowUs, request));
+        instances.deliver(instance, b -> b.onRequest(nowUs, request));
     }
 
     private void attemptEnd(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
@@ -143,14 +144,14 @@
                         tookUs(event),
                         event.isConcluded,
                         loadReport(event, instance));
-        instances.deliver(instance, b -> b.outcome(nowUs, end));
+        instances.deliver(instance, b -> b.onAttemptEnd(nowUs, end));
     }
 
     private void probeResult(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
         EventReader.require(event.upstream != null, "upstream");
         Outcome outcome = outcome(event);
         LoadReport load = loadReport(event, instance);
-        instances.deliver(instance, b -> b.probed(nowUs, event.upstream, outcome, load));
+        instances.deliver(instance, b -> b.onProbeResult(nowUs, event.upstream, outcome, load));
     }
 
     private void peerMessage(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
@@ -162,7 +163,7 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidInput("field body is not hex digits");
         }
-        instances.deliver(instance, b -> b.peerMessage(nowUs, peer, message));
+        instances.deliver(instance, b -> b.onPeerMessage(nowUs, peer, message));
     }
 
     private static long tookUs(SimulatorEvent event) throws InvalidInput {
--- a/src/test/java/myrtleladder/consensus/ConsensusCapacityTest.java
+++ b/src/test/java/myrtleladder/consensus/ConsensusCapacityTest.java
@@ -3,7 +3,7 @@
 import static myrtleladder.gossip.SimulatedGossipCluster.names;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import myrtleladder.loadbalancer.policy.CapacityFigures;
+import myrtleladder.loadbalancer.policy.CapacityMeasurements;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
@@ -28,18 +28,21 @@
 
     @Test
     void messages() {
-        CapacityFigures messages = new CapacityFigures("consensus, messages of all", "a second");
-        CapacityFigures bytes = new CapacityFigures("consensus, bytes of all", "KB a second");
-        CapacityFigures heap = new CapacityFigures("consensus and membership, heap of all", "KB");
-        CapacityFigures time =
-                new CapacityFigures(
+        CapacityMeasurements messages =
+                new CapacityMeasurements("consensus, messages of all", "a second");
+        CapacityMeasurements bytes =
+                new CapacityMeasurements("consensus, bytes of all", "KB a second");
+        CapacityMeasurements heap =
+                new CapacityMeasurements("consensus and membership, heap of all", "KB");
+        CapacityMeasurements time =
+                new CapacityMeasurements(
                         "consensus and membership, processor time of all", "ms a second");
         settled(MEMBERS[0]); // loads its classes
         for (int members : MEMBERS) {
             SimulatedConsensusCluster[] fleet = new SimulatedConsensusCluster[1];
             heap.add(
                     members,
-                    CapacityFigures.held(
+                    CapacityMeasurements.retainedHeapBytes(
                                     () -> {
                                         fleet[0] = settled(members);
                                         return fleet[0];
--- a/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
@@ -35,7 +35,7 @@
 import myrtleladder.error.OperatorError.StartFailed;
 import myrtleladder.error.OperatorError.UnexpectedError;
 import myrtleladder.error.OperatorError.UnreadableFile;
-import myrtleladder.loadbalancer.policy.LogLines;
+import myrtleladder.loadbalancer.policy.LogCapture;
 import myrtleladder.loadbalancer.simulator.Adapter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -151,7 +151,7 @@
     /** It warns of limits that are too small, and tries; here it then finds its address taken. */
     @Test
     void limitsThatAreTooSmallAndAddressesThatAreTakenAreNamed() throws Exception {
-        try (LogLines lines = new LogLines(myrtleladder.loadbalancer.server.Main.class);
+        try (LogCapture lines = new LogCapture(myrtleladder.loadbalancer.server.Main.class);
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             says(
--- a/src/test/java/myrtleladder/loadbalancer/policy/CapacityFigures.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/CapacityMeasurements.java
@@ -9,9 +9,9 @@
  * Measurements of memory and time at several sizes, and the cost of one more unit of size, for
  * docs/CAPACITY.md.
  */
-public final class CapacityFigures {
+public final class CapacityMeasurements {
     private static final int COLLECTIONS = 4;
-    private static final double FEW = 1e-9;
+    private static final double MIN_DIVISOR = 1e-9;
 
     /** A size and the value measured at it. */
     private record Point(double size, double value) {}
@@ -21,7 +21,7 @@
     private final List<Point> points = new ArrayList<>();
 
     /** Creates an empty series with the name and the unit of its values. */
-    public CapacityFigures(String name, String unit) {
+    public CapacityMeasurements(String name, String unit) {
         this.name = name;
         this.unit = unit;
     }
@@ -33,15 +33,15 @@
 
     /** Slope of the least-squares line: the cost of one more unit of size. */
     public double slope() {
-        double sizes = points.stream().mapToDouble(Point::size).average().orElseThrow();
-        double values = points.stream().mapToDouble(Point::value).average().orElseThrow();
-        double above = 0;
-        double below = 0;
+        double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
+        double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
+        double covariance = 0;
+        double variance = 0;
         for (Point p : points) {
-            above += (p.size - sizes) * (p.value - values);
-            below += (p.size - sizes) * (p.size - sizes);
+            covariance += (p.size - meanSize) * (p.value - meanValue);
+            variance += (p.size - meanSize) * (p.size - meanSize);
         }
-        return above / Math.max(below, FEW);
+        return covariance / Math.max(variance, MIN_DIVISOR);
     }
 
     /** Prints a row of the table in docs/CAPACITY.md. */
@@ -55,11 +55,11 @@
     }
 
     /** Heap in bytes that an object occupies, measured after garbage collections. */
-    public static long held(Supplier<Object> made) {
+    public static long retainedHeapBytes(Supplier<Object> supplier) {
         long before = used();
-        Object kept = made.get();
+        Object retained = supplier.get();
         long after = used();
-        java.lang.ref.Reference.reachabilityFence(kept);
+        java.lang.ref.Reference.reachabilityFence(retained);
         return after - before;
     }
 
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionModuleTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionModuleTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The deploy file lists exactly the files of the decision module, and no class of the module does I/O,
- * reads a clock or starts a thread.
+ * The deploy file lists exactly the files of the decision module, and no class of the module does
+ * I/O, reads a clock or starts a thread.
  */
 class DecisionModuleTest {
     private static final String PACKAGE = "myrtleladder.loadbalancer.policy";
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void deployFileNamesEachFileOfTheModule() throws IOException {
+    void deployFileListsEachFileOfTheModule() throws IOException {
         List<String> named = new ArrayList<>();
         new TomlMapper()
                 .readTree(Path.of("deploy/balancer.toml").toFile())
@@ -96,7 +96,7 @@
 
     /** Shows that the I/O rule detects a violation: this test class itself does I/O. */
     @Test
-    void theRuleOnIoFindsAnOffender() {
+    void ioRuleDetectsViolation() {
         assertThrows(
                 AssertionError.class,
                 () -> NO_IO.check(classes(ImportOption.Predefined.ONLY_INCLUDE_TESTS)));
--- a/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/DecisionScenario.java
@@ -13,10 +13,10 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * Simulates a group of balancers and their upstreams. A variant of the settings and a seed determine
- * everything. Upstreams slow down, fail, hang, reject requests, drain, restart and stop; clients
- * disconnect, peers exchange messages, and calls to service discovery fail. The names of variants and
- * of logged actions occur in recorded files.
+ * Simulates a group of balancers and their upstreams. A variant of the settings and a seed
+ * determine everything. Upstreams slow down, fail, hang, reject requests, drain, restart and stop;
+ * clients disconnect, peers exchange messages, and calls to service discovery fail. The names of
+ * variants and of logged actions occur in recorded files.
  */
 final class DecisionScenario {
     /** The variants of settings. */
@@ -26,252 +26,263 @@
                     "asking");
 
     /** Number of upstreams of variants in which it is not 16. */
-    private static final Map<String, Integer> SIZES =
+    private static final Map<String, Integer> UPSTREAM_COUNTS =
             Map.of("peers", 30, "alone", 6, "many", 30, "hedges", 6, "asking", 8);
 
     /** Variants with one balancer instead of three. */
-    private static final Set<String> ALONE = Set.of("alone", "tenants", "hedges");
+    private static final Set<String> SINGLE_BALANCER_VARIANTS =
+            Set.of("alone", "tenants", "hedges");
 
     /** Configured group size of variants in which it differs from the number of balancers. */
-    private static final Map<String, Integer> STATED = Map.of("many", 16, "asking", 64);
+    private static final Map<String, Integer> CONFIGURED_GROUP_SIZES =
+            Map.of("many", 16, "asking", 64);
 
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
+    private static final long MILLISECOND_US = 1_000;
+    private static final long SECOND_US = 1_000_000;
 
     /** All actions, one line each: time, position of the balancer, name and arguments. */
-    final StringBuilder log = new StringBuilder();
+    final StringBuilder actionLog = new StringBuilder();
 
     /** Number of calls of each action. */
-    final Map<String, Integer> counts = new TreeMap<>();
+    final Map<String, Integer> actionCounts = new TreeMap<>();
 
     private final String variant;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     (a, b) ->
-                            a.at != b.at
-                                    ? Long.compare(a.at, b.at)
-                                    : Long.compare(a.number, b.number));
-    private final List<Machine> machines = new ArrayList<>();
-    private final List<Instance> group = new ArrayList<>();
-    private long now = 1_000 * SECOND;
+                            a.atUs != b.atUs
+                                    ? Long.compare(a.atUs, b.atUs)
+                                    : Long.compare(a.sequence, b.sequence));
+    private final List<SimulatedUpstream> upstreams = new ArrayList<>();
+    private final List<SimulatedBalancer> balancers = new ArrayList<>();
+    private long nowUs = 1_000 * SECOND_US;
     private long eventCount;
-    private int handled;
-    private int requests;
+    private int deliveredEvents;
+    private int requestCount;
 
-    private record Event(long at, long number, Runnable what) {}
+    private record Event(long atUs, long sequence, Runnable action) {}
 
     /** One simulated upstream. */
-    private static final class Machine {
+    private static final class SimulatedUpstream {
         final String id;
         final int index;
         State state = State.READY;
-        long launchedAt;
-        int running;
+        long launchedAtUs;
+        int inFlight;
 
         /**
          * How it misbehaves: 0 not at all, 1 is slow, 2 fails connections, 3 hangs, 4 rejects, 5
          * returns errors.
          */
-        int mode;
+        int faultMode;
 
-        Machine(int index) {
+        SimulatedUpstream(int index) {
             this.index = index;
             this.id = "u" + index;
         }
     }
 
     /** One balancer of the group, and the state of the actions that it called. */
-    private final class Instance implements LoadBalancer.Actions {
+    private final class SimulatedBalancer implements LoadBalancer.Actions {
         final int position;
-        final Map<String, Integer> attempts = new HashMap<>();
+        final Map<String, Integer> attemptCounts = new HashMap<>();
         final Set<String> outstanding = new HashSet<>();
-        final Map<String, String> where = new HashMap<>();
-        final Map<String, Long> sentAt = new HashMap<>();
-        final Map<String, Request> open = new HashMap<>();
-        LoadBalancer balancer;
+        final Map<String, String> upstreamByAttempt = new HashMap<>();
+        final Map<String, Long> sentAtUs = new HashMap<>();
+        final Map<String, Request> requestsById = new HashMap<>();
+        LoadBalancer loadBalancer;
 
-        Instance(int position) {
+        SimulatedBalancer(int position) {
             this.position = position;
         }
 
-        private void line(String action, String rest) {
-            log.append(now)
+        private void logAction(String action, String rest) {
+            actionLog
+                    .append(nowUs)
                     .append(' ')
                     .append(position)
                     .append(' ')
                     .append(action)
                     .append(rest)
                     .append('\n');
-            counts.merge(action, 1, Integer::sum);
+            actionCounts.merge(action, 1, Integer::sum);
         }
 
         @Override
-        public void send(String request, String upstream, long timeout) {
-            line("send", " " + request + " " + upstream + " " + timeout);
-            int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-            String id = request + "/" + attempt;
+        public void send(String requestId, String upstreamId, long timeoutUs) {
+            logAction("send", " " + requestId + " " + upstreamId + " " + timeoutUs);
+            int attemptIndex = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
+            String id = requestId + "/" + attemptIndex;
             outstanding.add(id);
-            where.put(id, upstream);
-            sentAt.put(id, now);
-            begin(request, attempt, upstream, timeout);
+            upstreamByAttempt.put(id, upstreamId);
+            sentAtUs.put(id, nowUs);
+            startAttempt(requestId, attemptIndex, upstreamId, timeoutUs);
         }
 
-        private void begin(String request, int attempt, String upstream, long timeout) {
-            Machine machine = machines.get(Integer.parseInt(upstream.substring(1)));
-            machine.running++;
+        private void startAttempt(
+                String requestId, int attemptIndex, String upstreamId, long timeoutUs) {
+            SimulatedUpstream upstream = upstreams.get(Integer.parseInt(upstreamId.substring(1)));
+            upstream.inFlight++;
             double chance = random.nextDouble();
             long work =
                     Math.max(
-                            MILLI,
-                            open.get(request).expectedWork() == 0
-                                    ? 15 * MILLI
-                                    : open.get(request).expectedWork());
-            long took =
+                            MILLISECOND_US,
+                            requestsById.get(requestId).expectedWork() == 0
+                                    ? 15 * MILLISECOND_US
+                                    : requestsById.get(requestId).expectedWork());
+            long tookUs =
                     (long)
                             (work
                                     * (0.7 + 0.6 * random.nextDouble())
-                                    * (1 + machine.running / 4.0)
-                                    * (machine.mode == 1 ? 8 : 1));
+                                    * (1 + upstream.inFlight / 4.0)
+                                    * (upstream.faultMode == 1 ? 8 : 1));
             Outcome outcome = Outcome.OK;
-            if (machine.state == State.GONE || machine.mode == 2) {
+            if (upstream.state == State.GONE || upstream.faultMode == 2) {
                 outcome = chance < 0.8 ? Outcome.CONNECT_FAILED : Outcome.RESET;
-                took = 2 * MILLI;
-            } else if (machine.mode == 3) {
-                took = 40 * SECOND;
-            } else if ((machine.mode == 4 && chance < 0.7)
-                    || machine.running > 24
-                    || (machine.state == State.DRAINING && chance < 0.6)) {
+                tookUs = 2 * MILLISECOND_US;
+            } else if (upstream.faultMode == 3) {
+                tookUs = 40 * SECOND_US;
+            } else if ((upstream.faultMode == 4 && chance < 0.7)
+                    || upstream.inFlight > 24
+                    || (upstream.state == State.DRAINING && chance < 0.6)) {
                 outcome = Outcome.FULL;
-                took = MILLI;
-            } else if ((machine.mode == 5 && chance < 0.8) || chance < 0.01) {
+                tookUs = MILLISECOND_US;
+            } else if ((upstream.faultMode == 5 && chance < 0.8) || chance < 0.01) {
                 outcome = chance < 0.005 ? Outcome.RESET : Outcome.ERROR;
             } else if (chance > 0.998) {
                 outcome = Outcome.MOOT;
-                took = 1;
+                tookUs = 1;
             }
-            if (timeout > 0 && took > timeout) {
+            if (timeoutUs > 0 && tookUs > timeoutUs) {
                 outcome = Outcome.TIMEOUT;
-                took = timeout;
+                tookUs = timeoutUs;
             }
-            Outcome ending = outcome;
-            boolean stream = open.get(request).classIndex() == 0 && variant.equals("streams");
-            if (stream && ending == Outcome.OK) {
-                after(
-                        took / 3,
+            Outcome finalOutcome = outcome;
+            boolean isStream =
+                    requestsById.get(requestId).classIndex() == 0 && variant.equals("streams");
+            if (isStream && finalOutcome == Outcome.OK) {
+                schedule(
+                        tookUs / 3,
                         () -> {
-                            if (outstanding.contains(request + "/" + attempt)) {
-                                count();
-                                balancer.opened(now, request, attempt);
+                            if (outstanding.contains(requestId + "/" + attemptIndex)) {
+                                countEvent();
+                                loadBalancer.onStreamOpened(nowUs, requestId, attemptIndex);
                             }
                         });
             }
-            after(took, () -> end(request, attempt, ending));
+            schedule(tookUs, () -> endAttempt(requestId, attemptIndex, finalOutcome));
         }
 
-        private void end(String request, int attempt, Outcome outcome) {
-            String id = request + "/" + attempt;
+        private void endAttempt(String requestId, int attemptIndex, Outcome outcome) {
+            String id = requestId + "/" + attemptIndex;
             if (!outstanding.remove(id)) {
                 return;
             }
-            Machine machine = machines.get(Integer.parseInt(where.get(id).substring(1)));
-            machine.running--;
-            count();
-            balancer.outcome(
-                    now,
+            SimulatedUpstream upstream =
+                    upstreams.get(Integer.parseInt(upstreamByAttempt.get(id).substring(1)));
+            upstream.inFlight--;
+            countEvent();
+            loadBalancer.onAttemptEnd(
+                    nowUs,
                     new AttemptEnd(
-                            request,
-                            attempt,
-                            machine.id,
+                            requestId,
+                            attemptIndex,
+                            upstream.id,
                             outcome,
-                            Math.max(1, now - sentAt.get(id)),
+                            Math.max(1, nowUs - sentAtUs.get(id)),
                             outcome == Outcome.OK,
                             outcome == Outcome.OK
                                             && !variant.equals("probing")
                                             && !variant.equals("asking")
-                                    ? report(machine)
+                                    ? loadReportOf(upstream)
                                     : null));
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
-            line("refuse", " " + request + " " + retryAfter);
+        public void reject(String requestId, long retryAfterUs) {
+            logAction("refuse", " " + requestId + " " + retryAfterUs);
         }
 
         @Override
-        public void fail(String request) {
-            line("fail", " " + request);
+        public void fail(String requestId) {
+            logAction("fail", " " + requestId);
         }
 
         @Override
-        public void cancel(String request, int attempt) {
-            line("cancel", " " + request + " " + attempt);
-            after(MILLI / 2, () -> end(request, attempt, Outcome.CANCELLED));
+        public void cancelAttempt(String requestId, int attemptIndex) {
+            logAction("cancel", " " + requestId + " " + attemptIndex);
+            schedule(
+                    MILLISECOND_US / 2,
+                    () -> endAttempt(requestId, attemptIndex, Outcome.CANCELLED));
         }
 
         @Override
-        public void timer(String token, long delay) {
-            line("timer", " " + token + " " + delay);
-            after(
-                    delay,
+        public void setTimer(String token, long delayUs) {
+            logAction("timer", " " + token + " " + delayUs);
+            schedule(
+                    delayUs,
                     () -> {
-                        count();
-                        balancer.timer(now, token);
+                        countEvent();
+                        loadBalancer.onTimer(nowUs, token);
                     });
         }
 
         @Override
-        public void probe(String upstream) {
-            line("probe", " " + upstream);
-            Machine machine = machines.get(Integer.parseInt(upstream.substring(1)));
-            boolean up = machine.state != State.GONE && machine.mode != 2 && machine.mode != 3;
-            after(
-                    up ? 3 * MILLI : 200 * MILLI,
+        public void probe(String upstreamId) {
+            logAction("probe", " " + upstreamId);
+            SimulatedUpstream upstream = upstreams.get(Integer.parseInt(upstreamId.substring(1)));
+            boolean isUp =
+                    upstream.state != State.GONE
+                            && upstream.faultMode != 2
+                            && upstream.faultMode != 3;
+            schedule(
+                    isUp ? 3 * MILLISECOND_US : 200 * MILLISECOND_US,
                     () -> {
-                        count();
-                        balancer.probed(
-                                now,
-                                upstream,
-                                up ? Outcome.OK : Outcome.TIMEOUT,
-                                up ? report(machine) : null);
+                        countEvent();
+                        loadBalancer.onProbeResult(
+                                nowUs,
+                                upstreamId,
+                                isUp ? Outcome.OK : Outcome.TIMEOUT,
+                                isUp ? loadReportOf(upstream) : null);
                     });
         }
 
         @Override
-        public void closeIdle(String upstream) {
-            line("close-idle", " " + upstream);
+        public void closeIdleConnections(String upstreamId) {
+            logAction("close-idle", " " + upstreamId);
         }
 
         @Override
-        public void watch(boolean on) {
-            line("watch", " " + on);
+        public void setSubscribed(boolean isSubscribed) {
+            logAction("watch", " " + isSubscribed);
         }
 
         @Override
-        public void fetch() {
-            line("fetch", "");
+        public void fetchEndpointList() {
+            logAction("fetch", "");
             boolean answered = random.nextInt(3) > 0;
-            after(
-                    20 * MILLI,
+            schedule(
+                    20 * MILLISECOND_US,
                     () -> {
-                        count();
-                        balancer.upstreams(
-                                now,
-                                answered ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
-                                answered ? list() : List.of());
+                        countEvent();
+                        loadBalancer.onEndpointList(
+                                nowUs,
+                                answered ? EndpointListKind.COMPLETE : EndpointListKind.UNAVAILABLE,
+                                answered ? endpointList() : List.of());
                     });
         }
 
         @Override
-        public void tell(int peer, byte[] body) {
-            line("tell", " " + peer + " " + HexFormat.of().formatHex(body));
-            for (Instance to : group) {
-                if (to != this && (peer < 0 || peer == to.position)) {
-                    after(
-                            2 * MILLI + random.nextLong(2 * MILLI),
+        public void sendToPeer(int peer, byte[] body) {
+            logAction("tell", " " + peer + " " + HexFormat.of().formatHex(body));
+            for (SimulatedBalancer recipient : balancers) {
+                if (recipient != this && (peer < 0 || peer == recipient.position)) {
+                    schedule(
+                            2 * MILLISECOND_US + random.nextLong(2 * MILLISECOND_US),
                             () -> {
-                                count();
-                                to.balancer.peerMessage(now, position, body);
+                                countEvent();
+                                recipient.loadBalancer.onPeerMessage(nowUs, position, body);
                             });
                 }
             }
@@ -279,7 +290,7 @@
 
         @Override
         public void log(String text) {
-            line("log", " " + text);
+            logAction("log", " " + text);
         }
     }
 
@@ -294,40 +305,40 @@
     }
 
     /**
-     * Runs a variant with a seed until the balancers have been passed {@code minEvents} events or a few
-     * more.
+     * Runs a variant with a seed until the balancers have been passed {@code minEvents} events or a
+     * few more.
      */
-    static DecisionScenario play(String variant, long seed, int length) {
+    static DecisionScenario simulate(String variant, long seed, int minEvents) {
         DecisionScenario scenario = new DecisionScenario(variant, seed);
-        scenario.run(seed, length);
+        scenario.run(seed, minEvents);
         return scenario;
     }
 
-    private void run(long seed, int length) {
-        int size = SIZES.getOrDefault(variant, 16);
-        for (int i = 0; i < size; i++) {
-            machines.add(new Machine(i));
+    private void run(long seed, int minEvents) {
+        int upstreamCount = UPSTREAM_COUNTS.getOrDefault(variant, 16);
+        for (int i = 0; i < upstreamCount; i++) {
+            upstreams.add(new SimulatedUpstream(i));
         }
-        int balancers = ALONE.contains(variant) ? 1 : 3;
-        for (int i = 0; i < balancers; i++) {
-            Instance instance = new Instance(i);
-            group.add(instance);
-            instance.balancer =
+        int groupSize = SINGLE_BALANCER_VARIANTS.contains(variant) ? 1 : 3;
+        for (int i = 0; i < groupSize; i++) {
+            SimulatedBalancer balancer = new SimulatedBalancer(i);
+            balancers.add(balancer);
+            balancer.loadBalancer =
                     new UtilisationLoadBalancer(
-                            settings(i, STATED.getOrDefault(variant, balancers)),
+                            settings(i, CONFIGURED_GROUP_SIZES.getOrDefault(variant, groupSize)),
                             seed * 31 + i,
-                            instance);
+                            balancer);
         }
-        for (Instance instance : group) {
-            instance.balancer.start(now);
-            instance.balancer.upstreams(now, ListKind.RESTORED, list());
+        for (SimulatedBalancer balancer : balancers) {
+            balancer.loadBalancer.start(nowUs);
+            balancer.loadBalancer.onEndpointList(nowUs, EndpointListKind.RESTORED, endpointList());
         }
-        after(1, this::arrive);
-        after(200 * MILLI, this::disturb);
-        while (handled < length) {
+        schedule(1, this::sendRequest);
+        schedule(200 * MILLISECOND_US, this::changeRandomUpstream);
+        while (deliveredEvents < minEvents) {
             Event event = events.poll();
-            now = Math.max(now, event.at);
-            event.what.run();
+            nowUs = Math.max(nowUs, event.atUs);
+            event.action.run();
         }
     }
 
@@ -337,30 +348,54 @@
         boolean peers = variant.equals("peers") || variant.equals("many");
         return List.of(
                 new RequestClass(
-                        SECOND / 2, 0, 2 * SECOND, 1, 0.5, Effect.SAFE, Scope.ALL, SECOND, streams),
+                        SECOND_US / 2,
+                        0,
+                        2 * SECOND_US,
+                        1,
+                        0.5,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        SECOND_US,
+                        streams),
                 new RequestClass(
-                        SECOND / 4,
+                        SECOND_US / 4,
                         tenants ? 2 : 0,
-                        SECOND,
+                        SECOND_US,
                         2,
                         0,
-                        Effect.KEYED,
-                        peers ? Scope.CELL : Scope.ZONE,
-                        2 * SECOND,
+                        Idempotency.IDEMPOTENT_BY_KEY,
+                        peers ? DeduplicationScope.CELL : DeduplicationScope.ZONE,
+                        2 * SECOND_US,
                         false),
                 new RequestClass(
-                        SECOND, 0, 3 * SECOND, 3, 0.2, Effect.UNSAFE, Scope.ZONE, 0, false),
+                        SECOND_US,
+                        0,
+                        3 * SECOND_US,
+                        3,
+                        0.2,
+                        Idempotency.NON_IDEMPOTENT,
+                        DeduplicationScope.ZONE,
+                        0,
+                        false),
                 new RequestClass(
-                        SECOND / 3, 0, SECOND, 0.5, 0.1, Effect.KEYED, Scope.ALL, SECOND, false));
+                        SECOND_US / 3,
+                        0,
+                        SECOND_US,
+                        0.5,
+                        0.1,
+                        Idempotency.IDEMPOTENT_BY_KEY,
+                        DeduplicationScope.ALL,
+                        SECOND_US,
+                        false));
     }
 
-    private Settings settings(int position, int balancers) {
+    private Settings settings(int position, int groupSize) {
         boolean streams = variant.equals("streams");
         boolean tenants = variant.equals("tenants");
         boolean probing = variant.equals("probing") || variant.equals("asking");
         boolean peers = variant.equals("peers") || variant.equals("many");
         boolean alone = variant.equals("alone");
-        List<RequestClass> classes = classes();
+        List<RequestClass> requestClasses = classes();
         List<Tenant> shares =
                 tenants
                         ? List.of(new Tenant(60, 0.5), new Tenant(25, 0.3), new Tenant(0, 0.2))
@@ -369,8 +404,8 @@
                 position % 3,
                 3,
                 position,
-                balancers,
-                classes,
+                groupSize,
+                requestClasses,
                 shares,
                 0.2,
                 tenants,
@@ -382,11 +417,18 @@
                         peers,
                         tenants ? 60 : 20_000,
                         tenants || alone,
-                        3 * SECOND,
-                        SECOND / 4,
-                        10 * SECOND,
+                        3 * SECOND_US,
+                        SECOND_US / 4,
+                        10 * SECOND_US,
                         streams ? 8 : 1),
-                new RuleFigures(20 * MILLI, SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND),
+                new RuleParameters(
+                        20 * MILLISECOND_US,
+                        SECOND_US,
+                        0.2,
+                        20 * SECOND_US,
+                        SECOND_US,
+                        3,
+                        2 * SECOND_US),
                 new Prices(
                         streams ? 0.05 : 0,
                         0.1,
@@ -394,39 +436,46 @@
                         peers ? 0.0001 : 0.01,
                         0.05,
                         alone ? 0.01 : 0),
-                probing ? Reports.BY_PROBE : alone ? Reports.NONE : Reports.IN_ANSWERS,
+                probing
+                        ? LoadReportSource.PROBES
+                        : alone ? LoadReportSource.NONE : LoadReportSource.RESPONSES,
                 streams
-                        ? Ratings.NOMINAL
-                        : tenants ? Ratings.LIVE : peers ? Ratings.ROUGH : Ratings.NONE,
+                        ? CapacityRatingKind.NOMINAL
+                        : tenants
+                                ? CapacityRatingKind.LIVE
+                                : peers ? CapacityRatingKind.APPROXIMATE : CapacityRatingKind.NONE,
                 probing || tenants,
                 peers || streams,
-                5 * MILLI);
+                5 * MILLISECOND_US);
     }
 
-    private void after(long delay, Runnable what) {
-        events.add(new Event(now + Math.max(delay, 1), eventCount++, what));
+    private void schedule(long delayUs, Runnable action) {
+        events.add(new Event(nowUs + Math.max(delayUs, 1), eventCount++, action));
     }
 
-    private void count() {
-        handled++;
+    private void countEvent() {
+        deliveredEvents++;
     }
 
-    private Upstream entry(Machine m) {
+    private Upstream endpointOf(SimulatedUpstream upstream) {
         return new Upstream(
-                m.id,
-                m.index % 3,
-                m.index % 2,
-                m.index % 4,
-                m.state,
-                1 + m.index % 3,
-                m.launchedAt);
+                upstream.id,
+                upstream.index % 3,
+                upstream.index % 2,
+                upstream.index % 4,
+                upstream.state,
+                1 + upstream.index % 3,
+                upstream.launchedAtUs);
     }
 
-    private List<Upstream> list() {
-        return machines.stream().filter(m -> m.state != State.GONE).map(this::entry).toList();
+    private List<Upstream> endpointList() {
+        return upstreams.stream()
+                .filter(upstream -> upstream.state != State.GONE)
+                .map(this::endpointOf)
+                .toList();
     }
 
-    private LoadReport report(Machine m) {
+    private LoadReport loadReportOf(SimulatedUpstream upstream) {
         int kind = random.nextInt(40);
         if (kind == 0) {
             return null;
@@ -436,90 +485,97 @@
                         ? Double.NaN
                         : kind == 2
                                 ? 1e9
-                                : Math.min(1.1, m.running / 20.0 + 0.1 * random.nextDouble());
+                                : Math.min(
+                                        1.1, upstream.inFlight / 20.0 + 0.1 * random.nextDouble());
         return new LoadReport(
                 utilisation,
-                m.running,
-                Math.max(0, m.running - 8),
-                15 * MILLI * (1 + m.running / 8.0),
+                upstream.inFlight,
+                Math.max(0, upstream.inFlight - 8),
+                15 * MILLISECOND_US * (1 + upstream.inFlight / 8.0),
                 50,
-                m.mode == 5 ? 20 : 0);
+                upstream.faultMode == 5 ? 20 : 0);
     }
 
     /** Sends a request; the rate alternates between low and more than the upstreams can serve. */
-    private void arrive() {
-        Instance at = group.get(random.nextInt(group.size()));
-        String id = "r" + requests++;
-        int cls = random.nextInt(4);
+    private void sendRequest() {
+        SimulatedBalancer receiver = balancers.get(random.nextInt(balancers.size()));
+        String id = "r" + requestCount++;
+        int classIndex = random.nextInt(4);
         String key = random.nextInt(3) == 0 ? "k" + random.nextInt(12) : null;
-        long work = random.nextInt(4) == 0 ? 0 : 5 * MILLI + random.nextLong(40 * MILLI);
-        long left = random.nextInt(10) == 0 ? 60 * MILLI : 2 * SECOND;
+        long work =
+                random.nextInt(4) == 0
+                        ? 0
+                        : 5 * MILLISECOND_US + random.nextLong(40 * MILLISECOND_US);
+        long timeLeftUs = random.nextInt(10) == 0 ? 60 * MILLISECOND_US : 2 * SECOND_US;
         Request newRequest =
                 new Request(
                         id,
-                        cls,
+                        classIndex,
                         variant.equals("tenants") ? random.nextInt(3) : 0,
                         key,
                         work,
-                        left,
+                        timeLeftUs,
                         random.nextInt(5) == 0,
                         random.nextInt(20) == 0);
-        at.open.put(id, newRequest);
-        count();
-        at.balancer.request(now, newRequest);
+        receiver.requestsById.put(id, newRequest);
+        countEvent();
+        receiver.loadBalancer.onRequest(nowUs, newRequest);
         if (random.nextInt(25) == 0) {
-            after(
-                    1 + random.nextLong(300 * MILLI),
+            schedule(
+                    1 + random.nextLong(300 * MILLISECOND_US),
                     () -> {
-                        count();
-                        at.balancer.clientGone(now, id);
+                        countEvent();
+                        receiver.loadBalancer.onClientDisconnected(nowUs, id);
                     });
         }
-        boolean crowd = now / (4 * SECOND) % 4 == 3;
-        long gap = (crowd ? 6 : 40) * MILLI * 6 / machines.size();
-        after(random.nextLong(Math.max(2, gap)), this::arrive);
+        boolean isOverload = nowUs / (4 * SECOND_US) % 4 == 3;
+        long gapUs = (isOverload ? 6 : 40) * MILLISECOND_US * 6 / upstreams.size();
+        schedule(random.nextLong(Math.max(2, gapUs)), this::sendRequest);
     }
 
     /**
-     * Changes the state of a random upstream. Balancers are notified of changes in the endpoint list
-     * after a random delay.
+     * Changes the state of a random upstream. Balancers are notified of changes in the endpoint
+     * list after a random delay.
      */
-    private void disturb() {
-        Machine m = machines.get(random.nextInt(machines.size()));
-        int what = random.nextInt(14);
-        if (what < 6) {
-            m.mode = what;
-        } else if (what < 9) {
-            m.mode = 0;
-        } else if (what == 9) {
-            m.state = State.DRAINING;
-        } else if (what == 10) {
-            m.state = State.GONE;
+    private void changeRandomUpstream() {
+        SimulatedUpstream upstream = upstreams.get(random.nextInt(upstreams.size()));
+        int action = random.nextInt(14);
+        if (action < 6) {
+            upstream.faultMode = action;
+        } else if (action < 9) {
+            upstream.faultMode = 0;
+        } else if (action == 9) {
+            upstream.state = State.DRAINING;
+        } else if (action == 10) {
+            upstream.state = State.GONE;
         } else {
-            m.state = State.READY;
-            m.launchedAt = what == 11 ? now : m.launchedAt;
+            upstream.state = State.READY;
+            upstream.launchedAtUs = action == 11 ? nowUs : upstream.launchedAtUs;
         }
-        if (what >= 9) {
-            Upstream told = entry(m);
-            for (Instance instance : group) {
-                after(
-                        random.nextLong(300 * MILLI),
+        if (action >= 9) {
+            Upstream changed = endpointOf(upstream);
+            for (SimulatedBalancer balancer : balancers) {
+                schedule(
+                        random.nextLong(300 * MILLISECOND_US),
                         () -> {
-                            count();
-                            instance.balancer.upstreams(now, ListKind.CHANGES, List.of(told));
+                            countEvent();
+                            balancer.loadBalancer.onEndpointList(
+                                    nowUs, EndpointListKind.CHANGES, List.of(changed));
                         });
             }
         }
         if (random.nextInt(12) == 0) {
-            Instance instance = group.get(random.nextInt(group.size()));
-            boolean whole = random.nextBoolean();
-            count();
-            instance.balancer.upstreams(
-                    now,
-                    whole ? ListKind.COMPLETE : ListKind.UNAVAILABLE,
-                    whole ? list() : List.of());
+            SimulatedBalancer balancer = balancers.get(random.nextInt(balancers.size()));
+            boolean isComplete = random.nextBoolean();
+            countEvent();
+            balancer.loadBalancer.onEndpointList(
+                    nowUs,
+                    isComplete ? EndpointListKind.COMPLETE : EndpointListKind.UNAVAILABLE,
+                    isComplete ? endpointList() : List.of());
         }
-        long pause = variant.equals("hedges") ? 6 * SECOND : 0;
-        after(pause + 50 * MILLI + random.nextLong(500 * MILLI), this::disturb);
+        long pauseUs = variant.equals("hedges") ? 6 * SECOND_US : 0;
+        schedule(
+                pauseUs + 50 * MILLISECOND_US + random.nextLong(500 * MILLISECOND_US),
+                this::changeRandomUpstream);
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/Golden.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/Golden.java
@@ -33,7 +33,10 @@
             Files.createDirectories(file.getParent());
             Files.writeString(file, actual);
         }
-        assertEquals(golden, actual, name + " differs from the golden file; the actual text is in " + ACTUAL);
+        assertEquals(
+                golden,
+                actual,
+                name + " differs from the golden file; the actual text is in " + ACTUAL);
     }
 
     /** The text of a golden file; fails if it does not exist. */
@@ -50,8 +53,8 @@
     }
 
     /**
-     * The values of a record as text without the names of Java identifiers, so that renaming does not
-     * change it: enum constants by ordinal; records, lists and maps by their contents.
+     * The values of a record as text without the names of Java identifiers, so that renaming does
+     * not change it: enum constants by ordinal; records, lists and maps by their contents.
      */
     public static String values(Object value) throws ReflectiveOperationException {
         if (value instanceof Enum<?> constant) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/KeyAffinityTest.java
@@ -12,94 +12,105 @@
 
 /** Requests with the same key go to the same upstream where that saves work. */
 class KeyAffinityTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     @Test
     void keyKeepsOneUpstreamWhereAffinityIsEnabled() {
-        for (boolean warm : new boolean[] {false, true}) {
-            settings.warmKeys(warm);
+        for (boolean isEnabled : new boolean[] {false, true}) {
+            settings.keyAffinity(isEnabled);
             SimulatedHost host = SimulatedHost.of(settings).listUpstreams(6);
             for (int i = 0; i < 200; i++) {
-                String id = host.request(0, 2 * SECOND, "key", 20 * MILLI);
-                host.advance(20 * MILLI);
-                host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                String id = host.request(0, 2 * SECOND_US, "key", 20 * MILLISECOND_US);
+                host.advance(20 * MILLISECOND_US);
+                host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, null);
             }
-            int most = host.sendsPerUpstream.values().stream().max(Integer::compare).orElse(0);
-            assertEquals(warm, most > 150, host.sendsPerUpstream.toString());
+            int maxSends = host.sendsPerUpstream.values().stream().max(Integer::compare).orElse(0);
+            assertEquals(isEnabled, maxSends > 150, host.sendsPerUpstream.toString());
         }
     }
 
     /**
-     * Guards against losing affinity in large fleets: with 60 upstreams, the one of the key competed
-     * with dozens of others, and keys were served everywhere without a warm cache.
+     * Guards against losing affinity in large fleets: with 60 upstreams, the one of the key
+     * competed with dozens of others, and keys were served everywhere without a warm cache.
      */
     @Test
     void keyKeepsItsUpstreamInLargeFleet() {
-        settings.warmKeys(true);
+        settings.keyAffinity(true);
         settings.groupSize(14);
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(60);
         for (int i = 0; i < 400; i++) {
-            String id = host.request(0, 2 * SECOND, "key", 20 * MILLI);
-            host.advance(20 * MILLI);
-            host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+            String id = host.request(0, 2 * SECOND_US, "key", 20 * MILLISECOND_US);
+            host.advance(20 * MILLISECOND_US);
+            host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, null);
         }
-        int most = host.sendsPerUpstream.values().stream().max(Integer::compare).orElse(0);
-        assertTrue(most > 240, most + " of 400 requests at the upstream of the key");
+        int maxSends = host.sendsPerUpstream.values().stream().max(Integer::compare).orElse(0);
+        assertTrue(maxSends > 240, maxSends + " of 400 requests at the upstream of the key");
     }
 
     @Test
-    void withScarceRoomQueuedKeysGoToTheirUpstreamUnlessLate() {
-        settings.warmKeys(true);
+    void withScarceCapacityQueuedKeysGoToTheirUpstreamUnlessLate() {
+        settings.keyAffinity(true);
         for (int late = 0; late < 2; late++) {
             SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
-            Map<String, String> homes = new HashMap<>();
+            Map<String, String> upstreamsOfKeys = new HashMap<>();
             for (int i = 0; i < 40; i++) {
-                String id = host.request(0, 2 * SECOND, "key" + i, 20 * MILLI);
-                homes.put("key" + i, host.lastUpstream(id));
-                host.advance(20 * MILLI);
-                host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                String id = host.request(0, 2 * SECOND_US, "key" + i, 20 * MILLISECOND_US);
+                upstreamsOfKeys.put("key" + i, host.lastUpstream(id));
+                host.advance(20 * MILLISECOND_US);
+                host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, null);
             }
-            host.advance(SECOND);
-            List<String> out = new ArrayList<>();
-            Map<String, String> waiting = new LinkedHashMap<>();
+            host.advance(SECOND_US);
+            List<String> sent = new ArrayList<>();
+            Map<String, String> queued = new LinkedHashMap<>();
             for (int i = 0; i < 120; i++) {
                 String id =
                         host.request(
-                                0, 2 * SECOND, "key" + i % 40, late == 0 ? 20 * MILLI : SECOND);
+                                0,
+                                2 * SECOND_US,
+                                "key" + i % 40,
+                                late == 0 ? 20 * MILLISECOND_US : SECOND_US);
                 if (host.lastUpstream(id) == null) {
-                    waiting.put(id, homes.get("key" + i % 40));
+                    queued.put(id, upstreamsOfKeys.get("key" + i % 40));
                 } else {
-                    out.add(id);
+                    sent.add(id);
                 }
             }
-            host.advance(20 * MILLI);
-            out.forEach(id -> host.endAttempt(id, Outcome.OK, 20 * MILLI, null));
-            waiting.keySet().removeIf(id -> host.lastUpstream(id) == null);
-            long home =
-                    waiting.entrySet().stream()
-                            .filter(w -> w.getValue().equals(host.lastUpstream(w.getKey())))
+            host.advance(20 * MILLISECOND_US);
+            sent.forEach(id -> host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, null));
+            queued.keySet().removeIf(id -> host.lastUpstream(id) == null);
+            long sentToUpstreamOfKey =
+                    queued.entrySet().stream()
+                            .filter(
+                                    entry ->
+                                            entry.getValue()
+                                                    .equals(host.lastUpstream(entry.getKey())))
                             .count();
-            assertTrue(waiting.size() > 8, "sent " + waiting.size());
-            assertEquals(late == 0, home > 0.75 * waiting.size(), home + " of " + waiting.size());
+            assertTrue(queued.size() > 8, "sent " + queued.size());
+            assertEquals(
+                    late == 0,
+                    sentToUpstreamOfKey > 0.75 * queued.size(),
+                    sentToUpstreamOfKey + " of " + queued.size());
         }
     }
 
     @Test
-    void upstreamsOfKeysAreMostlyInOwnZoneWhereCrossingHasPrice() {
-        int[] own = new int[2];
-        settings.warmKeys(true);
+    void upstreamsOfKeysAreMostlyInOwnZoneWhereCrossingZonesCosts() {
+        int[] sendsToOwnZone = new int[2];
+        settings.keyAffinity(true);
         for (int priced = 0; priced < 2; priced++) {
             settings.crossZonePrice(priced * 0.0001);
             SimulatedHost host = SimulatedHost.of(settings).listUpstreams(6);
             for (int i = 0; i < 300; i++) {
-                String id = host.request(0, 2 * SECOND, "key" + i % 50, 20 * MILLI);
-                host.advance(20 * MILLI);
-                host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                String id = host.request(0, 2 * SECOND_US, "key" + i % 50, 20 * MILLISECOND_US);
+                host.advance(20 * MILLISECOND_US);
+                host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, null);
             }
-            own[priced] = host.sendsTo("u0") + host.sendsTo("u3");
+            sendsToOwnZone[priced] = host.sendsTo("u0") + host.sendsTo("u3");
         }
-        assertTrue(own[1] > own[0] + 50, own[0] + " " + own[1]);
+        assertTrue(
+                sendsToOwnZone[1] > sendsToOwnZone[0] + 50,
+                sendsToOwnZone[0] + " " + sendsToOwnZone[1]);
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/LogLines.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/LogCapture.java
@@ -8,13 +8,13 @@
 import java.util.logging.Logger;
 
 /** Captures the messages that a class logs through java.util.logging, until it is closed. */
-public final class LogLines extends Handler implements AutoCloseable {
+public final class LogCapture extends Handler implements AutoCloseable {
     private static final int PATIENCE_S = 20;
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
     private final Logger logger;
 
     /** Starts to capture the messages of a class. */
-    public LogLines(Class<?> of) {
+    public LogCapture(Class<?> of) {
         logger = Logger.getLogger(of.getName());
         logger.addHandler(this);
     }
--- a/src/test/java/myrtleladder/loadbalancer/policy/OnDemandProberTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/OnDemandProberTest.java
@@ -9,13 +9,13 @@
 
 /** Loads are probed before a pick where probes are cheap. */
 class OnDemandProberTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     private SimulatedHost probingHost() {
         settings.groupSize(3);
-        settings.reports(Reports.BY_PROBE);
+        settings.loadReportSource(LoadReportSource.PROBES);
         settings.probePrice(0.001);
         return SimulatedHost.of(settings).listUpstreams(3);
     }
@@ -24,11 +24,11 @@
     void subsetIsProbedAndUnresponsiveUpstreamsAreLeftOut() {
         SimulatedHost host = probingHost();
         for (int i = 0; i < 20; i++) {
-            String id = host.request(0, 2 * SECOND);
+            String id = host.request(0, 2 * SECOND_US);
             assertNull(host.lastUpstream(id));
             for (String upstream : List.copyOf(host.probes)) {
                 if (!upstream.equals("u0")) {
-                    host.balancer.probed(
+                    host.balancer.onProbeResult(
                             host.nowUs,
                             upstream,
                             Outcome.OK,
@@ -42,10 +42,10 @@
                 }
             }
             host.probes.clear();
-            host.advance(20 * MILLI);
+            host.advance(20 * MILLISECOND_US);
             assertEquals("u2", host.lastUpstream(id));
-            host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
-            host.advance(100 * MILLI);
+            host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, null);
+            host.advance(100 * MILLISECOND_US);
         }
     }
 
@@ -57,10 +57,10 @@
     void nothingIsSentWithoutFreshLoadWhenProbeBudgetIsSpent() {
         SimulatedHost host = probingHost();
         for (int i = 0; i < 40; i++) {
-            host.request(0, 2 * SECOND);
-            host.advance(20 * MILLI);
+            host.request(0, 2 * SECOND_US);
+            host.advance(20 * MILLISECOND_US);
         }
         assertTrue(host.probes.size() > 10, host.probes.size() + " probes");
-        assertTrue(host.sends.isEmpty(), host.sends.toString());
+        assertTrue(host.upstreamsByRequest.isEmpty(), host.upstreamsByRequest.toString());
     }
 }
