--- a/src/test/java/myrtleladder/loadbalancer/policy/OutlierEjectionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/OutlierEjectionTest.java
@@ -10,21 +10,21 @@
 
 /** Unhealthy upstreams are ejected, and are used again after their ejection. */
 class OutlierEjectionTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     @Test
-    void rareErrorsAndSlowAnswersEjectNobody() {
+    void rareErrorsAndSlowAnswersDoNotEject() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 300; i++) {
-            String id = host.request(0, 2 * SECOND);
-            boolean slow = host.lastUpstream(id).equals("u0");
-            host.advance(slow ? 60 * MILLI : 20 * MILLI);
-            if (slow && i % 20 == 0) {
-                host.endAttempt(id, Outcome.ERROR, 60 * MILLI, SimulatedHost.report(0.5));
+            String id = host.request(0, 2 * SECOND_US);
+            boolean isSlow = host.lastUpstream(id).equals("u0");
+            host.advance(isSlow ? 60 * MILLISECOND_US : 20 * MILLISECOND_US);
+            if (isSlow && i % 20 == 0) {
+                host.endAttempt(id, Outcome.ERROR, 60 * MILLISECOND_US, SimulatedHost.report(0.5));
             }
-            host.endAttempt(id, Outcome.OK, 20 * MILLI, SimulatedHost.report(0.5));
+            host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, SimulatedHost.report(0.5));
         }
         assertTrue(host.sendsTo("u0") > 40, host.sendsPerUpstream.toString());
         assertEquals(List.of(), host.cancelled);
@@ -34,13 +34,14 @@
     void quickErrorsEjectUpstreamThatWouldOtherwiseLookIdle() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
         for (int i = 0; i < 300; i++) {
-            String id = host.request(0, 2 * SECOND);
-            host.advance(5 * MILLI);
-            while (host.lastUpstream(id).equals("u0") && host.sends.get(id).size() < 4) {
-                host.endAttempt(id, Outcome.ERROR, 5 * MILLI, SimulatedHost.report(0.01));
+            String id = host.request(0, 2 * SECOND_US);
+            host.advance(5 * MILLISECOND_US);
+            while (host.lastUpstream(id).equals("u0")
+                    && host.upstreamsByRequest.get(id).size() < 4) {
+                host.endAttempt(id, Outcome.ERROR, 5 * MILLISECOND_US, SimulatedHost.report(0.01));
             }
             if (!host.lastUpstream(id).equals("u0")) {
-                host.endAttempt(id, Outcome.OK, 5 * MILLI, SimulatedHost.report(0.5));
+                host.endAttempt(id, Outcome.OK, 5 * MILLISECOND_US, SimulatedHost.report(0.5));
             }
         }
         assertTrue(host.sendsTo("u0") < 40, host.sendsPerUpstream.toString());
@@ -50,10 +51,10 @@
     void hangingUpstreamIsEjected() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
         for (int i = 0; i < 200; i++) {
-            String id = host.request(0, 2 * SECOND);
-            host.advance(20 * MILLI);
+            String id = host.request(0, 2 * SECOND_US);
+            host.advance(20 * MILLISECOND_US);
             if (!host.lastUpstream(id).equals("u0")) {
-                host.endAttempt(id, Outcome.OK, 20 * MILLI, SimulatedHost.report(0.5));
+                host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, SimulatedHost.report(0.5));
             }
         }
         assertTrue(
@@ -65,61 +66,64 @@
     void ejectionsAreIgnoredBelowPanicThreshold() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 60; i++) {
-            String id = host.request(0, 2 * SECOND);
-            host.advance(5 * MILLI);
-            for (int k = 0;
-                    k < 4 && host.lastUpstream(id) != null && host.sends.get(id).size() > k;
-                    k++) {
-                host.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+            String id = host.request(0, 2 * SECOND_US);
+            host.advance(5 * MILLISECOND_US);
+            for (int attempt = 0;
+                    attempt < 4
+                            && host.lastUpstream(id) != null
+                            && host.upstreamsByRequest.get(id).size() > attempt;
+                    attempt++) {
+                host.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLISECOND_US, null);
             }
         }
-        host.advance(100 * MILLI);
+        host.advance(100 * MILLISECOND_US);
         host.sendsPerUpstream.clear();
-        host.request(2, 2 * SECOND);
-        host.advance(500 * MILLI);
+        host.request(2, 2 * SECOND_US);
+        host.advance(500 * MILLISECOND_US);
         assertFalse(host.sendsPerUpstream.isEmpty());
     }
 
     @Test
     void failedConnectEjectsDeadUpstreamButNotOneThatStillAnswers() {
-        for (boolean dead : new boolean[] {true, false}) {
+        for (boolean isDown : new boolean[] {true, false}) {
             SimulatedHost host = SimulatedHost.of(settings).listUpstreams(1);
-            String first = host.request(0, 2 * SECOND);
-            String second = host.request(2, 2 * SECOND);
-            host.advance(5 * MILLI);
-            if (!dead) {
-                host.endAttempt(first, Outcome.OK, 5 * MILLI, null);
+            String first = host.request(0, 2 * SECOND_US);
+            String second = host.request(2, 2 * SECOND_US);
+            host.advance(5 * MILLISECOND_US);
+            if (!isDown) {
+                host.endAttempt(first, Outcome.OK, 5 * MILLISECOND_US, null);
             }
-            host.endAttempt(second, Outcome.CONNECT_FAILED, 5 * MILLI, null);
-            if (!dead) {
-                host.endAttempt(second, Outcome.OK, 5 * MILLI, null);
+            host.endAttempt(second, Outcome.CONNECT_FAILED, 5 * MILLISECOND_US, null);
+            if (!isDown) {
+                host.endAttempt(second, Outcome.OK, 5 * MILLISECOND_US, null);
             }
             host.changeEndpoint(SimulatedHost.endpoint(1, State.READY, 0));
-            host.advance(100 * MILLI);
+            host.advance(100 * MILLISECOND_US);
             host.sendsPerUpstream.clear();
             for (int i = 0; i < 40; i++) {
-                host.serve(0, 5 * MILLI, upstream -> 0.5);
+                host.serve(0, 5 * MILLISECOND_US, upstream -> 0.5);
             }
-            assertEquals(dead, host.sendsTo("u0") == 0, dead + host.sendsPerUpstream.toString());
+            assertEquals(
+                    isDown, host.sendsTo("u0") == 0, isDown + host.sendsPerUpstream.toString());
         }
     }
 
     @Test
-    void halfTheFleetGoneUnknownToTheListCostsLittle() {
+    void fewConnectsFailWhenHalfTheFleetIsDownButListed() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(6);
         int failedConnects = 0;
         int served = 0;
         for (int i = 0; i < 400; i++) {
-            String id = host.request(i % 3, 2 * SECOND);
-            for (int tries = 0; tries < 4 && host.lastUpstream(id) != null; tries++) {
-                host.advance(5 * MILLI);
+            String id = host.request(i % 3, 2 * SECOND_US);
+            for (int attempts = 0; attempts < 4 && host.lastUpstream(id) != null; attempts++) {
+                host.advance(5 * MILLISECOND_US);
                 if (host.lastUpstream(id).compareTo("u3") >= 0) {
-                    host.endAttempt(id, Outcome.OK, 5 * MILLI, SimulatedHost.report(0.5));
+                    host.endAttempt(id, Outcome.OK, 5 * MILLISECOND_US, SimulatedHost.report(0.5));
                     served++;
                     break;
                 }
                 failedConnects++;
-                host.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+                host.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLISECOND_US, null);
             }
         }
         assertTrue(served >= 395, "served " + served);
@@ -130,21 +134,21 @@
     }
 
     /**
-     * Guards against sending all requests to a draining upstream, which looks idle because it rejects
-     * them (seen on the standard day rough-2 of a deployment with rolling restarts).
+     * Guards against sending all requests to a draining upstream, which looks idle because it
+     * rejects them (seen on the standard day rough-2 of a deployment with rolling restarts).
      */
     @Test
     void upstreamThatRejectsWithShortQueueIsEjectedAsDraining() {
         settings.groupSize(3);
-        settings.peers(true);
+        settings.peerMessages(true);
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 40; i++) {
-            String id = host.request(2, 2 * SECOND);
-            host.advance(20 * MILLI);
+            String id = host.request(2, 2 * SECOND_US);
+            host.advance(20 * MILLISECOND_US);
             while (host.lastUpstream(id).equals("u0")) {
-                host.endAttempt(id, Outcome.FULL, MILLI, null);
+                host.endAttempt(id, Outcome.FULL, MILLISECOND_US, null);
             }
-            host.endAttempt(id, Outcome.OK, 20 * MILLI, SimulatedHost.report(0.5));
+            host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, SimulatedHost.report(0.5));
         }
         assertTrue(host.sendsTo("u0") <= 2, host.sendsPerUpstream.toString());
     }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RandomEventsTest.java
@@ -15,10 +15,15 @@
  * RuleChecker}.
  */
 class RandomEventsTest {
-    private static final long SECOND = SimulatedHost.SECOND;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
 
-    private record Out(
-            String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
+    private record OutstandingAttempt(
+            String requestId,
+            int attemptIndex,
+            String upstreamId,
+            long sentAtUs,
+            long endsAtUs,
+            Outcome outcome) {}
 
     @ParameterizedTest
     @ValueSource(
@@ -26,82 +31,88 @@
                 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23,
                 24
             })
-    void randomLegalEventsKeepTheRules(long seed) {
+    void decisionsOnRandomValidEventsFollowTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SettingsBuilder settings = new SettingsBuilder();
         settings.hedging(seed % 2 == 0);
-        settings.scope(Scope.values()[(int) (seed % 3)]);
-        settings.warmKeys(seed % 3 == 0);
-        settings.cancelling(seed % 4 != 0);
+        settings.deduplicationScope(DeduplicationScope.values()[(int) (seed % 3)]);
+        settings.keyAffinity(seed % 3 == 0);
+        settings.cancellation(seed % 4 != 0);
         settings.groupSize(seed > 12 ? 40 : 1);
-        settings.peers(seed > 12 && seed % 2 == 0);
-        settings.reports(seed % 2 == 0 ? Reports.IN_ANSWERS : Reports.BY_PROBE);
+        settings.peerMessages(seed > 12 && seed % 2 == 0);
+        settings.loadReportSource(
+                seed % 2 == 0 ? LoadReportSource.RESPONSES : LoadReportSource.PROBES);
         settings.probePrice(seed > 12 ? 0.001 : 0.01);
         SimulatedHost host = SimulatedHost.of(settings);
         host.checker = new RuleChecker(settings.build(), 1.0);
         List<Upstream> all = new ArrayList<>();
-        for (int i = 0; i < 6; i++) {
-            all.add(SimulatedHost.endpoint(i, State.READY, 0));
+        for (int index = 0; index < 6; index++) {
+            all.add(SimulatedHost.endpoint(index, State.READY, 0));
         }
-        host.checker.endpointsReported(host.nowUs, ListKind.RESTORED, all);
-        host.balancer.upstreams(host.nowUs, ListKind.RESTORED, all);
-        List<Out> out = new ArrayList<>();
+        host.checker.endpointsReported(host.nowUs, EndpointListKind.RESTORED, all);
+        host.balancer.onEndpointList(host.nowUs, EndpointListKind.RESTORED, all);
+        List<OutstandingAttempt> outstanding = new ArrayList<>();
         int served = 0;
         for (int step = 0; step < 4_000; step++) {
             host.advance(5_000);
-            gather(host, random, out);
-            served += deliver(host, out);
+            collectActions(host, random, outstanding);
+            served += endDueAttempts(host, outstanding);
             if (step < 3_400 && random.nextInt(3) > 0) {
                 host.request(
                         random.nextInt(3),
                         200_000 + random.nextLong(1_800_000),
                         "k" + random.nextInt(9),
                         5_000 + random.nextLong(40_000));
-                gather(host, random, out);
+                collectActions(host, random, outstanding);
             }
-            gossip(host, random);
+            answerProbesAndSendPeerMessage(host, random);
             if (random.nextInt(150) == 0) {
-                change(host, random);
+                changeRandomUpstream(host, random);
             }
-            if (random.nextInt(200) == 0 && !out.isEmpty()) {
-                String id = out.get(random.nextInt(out.size())).id;
-                host.checker.clientGone(id);
-                host.balancer.clientGone(host.nowUs, id);
+            if (random.nextInt(200) == 0 && !outstanding.isEmpty()) {
+                String id = outstanding.get(random.nextInt(outstanding.size())).requestId;
+                host.checker.clientDisconnected(id);
+                host.balancer.onClientDisconnected(host.nowUs, id);
             }
-            gather(host, random, out);
+            collectActions(host, random, outstanding);
         }
         host.checker.finish(host.nowUs);
-        assertEquals(List.of(), host.checker.breaches);
+        assertEquals(List.of(), host.checker.violations);
         assertTrue(
-                served > (seed > 12 ? 150 : 200), "served " + served); // a balancer in a group of 40 uses a subset
+                served > (seed > 12 ? 150 : 200),
+                "served " + served); // a balancer in a group of 40 uses a subset
     }
 
-    private static void gather(SimulatedHost host, SplittableRandom random, List<Out> out) {
+    private static void collectActions(
+            SimulatedHost host, SplittableRandom random, List<OutstandingAttempt> outstanding) {
         for (String line : host.actions) {
-            String[] f = line.split(" ");
-            if (f[1].equals("send")) {
-                int attempt = (int) host.sends.get(f[2]).stream().count() - 1;
+            String[] fields = line.split(" ");
+            if (fields[1].equals("send")) {
+                int attemptIndex =
+                        (int) host.upstreamsByRequest.get(fields[2]).stream().count() - 1;
                 Outcome[] all = Outcome.values();
-                Outcome o = random.nextInt(4) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-                out.add(
-                        new Out(
-                                f[2],
-                                attempt,
-                                f[3],
+                Outcome outcome =
+                        random.nextInt(4) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
+                outstanding.add(
+                        new OutstandingAttempt(
+                                fields[2],
+                                attemptIndex,
+                                fields[3],
                                 host.nowUs,
                                 host.nowUs + random.nextLong(120_000),
-                                o));
-            } else if (f[1].equals("cancel")) {
-                for (int i = 0; i < out.size(); i++) {
-                    Out x = out.get(i);
-                    if (x.id.equals(f[2]) && x.attempt == Integer.parseInt(f[3])) {
-                        out.set(
-                                i,
-                                new Out(
-                                        x.id,
-                                        x.attempt,
-                                        x.upstream,
-                                        x.sentAt,
+                                outcome));
+            } else if (fields[1].equals("cancel")) {
+                for (int index = 0; index < outstanding.size(); index++) {
+                    OutstandingAttempt outstandingAttempt = outstanding.get(index);
+                    if (outstandingAttempt.requestId.equals(fields[2])
+                            && outstandingAttempt.attemptIndex == Integer.parseInt(fields[3])) {
+                        outstanding.set(
+                                index,
+                                new OutstandingAttempt(
+                                        outstandingAttempt.requestId,
+                                        outstandingAttempt.attemptIndex,
+                                        outstandingAttempt.upstreamId,
+                                        outstandingAttempt.sentAtUs,
                                         host.nowUs,
                                         Outcome.CANCELLED));
                     }
@@ -111,41 +122,42 @@
         host.actions.clear();
     }
 
-    private static int deliver(SimulatedHost host, List<Out> out) {
+    private static int endDueAttempts(SimulatedHost host, List<OutstandingAttempt> outstanding) {
         int served = 0;
-        for (Out x : new ArrayList<>(out)) {
-            if (x.endsAt <= host.nowUs && out.remove(x)) {
-                boolean ok = x.outcome == Outcome.OK;
+        for (OutstandingAttempt outstandingAttempt : new ArrayList<>(outstanding)) {
+            if (outstandingAttempt.endsAtUs <= host.nowUs
+                    && outstanding.remove(outstandingAttempt)) {
+                boolean ok = outstandingAttempt.outcome == Outcome.OK;
                 served += ok ? 1 : 0;
                 LoadReport load = ok ? SimulatedHost.report(0.5) : null;
                 AttemptEnd end =
                         new AttemptEnd(
-                                x.id,
-                                x.attempt,
-                                x.upstream,
-                                x.outcome,
-                                host.nowUs - x.sentAt,
+                                outstandingAttempt.requestId,
+                                outstandingAttempt.attemptIndex,
+                                outstandingAttempt.upstreamId,
+                                outstandingAttempt.outcome,
+                                host.nowUs - outstandingAttempt.sentAtUs,
                                 ok,
                                 load);
-                host.checker.ended(end);
-                host.balancer.outcome(host.nowUs, end);
+                host.checker.attemptEnded(end);
+                host.balancer.onAttemptEnd(host.nowUs, end);
             }
         }
         return served;
     }
 
-    /**
-     * Answers most probes, and sends a message from a random peer, which may be corrupted.
-     */
-    private static void gossip(SimulatedHost host, SplittableRandom random) {
-        List<String> asked = List.copyOf(host.probes);
+    /** Answers most probes, and sends a message from a random peer, which may be corrupted. */
+    private static void answerProbesAndSendPeerMessage(
+            SimulatedHost host, SplittableRandom random) {
+        List<String> probed = List.copyOf(host.probes);
         host.probes.clear();
-        for (String upstream : asked) {
+        for (String upstream : probed) {
             if (random.nextInt(5) > 0) {
-                Outcome o = random.nextInt(25) > 0 ? Outcome.OK : Outcome.CONNECT_FAILED;
+                Outcome outcome = random.nextInt(25) > 0 ? Outcome.OK : Outcome.CONNECT_FAILED;
                 LoadReport load =
                         new LoadReport(0.5, random.nextInt(4), 0, Double.NaN, Double.NaN, 0);
-                host.balancer.probed(host.nowUs, upstream, o, o == Outcome.OK ? load : null);
+                host.balancer.onProbeResult(
+                        host.nowUs, upstream, outcome, outcome == Outcome.OK ? load : null);
             }
         }
         byte[] body =
@@ -155,18 +167,20 @@
         if (random.nextInt(3) == 0 && body.length > 0) {
             body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
-        host.balancer.peerMessage(host.nowUs, random.nextInt(50) - 5, body);
+        host.balancer.onPeerMessage(host.nowUs, random.nextInt(50) - 5, body);
         host.peerMessages.clear();
     }
 
-    private static void change(SimulatedHost host, SplittableRandom random) {
-        int i = random.nextInt(6);
-        int what = random.nextInt(4);
-        State state = what == 0 ? State.DRAINING : what == 1 ? State.GONE : State.READY;
-        Upstream u =
+    private static void changeRandomUpstream(SimulatedHost host, SplittableRandom random) {
+        int index = random.nextInt(6);
+        int change = random.nextInt(4);
+        State state = change == 0 ? State.DRAINING : change == 1 ? State.GONE : State.READY;
+        Upstream upstream =
                 SimulatedHost.endpoint(
-                        i, state, state == State.READY ? host.nowUs - random.nextLong(SECOND) : 0);
-        host.checker.endpointsReported(host.nowUs, ListKind.CHANGES, List.of(u));
-        host.balancer.upstreams(host.nowUs, ListKind.CHANGES, List.of(u));
+                        index,
+                        state,
+                        state == State.READY ? host.nowUs - random.nextLong(SECOND_US) : 0);
+        host.checker.endpointsReported(host.nowUs, EndpointListKind.CHANGES, List.of(upstream));
+        host.balancer.onEndpointList(host.nowUs, EndpointListKind.CHANGES, List.of(upstream));
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RequestQueueTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RequestQueueTest.java
@@ -13,72 +13,74 @@
 
 /** The queue is ordered by priority, and late requests are shed. */
 class RequestQueueTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     /**
-     * Guards against shedding while upstreams are idle: the first answers of a restarted balancer are
-     * slow because of its own cold code. While the typical answer time of a class consisted of
+     * Guards against shedding while upstreams are idle: the first answers of a restarted balancer
+     * are slow because of its own cold code. While the typical answer time of a class consisted of
      * these, the balancer rejected all queued requests.
      */
     @Test
-    void firstSlowAnswersAreSoonForgottenInAnswerTimeOfClass() {
-        settings.lateWorth(0);
+    void slowFirstAnswersDoNotCauseShedding() {
+        settings.lateValueFactor(0);
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(1);
         for (int i = 0; i < 32; i++) {
-            String id = host.request(0, 2 * SECOND);
-            long took = i < 8 ? 700 * MILLI : 20 * MILLI;
-            host.advance(took);
-            host.endAttempt(id, Outcome.OK, took, null);
+            String id = host.request(0, 2 * SECOND_US);
+            long tookUs = i < 8 ? 700 * MILLISECOND_US : 20 * MILLISECOND_US;
+            host.advance(tookUs);
+            host.endAttempt(id, Outcome.OK, tookUs, null);
         }
-        String held = host.request(0, 2 * SECOND);
-        while (host.lastUpstream(held) != null) {
-            held = host.request(0, 2 * SECOND);
+        String queued = host.request(0, 2 * SECOND_US);
+        while (host.lastUpstream(queued) != null) {
+            queued = host.request(0, 2 * SECOND_US);
         }
-        host.advance(SECOND / 10);
-        assertNull(host.lastUpstream(held));
-        assertFalse(host.rejected.contains(held));
+        host.advance(SECOND_US / 10);
+        assertNull(host.lastUpstream(queued));
+        assertFalse(host.rejected.contains(queued));
     }
 
     @Test
-    void queuedRequestOfGreaterWorthGoesFirst() {
+    void queuedRequestOfHigherPriorityIsSentFirst() {
         SimulatedHost host = SimulatedHost.of(settings);
-        String cheap = host.request(0, 2 * SECOND);
-        String dear = host.request(2, 2 * SECOND);
-        assertNull(host.lastUpstream(cheap));
+        String lowPriority = host.request(0, 2 * SECOND_US);
+        String highPriority = host.request(2, 2 * SECOND_US);
+        assertNull(host.lastUpstream(lowPriority));
         host.listUpstreams(1);
-        int sentDear = host.actions.indexOf(host.nowUs + " send " + dear + " u0");
-        int sentCheap = host.actions.indexOf(host.nowUs + " send " + cheap + " u0");
-        assertTrue(sentDear >= 0 && sentDear < sentCheap, host.actions.toString());
+        int highPriorityIndex = host.actions.indexOf(host.nowUs + " send " + highPriority + " u0");
+        int lowPriorityIndex = host.actions.indexOf(host.nowUs + " send " + lowPriority + " u0");
+        assertTrue(
+                highPriorityIndex >= 0 && highPriorityIndex < lowPriorityIndex,
+                host.actions.toString());
     }
 
     @Test
-    void markedRetryIsShedSoonerThanFirstAttemptOnceRejectionsAreUsual() {
-        for (boolean retry : new boolean[] {true, false}) {
-            settings.lateWorth(0);
+    void clientRetryIsShedSoonerThanFirstAttemptWhenRejectionsAreCommon() {
+        for (boolean isRetry : new boolean[] {true, false}) {
+            settings.lateValueFactor(0);
             SimulatedHost host = SimulatedHost.of(settings);
             for (int i = 0; i < 100; i++) {
-                host.request(0, 2 * SECOND);
-                host.advance(510 * MILLI);
+                host.request(0, 2 * SECOND_US);
+                host.advance(510 * MILLISECOND_US);
             }
             host.rejected.clear();
-            host.balancer.request(
-                    host.nowUs, new Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
-            host.advance(100 * MILLI);
-            assertEquals(retry, host.rejected.contains("again"));
+            host.balancer.onRequest(
+                    host.nowUs, new Request("again", 0, 0, null, 0, 2 * SECOND_US, false, isRetry));
+            host.advance(100 * MILLISECOND_US);
+            assertEquals(isRetry, host.rejected.contains("again"));
         }
     }
 
     @Test
-    void queuedRequestsPastLatencyTargetAreRejectedWhereLateIsWorthNothing() {
-        for (double late : new double[] {0, 0.5}) {
-            settings.lateWorth(late);
+    void queuedRequestsPastLatencyTargetAreRejectedIfLateAnswersHaveNoValue() {
+        for (double lateValueFactor : new double[] {0, 0.5}) {
+            settings.lateValueFactor(lateValueFactor);
             SimulatedHost host = SimulatedHost.of(settings);
-            host.request(0, 2 * SECOND);
-            host.advance(600 * MILLI);
-            assertEquals(late == 0 ? 1 : 0, host.rejected.size());
-            host.advance(1_500 * MILLI);
+            host.request(0, 2 * SECOND_US);
+            host.advance(600 * MILLISECOND_US);
+            assertEquals(lateValueFactor == 0 ? 1 : 0, host.rejected.size());
+            host.advance(1_500 * MILLISECOND_US);
             assertEquals(1, host.rejected.size());
         }
     }
@@ -87,20 +89,20 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "200, 200", "2500, 500"})
     void rejectionHasRetryAfterWherePermitted(int maxMs, int expectedMs) {
-        settings.maxRetryAfterUs(maxMs * MILLI);
+        settings.maxRetryAfterUs(maxMs * MILLISECOND_US);
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         host.request(0, 0);
-        assertEquals(List.of(expectedMs * MILLI), host.retryAfterUs);
+        assertEquals(List.of(expectedMs * MILLISECOND_US), host.retryAfterTimesUs);
     }
 
     @Test
     void emptyListQueuesRequestsUntilDeadlineAndNextListServesThem() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
-        host.balancer.upstreams(host.nowUs, ListKind.COMPLETE, List.of());
-        String refused = host.request(0, 100 * MILLI);
-        host.advance(100 * MILLI);
-        assertEquals(List.of(refused), host.rejected);
-        String served = host.request(0, 2 * SECOND);
+        host.balancer.onEndpointList(host.nowUs, EndpointListKind.COMPLETE, List.of());
+        String rejected = host.request(0, 100 * MILLISECOND_US);
+        host.advance(100 * MILLISECOND_US);
+        assertEquals(List.of(rejected), host.rejected);
+        String served = host.request(0, 2 * SECOND_US);
         assertNull(host.lastUpstream(served));
         host.listUpstreams(2);
         assertNotEquals(null, host.lastUpstream(served));
--- a/src/test/java/myrtleladder/loadbalancer/policy/RetryPolicyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RetryPolicyTest.java
@@ -8,42 +8,42 @@
 
 /** Retries depend on the idempotency of the request. */
 class RetryPolicyTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     @Test
-    void unsafeRequestThatMayHaveRunFailsAndIsNeverSentAgain() {
+    void nonIdempotentRequestThatMayHaveRunFailsAndIsNeverSentAgain() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
-        String id = host.request(2, 2 * SECOND);
-        host.endAttempt(id, Outcome.RESET, MILLI, null);
-        assertEquals(1, host.sends.get(id).size());
+        String id = host.request(2, 2 * SECOND_US);
+        host.endAttempt(id, Outcome.RESET, MILLISECOND_US, null);
+        assertEquals(1, host.upstreamsByRequest.get(id).size());
         assertEquals(List.of(id), host.failed);
     }
 
     @Test
-    void unsafeRequestThatProvablyNeverRanIsSentAgain() {
+    void nonIdempotentRequestThatNeverRanIsSentAgain() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
-        String id = host.request(2, 2 * SECOND);
-        host.endAttempt(id, Outcome.FULL, MILLI, null);
-        host.advance(100 * MILLI);
-        assertEquals(2, host.sends.get(id).size());
+        String id = host.request(2, 2 * SECOND_US);
+        host.endAttempt(id, Outcome.FULL, MILLISECOND_US, null);
+        host.advance(100 * MILLISECOND_US);
+        assertEquals(2, host.upstreamsByRequest.get(id).size());
     }
 
     @Test
-    void keyedRequestIsRepeatedOnlyWithinItsZoneAndMemorySpan() {
+    void keyedRequestIsRepeatedOnlyWithinItsZoneAndKeyRetention() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(9);
-        String id = host.request(1, 2 * SECOND);
-        host.endAttempt(id, Outcome.RESET, MILLI, null);
-        assertEquals(2, host.sends.get(id).size());
+        String id = host.request(1, 2 * SECOND_US);
+        host.endAttempt(id, Outcome.RESET, MILLISECOND_US, null);
+        assertEquals(2, host.upstreamsByRequest.get(id).size());
         List<Integer> zones =
-                host.sends.get(id).stream()
+                host.upstreamsByRequest.get(id).stream()
                         .map(upstream -> Integer.parseInt(upstream.substring(1)) % 3)
                         .toList();
         assertEquals(zones.get(0), zones.get(1));
-        host.advance(1_100 * MILLI);
-        host.endAttempt(id, Outcome.RESET, 1_100 * MILLI, null);
-        assertEquals(2, host.sends.get(id).size());
+        host.advance(1_100 * MILLISECOND_US);
+        host.endAttempt(id, Outcome.RESET, 1_100 * MILLISECOND_US, null);
+        assertEquals(2, host.upstreamsByRequest.get(id).size());
         assertEquals(List.of(id), host.failed);
     }
 
@@ -52,18 +52,18 @@
      * attempt may have run in the old process.
      */
     @Test
-    void restartBetweenAttemptsKeepsKeyedRequestToItsZoneAndUnsafeOneUnsent() {
+    void restartBetweenAttemptsDoesNotPermitMoreRetries() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(9);
-        for (int cls = 1; cls <= 2; cls++) {
-            String id = host.request(cls, 2 * SECOND);
+        for (int classIndex = 1; classIndex <= 2; classIndex++) {
+            String id = host.request(classIndex, 2 * SECOND_US);
             int zone = Integer.parseInt(host.lastUpstream(id).substring(1)) % 3;
             host.changeEndpoint(
                     SimulatedHost.endpoint(
                             Integer.parseInt(host.lastUpstream(id).substring(1)),
                             State.READY,
                             host.nowUs));
-            host.endAttempt(id, Outcome.RESET, MILLI, null);
-            assertEquals(cls == 1 ? 2 : 1, host.sends.get(id).size());
+            host.endAttempt(id, Outcome.RESET, MILLISECOND_US, null);
+            assertEquals(classIndex == 1 ? 2 : 1, host.upstreamsByRequest.get(id).size());
             assertEquals(zone, Integer.parseInt(host.lastUpstream(id).substring(1)) % 3);
         }
     }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -9,8 +9,8 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * Checks the four rules that a balancer has to follow, by its events and actions. It shares no code with
- * the decision module. Each violation begins with the number of its rule:
+ * Checks the four rules that a balancer has to follow, by its events and actions. It shares no code
+ * with the decision module. Each violation begins with the number of its rule:
  *
  * <ol>
  *   <li>each request gets one final answer in time, and no attempt after it;
@@ -21,24 +21,24 @@
  * </ol>
  */
 final class RuleChecker {
-    final List<String> breaches = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final Settings settings;
     private final double warmWorkPerMicro;
-    private final Map<String, Upstream> listed = new HashMap<>();
-    private final Map<String, Long> closedAt = new HashMap<>();
-    private final Map<String, Case> cases = new HashMap<>();
-    private final Map<String, Deque<long[]>> coldSends = new HashMap<>();
+    private final Map<String, Upstream> endpoints = new HashMap<>();
+    private final Map<String, Long> closedAtUs = new HashMap<>();
+    private final Map<String, RequestHistory> histories = new HashMap<>();
+    private final Map<String, Deque<long[]>> slowStartSends = new HashMap<>();
 
-    private record Sent(long at, Upstream upstream) {}
+    private record SentAttempt(long atUs, Upstream upstream) {}
 
-    private static final class Case {
+    private static final class RequestHistory {
         Request request;
-        RequestClass cls;
-        long deadline;
-        boolean over;
-        final List<Sent> sent = new ArrayList<>();
-        final List<Boolean> out = new ArrayList<>();
-        final List<Boolean> ran = new ArrayList<>();
+        RequestClass requestClass;
+        long deadlineUs;
+        boolean isEnded;
+        final List<SentAttempt> attempts = new ArrayList<>();
+        final List<Boolean> isOutstanding = new ArrayList<>();
+        final List<Boolean> mayHaveRun = new ArrayList<>();
     }
 
     /**
@@ -51,136 +51,145 @@
         this.warmWorkPerMicro = warmWorkPerMicro;
     }
 
-    void endpointsReported(long now, ListKind kind, List<Upstream> entries) {
-        if (kind == ListKind.COMPLETE || kind == ListKind.RESTORED) {
-            for (String id : listed.keySet()) {
-                if (entries.stream().noneMatch(e -> e.id().equals(id))) {
-                    closedAt.putIfAbsent(id, now);
+    void endpointsReported(long nowUs, EndpointListKind kind, List<Upstream> entries) {
+        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.RESTORED) {
+            for (String id : endpoints.keySet()) {
+                if (entries.stream().noneMatch(entry -> entry.id().equals(id))) {
+                    closedAtUs.putIfAbsent(id, nowUs);
                 }
             }
         }
-        for (Upstream e : entries) {
-            listed.put(e.id(), e);
-            if (e.state() == State.READY) {
-                closedAt.remove(e.id());
+        for (Upstream entry : entries) {
+            endpoints.put(entry.id(), entry);
+            if (entry.state() == State.READY) {
+                closedAtUs.remove(entry.id());
             } else {
-                closedAt.putIfAbsent(e.id(), now);
+                closedAtUs.putIfAbsent(entry.id(), nowUs);
             }
         }
     }
 
-    void arrived(long now, Request r) {
-        Case c = new Case();
-        c.request = r;
-        c.cls = settings.classes().get(r.classIndex());
-        c.deadline = now + r.timeLeftUs();
-        cases.put(r.id(), c);
+    void requestArrived(long nowUs, Request request) {
+        RequestHistory history = new RequestHistory();
+        history.request = request;
+        history.requestClass = settings.classes().get(request.classIndex());
+        history.deadlineUs = nowUs + request.timeLeftUs();
+        histories.put(request.id(), history);
     }
 
-    void sent(long now, String id, String upstream) {
-        Case c = cases.get(id);
-        Upstream u = listed.get(upstream);
-        if (c.over) {
-            breaches.add("1: attempt sent after the final answer " + id);
+    void attemptSent(long nowUs, String id, String upstreamId) {
+        RequestHistory history = histories.get(id);
+        Upstream upstream = endpoints.get(upstreamId);
+        if (history.isEnded) {
+            violations.add("1: attempt sent after the final answer " + id);
         }
-        if (!settings.limits().hedging() && c.out.contains(true)) {
-            breaches.add("2: two outstanding attempts without hedging " + id);
+        if (!settings.limits().hedging() && history.isOutstanding.contains(true)) {
+            violations.add("2: two outstanding attempts without hedging " + id);
         }
-        int first = c.ran.indexOf(true);
-        if (first >= 0 && c.cls.effect() == Effect.UNSAFE) {
-            breaches.add("2: non-idempotent request sent again " + id);
+        int firstIndex = history.mayHaveRun.indexOf(true);
+        if (firstIndex >= 0 && history.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            violations.add("2: non-idempotent request sent again " + id);
         }
-        if (first >= 0 && c.cls.effect() == Effect.KEYED) {
-            Sent s = c.sent.get(first);
-            boolean near =
-                    c.cls.scope() == Scope.ALL
-                            || (c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone())
-                            || (c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell());
-            if (!near || now - s.at > c.cls.memorySpanUs()) {
-                breaches.add("2: keyed request repeated outside its deduplication scope or time " + id);
+        if (firstIndex >= 0
+                && history.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+            SentAttempt firstAttempt = history.attempts.get(firstIndex);
+            boolean isInScope =
+                    history.requestClass.deduplicationScope() == DeduplicationScope.ALL
+                            || (history.requestClass.deduplicationScope() == DeduplicationScope.ZONE
+                                    && firstAttempt.upstream.zone() == upstream.zone())
+                            || (history.requestClass.deduplicationScope() == DeduplicationScope.CELL
+                                    && firstAttempt.upstream.cell() == upstream.cell());
+            if (!isInScope || nowUs - firstAttempt.atUs > history.requestClass.keyRetentionUs()) {
+                violations.add(
+                        "2: keyed request repeated outside its deduplication scope or time " + id);
             }
         }
-        Long closed = closedAt.get(upstream);
-        if (closed != null && now - closed > settings.rules().drainGraceUs()) {
-            breaches.add("3: attempt sent to a drained upstream " + upstream);
+        Long closedSinceUs = closedAtUs.get(upstreamId);
+        if (closedSinceUs != null && nowUs - closedSinceUs > settings.rules().drainGraceUs()) {
+            violations.add("3: attempt sent to a drained upstream " + upstreamId);
         }
-        cold(now, u, c.request.expectedWork());
-        c.sent.add(new Sent(now, u));
-        c.out.add(true);
-        c.ran.add(true);
+        checkSlowStartBudget(nowUs, upstream, history.request.expectedWork());
+        history.attempts.add(new SentAttempt(nowUs, upstream));
+        history.isOutstanding.add(true);
+        history.mayHaveRun.add(true);
     }
 
-    private void cold(long now, Upstream u, long work) {
-        long age = now - u.launchedAtUs();
-        if (u.launchedAtUs() <= 0 || age >= settings.rules().slowStartUs()) {
+    private void checkSlowStartBudget(long nowUs, Upstream upstream, long work) {
+        long ageUs = nowUs - upstream.launchedAtUs();
+        if (upstream.launchedAtUs() <= 0 || ageUs >= settings.rules().slowStartDurationUs()) {
             return;
         }
-        Deque<long[]> window = coldSends.computeIfAbsent(u.id(), k -> new ArrayDeque<>());
-        window.add(new long[] {now, work});
-        while (window.peek()[0] < now - settings.rules().overloadWindowUs()) {
+        Deque<long[]> window =
+                slowStartSends.computeIfAbsent(upstream.id(), k -> new ArrayDeque<>());
+        window.add(new long[] {nowUs, work});
+        while (window.peek()[0] < nowUs - settings.rules().overloadWindowUs()) {
             window.poll();
         }
-        double start = settings.rules().startCapacity();
-        double share = start + (1 - start) * age / settings.rules().slowStartUs();
+        double initialFraction = settings.rules().initialCapacityFraction();
+        double capacityFraction =
+                initialFraction
+                        + (1 - initialFraction) * ageUs / settings.rules().slowStartDurationUs();
         double budget =
                 settings.rules().overloadMultiple()
-                        * share
+                        * capacityFraction
                         * warmWorkPerMicro
                         * settings.rules().overloadWindowUs();
-        if (window.stream().mapToLong(w -> w[1]).sum() > budget) {
-            breaches.add("4: cold upstream overloaded " + u.id());
+        if (window.stream().mapToLong(send -> send[1]).sum() > budget) {
+            violations.add("4: cold upstream overloaded " + upstream.id());
         }
     }
 
-    void ended(AttemptEnd end) {
-        Case c = cases.get(end.request());
-        c.out.set(end.attempt(), false);
-        c.ran.set(end.attempt(), !end.outcome().neverRan);
+    void attemptEnded(AttemptEnd end) {
+        RequestHistory history = histories.get(end.requestId());
+        history.isOutstanding.set(end.attemptIndex(), false);
+        history.mayHaveRun.set(end.attemptIndex(), !end.outcome().neverRan);
         if (end.isConcluded()) {
-            c.over = true;
+            history.isEnded = true;
         }
     }
 
-    void refused(long now, String id) {
-        Case c = cases.get(id);
-        boolean mayHaveRun = c.ran.contains(true);
+    void requestRejected(long nowUs, String id) {
+        RequestHistory history = histories.get(id);
+        boolean mayHaveRun = history.mayHaveRun.contains(true);
         if (mayHaveRun
-                && (c.cls.effect() == Effect.UNSAFE
-                        || (c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL))) {
-            breaches.add("2: rejected although it may have run " + id);
+                && (history.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                        || (history.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                && history.requestClass.deduplicationScope()
+                                        != DeduplicationScope.ALL))) {
+            violations.add("2: rejected although it may have run " + id);
         }
-        answered(now, id);
+        recordFinalAnswer(nowUs, id);
     }
 
-    void failed(long now, String id) {
-        answered(now, id);
+    void requestFailed(long nowUs, String id) {
+        recordFinalAnswer(nowUs, id);
     }
 
-    private void answered(long now, String id) {
-        Case c = cases.get(id);
-        if (c.over) {
-            breaches.add("1: answered twice " + id);
+    private void recordFinalAnswer(long nowUs, String id) {
+        RequestHistory history = histories.get(id);
+        if (history.isEnded) {
+            violations.add("1: answered twice " + id);
         }
-        c.over = true;
-        late(now, id, c);
+        history.isEnded = true;
+        checkDeadline(nowUs, id, history);
     }
 
-    void clientGone(String id) {
-        cases.get(id).over = true;
+    void clientDisconnected(String id) {
+        histories.get(id).isEnded = true;
     }
 
-    void finish(long now) {
-        cases.forEach(
-                (id, c) -> {
-                    if (!c.over) {
-                        late(now, id, c);
+    void finish(long nowUs) {
+        histories.forEach(
+                (id, history) -> {
+                    if (!history.isEnded) {
+                        checkDeadline(nowUs, id, history);
                     }
                 });
     }
 
-    private void late(long now, String id, Case c) {
-        if (now > c.deadline + settings.rules().answerSlackUs()) {
-            breaches.add("1: no final answer in time " + id);
+    private void checkDeadline(long nowUs, String id, RequestHistory history) {
+        if (nowUs > history.deadlineUs + settings.rules().answerSlackUs()) {
+            violations.add("1: no final answer in time " + id);
         }
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleCheckerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleCheckerTest.java
@@ -9,72 +9,72 @@
 
 /** {@link RuleChecker} detects each kind of violation. */
 class RuleCheckerTest {
-    private static final long SECOND = SimulatedHost.SECOND;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
 
     private RuleChecker checker() {
-        RuleChecker c = new RuleChecker(new SettingsBuilder().build(), 1.0);
-        c.endpointsReported(
+        RuleChecker checker = new RuleChecker(new SettingsBuilder().build(), 1.0);
+        checker.endpointsReported(
                 0,
-                ListKind.RESTORED,
+                EndpointListKind.RESTORED,
                 List.of(
                         SimulatedHost.endpoint(0, State.READY, 0),
                         SimulatedHost.endpoint(1, State.READY, 0),
-                        SimulatedHost.endpoint(2, State.READY, 10 * SECOND)));
-        return c;
+                        SimulatedHost.endpoint(2, State.READY, 10 * SECOND_US)));
+        return checker;
     }
 
-    private static Request request(int cls, long work) {
-        return new Request("r", cls, 0, null, work, SECOND, false, false);
+    private static Request request(int classIndex, long work) {
+        return new Request("r", classIndex, 0, null, work, SECOND_US, false, false);
     }
 
-    private static void caught(RuleChecker c, String rule) {
-        assertFalse(c.breaches.isEmpty());
-        assertTrue(c.breaches.get(0).startsWith(rule), c.breaches.toString());
+    private static void assertViolation(RuleChecker checker, String rule) {
+        assertFalse(checker.violations.isEmpty());
+        assertTrue(checker.violations.get(0).startsWith(rule), checker.violations.toString());
     }
 
     @Test
     void checkerCatchesAMissingAnswer() {
-        RuleChecker c = checker();
-        c.arrived(0, request(0, 1));
-        c.finish(2 * SECOND);
-        caught(c, "1");
+        RuleChecker checker = checker();
+        checker.requestArrived(0, request(0, 1));
+        checker.finish(2 * SECOND_US);
+        assertViolation(checker, "1");
     }
 
     @Test
-    void checkerCatchesARepeatedUnsafeRequest() {
-        RuleChecker c = checker();
-        c.arrived(0, request(2, 1));
-        c.sent(0, "r", "u0");
-        c.ended(new AttemptEnd("r", 0, "u0", Outcome.RESET, 1, false, null));
-        c.sent(1, "r", "u0");
-        caught(c, "2");
+    void checkerCatchesARepeatedNonIdempotentRequest() {
+        RuleChecker checker = checker();
+        checker.requestArrived(0, request(2, 1));
+        checker.attemptSent(0, "r", "u0");
+        checker.attemptEnded(new AttemptEnd("r", 0, "u0", Outcome.RESET, 1, false, null));
+        checker.attemptSent(1, "r", "u0");
+        assertViolation(checker, "2");
     }
 
     @Test
     void checkerCatchesAKeyedRepeatInAnotherZone() {
-        RuleChecker c = checker();
-        c.arrived(0, request(1, 1));
-        c.sent(0, "r", "u0");
-        c.ended(new AttemptEnd("r", 0, "u0", Outcome.TIMEOUT, 1, false, null));
-        c.sent(1, "r", "u1");
-        caught(c, "2");
+        RuleChecker checker = checker();
+        checker.requestArrived(0, request(1, 1));
+        checker.attemptSent(0, "r", "u0");
+        checker.attemptEnded(new AttemptEnd("r", 0, "u0", Outcome.TIMEOUT, 1, false, null));
+        checker.attemptSent(1, "r", "u1");
+        assertViolation(checker, "2");
     }
 
     @Test
     void checkerCatchesASendToADrainedUpstream() {
-        RuleChecker c = checker();
-        c.endpointsReported(
-                0, ListKind.CHANGES, List.of(SimulatedHost.endpoint(0, State.DRAINING, 0)));
-        c.arrived(2 * SECOND, request(0, 1));
-        c.sent(2 * SECOND, "r", "u0");
-        caught(c, "3");
+        RuleChecker checker = checker();
+        checker.endpointsReported(
+                0, EndpointListKind.CHANGES, List.of(SimulatedHost.endpoint(0, State.DRAINING, 0)));
+        checker.requestArrived(2 * SECOND_US, request(0, 1));
+        checker.attemptSent(2 * SECOND_US, "r", "u0");
+        assertViolation(checker, "3");
     }
 
     @Test
-    void checkerCatchesAPushedOverUpstream() {
-        RuleChecker c = checker();
-        c.arrived(11 * SECOND, request(0, 5 * SECOND));
-        c.sent(11 * SECOND, "r", "u2");
-        caught(c, "4");
+    void checkerCatchesAnOverloadedColdUpstream() {
+        RuleChecker checker = checker();
+        checker.requestArrived(11 * SECOND_US, request(0, 5 * SECOND_US));
+        checker.attemptSent(11 * SECOND_US, "r", "u2");
+        assertViolation(checker, "4");
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/SettingsBuilder.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SettingsBuilder.java
@@ -5,28 +5,28 @@
 
 /** Builds settings for tests, with defaults. May be changed and built again. */
 final class SettingsBuilder {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
 
     private int groupSize = 1;
     private int zones = 3;
     private boolean hedging;
     private long maxRetryAfterUs;
-    private boolean cancelling = true;
-    private boolean probes = true;
-    private boolean peers;
+    private boolean cancellation = true;
+    private boolean probing = true;
+    private boolean peerMessages;
     private double probePrice = 0.01;
     private int position;
-    private Reports reports = Reports.IN_ANSWERS;
-    private Ratings ratings = Ratings.NONE;
+    private LoadReportSource loadReportSource = LoadReportSource.RESPONSES;
+    private CapacityRatingKind ratingKind = CapacityRatingKind.NONE;
     private double crossZonePrice;
-    private boolean askForList;
-    private boolean warmKeys;
+    private boolean listSubscriptionRequired;
+    private boolean keyAffinity;
     private boolean streaming;
-    private long tickUs = 5 * MILLI;
-    private double lateWorth = 0.5;
+    private long tickUs = 5 * MILLISECOND_US;
+    private double lateValueFactor = 0.5;
     private List<Tenant> tenants = List.of();
-    private Scope scope = Scope.ZONE;
+    private DeduplicationScope deduplicationScope = DeduplicationScope.ZONE;
 
     SettingsBuilder groupSize(int value) {
         this.groupSize = value;
@@ -48,18 +48,18 @@
         return this;
     }
 
-    SettingsBuilder cancelling(boolean value) {
-        this.cancelling = value;
+    SettingsBuilder cancellation(boolean value) {
+        this.cancellation = value;
         return this;
     }
 
-    SettingsBuilder probes(boolean value) {
-        this.probes = value;
+    SettingsBuilder probing(boolean value) {
+        this.probing = value;
         return this;
     }
 
-    SettingsBuilder peers(boolean value) {
-        this.peers = value;
+    SettingsBuilder peerMessages(boolean value) {
+        this.peerMessages = value;
         return this;
     }
 
@@ -73,13 +73,13 @@
         return this;
     }
 
-    SettingsBuilder reports(Reports value) {
-        this.reports = value;
+    SettingsBuilder loadReportSource(LoadReportSource value) {
+        this.loadReportSource = value;
         return this;
     }
 
-    SettingsBuilder ratings(Ratings value) {
-        this.ratings = value;
+    SettingsBuilder ratingKind(CapacityRatingKind value) {
+        this.ratingKind = value;
         return this;
     }
 
@@ -88,13 +88,13 @@
         return this;
     }
 
-    SettingsBuilder askForList(boolean value) {
-        this.askForList = value;
+    SettingsBuilder listSubscriptionRequired(boolean value) {
+        this.listSubscriptionRequired = value;
         return this;
     }
 
-    SettingsBuilder warmKeys(boolean value) {
-        this.warmKeys = value;
+    SettingsBuilder keyAffinity(boolean value) {
+        this.keyAffinity = value;
         return this;
     }
 
@@ -108,8 +108,8 @@
         return this;
     }
 
-    SettingsBuilder lateWorth(double value) {
-        this.lateWorth = value;
+    SettingsBuilder lateValueFactor(double value) {
+        this.lateValueFactor = value;
         return this;
     }
 
@@ -118,28 +118,28 @@
         return this;
     }
 
-    SettingsBuilder scope(Scope value) {
-        this.scope = value;
+    SettingsBuilder deduplicationScope(DeduplicationScope value) {
+        this.deduplicationScope = value;
         return this;
     }
 
     /**
-     * Builds settings with one request class for each {@link Idempotency}: 0 idempotent, 1 idempotent
-     * by key, 2 not idempotent.
+     * Builds settings with one request class for each {@link Idempotency}: 0 idempotent, 1
+     * idempotent by key, 2 not idempotent.
      */
     Settings build() {
         List<RequestClass> classes = new ArrayList<>();
-        for (Effect effect : Effect.values()) {
+        for (Idempotency effect : Idempotency.values()) {
             classes.add(
                     new RequestClass(
-                            SECOND / 2,
+                            SECOND_US / 2,
                             0,
-                            2 * SECOND,
+                            2 * SECOND_US,
                             1 + effect.ordinal(),
-                            lateWorth,
+                            lateValueFactor,
                             effect,
-                            scope,
-                            SECOND,
+                            deduplicationScope,
+                            SECOND_US,
                             streaming));
         }
         return new Settings(
@@ -154,21 +154,28 @@
                 new Limits(
                         4,
                         hedging,
-                        probes,
-                        cancelling,
-                        peers,
+                        probing,
+                        cancellation,
+                        peerMessages,
                         20_000,
                         maxRetryAfterUs > 0,
                         maxRetryAfterUs,
-                        SECOND / 4,
-                        10 * SECOND,
+                        SECOND_US / 4,
+                        10 * SECOND_US,
                         1),
-                new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND),
+                new RuleParameters(
+                        20 * MILLISECOND_US,
+                        10 * SECOND_US,
+                        0.2,
+                        20 * SECOND_US,
+                        SECOND_US,
+                        3,
+                        2 * SECOND_US),
                 new Prices(crossZonePrice, 0.1, probePrice, 0.01, 0.05, 0),
-                reports,
-                ratings,
-                askForList,
-                warmKeys,
+                loadReportSource,
+                ratingKind,
+                listSubscriptionRequired,
+                keyAffinity,
                 tickUs);
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/SimulatedHost.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SimulatedHost.java
@@ -7,38 +7,39 @@
 import java.util.PriorityQueue;
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
-/**
- * Runs one load balancer in tests: simulates its clock and its timers, and records its actions.
- */
+/** Runs one load balancer in tests: simulates its clock and its timers, and records its actions. */
 class SimulatedHost implements LoadBalancer.Actions {
-    static final long SECOND = 1_000_000;
-    static final long MILLI = 1_000;
+    static final long SECOND_US = 1_000_000;
+    static final long MILLISECOND_US = 1_000;
 
     private static final long DEFAULT_SEED = 7;
 
     /** The simulated time, microseconds. */
-    long nowUs = 100 * SECOND;
+    long nowUs = 100 * SECOND_US;
 
     /** All actions except timers, one line each: time, name and arguments. */
     final List<String> actions = new ArrayList<>();
 
-    final Map<String, List<String>> sends = new HashMap<>();
+    final Map<String, List<String>> upstreamsByRequest = new HashMap<>();
     final Map<String, Integer> sendsPerUpstream = new HashMap<>();
     final List<String> rejected = new ArrayList<>();
-    final List<Long> retryAfterUs = new ArrayList<>();
+    final List<Long> retryAfterTimesUs = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> probes = new ArrayList<>();
     final List<byte[]> peerMessages = new ArrayList<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(
-                    (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
+                    (a, b) ->
+                            a.atUs != b.atUs
+                                    ? Long.compare(a.atUs, b.atUs)
+                                    : Long.compare(a.sequence, b.sequence));
     private long timerCount;
     private int requestCount;
     LoadBalancer balancer;
     RuleChecker checker;
 
-    private record Timer(long at, long n, String token) {}
+    private record Timer(long atUs, long sequence, String token) {}
 
     static SimulatedHost of(SettingsBuilder settings) {
         return of(settings, DEFAULT_SEED);
@@ -60,41 +61,41 @@
         for (int i = 0; i < count; i++) {
             all.add(endpoint(i, State.READY, 0));
         }
-        balancer.upstreams(nowUs, ListKind.RESTORED, all);
+        balancer.onEndpointList(nowUs, EndpointListKind.RESTORED, all);
         return this;
     }
 
     void changeEndpoint(Upstream endpoint) {
-        balancer.upstreams(nowUs, ListKind.CHANGES, List.of(endpoint));
+        balancer.onEndpointList(nowUs, EndpointListKind.CHANGES, List.of(endpoint));
     }
 
     /** Sends a request without a key; for classes see {@link SettingsBuilder#build}. */
-    String request(int cls, long timeLeft) {
-        return request(cls, timeLeft, null, 20 * MILLI);
+    String request(int classIndex, long timeLeftUs) {
+        return request(classIndex, timeLeftUs, null, 20 * MILLISECOND_US);
     }
 
-    String request(int cls, long timeLeft, String key, long work) {
+    String request(int classIndex, long timeLeftUs, String key, long work) {
         String id = "r" + requestCount++;
-        Request r = new Request(id, cls, 0, key, work, timeLeft, false, false);
+        Request newRequest = new Request(id, classIndex, 0, key, work, timeLeftUs, false, false);
         if (checker != null) {
-            checker.arrived(nowUs, r);
+            checker.requestArrived(nowUs, newRequest);
         }
-        balancer.request(nowUs, r);
+        balancer.onRequest(nowUs, newRequest);
         return id;
     }
 
     String lastUpstream(String id) {
-        List<String> s = sends.getOrDefault(id, List.of());
-        return s.isEmpty() ? null : s.get(s.size() - 1);
+        List<String> upstreams = upstreamsByRequest.getOrDefault(id, List.of());
+        return upstreams.isEmpty() ? null : upstreams.get(upstreams.size() - 1);
     }
 
     void endAttempt(String id, Outcome outcome, long tookUs, LoadReport load) {
-        int attempt = sends.get(id).size() - 1;
-        balancer.outcome(
+        int attemptIndex = upstreamsByRequest.get(id).size() - 1;
+        balancer.onAttemptEnd(
                 nowUs,
                 new AttemptEnd(
                         id,
-                        attempt,
+                        attemptIndex,
                         lastUpstream(id),
                         outcome,
                         tookUs,
@@ -106,15 +107,16 @@
      * Sends a request and answers it after {@code tookUs} with the upstream's utilisation. Returns
      * the upstream, or null if the request was queued.
      */
-    String serve(int cls, long took, java.util.function.ToDoubleFunction<String> utilisation) {
-        String id = request(cls, 2 * SECOND);
-        String at = lastUpstream(id);
-        if (at == null) {
+    String serve(
+            int classIndex, long tookUs, java.util.function.ToDoubleFunction<String> utilisation) {
+        String id = request(classIndex, 2 * SECOND_US);
+        String upstreamId = lastUpstream(id);
+        if (upstreamId == null) {
             return null;
         }
-        advance(took);
-        endAttempt(id, Outcome.OK, took, report(utilisation.applyAsDouble(at)));
-        return at;
+        advance(tookUs);
+        endAttempt(id, Outcome.OK, tookUs, report(utilisation.applyAsDouble(upstreamId)));
+        return upstreamId;
     }
 
     static LoadReport report(double utilisation) {
@@ -123,103 +125,103 @@
     }
 
     /** Number of attempts that were sent to an upstream. */
-    int sendsTo(String upstream) {
-        return sendsPerUpstream.getOrDefault(upstream, 0);
+    int sendsTo(String upstreamId) {
+        return sendsPerUpstream.getOrDefault(upstreamId, 0);
     }
 
     /**
-     * Answers 200 requests after 20 ms each, then sends more until one goes to u0. Returns that one,
-     * which is left unanswered.
+     * Answers 200 requests after 20 ms each, then sends more until one goes to u0. Returns that
+     * one, which is left unanswered.
      */
-    String requestToFirstUpstream(int cls) {
+    String requestToFirstUpstream(int classIndex) {
         for (int i = 0; i < 200; i++) {
-            serve(cls, 20 * MILLI, upstream -> 0.5);
+            serve(classIndex, 20 * MILLISECOND_US, upstreamId -> 0.5);
         }
         for (int i = 0; i < 100; i++) {
-            String id = request(cls, 2 * SECOND);
+            String id = request(classIndex, 2 * SECOND_US);
             if (lastUpstream(id).equals("u0")) {
                 return id;
             }
-            advance(20 * MILLI);
-            endAttempt(id, Outcome.OK, 20 * MILLI, report(0.5));
+            advance(20 * MILLISECOND_US);
+            endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, report(0.5));
         }
         throw new AssertionError("no request was sent to u0");
     }
 
     /** Advances the clock, and calls each timer when it expires. */
-    void advance(long by) {
-        long until = nowUs + by;
-        while (!timers.isEmpty() && timers.peek().at <= until) {
-            Timer t = timers.poll();
-            nowUs = Math.max(nowUs, t.at);
-            balancer.timer(nowUs, t.token);
+    void advance(long durationUs) {
+        long untilUs = nowUs + durationUs;
+        while (!timers.isEmpty() && timers.peek().atUs <= untilUs) {
+            Timer timer = timers.poll();
+            nowUs = Math.max(nowUs, timer.atUs);
+            balancer.onTimer(nowUs, timer.token);
         }
-        nowUs = until;
+        nowUs = untilUs;
     }
 
     @Override
-    public void send(String request, String upstream, long timeout) {
-        actions.add(nowUs + " send " + request + " " + upstream);
-        sends.computeIfAbsent(request, k -> new ArrayList<>()).add(upstream);
-        sendsPerUpstream.merge(upstream, 1, Integer::sum);
+    public void send(String requestId, String upstreamId, long timeoutUs) {
+        actions.add(nowUs + " send " + requestId + " " + upstreamId);
+        upstreamsByRequest.computeIfAbsent(requestId, k -> new ArrayList<>()).add(upstreamId);
+        sendsPerUpstream.merge(upstreamId, 1, Integer::sum);
         if (checker != null) {
-            checker.sent(nowUs, request, upstream);
+            checker.attemptSent(nowUs, requestId, upstreamId);
         }
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
-        actions.add(nowUs + " reject " + request);
-        rejected.add(request);
-        retryAfterUs.add(retryAfter);
+    public void reject(String requestId, long retryAfterUs) {
+        actions.add(nowUs + " reject " + requestId);
+        rejected.add(requestId);
+        retryAfterTimesUs.add(retryAfterUs);
         if (checker != null) {
-            checker.refused(nowUs, request);
+            checker.requestRejected(nowUs, requestId);
         }
     }
 
     @Override
-    public void fail(String request) {
-        actions.add(nowUs + " fail " + request);
-        failed.add(request);
+    public void fail(String requestId) {
+        actions.add(nowUs + " fail " + requestId);
+        failed.add(requestId);
         if (checker != null) {
-            checker.failed(nowUs, request);
+            checker.requestFailed(nowUs, requestId);
         }
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        actions.add(nowUs + " cancel " + request + " " + attempt);
-        cancelled.add(request + "/" + attempt);
+    public void cancelAttempt(String requestId, int attemptIndex) {
+        actions.add(nowUs + " cancel " + requestId + " " + attemptIndex);
+        cancelled.add(requestId + "/" + attemptIndex);
     }
 
     @Override
-    public void timer(String token, long delay) {
-        timers.add(new Timer(nowUs + Math.max(delay, 1), timerCount++, token));
+    public void setTimer(String token, long delayUs) {
+        timers.add(new Timer(nowUs + Math.max(delayUs, 1), timerCount++, token));
     }
 
     @Override
-    public void probe(String upstream) {
-        actions.add(nowUs + " probe " + upstream);
-        probes.add(upstream);
+    public void probe(String upstreamId) {
+        actions.add(nowUs + " probe " + upstreamId);
+        probes.add(upstreamId);
     }
 
     @Override
-    public void closeIdle(String upstream) {
-        actions.add(nowUs + " close " + upstream);
+    public void closeIdleConnections(String upstreamId) {
+        actions.add(nowUs + " close " + upstreamId);
     }
 
     @Override
-    public void watch(boolean on) {
-        actions.add(nowUs + " subscribe " + on);
+    public void setSubscribed(boolean isSubscribed) {
+        actions.add(nowUs + " subscribe " + isSubscribed);
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpointList() {
         actions.add(nowUs + " fetch");
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
         actions.add(nowUs + " send-to-peer " + peer);
         peerMessages.add(body);
     }
--- a/src/test/java/myrtleladder/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SlowStartTest.java
@@ -17,8 +17,8 @@
 
 /** Cold upstreams get work, but not more than their budget. */
 class SlowStartTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     /** Balancers that share a cold upstream. */
@@ -28,12 +28,12 @@
     void coldUpstreamGetsSomeWorkButLittle() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 500; i++) {
-            host.serve(0, 10 * MILLI, upstream -> 0.6);
+            host.serve(0, 10 * MILLISECOND_US, upstream -> 0.6);
         }
-        host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs - MILLI));
+        host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs - MILLISECOND_US));
         host.sendsPerUpstream.clear();
         for (int i = 0; i < 1_000; i++) {
-            host.serve(0, 10 * MILLI, upstream -> 0.6);
+            host.serve(0, 10 * MILLISECOND_US, upstream -> 0.6);
         }
         assertTrue(
                 host.sendsTo("u0") > 0 && host.sendsTo("u0") < 120,
@@ -42,28 +42,30 @@
 
     /** Sends one request, and 20 ms later answers all outstanding requests. */
     private static void requestAndServeAll(
-            SimulatedHost host, double utilisationOfFirst, double ofOthers) {
-        host.request(0, 2 * SECOND);
-        host.advance(20 * MILLI);
-        for (String id : List.copyOf(host.sends.keySet())) {
+            SimulatedHost host, double utilisationOfFirst, double utilisationOfOthers) {
+        host.request(0, 2 * SECOND_US);
+        host.advance(20 * MILLISECOND_US);
+        for (String id : List.copyOf(host.upstreamsByRequest.keySet())) {
             host.endAttempt(
                     id,
                     Outcome.OK,
-                    20 * MILLI,
+                    20 * MILLISECOND_US,
                     SimulatedHost.report(
-                            host.lastUpstream(id).equals("u0") ? utilisationOfFirst : ofOthers));
-            host.sends.remove(id);
+                            host.lastUpstream(id).equals("u0")
+                                    ? utilisationOfFirst
+                                    : utilisationOfOthers));
+            host.upstreamsByRequest.remove(id);
         }
     }
 
     /**
-     * The requests that 14 balancers send to a newly launched upstream in each second. The balancers
-     * have been running for some seconds, and each of them serves 50 requests of equal work per
-     * second on two warm upstreams. The budget of the new upstream begins at 3 times 0.2 of what a
-     * warm one serves.
+     * The requests that 14 balancers send to a newly launched upstream in each second. The
+     * balancers have been running for some seconds, and each of them serves 50 requests of equal
+     * work per second on two warm upstreams. The budget of the new upstream begins at 3 times 0.2
+     * of what a warm one serves.
      */
     private static List<Integer> sentToColdUpstream(
-            SettingsBuilder settings, int before, int seconds) {
+            SettingsBuilder settings, int secondsBefore, int seconds) {
         settings.groupSize(COLD_GROUP);
         List<SimulatedHost> balancers = new ArrayList<>();
         for (int position = 0; position < COLD_GROUP; position++) {
@@ -72,20 +74,20 @@
             host.listUpstreams(3);
             balancers.add(host);
             host.changeEndpoint(SimulatedHost.endpoint(0, State.GONE, 0));
-            for (int i = 0; i < 50 * before; i++) {
+            for (int i = 0; i < 50 * secondsBefore; i++) {
                 requestAndServeAll(host, 0.8, 0.8);
             }
             host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs));
         }
         List<Integer> sent = new ArrayList<>();
-        for (int s = 0; s < seconds; s++) {
-            int so = balancers.stream().mapToInt(host -> host.sendsTo("u0")).sum();
+        for (int second = 0; second < seconds; second++) {
+            int sentBefore = balancers.stream().mapToInt(host -> host.sendsTo("u0")).sum();
             for (SimulatedHost host : balancers) {
                 for (int i = 0; i < 50; i++) {
                     requestAndServeAll(host, 0.1, 0.8);
                 }
             }
-            sent.add(balancers.stream().mapToInt(host -> host.sendsTo("u0")).sum() - so);
+            sent.add(balancers.stream().mapToInt(host -> host.sendsTo("u0")).sum() - sentBefore);
         }
         return sent;
     }
@@ -96,69 +98,72 @@
      */
     @ParameterizedTest(name = "balancers up for {0} s")
     @ValueSource(ints = {1, 10})
-    void coldUpstreamIsUsedByManyBalancersAndNotOverloaded(int before) {
-        List<Integer> sent = sentToColdUpstream(settings, before, 10);
-        int warm = 14 * 50 / 2;
-        for (int s = 0; s < sent.size(); s++) {
-            double capacity = warm * (0.2 + 0.8 * s / 20);
-            assertTrue(sent.get(s) < 3 * capacity, sent.toString());
-            assertTrue(s < 6 || sent.get(s) > capacity, sent.toString());
+    void coldUpstreamIsUsedByManyBalancersAndNotOverloaded(int secondsBefore) {
+        List<Integer> sent = sentToColdUpstream(settings, secondsBefore, 10);
+        int warmRequestsPerSecond = 14 * 50 / 2;
+        for (int second = 0; second < sent.size(); second++) {
+            double capacity = warmRequestsPerSecond * (0.2 + 0.8 * second / 20);
+            assertTrue(sent.get(second) < 3 * capacity, sent.toString());
+            assertTrue(second < 6 || sent.get(second) > capacity, sent.toString());
         }
     }
 
     /**
-     * The rule allows for random variation: N + 2 sqrt(N) + 2 calls of all balancers together in each
-     * window of the configured length, where N is the budget at the beginning of the window.
+     * The rule allows for random variation: N + 2 sqrt(N) + 2 calls of all balancers together in
+     * each window of the configured length, where N is the budget at the beginning of the window.
      */
     @ParameterizedTest(name = "{0} balancers, {1} a second each")
     @CsvSource({"20, 10", "20, 50", "30, 5", "30, 20"})
-    void rampOfColdUpstreamHoldsForAllBalancersTogether(int group, int each) {
-        settings.groupSize(group);
+    void budgetOfColdUpstreamHoldsOverAllBalancers(int groupSize, int requestsPerSecond) {
+        settings.groupSize(groupSize);
         List<SimulatedHost> balancers = new ArrayList<>();
-        for (int position = 0; position < group; position++) {
+        for (int position = 0; position < groupSize; position++) {
             settings.position(position);
             SimulatedHost host = SimulatedHost.of(settings, position);
             host.listUpstreams(3);
             balancers.add(host);
             host.changeEndpoint(SimulatedHost.endpoint(0, State.GONE, 0));
-            for (int i = 0; i < 10 * each; i++) {
+            for (int i = 0; i < 10 * requestsPerSecond; i++) {
                 requestAndServeAll(host, 0.8, 0.8);
-                host.advance(SECOND / each - 20 * MILLI);
+                host.advance(SECOND_US / requestsPerSecond - 20 * MILLISECOND_US);
             }
             host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs));
         }
         int[] sentByTenth = new int[100];
         for (SimulatedHost host : balancers) {
             int sentSoFar = host.sendsTo("u0");
-            for (int i = 0; i < 10 * each; i++) {
+            for (int i = 0; i < 10 * requestsPerSecond; i++) {
                 requestAndServeAll(host, 0.1, 0.8);
-                host.advance(SECOND / each - 20 * MILLI);
+                host.advance(SECOND_US / requestsPerSecond - 20 * MILLISECOND_US);
                 int sentNow = host.sendsTo("u0");
-                sentByTenth[i * 10 / each] += sentNow - sentSoFar;
+                sentByTenth[i * 10 / requestsPerSecond] += sentNow - sentSoFar;
                 sentSoFar = sentNow;
             }
         }
-        double warm = group * each / 2.0;
+        double warmRequestsPerSecond = groupSize * requestsPerSecond / 2.0;
         for (int from = 0; from + 10 <= sentByTenth.length; from++) {
             int inWindow = Arrays.stream(sentByTenth, from, from + 10).sum();
-            double n = 3 * warm * (0.2 + 0.8 * from / 200);
+            double budget = 3 * warmRequestsPerSecond * (0.2 + 0.8 * from / 200);
             assertTrue(
-                    inWindow <= n + 2 * Math.sqrt(n) + 2, inWindow + " of " + n + " from " + from);
+                    inWindow <= budget + 2 * Math.sqrt(budget) + 2,
+                    inWindow + " of " + budget + " from " + from);
         }
         int sent = Arrays.stream(sentByTenth).sum();
-        assertTrue(sent > warm / 4, sent + " sent; a warm upstream serves " + warm + " per second");
+        assertTrue(
+                sent > warmRequestsPerSecond / 4,
+                sent + " sent; a warm upstream serves " + warmRequestsPerSecond + " per second");
     }
 
     /**
-     * Guards against smoothing the rate of completed work from zero: cold upstreams then got nothing
-     * for seconds after a restart of the balancer.
+     * Guards against smoothing the rate of completed work from zero: cold upstreams then got
+     * nothing for seconds after a restart of the balancer.
      */
     @Test
     void restartedBalancerSoonUsesColdUpstreams() {
         settings.groupSize(14);
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(22);
         for (int i = 0; i < 100; i++) {
-            host.serve(0, 20 * MILLI, upstream -> 0.8);
+            host.serve(0, 20 * MILLISECOND_US, upstream -> 0.8);
         }
         host.sendsPerUpstream.clear();
         for (int i = 0; i < 20; i++) {
@@ -168,10 +173,10 @@
             host.changeEndpoint(SimulatedHost.endpoint(i, State.GONE, 0));
         }
         for (int i = 0; i < 100; i++) {
-            String id = host.request(0, 2 * SECOND);
-            host.advance(20 * MILLI);
+            String id = host.request(0, 2 * SECOND_US);
+            host.advance(20 * MILLISECOND_US);
             if (host.lastUpstream(id) != null) {
-                host.endAttempt(id, Outcome.OK, 20 * MILLI, SimulatedHost.report(0.1));
+                host.endAttempt(id, Outcome.OK, 20 * MILLISECOND_US, SimulatedHost.report(0.1));
             }
         }
         int sent = host.sendsPerUpstream.values().stream().mapToInt(count -> count).sum();
@@ -186,15 +191,15 @@
     void expensiveRequestMayGoToColdUpstream() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 500; i++) {
-            host.serve(0, 10 * MILLI, upstream -> 0.6);
+            host.serve(0, 10 * MILLISECOND_US, upstream -> 0.6);
         }
         for (int i = 0; i < 3; i++) {
             host.changeEndpoint(SimulatedHost.endpoint(i, State.READY, host.nowUs));
         }
-        host.advance(SECOND);
-        String dear = host.request(0, 2 * SECOND, null, 200 * MILLI);
-        host.advance(SECOND / 5);
-        assertNotEquals(null, host.lastUpstream(dear));
+        host.advance(SECOND_US);
+        String expensive = host.request(0, 2 * SECOND_US, null, 200 * MILLISECOND_US);
+        host.advance(SECOND_US / 5);
+        assertNotEquals(null, host.lastUpstream(expensive));
     }
 
     /**
@@ -204,26 +209,32 @@
     @Test
     void coldUpstreamIsChargedMeanRequestForEachSmallHint() {
         int[] sent = new int[2];
-        for (int small = 0; small < 2; small++) {
+        for (int smallHint = 0; smallHint < 2; smallHint++) {
             SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
             for (int i = 0; i < 500; i++) {
-                host.serve(0, 10 * MILLI, upstream -> 0.6);
+                host.serve(0, 10 * MILLISECOND_US, upstream -> 0.6);
             }
-            host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs - MILLI));
+            host.changeEndpoint(
+                    SimulatedHost.endpoint(0, State.READY, host.nowUs - MILLISECOND_US));
             host.changeEndpoint(SimulatedHost.endpoint(1, State.GONE, 0));
             host.changeEndpoint(SimulatedHost.endpoint(2, State.GONE, 0));
-            host.sends.clear();
+            host.upstreamsByRequest.clear();
             Set<String> ended = new HashSet<>();
             for (int i = 0; i < 60; i++) {
-                host.request(0, 2 * SECOND, null, small == 0 ? 20 * MILLI : 2 * MILLI);
-                host.advance(20 * MILLI);
-                for (String id : List.copyOf(host.sends.keySet())) {
+                host.request(
+                        0,
+                        2 * SECOND_US,
+                        null,
+                        smallHint == 0 ? 20 * MILLISECOND_US : 2 * MILLISECOND_US);
+                host.advance(20 * MILLISECOND_US);
+                for (String id : List.copyOf(host.upstreamsByRequest.keySet())) {
                     if (host.lastUpstream(id).equals("u0") && ended.add(id)) {
-                        host.endAttempt(id, Outcome.OK, 10 * MILLI, SimulatedHost.report(0.6));
+                        host.endAttempt(
+                                id, Outcome.OK, 10 * MILLISECOND_US, SimulatedHost.report(0.6));
                     }
                 }
             }
-            sent[small] = ended.size();
+            sent[smallHint] = ended.size();
         }
         assertTrue(sent[0] > 0 && sent[1] > 0 && sent[1] <= 2 * sent[0], sent[0] + " " + sent[1]);
     }
@@ -231,15 +242,15 @@
     @Test
     void requestsAreAnsweredInTimeWhenAllUpstreamsAreCold() {
         SimulatedHost host = SimulatedHost.of(settings);
-        host.balancer.upstreams(
+        host.balancer.onEndpointList(
                 host.nowUs,
-                ListKind.RESTORED,
-                List.of(SimulatedHost.endpoint(0, State.READY, host.nowUs - MILLI)));
+                EndpointListKind.RESTORED,
+                List.of(SimulatedHost.endpoint(0, State.READY, host.nowUs - MILLISECOND_US)));
         for (int i = 0; i < 20; i++) {
-            host.request(0, SECOND);
+            host.request(0, SECOND_US);
         }
-        host.advance(2 * SECOND);
-        int sent = host.sends.size();
+        host.advance(2 * SECOND_US);
+        int sent = host.upstreamsByRequest.size();
         assertTrue(sent < 20);
         assertEquals(
                 20, host.rejected.size(), "the upstream answers none, so all must be rejected");
--- a/src/test/java/myrtleladder/loadbalancer/policy/UpstreamTableTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UpstreamTableTest.java
@@ -9,7 +9,7 @@
 
 /** Changes of the endpoint list take effect at once. */
 class UpstreamTableTest {
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     @Test
@@ -17,13 +17,15 @@
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(2);
         host.changeEndpoint(SimulatedHost.endpoint(0, State.DRAINING, 0));
         for (int i = 0; i < 50; i++) {
-            host.serve(0, 5 * MILLI, upstream -> 0.5);
+            host.serve(0, 5 * MILLISECOND_US, upstream -> 0.5);
         }
         assertEquals(0, host.sendsTo("u0"));
-        host.balancer.upstreams(
-                host.nowUs, ListKind.COMPLETE, List.of(SimulatedHost.endpoint(2, State.READY, 0)));
+        host.balancer.onEndpointList(
+                host.nowUs,
+                EndpointListKind.COMPLETE,
+                List.of(SimulatedHost.endpoint(2, State.READY, 0)));
         host.sendsPerUpstream.clear();
-        host.serve(0, 5 * MILLI, upstream -> 0.5);
+        host.serve(0, 5 * MILLISECOND_US, upstream -> 0.5);
         assertEquals(Set.of("u2"), host.sendsPerUpstream.keySet());
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
@@ -11,96 +11,105 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Measures the time of a decision and the heap per upstream of one of 440 balancers, with 100 to 6,300
- * upstreams.
+ * Measures the time of a decision and the heap per upstream of one of 440 balancers, with 100 to
+ * 6,300 upstreams.
  */
 @Tag("long")
 class UtilisationLoadBalancerCapacityTest {
-    private static final int[] UPSTREAMS = {100, 400, 1_600, 6_300};
+    private static final int[] UPSTREAM_COUNTS = {100, 400, 1_600, 6_300};
     private static final int BALANCERS = 440;
-    private static final int WARM_UP = 20_000;
+    private static final int WARM_UP_REQUESTS = 20_000;
     private static final int REQUESTS = 20_000;
     private static final int IN_FLIGHT = 32;
-    private static final long BETWEEN = 4_000;
+    private static final long ARRIVAL_INTERVAL_US = 4_000;
 
     /** Records where requests are sent, and nothing else. */
-    private static final class Sent extends SimulatedHost {
-        final Deque<AttemptEnd> out = new ArrayDeque<>();
+    private static final class RecordingHost extends SimulatedHost {
+        final Deque<AttemptEnd> outstanding = new ArrayDeque<>();
 
-        int requests;
+        int sentRequests;
 
-        Sent(SettingsBuilder settings) {
+        RecordingHost(SettingsBuilder settings) {
             balancer = new UtilisationLoadBalancer(settings.build(), 1, this);
             balancer.start(nowUs);
         }
 
         @Override
-        public void send(String request, String upstream, long timeout) {
-            out.add(
+        public void send(String requestId, String upstreamId, long timeoutUs) {
+            outstanding.add(
                     new AttemptEnd(
-                            request, 0, upstream, Outcome.OK, 20 * MILLI, true, report(0.5)));
+                            requestId,
+                            0,
+                            upstreamId,
+                            Outcome.OK,
+                            20 * MILLISECOND_US,
+                            true,
+                            report(0.5)));
         }
 
         @Override
-        public void timer(String token, long delay) {
-            super.timer(token, delay);
+        public void setTimer(String token, long delayUs) {
+            super.setTimer(token, delayUs);
             actions.clear();
         }
     }
 
-    private static Sent balancer(int upstreams) {
+    private static RecordingHost balancer(int upstreams) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.groupSize(BALANCERS);
-        Sent sent = new Sent(settings);
+        RecordingHost host = new RecordingHost(settings);
         List<Upstream> all = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
             all.add(SimulatedHost.endpoint(i, State.READY, 0));
         }
-        sent.balancer.upstreams(sent.nowUs, ListKind.COMPLETE, all);
-        return sent;
+        host.balancer.onEndpointList(host.nowUs, EndpointListKind.COMPLETE, all);
+        return host;
     }
 
-    private static void serve(Sent h, int requests) {
+    private static void serve(RecordingHost host, int requests) {
         for (int i = 0; i < requests; i++) {
-            h.advance(BETWEEN);
-            h.balancer.request(
-                    h.nowUs,
+            host.advance(ARRIVAL_INTERVAL_US);
+            host.balancer.onRequest(
+                    host.nowUs,
                     new Request(
-                            "r" + h.requests++,
+                            "r" + host.sentRequests++,
                             0,
                             0,
                             null,
                             0,
-                            2 * SimulatedHost.SECOND,
+                            2 * SimulatedHost.SECOND_US,
                             false,
                             false));
-            while (h.out.size() > IN_FLIGHT) {
-                h.balancer.outcome(h.nowUs, h.out.poll());
+            while (host.outstanding.size() > IN_FLIGHT) {
+                host.balancer.onAttemptEnd(host.nowUs, host.outstanding.poll());
             }
         }
     }
 
     @Test
-    void decisionsAndUpstreams() {
-        CapacityFigures time = new CapacityFigures("module, a request with its outcome", "us");
-        CapacityFigures heap = new CapacityFigures("module, heap", "KB");
-        CapacityFigures list = new CapacityFigures("module, a change of one entry", "us");
-        serve(balancer(UPSTREAMS[0]), WARM_UP); // loads the classes
-        for (int upstreams : UPSTREAMS) {
-            heap.add(upstreams, CapacityFigures.held(() -> balancer(upstreams)) / 1_024.0);
-            Sent h = balancer(upstreams);
-            serve(h, WARM_UP);
-            long begun = System.nanoTime();
-            serve(h, REQUESTS);
-            time.add(upstreams, (System.nanoTime() - begun) / 1e3 / REQUESTS);
+    void decisionTimeAndHeapByUpstreams() {
+        CapacityMeasurements time =
+                new CapacityMeasurements("module, a request with its outcome", "us");
+        CapacityMeasurements heap = new CapacityMeasurements("module, heap", "KB");
+        CapacityMeasurements list = new CapacityMeasurements("module, a change of one entry", "us");
+        serve(balancer(UPSTREAM_COUNTS[0]), WARM_UP_REQUESTS); // loads the classes
+        for (int upstreams : UPSTREAM_COUNTS) {
+            heap.add(
+                    upstreams,
+                    CapacityMeasurements.retainedHeapBytes(() -> balancer(upstreams)) / 1_024.0);
+            RecordingHost host = balancer(upstreams);
+            serve(host, WARM_UP_REQUESTS);
+            long startedNs = System.nanoTime();
+            serve(host, REQUESTS);
+            time.add(upstreams, (System.nanoTime() - startedNs) / 1e3 / REQUESTS);
             int changes = 200;
-            begun = System.nanoTime();
+            startedNs = System.nanoTime();
             for (int i = 0; i < changes; i++) {
-                h.changeEndpoint(
+                host.changeEndpoint(
                         SimulatedHost.endpoint(
                                 i % upstreams, i % 2 == 0 ? State.DRAINING : State.READY, 0));
             }
-            list.add(upstreams, (System.nanoTime() - begun) / 1e3 / changes);
+            list.add(upstreams, (System.nanoTime() - startedNs) / 1e3 / changes);
         }
         time.print();
         heap.print();
--- a/src/test/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPickerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPickerTest.java
@@ -9,8 +9,8 @@
 
 /** Picks depend on weights, load, ratings and zones. */
 class WeightedLeastLoadPickerTest {
-    private static final long SECOND = SimulatedHost.SECOND;
-    private static final long MILLI = SimulatedHost.MILLI;
+    private static final long SECOND_US = SimulatedHost.SECOND_US;
+    private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     @Test
@@ -19,7 +19,7 @@
         for (int i = 0; i < 600; i++) {
             host.serve(
                     0,
-                    20 * MILLI,
+                    20 * MILLISECOND_US,
                     upstream -> upstream.equals("u0") ? 0.9 : upstream.equals("u1") ? 0.5 : 0.1);
         }
         assertTrue(host.sendsTo("u0") < host.sendsTo("u1"), host.sendsPerUpstream.toString());
@@ -33,16 +33,16 @@
     void reportOfProcessBeforeRestartIsNotAppliedToNewProcess() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 300; i++) {
-            host.serve(0, 10 * MILLI, upstream -> 0.1);
+            host.serve(0, 10 * MILLISECOND_US, upstream -> 0.1);
         }
-        String old = host.requestToFirstUpstream(0);
-        host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs - 25 * SECOND));
-        host.endAttempt(old, Outcome.OK, 20 * MILLI, SimulatedHost.report(1));
-        host.advance(500 * MILLI);
+        String oldRequest = host.requestToFirstUpstream(0);
+        host.changeEndpoint(SimulatedHost.endpoint(0, State.READY, host.nowUs - 25 * SECOND_US));
+        host.endAttempt(oldRequest, Outcome.OK, 20 * MILLISECOND_US, SimulatedHost.report(1));
+        host.advance(500 * MILLISECOND_US);
         host.sendsPerUpstream.clear();
         for (int i = 0; i < 400; i++) {
-            String id = host.request(0, 2 * SECOND);
-            host.balancer.clientGone(host.nowUs, id);
+            String id = host.request(0, 2 * SECOND_US);
+            host.balancer.onClientDisconnected(host.nowUs, id);
             host.endAttempt(id, Outcome.CANCELLED, 1, null);
         }
         assertTrue(host.sendsTo("u0") > 100, host.sendsPerUpstream.toString());
@@ -52,7 +52,7 @@
     void equalUtilisationKeepsEqualShares() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 600; i++) {
-            host.serve(0, 20 * MILLI, upstream -> 0.6);
+            host.serve(0, 20 * MILLISECOND_US, upstream -> 0.6);
         }
         for (int i = 0; i < 3; i++) {
             assertEquals(200, host.sendsTo("u" + i), 50, host.sendsPerUpstream.toString());
@@ -63,28 +63,29 @@
     void withoutReportsPicksFollowInFlight() {
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(4);
         for (int i = 0; i < 4; i++) {
-            host.request(2, 2 * SECOND);
+            host.request(2, 2 * SECOND_US);
         }
         assertTrue(host.sendsPerUpstream.size() >= 3, host.sendsPerUpstream.toString());
     }
 
     @Test
     void nominalRatingIsFactorOnlyWhereRatingsAreUsed() {
-        for (Ratings ratings : List.of(Ratings.NOMINAL, Ratings.NONE)) {
-            settings.ratings(ratings);
+        for (CapacityRatingKind ratings :
+                List.of(CapacityRatingKind.NOMINAL, CapacityRatingKind.NONE)) {
+            settings.ratingKind(ratings);
             SimulatedHost host = SimulatedHost.of(settings);
-            host.balancer.upstreams(
+            host.balancer.onEndpointList(
                     host.nowUs,
-                    ListKind.RESTORED,
+                    EndpointListKind.RESTORED,
                     List.of(
                             new Upstream("u0", 0, 0, 0, State.READY, 3, 0),
                             new Upstream("u1", 0, 0, 0, State.READY, 1, 0)));
-            host.advance(SECOND);
+            host.advance(SECOND_US);
             for (int i = 0; i < 200; i++) {
-                host.serve(0, 20 * MILLI, upstream -> 0.5);
+                host.serve(0, 20 * MILLISECOND_US, upstream -> 0.5);
             }
             assertEquals(
-                    ratings == Ratings.NOMINAL,
+                    ratings == CapacityRatingKind.NOMINAL,
                     host.sendsTo("u0") > 150,
                     host.sendsPerUpstream.toString());
         }
@@ -92,27 +93,28 @@
 
     @Test
     void implausibleReportsAreIgnoredAndSlightExcessIsClamped() {
-        double[] nonsense = {Double.NaN, -7, 1e9, Double.POSITIVE_INFINITY};
+        double[] implausible = {Double.NaN, -7, 1e9, Double.POSITIVE_INFINITY};
         SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 400; i++) {
-            double bad = nonsense[i % nonsense.length];
-            host.serve(0, 20 * MILLI, upstream -> upstream.equals("u0") ? bad : 0.5);
+            double utilisation = implausible[i % implausible.length];
+            host.serve(
+                    0, 20 * MILLISECOND_US, upstream -> upstream.equals("u0") ? utilisation : 0.5);
         }
         assertEquals(133, host.sendsTo("u0"), 50, host.sendsPerUpstream.toString());
         SimulatedHost full = SimulatedHost.of(settings).listUpstreams(3);
         for (int i = 0; i < 400; i++) {
-            full.serve(0, 20 * MILLI, upstream -> upstream.equals("u0") ? 1.03 : 0.3);
+            full.serve(0, 20 * MILLISECOND_US, upstream -> upstream.equals("u0") ? 1.03 : 0.3);
         }
         assertTrue(full.sendsTo("u0") < 80, full.sendsPerUpstream.toString());
     }
 
     @Test
-    void ownZoneIsPreferredWhereCrossingHasPrice() {
+    void ownZoneIsPreferredWhereCrossingZonesCosts() {
         for (double price : new double[] {0, 0.05}) {
             settings.crossZonePrice(price);
             SimulatedHost host = SimulatedHost.of(settings).listUpstreams(3);
             for (int i = 0; i < 300; i++) {
-                host.serve(0, 20 * MILLI, upstream -> 0.3);
+                host.serve(0, 20 * MILLISECOND_US, upstream -> 0.3);
             }
             assertEquals(price > 0, host.sendsTo("u0") > 250, host.sendsPerUpstream.toString());
         }
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
 import myrtleladder.error.OperatorError.InvalidEndpointList;
-import myrtleladder.loadbalancer.policy.LogLines;
+import myrtleladder.loadbalancer.policy.LogCapture;
 import myrtleladder.loadbalancer.server.RawSockets.Client;
 import myrtleladder.loadbalancer.server.RawSockets.Message;
 import myrtleladder.loadbalancer.server.RawSockets.Server;
@@ -45,7 +45,7 @@
                                                     "Terminating"),
                                             endpointJson("new", other.address(), "Ready")));
                         });
-        try (LogLines lines = new LogLines(DiscoveryClient.class)) {
+        try (LogCapture lines = new LogCapture(DiscoveryClient.class)) {
             start(readyListJson(old), discovery);
             assertTrue(RawSockets.next(discovery.requests).start().contains("since=41"));
             awaitRequestAt(other);
--- a/src/test/java/myrtleladder/loadbalancer/server/EventSerializerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/EventSerializerTest.java
@@ -4,7 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import myrtleladder.loadbalancer.policy.LogLines;
+import myrtleladder.loadbalancer.policy.LogCapture;
 import org.junit.jupiter.api.Test;
 
 /** The order in which the decision module gets its events. */
@@ -24,7 +24,7 @@
 
     @Test
     void eventsGoOnAfterOneThatThrows() throws Exception {
-        try (LogLines lines = new LogLines(EventSerializer.class)) {
+        try (LogCapture lines = new LogCapture(EventSerializer.class)) {
             events.run(
                     () -> {
                         events.run(() -> handled.add("next"));
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
-import myrtleladder.loadbalancer.policy.CapacityFigures;
+import myrtleladder.loadbalancer.policy.CapacityMeasurements;
 import myrtleladder.loadbalancer.server.RawSockets.Client;
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Tag;
@@ -40,9 +40,11 @@
 
     @Test
     void lists() throws Exception {
-        CapacityFigures bytes = new CapacityFigures("discovery, bytes of a whole list", "KB");
-        CapacityFigures time = new CapacityFigures("discovery, reading a whole list", "us");
-        CapacityFigures heap = new CapacityFigures("discovery, heap of a list", "KB");
+        CapacityMeasurements bytes =
+                new CapacityMeasurements("discovery, bytes of a whole list", "KB");
+        CapacityMeasurements time =
+                new CapacityMeasurements("discovery, reading a whole list", "us");
+        CapacityMeasurements heap = new CapacityMeasurements("discovery, heap of a list", "KB");
         for (int entries : ENTRIES) {
             byte[] line = listJson(entries).getBytes(StandardCharsets.UTF_8);
             bytes.add(entries, line.length / 1_024.0);
@@ -54,7 +56,7 @@
                 read(line);
             }
             time.add(entries, (System.nanoTime() - begun) / 1e3 / READS);
-            heap.add(entries, CapacityFigures.held(() -> read(line)) / 1_024.0);
+            heap.add(entries, CapacityMeasurements.retainedHeapBytes(() -> read(line)) / 1_024.0);
         }
         bytes.print();
         time.print();
@@ -82,8 +84,8 @@
         start(upstream);
         Client client = client();
         serve(client, WARM_UP);
-        CapacityFigures time =
-                new CapacityFigures("data path, processor time of requests one by one", "ms");
+        CapacityMeasurements time =
+                new CapacityMeasurements("data path, processor time of requests one by one", "ms");
         for (int requests : REQUESTS) {
             long before = loopCpu();
             serve(client, requests);
@@ -104,12 +106,12 @@
         Server upstream = server(SERVE);
         configFile.sockets(2_000);
         start(upstream);
-        CapacityFigures heap =
-                new CapacityFigures("data path, heap of idle clients (both ends)", "KB");
+        CapacityMeasurements heap =
+                new CapacityMeasurements("data path, heap of idle clients (both ends)", "KB");
         List<Client> clients = new ArrayList<>();
         for (int connections : CONNECTIONS) {
             long held =
-                    CapacityFigures.held(
+                    CapacityMeasurements.retainedHeapBytes(
                             () -> {
                                 try {
                                     while (clients.size() < connections) {
