--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -55,11 +55,13 @@
         require(classIndex >= 0, CLASS_HEADER);
         RequestClass requestClass = settings.balancer().classes().get(classIndex);
         Idempotency idempotency = requestClass.idempotency();
-        HttpMethod method = idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        HttpMethod method =
+                idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         require(message.method().equals(method), "method");
         // Without the key upstreams could not discard a retry.
         require(
-                idempotency != Idempotency.IDEMPOTENT_BY_KEY || headers.contains(IDEMPOTENCY_KEY_HEADER),
+                idempotency != Idempotency.IDEMPOTENT_BY_KEY
+                        || headers.contains(IDEMPOTENCY_KEY_HEADER),
                 IDEMPOTENCY_KEY_HEADER);
         int tenant = tenantIndex(headers);
         require(tenant >= 0, TENANT_HEADER);
--- a/src/test/java/myrtleladder/loadbalancer/policy/CapacityMeasurements.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/CapacityMeasurements.java
@@ -56,14 +56,15 @@
 
     /** Heap in bytes that an object occupies, measured after garbage collections. */
     public static long retainedHeapBytes(Supplier<Object> supplier) {
-        long before = used();
+        long before = usedHeapBytes();
         Object retained = supplier.get();
-        long after = used();
+        long after = usedHeapBytes();
         java.lang.ref.Reference.reachabilityFence(retained);
         return after - before;
     }
 
-    private static long used() {
+    /** Heap in use after garbage collections, in bytes. */
+    private static long usedHeapBytes() {
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
         }
--- a/src/test/java/myrtleladder/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RandomEventsTest.java
@@ -83,6 +83,7 @@
                 "served " + served); // a balancer in a group of 40 uses a subset
     }
 
+    /** Adds the attempts that were sent with random outcomes, and applies cancellations. */
     private static void collectActions(
             SimulatedHost host, SplittableRandom random, List<OutstandingAttempt> outstanding) {
         for (String line : host.actions) {
@@ -122,6 +123,7 @@
         host.actions.clear();
     }
 
+    /** Ends the attempts that are due. Returns how many were served. */
     private static int endDueAttempts(SimulatedHost host, List<OutstandingAttempt> outstanding) {
         int served = 0;
         for (OutstandingAttempt outstandingAttempt : new ArrayList<>(outstanding)) {
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleChecker.java
@@ -31,6 +31,7 @@
 
     private record SentAttempt(long atUs, Upstream upstream) {}
 
+    /** A request with its attempts; the three lists have one element for each attempt. */
     private static final class RequestHistory {
         Request request;
         RequestClass requestClass;
@@ -51,6 +52,7 @@
         this.warmWorkPerMicro = warmWorkPerMicro;
     }
 
+    /** Records the endpoint list or changes of it, as reported to the balancer. */
     void endpointsReported(long nowUs, EndpointListKind kind, List<Upstream> entries) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.RESTORED) {
             for (String id : endpoints.keySet()) {
@@ -178,6 +180,7 @@
         histories.get(id).isEnded = true;
     }
 
+    /** Checks at the end of a test that no request has missed its final answer. */
     void finish(long nowUs) {
         histories.forEach(
                 (id, history) -> {
--- a/src/test/java/myrtleladder/loadbalancer/policy/SimulatedHost.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/SimulatedHost.java
@@ -20,12 +20,17 @@
     /** All actions except timers, one line each: time, name and arguments. */
     final List<String> actions = new ArrayList<>();
 
+    /** The upstreams of the attempts of each request, in order of sending. */
     final Map<String, List<String>> upstreamsByRequest = new HashMap<>();
+
     final Map<String, Integer> sendsPerUpstream = new HashMap<>();
     final List<String> rejected = new ArrayList<>();
     final List<Long> retryAfterTimesUs = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
+
+    /** Cancelled attempts, as request, slash and index of the attempt. */
     final List<String> cancelled = new ArrayList<>();
+
     final List<String> probes = new ArrayList<>();
     final List<byte[]> peerMessages = new ArrayList<>();
     private final PriorityQueue<Timer> timers =
@@ -37,6 +42,8 @@
     private long timerCount;
     private int requestCount;
     LoadBalancer balancer;
+
+    /** Checks sends and final answers; null if the test does not use it. */
     RuleChecker checker;
 
     private record Timer(long atUs, long sequence, String token) {}
@@ -52,10 +59,12 @@
         return host;
     }
 
+    /** Entry of the endpoint list for upstream "u" + index, in one of three zones and two cells. */
     static Upstream endpoint(int index, State state, long launchedAtUs) {
         return new Upstream("u" + index, index % 3, 0, index % 2, state, 1, launchedAtUs);
     }
 
+    /** Passes a complete list of ready upstreams to the balancer. */
     SimulatedHost listUpstreams(int count) {
         List<Upstream> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -84,11 +93,13 @@
         return id;
     }
 
+    /** The upstream of the last attempt of a request; null if none was sent. */
     String lastUpstream(String id) {
         List<String> upstreams = upstreamsByRequest.getOrDefault(id, List.of());
         return upstreams.isEmpty() ? null : upstreams.get(upstreams.size() - 1);
     }
 
+    /** Ends the last attempt of a request; {@link Outcome#OK} concludes the request. */
     void endAttempt(String id, Outcome outcome, long tookUs, LoadReport load) {
         int attemptIndex = upstreamsByRequest.get(id).size() - 1;
         balancer.onAttemptEnd(
