--- a/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Settings.java
@@ -18,10 +18,8 @@
  * @param prices what actions cost
  * @param loadReportSource where load reports come from
  * @param ratingKind what the ratings of upstreams mean
- * @param isListSubscriptionRequired whether changes of the endpoint list are sent to subscribers
- *     only
- * @param isKeyAffinityEnabled whether an upstream serves a key with less work if it has served it
- *     before
+ * @param listSubscription whether changes of the endpoint list are sent to subscribers only
+ * @param keyAffinity whether an upstream serves a key with less work if it has served it before
  * @param tickUs granularity of timers, microseconds; 0 if they are exact
  */
 public record Settings(
@@ -38,6 +36,6 @@
         Prices prices,
         LoadReportSource loadReportSource,
         CapacityRatingKind ratingKind,
-        boolean isListSubscriptionRequired,
-        boolean isKeyAffinityEnabled,
+        boolean listSubscription,
+        boolean keyAffinity,
         long tickUs) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancer.java
@@ -81,8 +81,7 @@
         long marginUs = MARGIN_TICKS * Math.max(settings.tickUs(), MIN_TICK_US);
         QueueingDelayTarget delayTarget = QueueingDelayTarget.of(settings);
         this.statistics =
-                new RequestStatistics(
-                        settings.classes().size(), initialDelayPerRequestUs(settings));
+                new RequestStatistics(settings.classes().size(), initialRequestDelayUs(settings));
         LoadEstimator loads = new LoadEstimator(statistics, delayTarget);
         this.ejection = new OutlierEjection(statistics, delayTarget);
         this.slowStart = new SlowStart(settings, visibility, statistics, loads, random);
@@ -98,8 +97,7 @@
                 new PeriodicProber(settings, visibility, upstreams, statistics, random, actions);
         this.peerLoads =
                 new PeerLoadExchange(settings, visibility, upstreams, subsetting, loads, actions);
-        this.subscription =
-                new EndpointSubscription(settings.isListSubscriptionRequired(), random, actions);
+        this.subscription = new EndpointSubscription(settings.listSubscription(), random, actions);
         this.tenantTokenBuckets = new TenantTokenBuckets(settings.tenants(), settings.groupSize());
         this.deadlineTimer = new DeadlineTimer(marginUs, actions);
         this.hedging = new HedgingPolicy(statistics, delayTarget);
@@ -107,8 +105,7 @@
         this.outcomeRecorder =
                 new OutcomeRecorder(visibility, statistics, ejection, limiter, onDemandProber);
         ZonePreference zones = new ZonePreference(settings);
-        KeyAffinity affinity =
-                new KeyAffinity(settings.isKeyAffinityEnabled(), upstreams, ejection, zones);
+        KeyAffinity affinity = new KeyAffinity(settings.keyAffinity(), upstreams, ejection, zones);
         RetryPolicy retryPolicy = new RetryPolicy(settings.limits(), marginUs);
         UpstreamEligibility eligibility =
                 new UpstreamEligibility(
@@ -137,7 +134,7 @@
     }
 
     /** The delay per request at which the initial queue just meets the tightest latency target. */
-    private static double initialDelayPerRequestUs(Settings settings) {
+    private static double initialRequestDelayUs(Settings settings) {
         return AdmissionControl.REPORTED_TIME_FRACTION
                 * QueueingDelayTarget.tightestLatencyTargetUs(settings)
                 / ConcurrencyLimiter.INITIAL_TOTAL_LIMIT;
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -79,7 +79,7 @@
         discovery = source;
         events.run(() -> balancer.start(clock.nowUs()));
         endpointsListed(EndpointListKind.RESTORED, known);
-        if (!settings.balancer().isListSubscriptionRequired()) {
+        if (!settings.balancer().listSubscription()) {
             discovery.watch(true);
         }
         if (!known.endpoints().isEmpty()) {
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
@@ -50,7 +50,7 @@
                         loop,
                         transport,
                         config.discovery(),
-                        settings.isListSubscriptionRequired(),
+                        settings.listSubscription(),
                         config.known().version(),
                         balancer);
         balancer.start(discovery, config.known());
