--- a/src/main/java/myrtleladder/dataplane/ExtraDelayEstimate.java
+++ b/src/main/java/myrtleladder/dataplane/ExtraDelayEstimate.java
@@ -1,25 +1,28 @@
 package myrtleladder.dataplane;
 
 /**
- * Smoothed delay of an upstream's first events beyond what known work explains; it halves with time
- * so that the upstream is used again. Confined to the event loop; belongs to one {@link Upstream}.
+ * Moving average of the delay of an upstream's first events beyond the delay that known requests
+ * predict. The estimate decays exponentially so that a slow upstream is eventually tried again.
+ * Confined to the event loop; belongs to one {@link Upstream}.
  */
 final class ExtraDelayEstimate {
-    /** Time in which the estimate halves without samples. */
+    /** Half-life of the estimate between samples. */
     private static final double HALF_LIFE_MS = 800;
 
-    /** Weight of a sample: twice that of other averages. */
-    private static final double SMOOTHING = 2 * OutlierEjection.SMOOTHING;
+    /** Weight of a new sample: twice the weight in the other moving averages. */
+    private static final double SMOOTHING_FACTOR = 2 * OutlierEjection.SMOOTHING_FACTOR;
 
     private double delayMs;
     private long sampledAtMs;
 
+    /** Adds the delay of one first event; negative samples lower the estimate, down to 0. */
     void addSample(double sampleMs, long nowMs) {
-        double currentMs = valueMs(nowMs);
-        delayMs = Math.max(0, currentMs + SMOOTHING * (sampleMs - currentMs));
+        double decayedMs = valueMs(nowMs);
+        delayMs = Math.max(0, decayedMs + SMOOTHING_FACTOR * (sampleMs - decayedMs));
         sampledAtMs = nowMs;
     }
 
+    /** The decayed estimate in milliseconds. */
     double valueMs(long nowMs) {
         return delayMs * Math.pow(0.5, (nowMs - sampledAtMs) / HALF_LIFE_MS);
     }
--- a/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
+++ b/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
@@ -9,62 +9,66 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * Exchanges loads and cached prompt prefixes with the other balancers by way of the primary:
- * reports go along with polls and requests for quota, responses carry the others' sums. A prefix is
- * announced again until a response shows that the announcement arrived. Confined to the event loop.
+ * Exchanges upstream loads and cached prompt prefixes with the other balancers through the primary.
+ * Reports are attached to polls and quota requests; responses carry the sums over the other
+ * balancers. Each announcement of a prefix is repeated until a response acknowledges it. Confined
+ * to the event loop.
  */
 final class FleetLoadSync {
-    /** Age up to which the others' sums are used: a poll's timeout and two long polls. */
+    /** Maximum age of the other balancers' loads: a poll timeout and two long polls. */
     static final long MAX_LOAD_AGE_MS = 2_000;
 
-    /** Time after which a prefix is announced again that is in use. */
+    /** Minimum time between two announcements of a prefix at the same upstream. */
     private static final long ANNOUNCE_INTERVAL_MS = 20_000;
 
-    /** Most announcements that wait to be acknowledged; others are dropped. */
+    /** Maximum number of unacknowledged announcements; further ones are dropped. */
     private static final int MAX_PENDING_ANNOUNCEMENTS = 512;
 
-    /** Most announcements in one report. */
+    /** Maximum number of announcements in one report. */
     private static final int MAX_ANNOUNCEMENTS_PER_REPORT = 64;
 
-    /** Supplies the pending load while no request waits for its quota. */
+    /** Supplier for {@link #setPendingLoad} while no request waits for quota. */
     static final Supplier<UpstreamLoad> NO_PENDING_LOAD = () -> null;
 
-    private static final long NEVER = Long.MIN_VALUE / 2;
+    private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private final UpstreamDirectory directory;
-    private final long process;
+    private final long processId;
     private final Set<Announcement> pendingAnnouncements = new LinkedHashSet<>();
-    private String balancer = "";
+    private String balancerName = "";
     private long sequence;
     private long epoch;
     private long promptRevision;
-    private long loadsReceivedAtMs = NEVER;
+    private long loadsReceivedAtMs = NEVER_MS;
     private Supplier<UpstreamLoad> pendingLoad = NO_PENDING_LOAD;
 
-    /** A prefix that this balancer sent to an upstream, by their keys. */
+    /** A prefix that this balancer sent to an upstream, as prefix hash and upstream key. */
     private record Announcement(long prefixHash, int upstream) {}
 
     /**
-     * Creates the component.
+     * Creates an instance that has not received any loads.
      *
-     * @param process tells this process from others of the same balancer
+     * @param processId distinguishes this process from earlier ones of the same balancer
      */
-    FleetLoadSync(UpstreamDirectory directory, long process) {
+    FleetLoadSync(UpstreamDirectory directory, long processId) {
         this.directory = directory;
-        this.process = process;
+        this.processId = processId;
     }
 
-    /** Sets the name under which the reports go. */
+    /** Sets the balancer name in the reports. */
     void setBalancer(String name) {
-        balancer = name;
+        balancerName = name;
     }
 
-    /** Whether the others' loads are known and fresh. */
+    /** Whether the other balancers' loads were received within {@link #MAX_LOAD_AGE_MS}. */
     boolean hasFreshLoads(long nowMs) {
         return nowMs - loadsReceivedAtMs <= MAX_LOAD_AGE_MS;
     }
 
-    /** Announces that a prompt is sent to an upstream, which caches its shared prefix from then. */
+    /**
+     * Queues the announcement that an upstream caches the shared prefix of a prompt sent to it,
+     * unless the prefix was announced there recently.
+     */
     void promptSent(PromptSegments prompt, Upstream upstream, long nowMs) {
         long prefixHash = prompt.sharedPrefixHash();
         long announcedAtMs = upstream.prefixCache().lastAnnouncedAtMs(prefixHash);
@@ -78,18 +82,18 @@
     }
 
     /**
-     * Sets the load of the request that waits for its quota; reports include it, so that the
-     * primary knows of it before the request is sent rather than with the next poll.
+     * Sets the expected load of the request that waits for quota. Reports include it so that the
+     * primary learns of the load before the request is sent rather than with the next poll.
      */
     void setPendingLoad(Supplier<UpstreamLoad> supplier) {
         pendingLoad = supplier;
     }
 
-    /** Builds the next report. */
+    /** Builds the next report and increments the report sequence number. */
     LoadReport createReport() {
         LoadReport report = new LoadReport();
-        report.balancer = balancer;
-        report.processId = process;
+        report.balancerName = balancerName;
+        report.processId = processId;
         report.sequence = ++sequence;
         report.epoch = epoch;
         report.promptRevision = promptRevision;
@@ -124,9 +128,9 @@
     }
 
     /**
-     * Takes the response to a report. One of a lower epoch is ignored.
+     * Applies the response to a report. Responses of an earlier epoch are ignored.
      *
-     * @param response null if the responder knows nothing of loads
+     * @param response null if the responder does not track loads
      */
     void applyResponse(LoadReport report, FleetLoads response, long nowMs) {
         if (response == null || response.epoch < epoch) {
--- a/src/main/java/myrtleladder/dataplane/OutlierEjection.java
+++ b/src/main/java/myrtleladder/dataplane/OutlierEjection.java
@@ -1,52 +1,52 @@
 package myrtleladder.dataplane;
 
 /**
- * Ejects an upstream after failures for a time that doubles with each ejection and falls back with
- * the first success. Confined to the event loop; belongs to one {@link Upstream}.
+ * Outlier ejection of an upstream after failures. The ejection time doubles with each ejection and
+ * is reset by the first success. Confined to the event loop; belongs to one {@link Upstream}.
  */
 final class OutlierEjection {
-    /** Weight of a sample in exponential moving averages. */
-    static final double SMOOTHING = 0.2;
+    /** Weight of a new sample in exponential moving averages. */
+    static final double SMOOTHING_FACTOR = 0.2;
 
     /** Duration of the first ejection. */
     private static final long BASE_EJECTION_MS = 700;
 
-    /** Longest duration of an ejection. */
+    /** Maximum duration of an ejection. */
     private static final long MAX_EJECTION_MS = 6_000;
 
-    /** Error rate beyond which a failure ejects. */
-    private static final double MAX_ERROR_RATE = 0.5;
+    /** Error rate above which a failure leads to ejection. */
+    private static final double ERROR_RATE_THRESHOLD = 0.5;
 
-    /** Consecutive failures that eject. */
-    private static final int CONSECUTIVE_FAILURES = 3;
+    /** Number of consecutive failures that leads to ejection. */
+    private static final int CONSECUTIVE_FAILURE_THRESHOLD = 3;
 
     private double errorRate;
     private int consecutiveFailures;
     private long ejectedUntilMs;
-    private long nextEjectionMs = BASE_EJECTION_MS;
+    private long nextEjectionDurationMs = BASE_EJECTION_MS;
 
-    /** Ends an ejection and starts anew with the first duration. */
+    /** Ends a current ejection and resets the ejection duration. */
     void recordSuccess() {
-        errorRate *= 1 - SMOOTHING;
-        nextEjectionMs = BASE_EJECTION_MS;
+        errorRate *= 1 - SMOOTHING_FACTOR;
+        nextEjectionDurationMs = BASE_EJECTION_MS;
         ejectedUntilMs = 0;
         consecutiveFailures = 0;
     }
 
-    /** Records a failure; true if the upstream is to be ejected for it. */
+    /** Records a failure; returns true if the caller should eject the upstream. */
     boolean recordFailure() {
-        errorRate += SMOOTHING * (1 - errorRate);
+        errorRate += SMOOTHING_FACTOR * (1 - errorRate);
         consecutiveFailures++;
-        return errorRate > MAX_ERROR_RATE || consecutiveFailures >= CONSECUTIVE_FAILURES;
+        return errorRate > ERROR_RATE_THRESHOLD || consecutiveFailures >= CONSECUTIVE_FAILURE_THRESHOLD;
     }
 
-    /** Ejects; false if it is ejected already. */
+    /** Ejects the upstream; returns false if it is already ejected. */
     boolean eject(long nowMs) {
         if (isEjected(nowMs)) {
             return false;
         }
-        ejectedUntilMs = nowMs + nextEjectionMs;
-        nextEjectionMs = Math.min(MAX_EJECTION_MS, nextEjectionMs * 2);
+        ejectedUntilMs = nowMs + nextEjectionDurationMs;
+        nextEjectionDurationMs = Math.min(MAX_EJECTION_MS, nextEjectionDurationMs * 2);
         return true;
     }
 
@@ -54,12 +54,12 @@
         return ejectedUntilMs > nowMs;
     }
 
-    /** Whether no request succeeded since the last ejection. */
+    /** Whether no request has succeeded since the last ejection. */
     boolean isProbing() {
-        return nextEjectionMs > BASE_EJECTION_MS;
+        return nextEjectionDurationMs > BASE_EJECTION_MS;
     }
 
-    /** Smoothed share of requests that failed, 0 to 1. */
+    /** Moving average of the fraction of failed requests, 0 to 1. */
     double errorRate() {
         return errorRate;
     }
--- a/src/main/java/myrtleladder/dataplane/PrefillTimeEstimator.java
+++ b/src/main/java/myrtleladder/dataplane/PrefillTimeEstimator.java
@@ -1,13 +1,13 @@
 package myrtleladder.dataplane;
 
 /**
- * Estimates how long model upstreams take to the first event, from responses of upstreams that read
- * no other prompt meanwhile: a time for each token of the prompt (prefill), and a base that each
- * response takes. Steps of a fixed ratio lead to the medians, since what others had in flight
- * spoils single samples. Confined to the event loop.
+ * Estimates the time to the first event at model upstreams as a base time plus a prefill time for
+ * each prompt token. Samples are responses of upstreams without a known backlog. Each sample moves
+ * an estimate by a bounded ratio, so that it converges to the median: requests of other balancers
+ * that are not known here distort single samples. Confined to the event loop.
  */
 final class PrefillTimeEstimator {
-    /** Estimate without samples. */
+    /** Time for a token before the first sample. */
     private static final double INITIAL_MS_PER_TOKEN = 0.016;
 
     /** Lower bound of the time for a token. */
@@ -16,64 +16,69 @@
     /** Upper bound of the time for a token. */
     private static final double MAX_MS_PER_TOKEN = 0.2;
 
-    /** Base without samples. */
+    /** Base time before the first sample. */
     private static final double INITIAL_BASE_MS = 8;
 
-    /** Lower bound of the base. */
+    /** Lower bound of the base time. */
     private static final double MIN_BASE_MS = 1;
 
-    /** Upper bound of the base. */
+    /** Upper bound of the base time. */
     private static final double MAX_BASE_MS = 500;
 
-    /** Prompts from this length on sample the time for a token, shorter ones the base. */
+    /** Prompts of at least this length update the time for a token, shorter ones the base time. */
     private static final int LONG_PROMPT_TOKENS = 1_500;
 
-    /** Ratio of a step after many samples. */
-    private static final double MIN_STEP = 0.03;
+    /** Lower bound of the ratio by which a sample changes an estimate. */
+    private static final double MIN_STEP_RATIO = 0.03;
 
-    /** Ratio of the first step, divided by the number of samples. */
-    private static final double INITIAL_STEP = 0.3;
+    /** Ratio of the change by the first sample; later ones divide it by the number of samples. */
+    private static final double INITIAL_STEP_RATIO = 0.3;
 
     private double msPerToken = INITIAL_MS_PER_TOKEN;
     private double baseMs = INITIAL_BASE_MS;
-    private int longSamples;
-    private int shortSamples;
+    private int longPromptSamples;
+    private int shortPromptSamples;
 
-    /** Time that each token of a prompt takes. */
+    /** Prefill time of one prompt token, in milliseconds. */
     double msPerToken() {
         return msPerToken;
     }
 
-    /** Time that each response takes beside its prompt. */
+    /** Time to the first event without prefill, in milliseconds. */
     double baseMs() {
         return baseMs;
     }
 
-    /** Takes the time from sending a prompt to the first event. */
+    /**
+     * Updates the estimates.
+     *
+     * @param promptTokens tokens that the upstream had to process
+     * @param timeToFirstEventMs time from sending the prompt to the first event
+     */
     void addSample(int promptTokens, double timeToFirstEventMs) {
         if (promptTokens >= LONG_PROMPT_TOKENS) {
-            addLongSample(promptTokens, timeToFirstEventMs);
+            addLongPromptSample(promptTokens, timeToFirstEventMs);
         } else {
-            addShortSample(promptTokens, timeToFirstEventMs);
+            addShortPromptSample(promptTokens, timeToFirstEventMs);
         }
     }
 
-    private void addLongSample(int promptTokens, double timeToFirstEventMs) {
+    private void addLongPromptSample(int promptTokens, double timeToFirstEventMs) {
         double sample = Math.max(0, timeToFirstEventMs - baseMs) / promptTokens;
-        double next = stepTowards(sample, msPerToken, longSamples);
-        longSamples++;
-        msPerToken = Math.max(MIN_MS_PER_TOKEN, Math.min(MAX_MS_PER_TOKEN, next));
+        double updated = moveTowards(sample, msPerToken, longPromptSamples);
+        longPromptSamples++;
+        msPerToken = Math.max(MIN_MS_PER_TOKEN, Math.min(MAX_MS_PER_TOKEN, updated));
     }
 
-    private void addShortSample(int promptTokens, double timeToFirstEventMs) {
+    private void addShortPromptSample(int promptTokens, double timeToFirstEventMs) {
         double sample = timeToFirstEventMs - promptTokens * msPerToken;
-        double next = shortSamples == 0 ? sample : stepTowards(sample, baseMs, shortSamples);
-        shortSamples++;
-        baseMs = Math.max(MIN_BASE_MS, Math.min(MAX_BASE_MS, next));
+        double updated = shortPromptSamples == 0 ? sample : moveTowards(sample, baseMs, shortPromptSamples);
+        shortPromptSamples++;
+        baseMs = Math.max(MIN_BASE_MS, Math.min(MAX_BASE_MS, updated));
     }
 
-    private static double stepTowards(double sample, double value, int samples) {
-        double step = Math.max(MIN_STEP, INITIAL_STEP / (samples + 1));
-        return value * (sample > value ? 1 + step : 1 - step);
+    private static double moveTowards(double sample, double value, int samples) {
+        double stepRatio = Math.max(MIN_STEP_RATIO, INITIAL_STEP_RATIO / (samples + 1));
+        return value * (sample > value ? 1 + stepRatio : 1 - stepRatio);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
@@ -5,48 +5,52 @@
 import myrtleladder.loadbalancer.policy.EarliestDeadlineFirstScheduler;
 
 /**
- * Picks among the upstreams of a model service by the expected time to the first event and by what
- * reading a prompt prefix anew costs the requests behind it. A prefix that is cached nowhere goes
- * to its affinity upstream, the first by rendezvous hashing, which is the same at every balancer
- * that sees the same upstreams. Confined to the event loop; docs/decisions.md has the figures.
+ * Picks among the upstreams of a model service by the expected time to the first event and by the
+ * delay that a cache miss of the shared prompt prefix causes for queued requests. A prefix that is
+ * not cached anywhere goes to its affinity upstream, the first by rendezvous hashing, which is the
+ * same at every balancer that knows the same upstreams. Confined to the event loop; see
+ * docs/decisions.md for the figures.
  */
 final class PrefixCacheAwarePolicy {
-    /** Share of prefixes that affinity upstreams had cached, see docs/decisions.md. */
-    private static final double AFFINITY_HIT_SHARE = 0.7;
+    /** Rate at which prefixes are cached at their affinity upstream, see docs/decisions.md. */
+    private static final double FIRST_AFFINITY_HIT_RATE = 0.7;
 
-    /** Share of prefixes that second affinity upstreams had cached. */
-    private static final double SECOND_AFFINITY_HIT_SHARE = 0.15;
+    /** Rate at which prefixes are cached at the second upstream by affinity. */
+    private static final double SECOND_AFFINITY_HIT_RATE = 0.15;
 
-    /** Upstreams whose cost is within this of the least are picked alike. */
-    private static final double TIE_MARGIN_MS = 25;
+    /** Candidates whose cost exceeds the minimum by at most this are equally eligible. */
+    private static final double COST_TIE_MARGIN_MS = 25;
 
-    /** How much shorter the wait at the second affinity upstream has to be. */
-    private static final double DETOUR_MS = 40;
+    /** Extra cost of the second upstream by affinity for an uncached prefix; others: twice that. */
+    private static final double AFFINITY_MISS_COST_MS = 40;
 
-    /** Weight of the time in which a prefix is read anew, which delays others. */
-    private static final double REREAD_COST_FACTOR = 3;
+    /** Weight of the time to process an uncached prefix again, which delays other requests. */
+    private static final double PREFIX_MISS_COST_FACTOR = 3;
 
-    /** Delay by each request that waits for a slot in the batch. */
+    /** Expected delay for each request that waits for a batch slot. */
     private static final double DELAY_PER_QUEUED_REQUEST_MS = 40;
 
-    /** Bound of the error rate's effect on the expected time. */
+    /** Lower bound of the success rate by which the expected time is divided. */
     private static final double MIN_SUCCESS_RATE = 0.1;
 
-    /** Place of an upstream in the rendezvous order of a prefix. */
+    /** Rank of an upstream in the rendezvous order of a prefix. */
     private enum Affinity {
         FIRST(0, 0),
-        SECOND(DETOUR_MS, 1 - SECOND_AFFINITY_HIT_SHARE / AFFINITY_HIT_SHARE),
-        NONE(2 * DETOUR_MS, 1);
+        SECOND(AFFINITY_MISS_COST_MS, 1 - SECOND_AFFINITY_HIT_RATE / FIRST_AFFINITY_HIT_RATE),
+        NONE(2 * AFFINITY_MISS_COST_MS, 1);
 
-        /** Extra cost for a new prefix while the other balancers' loads are known. */
-        private final double detourMs;
+        /** Upper bound of the extra cost while the other balancers' loads are fresh. */
+        private final double affinityCostMs;
 
-        /** The same without their loads, as a share of the time that likely cached tokens take. */
-        private final double detourShare;
+        /**
+         * Loss of hit rate, relative to the first upstream by affinity; determines the extra cost
+         * while the other balancers' loads are not known.
+         */
+        private final double hitRateLossFraction;
 
-        Affinity(double detourMs, double detourShare) {
-            this.detourMs = detourMs;
-            this.detourShare = detourShare;
+        Affinity(double affinityCostMs, double hitRateLossFraction) {
+            this.affinityCostMs = affinityCostMs;
+            this.hitRateLossFraction = hitRateLossFraction;
         }
     }
 
@@ -63,24 +67,24 @@
         this.prefillTime = prefillTime;
     }
 
-    /** Picks by the schedule among the candidates whose cost is near the least. */
+    /** Lets the scheduler pick among the candidates whose cost is near the minimum. */
     PickResult pick(
-            EarliestDeadlineFirstScheduler schedule,
+            EarliestDeadlineFirstScheduler scheduler,
             PromptSegments prompt,
             List<Upstream> candidates,
             long nowMs) {
         List<PickResult> results = evaluate(prompt, candidates, nowMs);
-        double leastCostMs = Double.POSITIVE_INFINITY;
+        double minCostMs = Double.POSITIVE_INFINITY;
         for (PickResult result : results) {
-            leastCostMs = Math.min(leastCostMs, result.costMs());
+            minCostMs = Math.min(minCostMs, result.costMs());
         }
-        List<Upstream> nearLeast = new ArrayList<>();
+        List<Upstream> nearMinCost = new ArrayList<>();
         for (PickResult result : results) {
-            if (result.costMs() <= leastCostMs + TIE_MARGIN_MS) {
-                nearLeast.add(result.upstream());
+            if (result.costMs() <= minCostMs + COST_TIE_MARGIN_MS) {
+                nearMinCost.add(result.upstream());
             }
         }
-        return resultOf(schedule.pick(nearLeast), results);
+        return resultOf(scheduler.pick(nearMinCost), results);
     }
 
     private static PickResult resultOf(Upstream upstream, List<PickResult> results) {
@@ -92,7 +96,7 @@
         throw new IllegalStateException("picked an upstream that is no candidate");
     }
 
-    /** The candidate of the least cost, the first of equals; there has to be a candidate. */
+    /** The candidate of the lowest cost, the first of several; null without candidates. */
     PickResult cheapest(PromptSegments prompt, List<Upstream> candidates, long nowMs) {
         PickResult cheapest = null;
         for (PickResult result : evaluate(prompt, candidates, nowMs)) {
@@ -103,9 +107,9 @@
         return cheapest;
     }
 
-    /** Whether the shared prefix takes so long to read that others should know where it is. */
+    /** Whether prefill of the shared prefix takes long enough to announce where it is cached. */
     boolean shouldAnnounce(PromptSegments prompt) {
-        return prompt.sharedTokens() * prefillTime.msPerToken() > TIE_MARGIN_MS;
+        return prompt.sharedTokens() * prefillTime.msPerToken() > COST_TIE_MARGIN_MS;
     }
 
     private List<PickResult> evaluate(
@@ -125,12 +129,12 @@
         return results;
     }
 
-    /** The first by rendezvous hashing of the prefix, apart from one upstream. */
+    /** The first candidate by rendezvous hashing of the prefix, not counting the excluded one. */
     private static Upstream highestAffinity(
-            List<Upstream> candidates, long prefixHash, Upstream except) {
+            List<Upstream> candidates, long prefixHash, Upstream excluded) {
         Upstream highest = null;
         for (Upstream upstream : candidates) {
-            if (upstream != except
+            if (upstream != excluded
                     && (highest == null || hasHigherAffinity(upstream, highest, prefixHash))) {
                 highest = upstream;
             }
@@ -138,7 +142,7 @@
         return highest;
     }
 
-    /** Upstreams without an ordinal come last: the control plane assigns their ordinals later. */
+    /** Upstreams without an ordinal come last until the control plane assigns them one. */
     private static boolean hasHigherAffinity(Upstream upstream, Upstream other, long prefixHash) {
         if (upstream.hasOrdinal() != other.hasOrdinal()) {
             return upstream.hasOrdinal();
@@ -147,8 +151,8 @@
     }
 
     /**
-     * The result for one upstream. Without fresh loads of the other balancers neither the waits are
-     * known nor where they sent the prefix lately, so the affinity counts for more.
+     * Estimates the request at one upstream. Without fresh loads of the other balancers, neither
+     * the queues nor their latest sends of the prefix are known, so affinity gets more weight.
      */
     private PickResult evaluate(
             Upstream upstream,
@@ -157,36 +161,36 @@
             boolean hasFreshLoads,
             long nowMs) {
         int cachedTokens = upstream.prefixCache().cachedTokens(prompt, nowMs);
-        double rereadMs =
+        double prefixMissMs =
                 Math.max(0, prompt.sharedTokens() - cachedTokens) * prefillTime.msPerToken();
-        double detourMs =
+        double affinityCostMs =
                 hasFreshLoads
-                        ? Math.min(affinity.detourMs, rereadMs)
-                        : affinity.detourShare * AFFINITY_HIT_SHARE * rereadMs;
+                        ? Math.min(affinity.affinityCostMs, prefixMissMs)
+                        : affinity.hitRateLossFraction * FIRST_AFFINITY_HIT_RATE * prefixMissMs;
         double uncachedTokens = prompt.totalTokens() - (double) cachedTokens;
         double backlogTokens = upstream.pendingPromptTokens() + upstream.peerPromptTokens(nowMs);
-        double explainedMs =
+        double knownPrefillMs =
                 prefillTime.baseMs() + (backlogTokens + uncachedTokens) * prefillTime.msPerToken();
-        double expectedMs = expectedMs(upstream, explainedMs, nowMs);
+        double expectedMs = expectedMs(upstream, knownPrefillMs, nowMs);
         return new PickResult(
                 upstream,
                 (int) Math.round(uncachedTokens),
                 expectedMs,
-                explainedMs,
+                knownPrefillMs,
                 expectedMs
-                        + REREAD_COST_FACTOR * rereadMs
-                        + detourMs
+                        + PREFIX_MISS_COST_FACTOR * prefixMissMs
+                        + affinityCostMs
                         + weightsRollout.costMs(upstream),
                 backlogTokens == 0);
     }
 
-    private static double expectedMs(Upstream upstream, double explainedMs, long nowMs) {
+    private static double expectedMs(Upstream upstream, double knownPrefillMs, long nowMs) {
         double queueMs =
                 Math.max(0, upstream.inFlight() + 1 - upstream.capacity())
                         * DELAY_PER_QUEUED_REQUEST_MS;
         double reportedQueueMs = upstream.reportedWaiting(nowMs) * DELAY_PER_QUEUED_REQUEST_MS;
         double successRate = Math.max(MIN_SUCCESS_RATE, 1 - upstream.errorRate());
-        return (explainedMs + upstream.extraDelayMs(nowMs) + queueMs + reportedQueueMs)
+        return (knownPrefillMs + upstream.extraDelayMs(nowMs) + queueMs + reportedQueueMs)
                 / successRate;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/PromptSegments.java
+++ b/src/main/java/myrtleladder/dataplane/PromptSegments.java
@@ -4,19 +4,23 @@
 import java.util.List;
 
 /**
- * The segments of a prompt in order, as the header field {@link HeaderNames#PROMPT_PREFIX} lists
- * them. Each is identified by the hash of the prefix that it ends, which is all segments up to it:
- * an upstream can use a cached segment only if all before it are cached too. Callers must not
- * change the arrays.
+ * The segments of a prompt in the order of the header field {@link HeaderNames#PROMPT_PREFIX}. A
+ * segment is identified by the hash of the prefix that ends with it, because an upstream can use a
+ * cached segment only if all earlier segments are cached too. Callers must not modify the arrays.
  *
- * @param prefixHashes for each segment the hash of the prefix that it ends
- * @param segmentTokens for each segment its number of tokens
+ * @param prefixHashes for each segment, the hash of all segments up to and including it
+ * @param segmentTokens for each segment, its number of tokens
  */
 record PromptSegments(long[] prefixHashes, int[] segmentTokens) {
-    /** A prompt without segments, as of requests to services without a model. */
+    /** A prompt without segments, used for requests to services without a model engine. */
     static final PromptSegments NONE = new PromptSegments(new long[0], new int[0]);
 
-    /** Reads ID:TOKENS separated by commas; what cannot be read ends the list. */
+    /**
+     * Parses ID:TOKENS pairs separated by commas. Parsing stops at the first invalid pair; the pairs
+     * before it are returned.
+     *
+     * @param text null if the request has no such field
+     */
     static PromptSegments parse(String text) {
         if (text == null || text.isEmpty()) {
             return NONE;
@@ -51,22 +55,22 @@
         return new PromptSegments(prefixHashes, segmentTokens);
     }
 
-    /** The number of segments. */
+    /** Number of segments. */
     int count() {
         return prefixHashes.length;
     }
 
-    /** The hash of the prefix that a segment ends. */
+    /** Hash of the prefix that ends with the segment at this index. */
     long prefixHash(int index) {
         return prefixHashes[index];
     }
 
-    /** Tokens of one segment. */
+    /** Number of tokens of one segment. */
     int tokens(int index) {
         return segmentTokens[index];
     }
 
-    /** Tokens of all segments. */
+    /** Number of tokens of all segments. */
     int totalTokens() {
         int sum = 0;
         for (int tokens : segmentTokens) {
@@ -75,14 +79,14 @@
         return sum;
     }
 
-    /** Tokens of the shared prefix. */
+    /** Number of tokens of all segments but the last; 0 without segments. */
     int sharedTokens() {
         return count() == 0 ? 0 : totalTokens() - segmentTokens[count() - 1];
     }
 
     /**
-     * The hash of the shared prefix, which requests of one subject or session have in common: all
-     * segments but the last, or the only one; 0 without segments.
+     * Hash of the prefix that requests of one subject or session have in common: all segments but
+     * the last, or the only segment; 0 without segments.
      */
     long sharedPrefixHash() {
         return count() == 0 ? 0 : prefixHashes[Math.max(0, count() - 2)];
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -99,7 +99,7 @@
      */
     private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
         int usedTokens = usedTokens(client.head().headers().get(HeaderNames.TOKEN_USAGE));
-        double cost = TenantQuotaClient.cost(tenant, usedTokens);
+        double cost = TenantQuotaClient.costUnits(tenant, usedTokens);
         dataPlane.quotas().advanceClock(dataPlane.nowMs());
         dataPlane.fleetLoads().setPendingLoad(() -> likelyLoad(client, route));
         dataPlane
--- a/src/main/java/myrtleladder/dataplane/RetryBudget.java
+++ b/src/main/java/myrtleladder/dataplane/RetryBudget.java
@@ -4,61 +4,62 @@
 import java.util.Map;
 
 /**
- * This balancer's part of the budget for retries of each service, as a token bucket: requests earn
- * a ratio each, which adds up over all balancers by itself, and the bucket holds an equal part of
- * the slack. Confined to the event loop.
+ * This balancer's retry budget for each service, as a token bucket. Each client request adds a fixed
+ * fraction of a token, so that the budgets of all balancers add up to the configured ratio without
+ * coordination. The capacity of the bucket is an equal fraction of the configured slack. Confined
+ * to the event loop.
  */
 final class RetryBudget {
-    /** Part of the configured ratio that is used. */
-    private static final double USED_RATIO = 0.7;
+    /** Fraction of the configured ratio that is used. */
+    private static final double RATIO_FRACTION = 0.7;
 
-    /** Part of the configured slack that is used. */
-    private static final double USED_SLACK = 0.6;
+    /** Fraction of the configured slack that is used. */
+    private static final double SLACK_FRACTION = 0.6;
 
-    /** Filling of a new balancer's bucket: its last process used some. */
-    private static final double INITIAL_FILLING = 0.5;
+    /** Initial fill of a bucket; not full, since an earlier process of this balancer spent some. */
+    private static final double INITIAL_FILL_FRACTION = 0.5;
 
-    private final double earnedPerRequest;
+    private final double tokensPerRequest;
     private final int slack;
-    private final Map<String, Double> tokens = new HashMap<>();
+    private final Map<String, Double> tokensByService = new HashMap<>();
     private int balancers = 1;
 
     /**
-     * Creates a budget.
+     * Creates the budgets of one balancer.
      *
-     * @param ratio retries for each request that all balancers together may make
+     * @param ratio retries per client request that all balancers together may make
      * @param slack retries beyond the ratio that all balancers together may make
      */
     RetryBudget(double ratio, int slack) {
-        this.earnedPerRequest = ratio * USED_RATIO;
+        this.tokensPerRequest = ratio * RATIO_FRACTION;
         this.slack = slack;
     }
 
-    /** Sets the number of balancers that share the slack. */
+    /** Sets the number of balancers that share the slack; at least 1 is assumed. */
     void setBalancers(int count) {
         balancers = Math.max(1, count);
     }
 
     private double capacity() {
-        return Math.max(1, slack * USED_SLACK / balancers);
+        return Math.max(1, slack * SLACK_FRACTION / balancers);
     }
 
-    /** Earns a part of a retry for a client's request. */
+    /** Adds the token fraction of a client request to the budget of its service. */
     void recordRequest(String service) {
-        tokens.put(service, Math.min(capacity(), available(service) + earnedPerRequest));
+        tokensByService.put(service, Math.min(capacity(), availableTokens(service) + tokensPerRequest));
     }
 
-    private double available(String service) {
-        return tokens.getOrDefault(service, capacity() * INITIAL_FILLING);
+    private double availableTokens(String service) {
+        return tokensByService.getOrDefault(service, capacity() * INITIAL_FILL_FRACTION);
     }
 
-    /** Takes a retry out of the budget; false if there is none left. */
+    /** Takes one token for a retry; returns false if there is less than one. */
     boolean tryAcquire(String service) {
-        double available = available(service);
-        if (available < 1) {
+        double availableTokens = availableTokens(service);
+        if (availableTokens < 1) {
             return false;
         }
-        tokens.put(service, available - 1);
+        tokensByService.put(service, availableTokens - 1);
         return true;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/RetryPolicy.java
+++ b/src/main/java/myrtleladder/dataplane/RetryPolicy.java
@@ -4,8 +4,9 @@
 import myrtleladder.configuration.Service;
 
 /**
- * Decides whether a request is sent to another upstream. Each retry is taken out of the budget of
- * the service, last of all conditions. Confined to the event loop.
+ * Decides whether a request is retried at another upstream. Each retry takes a token from the
+ * service's {@link RetryBudget}; the budget is checked last, so that only retries that are made
+ * take a token. Confined to the event loop.
  */
 final class RetryPolicy {
     private final RetryBudget budget;
@@ -15,18 +16,19 @@
     }
 
     /**
-     * Decides after a rejection: the request did not run, so any route may retry.
+     * Decides after an upstream rejected the request. The request did not run there, so it may be
+     * retried on any route.
      *
-     * @param sentAttempts to how many upstreams it was sent so far
+     * @param sentAttempts number of upstreams to which the request was sent so far
      */
     boolean shouldRetryRejection(Route route, Service service, int sentAttempts) {
         return sentAttempts < route.retries() && budget.tryAcquire(service.name());
     }
 
     /**
-     * Decides after a failure: the request may have run, so only idempotent routes retry.
+     * Decides after a failure. The request may have run, so it is retried on idempotent routes only.
      *
-     * @param sentAttempts to how many upstreams it was sent so far
+     * @param sentAttempts number of upstreams to which the request was sent so far
      */
     boolean shouldRetryFailure(
             Route route, Service service, int sentAttempts, boolean deadlineReached) {
--- a/src/main/java/myrtleladder/dataplane/StableHash.java
+++ b/src/main/java/myrtleladder/dataplane/StableHash.java
@@ -1,8 +1,8 @@
 package myrtleladder.dataplane;
 
 /**
- * 64-bit hash functions that give the same values in every process, for rendezvous hashing and
- * identities that balancers exchange. Not cryptographic. Stateless.
+ * 64-bit hash functions with the same results in every process, for rendezvous hashing and for
+ * identifiers that balancers exchange. Not cryptographic. Stateless.
  */
 final class StableHash {
     /** Prime of 64-bit FNV-1a. */
@@ -19,7 +19,7 @@
 
     private StableHash() {}
 
-    /** FNV-1a over the characters of a text, finalized by {@link #mix}. */
+    /** FNV-1a over the UTF-16 code units of a text, finalized by {@link #mix}. */
     static long of(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -28,7 +28,7 @@
         return mix(hash);
     }
 
-    /** Spreads a value over all bits: the finalizer of SplitMix64. */
+    /** The finalizer of SplitMix64, in which each input bit affects all output bits. */
     static long mix(long value) {
         long mixed = value;
         mixed = (mixed ^ (mixed >>> 30)) * MIX_MULTIPLIER_1;
--- a/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
@@ -12,44 +12,45 @@
 import myrtleladder.protocol.QuotaResponse;
 
 /**
- * Acquires tenants' quota units from the primary, which holds the buckets. Without its response a
- * balancer falls back to a bucket of its own: it goes on with an equal part of the quota for a
- * short time, and with a small part from then on, since the others may reach the primary and get
- * all of it. Confined to the event loop.
+ * Acquires quota units of tenants from their token buckets at the primary. While the primary does
+ * not respond, this balancer uses a local fallback bucket for each tenant: for a short time at a
+ * rate close to the quota divided by the number of balancers, afterwards at a much lower rate,
+ * because other balancers may reach the primary and be granted the whole quota. Confined to the
+ * event loop.
  */
 final class TenantQuotaClient {
-    /** Time in which the primary has to answer. */
+    /** Timeout of a request to the primary. */
     private static final long REQUEST_TIMEOUT_MS = 250;
 
-    /** Time without requests to a primary that did not answer. */
-    private static final long RETRY_INTERVAL_MS = 400;
+    /** Time without requests to the primary after it did not respond. */
+    private static final long PRIMARY_RETRY_INTERVAL_MS = 400;
 
-    /** Longest time for which a bucket found empty is not asked for again. */
-    private static final long MAX_EMPTY_MS = 100;
+    /** Maximum time without requests for a tenant whose bucket at the primary is empty. */
+    private static final long MAX_EMPTY_BACKOFF_MS = 100;
 
-    /** Time without a primary for which the equal part is used. */
-    private static final long EQUAL_PART_DURATION_MS = 4_000;
+    /** Time after the primary became unavailable during which the initial rate is used. */
+    private static final long INITIAL_FALLBACK_DURATION_MS = 4_000;
 
-    /** Share of an equal part of the quota that is used at first. */
-    private static final double EQUAL_PART = 0.85;
+    /** Initial fallback rate as a fraction of the quota divided by the number of balancers. */
+    private static final double INITIAL_FALLBACK_FRACTION = 0.85;
 
-    /** Share of an equal part of the quota that is used from then on. */
-    private static final double REDUCED_PART = 0.25;
+    /** Later fallback rate as a fraction of the quota divided by the number of balancers. */
+    private static final double REDUCED_FALLBACK_FRACTION = 0.25;
 
-    /** Capacity of a fallback bucket, in seconds of its rate. */
+    /** Capacity of a fallback bucket, in seconds of its refill rate. */
     private static final double FALLBACK_CAPACITY_S = 0.5;
 
-    /** Keeps a division by the rate finite. */
+    /** Lower bound of the rate in divisions, so that the quotient is finite. */
     private static final double MIN_RATE_PER_S = 1e-6;
 
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long NEVER_MS = Long.MAX_VALUE;
 
-    /** Grants quota units; a client's view of the primary. */
+    /** Sends quota requests to the primary. */
     interface QuotaAllocator {
         /**
-         * Requests units from the primary, or returns them if they are negative.
+         * Requests units from the primary; a negative number of units is a refund.
          *
-         * @param callback receives the response, null if none came in time
+         * @param callback receives the response, or null on timeout
          */
         void request(QuotaRequest request, long timeoutMs, Consumer<Message> callback);
     }
@@ -58,53 +59,53 @@
     private final SplittableRandom random;
     private final Map<String, TenantState> tenants = new HashMap<>();
     private int balancers = 1;
-    private long unansweredSinceMs = NEVER;
-    private long nextRequestAtMs;
+    private long primaryUnavailableSinceMs = NEVER_MS;
+    private long nextPrimaryRequestAtMs;
     private long clockMs;
 
-    /** What is known of one tenant's quota. */
+    /** Quota state of one tenant. */
     private static final class TenantState {
         Tenant tenant;
 
-        /** Granted units that are not used yet. */
+        /** Units granted by the primary and not used yet. */
         double grantedUnits;
 
-        long emptyUntilMs;
+        long bucketEmptyUntilMs;
 
-        /** Units in the fallback bucket; negative as a debt. */
+        /** Units in the fallback bucket; a negative value is a debt. */
         double fallbackUnits;
 
         long fallbackUpdatedAtMs = Long.MIN_VALUE;
     }
 
-    /** Creates a client; the seed draws the first debts of fallback buckets. */
+    /** Creates a client; the seed determines the random initial debts of fallback buckets. */
     TenantQuotaClient(QuotaAllocator allocator, long seed) {
         this.allocator = allocator;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Takes the tenants of a newer configuration; granted units of those that stay are kept. */
+    /** Applies the tenants of a new configuration; tenants that remain keep their state. */
     void applyConfiguration(Configuration configuration) {
-        Map<String, TenantState> before = new HashMap<>(tenants);
+        Map<String, TenantState> previousStates = new HashMap<>(tenants);
         tenants.clear();
         for (Tenant tenant : configuration.tenants()) {
-            TenantState state = before.getOrDefault(tenant.name(), new TenantState());
+            TenantState state = previousStates.getOrDefault(tenant.name(), new TenantState());
             state.tenant = tenant;
             tenants.put(tenant.name(), state);
         }
     }
 
-    /** Sets the number of balancers among which quotas are divided without a primary. */
+    /** Sets the number of balancers among which quotas are divided without the primary. */
     void setBalancers(int count) {
         balancers = Math.max(1, count);
     }
 
     /**
-     * The units of a request.
+     * Number of quota units that a request uses.
      *
-     * @param usedTokens prompt and completion tokens, 0 if they are not known
+     * @param usedTokens prompt and completion tokens, 0 if not known
      */
-    static double cost(Tenant tenant, int usedTokens) {
+    static double costUnits(Tenant tenant, int usedTokens) {
         if (!tenant.countsTokens()) {
             return 1;
         }
@@ -112,27 +113,27 @@
     }
 
     /**
-     * Acquires the units of a request, at once or after a round trip to the primary.
+     * Acquires the units of a request, immediately or after a round trip to the primary.
      *
-     * @param callback receives 0 once the request is within the quota, or the milliseconds until
-     *     one would be
+     * @param callback receives 0 if the units were acquired, otherwise the milliseconds after which
+     *     a retry may succeed
      */
-    void acquire(Tenant tenant, double cost, long nowMs, LongConsumer callback) {
+    void acquire(Tenant tenant, double costUnits, long nowMs, LongConsumer callback) {
         TenantState state = tenants.get(tenant.name());
         if (state == null || !isLimited(tenant)) {
             callback.accept(0);
-        } else if (state.grantedUnits >= cost) {
-            state.grantedUnits -= cost;
+        } else if (state.grantedUnits >= costUnits) {
+            state.grantedUnits -= costUnits;
             callback.accept(0);
-        } else if (nowMs < state.emptyUntilMs) {
-            callback.accept(state.emptyUntilMs - nowMs);
-        } else if (nowMs < nextRequestAtMs) {
-            callback.accept(acquireFromFallback(state, cost, nowMs));
+        } else if (nowMs < state.bucketEmptyUntilMs) {
+            callback.accept(state.bucketEmptyUntilMs - nowMs);
+        } else if (nowMs < nextPrimaryRequestAtMs) {
+            callback.accept(acquireFromFallback(state, costUnits, nowMs));
         } else {
             allocator.request(
-                    QuotaRequest.of(tenant.name(), cost - state.grantedUnits),
+                    QuotaRequest.of(tenant.name(), costUnits - state.grantedUnits),
                     REQUEST_TIMEOUT_MS,
-                    response -> responseReceived(state, cost, response, callback));
+                    response -> responseReceived(state, costUnits, response, callback));
         }
     }
 
@@ -140,74 +141,78 @@
         return tenant.ratePerSecond() > 0;
     }
 
-    /** Advances the clock by which responses are taken; called between them. */
+    /**
+     * Advances the clock that is read when responses arrive. To be called before {@link #acquire}
+     * and periodically in between.
+     */
     void advanceClock(long nowMs) {
         clockMs = Math.max(clockMs, nowMs);
     }
 
     private void responseReceived(
-            TenantState state, double cost, Message response, LongConsumer callback) {
+            TenantState state, double costUnits, Message response, LongConsumer callback) {
         if (!(response instanceof QuotaResponse grant) || !grant.fromPrimary) {
-            unansweredSinceMs = Math.min(unansweredSinceMs, clockMs);
-            nextRequestAtMs = clockMs + RETRY_INTERVAL_MS;
-            callback.accept(acquireFromFallback(state, cost, clockMs));
+            primaryUnavailableSinceMs = Math.min(primaryUnavailableSinceMs, clockMs);
+            nextPrimaryRequestAtMs = clockMs + PRIMARY_RETRY_INTERVAL_MS;
+            callback.accept(acquireFromFallback(state, costUnits, clockMs));
             return;
         }
-        unansweredSinceMs = NEVER;
+        primaryUnavailableSinceMs = NEVER_MS;
         state.grantedUnits += grant.grantedUnits;
-        if (state.grantedUnits >= cost) {
-            state.grantedUnits -= cost;
+        if (state.grantedUnits >= costUnits) {
+            state.grantedUnits -= costUnits;
             callback.accept(0);
             return;
         }
-        state.emptyUntilMs = clockMs + Math.min(MAX_EMPTY_MS, grant.waitMs);
+        state.bucketEmptyUntilMs = clockMs + Math.min(MAX_EMPTY_BACKOFF_MS, grant.waitMs);
         callback.accept(Math.max(1, grant.waitMs));
     }
 
-    /** Acquires without the primary; returns 0 or the milliseconds until a request would pass. */
-    private long acquireFromFallback(TenantState state, double cost, long nowMs) {
+    /** Acquires from the fallback bucket; returns 0 or the milliseconds until its debt is paid. */
+    private long acquireFromFallback(TenantState state, double costUnits, long nowMs) {
         double ratePerS = fallbackRatePerS(state.tenant, nowMs);
-        refillFallback(state, cost, ratePerS, nowMs);
+        refillFallback(state, costUnits, ratePerS, nowMs);
         if (state.fallbackUnits >= 0) {
-            state.fallbackUnits -= cost;
+            state.fallbackUnits -= costUnits;
             return 0;
         }
-        double debt = -state.fallbackUnits;
-        return Math.max(1, Math.round(debt / Math.max(ratePerS, MIN_RATE_PER_S) * 1_000));
+        double debtUnits = -state.fallbackUnits;
+        return Math.max(1, Math.round(debtUnits / Math.max(ratePerS, MIN_RATE_PER_S) * 1_000));
     }
 
     private double fallbackRatePerS(Tenant tenant, long nowMs) {
-        boolean isEqualPart = nowMs - unansweredSinceMs <= EQUAL_PART_DURATION_MS;
-        double part = isEqualPart ? EQUAL_PART : REDUCED_PART;
-        return tenant.ratePerSecond() * part / balancers;
+        boolean isInitialPeriod = nowMs - primaryUnavailableSinceMs <= INITIAL_FALLBACK_DURATION_MS;
+        double fraction = isInitialPeriod ? INITIAL_FALLBACK_FRACTION : REDUCED_FALLBACK_FRACTION;
+        return tenant.ratePerSecond() * fraction / balancers;
     }
 
-    private void refillFallback(TenantState state, double cost, double ratePerS, long nowMs) {
-        if (state.fallbackUpdatedAtMs < unansweredSinceMs) {
-            // A request may leave a debt, and all balancers begin at once: each with a part of one.
-            state.fallbackUnits = -random.nextDouble() * cost;
+    private void refillFallback(TenantState state, double costUnits, double ratePerS, long nowMs) {
+        if (state.fallbackUpdatedAtMs < primaryUnavailableSinceMs) {
+            // A request may overdraw its bucket, and all balancers start to fall back at once. Random
+            // initial debts keep them from all overdrawing at the same time.
+            state.fallbackUnits = -random.nextDouble() * costUnits;
         }
-        long refilledUntilMs = Math.max(state.fallbackUpdatedAtMs, unansweredSinceMs);
-        double gained = ratePerS * (nowMs - refilledUntilMs) / 1_000;
-        double capacity = ratePerS * FALLBACK_CAPACITY_S;
-        state.fallbackUnits = Math.min(capacity, state.fallbackUnits + Math.max(0, gained));
+        long refilledUntilMs = Math.max(state.fallbackUpdatedAtMs, primaryUnavailableSinceMs);
+        double refilledUnits = ratePerS * (nowMs - refilledUntilMs) / 1_000;
+        double capacityUnits = ratePerS * FALLBACK_CAPACITY_S;
+        state.fallbackUnits = Math.min(capacityUnits, state.fallbackUnits + Math.max(0, refilledUnits));
         state.fallbackUpdatedAtMs = nowMs;
     }
 
     /**
-     * Refunds the units of a request that did not run: to where they came from, so that no balancer
-     * keeps units which the others could use.
+     * Refunds the units of a request that did not run. Units go back to the primary, so that other
+     * balancers can use them, or to the fallback bucket while the primary is unavailable.
      */
-    void refund(Tenant tenant, double cost) {
+    void refund(Tenant tenant, double costUnits) {
         TenantState state = tenants.get(tenant.name());
         if (state == null || !isLimited(tenant)) {
             return;
         }
-        if (unansweredSinceMs == NEVER) {
-            QuotaRequest refund = QuotaRequest.of(tenant.name(), -cost);
+        if (primaryUnavailableSinceMs == NEVER_MS) {
+            QuotaRequest refund = QuotaRequest.of(tenant.name(), -costUnits);
             allocator.request(refund, REQUEST_TIMEOUT_MS, response -> {});
         } else {
-            state.fallbackUnits = Math.min(0, state.fallbackUnits + cost);
+            state.fallbackUnits = Math.min(0, state.fallbackUnits + costUnits);
         }
     }
 }
--- a/src/main/java/myrtleladder/dataplane/UnresponsiveUpstreamDetector.java
+++ b/src/main/java/myrtleladder/dataplane/UnresponsiveUpstreamDetector.java
@@ -3,20 +3,20 @@
 import myrtleladder.configuration.Service;
 
 /**
- * Detects upstreams from which no byte came for longer than their work explains. Confined to the
- * event loop.
+ * Detects upstreams that have sent no byte for longer than their pending work accounts for.
+ * Confined to the event loop.
  */
 final class UnresponsiveUpstreamDetector {
-    /** Timeout of a model upstream without backlog. */
-    private static final long MODEL_TIMEOUT_MS = 700;
+    /** Timeout of a model upstream without a backlog. */
+    private static final long BASE_MODEL_TIMEOUT_MS = 700;
 
-    /** Multiple of the time that reading the backlog takes by which it extends it. */
-    private static final double BACKLOG_FACTOR = 2;
+    /** Extension of the timeout as a multiple of the prefill time of the backlog. */
+    private static final double BACKLOG_TIMEOUT_FACTOR = 2;
 
-    /** Shortest timeout of other upstreams. */
-    private static final long MIN_PLAIN_TIMEOUT_MS = 400;
+    /** Minimum timeout of other upstreams. */
+    private static final long MIN_NON_MODEL_TIMEOUT_MS = 400;
 
-    /** Timeout of other upstreams as a multiple of their mean response time. */
+    /** Timeout of other upstreams as a multiple of their average response time. */
     private static final double RESPONSE_TIME_FACTOR = 6;
 
     private final PrefillTimeEstimator prefillTime;
@@ -25,18 +25,18 @@
         this.prefillTime = prefillTime;
     }
 
-    /** Whether the upstream of an attempt that was sent has timed out. */
+    /** Whether the upstream of a sent attempt has exceeded its timeout. */
     boolean isUnresponsive(Attempt attempt, Service service, long nowMs) {
         Upstream upstream = attempt.upstream();
-        long quietSinceMs = Math.max(upstream.lastByteAtMs(), attempt.sentAtMs());
-        return nowMs - quietSinceMs > timeoutMs(upstream, service);
+        long lastActivityAtMs = Math.max(upstream.lastByteAtMs(), attempt.sentAtMs());
+        return nowMs - lastActivityAtMs > timeoutMs(upstream, service);
     }
 
     private double timeoutMs(Upstream upstream, Service service) {
         if (service.engine() == null) {
-            return Math.max(MIN_PLAIN_TIMEOUT_MS, RESPONSE_TIME_FACTOR * upstream.responseTimeMs());
+            return Math.max(MIN_NON_MODEL_TIMEOUT_MS, RESPONSE_TIME_FACTOR * upstream.responseTimeMs());
         }
-        double backlogTokens = BACKLOG_FACTOR * upstream.pendingPromptTokens();
-        return MODEL_TIMEOUT_MS + backlogTokens * prefillTime.msPerToken();
+        double weightedBacklogTokens = BACKLOG_TIMEOUT_FACTOR * upstream.pendingPromptTokens();
+        return BASE_MODEL_TIMEOUT_MS + weightedBacklogTokens * prefillTime.msPerToken();
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -9,13 +9,13 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * An incarnation of an upstream as this balancer sees it: its record, the requests in flight there,
- * and what was observed of it. Confined to the event loop; {@link UpstreamDirectory} alone creates
- * upstreams and updates their records.
+ * One incarnation of an upstream instance: its record from the control plane, the attempts of this
+ * balancer in flight there, and the statistics that this balancer collects. Only {@link
+ * UpstreamDirectory} creates upstreams and updates their records. Confined to the event loop.
  */
 final class Upstream extends EarliestDeadlineFirstScheduler.Candidate {
-    /** Backlog that counts as full utilisation. */
-    private static final double FULL_BACKLOG_MS = 1_000;
+    /** Backlog that counts as a utilisation of 1. */
+    private static final double FULL_UTILISATION_BACKLOG_MS = 1_000;
 
     private final int key;
     private final UpstreamWarmup warmup;
@@ -30,7 +30,7 @@
     private boolean hasEngine;
     private double responseTimeMs;
     private long lastByteAtMs;
-    private double inFlightAtLastRefresh;
+    private double refreshedInFlight;
 
     /** Creates an upstream from its first record. */
     Upstream(InstanceRecord record, WarmupContext warmupContext, long nowMs) {
@@ -41,7 +41,7 @@
         this.key = UpstreamLoad.keyOf(record.id);
     }
 
-    /** The same for all incarnations that took over an ordinal one after the other. */
+    /** An incarnation that takes over an ordinal has the same hash as its predecessor. */
     private static long affinityHash(InstanceRecord record) {
         boolean hasOrdinal = record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
         return StableHash.of(hasOrdinal ? record.service + "#" + record.ordinal : record.id);
@@ -51,21 +51,21 @@
         return record;
     }
 
-    /** Takes a newer record of the same incarnation. */
+    /** Replaces the record by a newer one of the same incarnation. */
     void updateRecord(InstanceRecord next) {
         record = next;
         affinityHash = affinityHash(next);
     }
 
-    /** Whether it may be cold, and what it may get meanwhile. */
+    /** Warm-up state and request limit of this upstream. */
     UpstreamWarmup warmup() {
         return warmup;
     }
 
-    /** Whether one more request may be sent there, with those that wait for a connection. */
+    /** Whether the warm-up limit admits one more request, counting those that are connecting. */
     boolean admitsRequest(long nowMs) {
         if (!warmup.isLimited(nowMs)) {
-            return true; // the common case costs no count
+            return true; // common case, without counting attempts
         }
         int connecting = 0;
         for (Attempt attempt : attempts) {
@@ -74,22 +74,22 @@
         return warmup.admits(connecting, nowMs);
     }
 
-    /** The number by which balancers name this incarnation to each other. */
+    /** Key of this incarnation in the messages that balancers exchange. */
     int key() {
         return key;
     }
 
-    /** Whether the control plane has assigned an ordinal, which fixes its affinity. */
+    /** Whether the control plane has assigned an ordinal, which determines the affinity hash. */
     boolean hasOrdinal() {
         return record.ordinal != InstanceRecord.UNASSIGNED_ORDINAL;
     }
 
-    /** Score of this upstream for a prefix by rendezvous hashing; the highest is the first. */
+    /** Rendezvous hashing score of this upstream for a prefix; the highest score is preferred. */
     long affinityScore(long prefixHash) {
         return StableHash.mix(affinityHash ^ prefixHash);
     }
 
-    /** Sets the engine of a model upstream and empties the model of its cache; null is ignored. */
+    /** Sets the engine of a model upstream and resets the model of its cache; null is ignored. */
     void setEngine(Service.Engine engine) {
         if (engine != null) {
             prefixCache = new PrefixCacheModel(engine.kvTokens());
@@ -97,6 +97,7 @@
         }
     }
 
+    /** Whether an engine was set, which only model services have. */
     boolean hasEngine() {
         return hasEngine;
     }
@@ -105,12 +106,12 @@
         return prefixCache;
     }
 
-    /** Whether its record says that it takes requests. */
+    /** Whether the stage in its record is READY. */
     boolean isReady() {
         return record.stage == InstanceRecord.Stage.READY;
     }
 
-    /** Requests that it handles at once, at least one. */
+    /** Number of requests that it processes concurrently, at least 1. */
     int capacity() {
         return Math.max(1, record.capacity);
     }
@@ -126,17 +127,17 @@
         attempts.remove(attempt);
     }
 
-    /** Ends the attempts of which nothing was sent yet; their requests go elsewhere. */
+    /** Ends attempts that have not been sent yet, so that their requests are sent elsewhere. */
     void withdrawUnsentAttempts() {
         List.copyOf(attempts).forEach(Attempt::withdrawIfUnsent);
     }
 
-    /** Requests of this balancer in flight there. */
+    /** Requests that this balancer has in flight there. */
     int ownRequests() {
         return attempts.size();
     }
 
-    /** Prompt tokens that this balancer sent there and that are not read yet. */
+    /** Prompt tokens in flight from this balancer whose prefill has not completed. */
     long pendingPromptTokens() {
         long sum = 0;
         for (Attempt attempt : attempts) {
@@ -145,117 +146,120 @@
         return sum;
     }
 
-    /** Requests of other balancers in flight there, by the newer of report and peers' sums. */
+    /** Requests that other balancers have in flight there, by the newer of peer sums and report. */
     double peerRequests(long nowMs) {
         return peerLoad.isNewerThan(reportedLoad)
                 ? peerLoad.requests(nowMs)
                 : reportedLoad.peerRequests(nowMs);
     }
 
-    /** Prompt tokens that other balancers sent there and that are not read yet. */
+    /** Prompt tokens in flight from other balancers whose prefill has not completed. */
     double peerPromptTokens(long nowMs) {
         return peerLoad.promptTokens(nowMs);
     }
 
-    /** Takes the other balancers' sums. */
+    /** Replaces the sums of the other balancers' loads. */
     void updatePeerLoad(int requests, int promptTokens, long nowMs) {
         peerLoad.update(requests, promptTokens, nowMs);
     }
 
-    /** Takes the load field of a response, null without one; see {@link ReportedLoad}. */
+    /** Applies the load field of a response; null (no such field) is ignored. */
     void updateReportedLoad(String load, long nowMs) {
         if (load != null) {
             reportedLoad.update(load, ownRequests(), nowMs);
         }
     }
 
-    /** Requests that wait there by the last report. */
+    /** Requests that wait for a slot there according to the last report. */
     int reportedWaiting(long nowMs) {
-        return reportedLoad.waiting(nowMs);
+        return reportedLoad.waitingRequests(nowMs);
     }
 
-    /** Computes {@link #inFlight}, which picks go by, for the present time. */
+    /** Recomputes {@link #inFlight}, on which picks are based, for the given time. */
     void refreshInFlight(long nowMs) {
-        inFlightAtLastRefresh = ownRequests() + peerRequests(nowMs);
+        refreshedInFlight = ownRequests() + peerRequests(nowMs);
     }
 
-    /** Requests of all balancers in flight there when they were refreshed last. */
+    /** Requests of all balancers in flight there, as of the last {@link #refreshInFlight}. */
     @Override
     public double inFlight() {
-        return inFlightAtLastRefresh;
+        return refreshedInFlight;
     }
 
     void recordByteReceived(long nowMs) {
         lastByteAtMs = nowMs;
     }
 
-    /** When the last byte came, or the first attempt after a time without any started. */
+    /** Time of the last byte received, or of the start of the first attempt after an idle period. */
     long lastByteAtMs() {
         return lastByteAtMs;
     }
 
-    void requestSucceeded(long tookMs) {
+    void requestSucceeded(long durationMs) {
         ejection.recordSuccess();
         responseTimeMs =
                 responseTimeMs == 0
-                        ? tookMs
-                        : responseTimeMs + OutlierEjection.SMOOTHING * (tookMs - responseTimeMs);
+                        ? durationMs
+                        : responseTimeMs + OutlierEjection.SMOOTHING_FACTOR * (durationMs - responseTimeMs);
     }
 
-    /** A request failed that was sent. */
+    /** Records the failure of a request that was sent; repeated failures eject the upstream. */
     void requestFailed(long nowMs) {
         if (ejection.recordFailure()) {
             eject(nowMs);
         }
     }
 
-    /** No connection could be had, which ejects the upstream at once. */
+    /** Records that no connection could be established, which ejects the upstream immediately. */
     void connectionFailed(long nowMs) {
         ejection.recordFailure();
         becameUnresponsive(nowMs);
     }
 
-    /** Nothing is heard of the upstream, which ejects it: it may be down and come back cold. */
+    /** Ejects an upstream that does not respond. It may be down and return cold. */
     void becameUnresponsive(long nowMs) {
         eject(nowMs);
         warmup.markUnconfirmed(nowMs);
     }
 
-    /** Ejects the upstream unless it is ejected already; its cache may be lost. */
+    /** Ejects the upstream unless it is already ejected; its cache may be lost by then. */
     private void eject(long nowMs) {
         if (ejection.eject(nowMs)) {
             prefixCache.clearSent();
         }
     }
 
-    /** Whether requests go elsewhere; after the ejection one request probes it first. */
+    /**
+     * Whether the upstream is excluded from picks. After the ejection time a single request probes
+     * it; until one succeeds, it counts as ejected while a request is in flight.
+     */
     boolean isEjected(long nowMs) {
         return ejection.isEjected(nowMs) || (ejection.isProbing() && ownRequests() > 0);
     }
 
-    /** Smoothed share of requests that failed, 0 to 1. */
+    /** Moving average of the fraction of failed requests, 0 to 1. */
     double errorRate() {
         return ejection.errorRate();
     }
 
-    /** Smoothed time of complete responses, 0 before the first. */
+    /** Moving average of the time to complete a response, 0 before the first. */
     double responseTimeMs() {
         return responseTimeMs;
     }
 
-    /** Takes by how much the first event came later than known work explains. */
+    /** Records the delay of a first event beyond the predicted one. */
     void recordExtraDelay(double delayMs, long nowMs) {
         extraDelay.addSample(delayMs, nowMs);
     }
 
-    /** Delay of first events beyond what known work explains. */
+    /** Expected delay of first events beyond the predicted one, see {@link ExtraDelayEstimate}. */
     double extraDelayMs(long nowMs) {
         return extraDelay.valueMs(nowMs);
     }
 
     /**
-     * Derives the utilisation, by which weights are set, from reports, own requests, delays and
-     * errors; NaN without any fresh ones.
+     * Updates the utilisation, from which weights are computed, using reported loads, own requests,
+     * delays and errors. It is NaN without fresh loads and own requests.
      */
     void updateUtilisation(long nowMs, double msPerToken) {
         refreshInFlight(nowMs);
@@ -263,10 +267,10 @@
             utilisation = Double.NaN;
             return;
         }
-        double ofCapacity = Math.min(1, inFlight() / capacity());
+        double capacityUtilisation = Math.min(1, inFlight() / capacity());
         double backlogTokens = pendingPromptTokens() + peerPromptTokens(nowMs);
         double backlogMs = backlogTokens * msPerToken + extraDelayMs(nowMs);
-        double ofBacklog = Math.min(1, backlogMs / FULL_BACKLOG_MS);
-        utilisation = Math.min(1, Math.max(ofCapacity, ofBacklog) + errorRate());
+        double backlogUtilisation = Math.min(1, backlogMs / FULL_UTILISATION_BACKLOG_MS);
+        utilisation = Math.min(1, Math.max(capacityUtilisation, backlogUtilisation) + errorRate());
     }
 }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -20,38 +20,38 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The upstreams that this balancer knows, by service. An incarnation that drains or is gone never
- * comes back; those of a drained zone take requests again once the zone is taken back. Confined to
- * the event loop.
+ * The upstreams that this balancer knows, by service. An incarnation that is draining or gone is
+ * removed for good. Upstreams of a drained zone are excluded from picks until the zone is
+ * undrained. Confined to the event loop.
  */
 final class UpstreamDirectory {
-    /** Incarnations remembered as left; all are forgotten when there are more. */
-    private static final int MAX_REMEMBERED_LEFT = 5_000;
+    /** Maximum number of removed incarnations to remember; the set is cleared when it is full. */
+    private static final int MAX_REMOVED_IDS = 5_000;
 
     private final Map<String, Upstream> byId = new LinkedHashMap<>();
     private final Map<String, List<Upstream>> availableByService = new HashMap<>();
-    private final Set<String> leftIds = new HashSet<>();
-    private final Set<Upstream> leavingUpstreams = new LinkedHashSet<>();
+    private final Set<String> removedIds = new HashSet<>();
+    private final Set<Upstream> removedUpstreams = new LinkedHashSet<>();
     private List<String> drainedZones = List.of();
-    private final Consumer<Upstream> onLeft;
+    private final Consumer<Upstream> onRemoved;
     private final WarmupContext warmupContext;
     private final Scheduler scheduler;
     private Configuration configuration;
 
-    /** Creates a directory; {@code onLeft} receives upstreams that take no more requests. */
-    UpstreamDirectory(Consumer<Upstream> onLeft, WarmupContext warmupContext, Scheduler scheduler) {
-        this.onLeft = onLeft;
+    /** Creates an empty directory; {@code onRemoved} is called for each upstream it removes. */
+    UpstreamDirectory(Consumer<Upstream> onRemoved, WarmupContext warmupContext, Scheduler scheduler) {
+        this.onRemoved = onRemoved;
         this.warmupContext = warmupContext;
         this.scheduler = scheduler;
     }
 
-    /** Takes the engines of services that were not configured before, and limits of warm-ups. */
+    /** Applies warm-up limits, and the engines of services that were not configured before. */
     void applyConfiguration(Configuration next) {
         configuration = next;
-        byId.values().forEach(this::applyService);
+        byId.values().forEach(this::applyServiceSettings);
     }
 
-    private void applyService(Upstream upstream) {
+    private void applyServiceSettings(Upstream upstream) {
         String name = upstream.record().service;
         Service service = configuration == null ? null : configuration.service(name);
         if (service != null && !upstream.hasEngine()) {
@@ -60,14 +60,14 @@
         upstream.warmup().setAllowance(warmupContext.allowance(service));
     }
 
-    /** Takes a new list of balancers, among which budgets of cold upstreams are divided. */
+    /** Recomputes the ownership of warm-up budgets after the list of balancers changed. */
     void balancersChanged() {
         long sinceMs = warmupContext.ownership().changedAtMs();
         byId.values().forEach(upstream -> upstream.warmup().updateOwnership(sinceMs));
     }
 
-    /** Takes the upstreams of a zone that was evacuated for cold until the primary denies it. */
-    private void zoneReturned(String zone) {
+    /** Treats upstreams of an undrained zone as cold until the primary confirms that they are not. */
+    private void markZoneUnconfirmed(String zone) {
         for (Upstream upstream : byId.values()) {
             if (upstream.record().zone.equals(zone)) {
                 upstream.warmup().markUnconfirmed(scheduler.now());
@@ -76,13 +76,13 @@
     }
 
     /**
-     * Takes records from the control plane.
+     * Applies records from the control plane.
      *
-     * @param complete whether these are all, so that upstreams without a record are gone
+     * @param complete whether the records are the full list, so that other upstreams are gone
      */
     void applyRecords(Collection<InstanceRecord> records, boolean complete) {
         if (records.isEmpty() && !complete) {
-            return; // most poll responses carry no upstreams
+            return; // most poll responses contain no records
         }
         Set<String> ids = new HashSet<>();
         for (InstanceRecord record : records) {
@@ -100,77 +100,77 @@
     }
 
     private void applyRecord(InstanceRecord record) {
-        if (leftIds.contains(record.id)) {
+        if (removedIds.contains(record.id)) {
             return;
         }
-        Upstream known = byId.get(record.id);
+        Upstream existing = byId.get(record.id);
         if (record.isLeaving()) {
-            rememberLeft(record.id);
-            if (known != null) {
-                remove(known, record.stage);
+            rememberRemoved(record.id);
+            if (existing != null) {
+                remove(existing, record.stage);
             }
-        } else if (known == null) {
+        } else if (existing == null) {
             Upstream created = new Upstream(record, warmupContext, scheduler.now());
-            applyService(created);
+            applyServiceSettings(created);
             byId.put(record.id, created);
         } else {
-            updateRecord(known, record);
+            updateRecord(existing, record);
         }
     }
 
-    private void updateRecord(Upstream known, InstanceRecord record) {
-        long knownSequence = known.record().heartbeatSequence;
-        boolean isNewer = record.heartbeatSequence > knownSequence;
-        known.warmup().recordReceived(record, isNewer, scheduler.now());
-        if (knownSequence <= record.heartbeatSequence || known.record().stage != record.stage) {
-            known.updateRecord(record);
+    private void updateRecord(Upstream existing, InstanceRecord record) {
+        long existingSequence = existing.record().heartbeatSequence;
+        boolean isNewer = record.heartbeatSequence > existingSequence;
+        existing.warmup().recordReceived(record, isNewer, scheduler.now());
+        if (existingSequence <= record.heartbeatSequence || existing.record().stage != record.stage) {
+            existing.updateRecord(record);
         }
     }
 
-    private void rememberLeft(String id) {
-        if (leftIds.size() >= MAX_REMEMBERED_LEFT) {
-            leftIds.clear();
+    private void rememberRemoved(String id) {
+        if (removedIds.size() >= MAX_REMOVED_IDS) {
+            removedIds.clear();
         }
-        leftIds.add(id);
+        removedIds.add(id);
     }
 
     private void remove(Upstream upstream, Stage stage) {
         byId.remove(upstream.record().id);
         upstream.updateRecord(upstream.record().withStage(stage));
-        leavingUpstreams.add(upstream);
-        onLeft.accept(upstream);
+        removedUpstreams.add(upstream);
+        onRemoved.accept(upstream);
     }
 
-    /** Removes an incarnation that answered that it is not at its address any more. */
+    /** Removes an incarnation after a response showed that its address belongs to another one. */
     void markGone(Upstream upstream) {
         if (byId.get(upstream.record().id) == upstream) {
-            rememberLeft(upstream.record().id);
+            rememberRemoved(upstream.record().id);
             remove(upstream, Stage.GONE);
             updateAvailable();
         }
     }
 
-    /** Requests in flight at upstreams that take no more; they end where they began. */
+    /** Requests in flight at removed upstreams, where they are allowed to complete. */
     List<InFlightRequests> inFlightAtLeavingUpstreams() {
-        leavingUpstreams.removeIf(upstream -> upstream.ownRequests() == 0);
+        removedUpstreams.removeIf(upstream -> upstream.ownRequests() == 0);
         List<InFlightRequests> inFlight = new ArrayList<>();
-        for (Upstream upstream : leavingUpstreams) {
+        for (Upstream upstream : removedUpstreams) {
             inFlight.add(InFlightRequests.of(upstream.record().id, upstream.ownRequests()));
         }
         return inFlight;
     }
 
-    /** The drained zones that were applied last. */
+    /** The drained zones last applied. */
     List<String> drainedZones() {
         return drainedZones;
     }
 
-    /** Takes the drained zones; what was not sent to their upstreams yet goes elsewhere. */
+    /** Replaces the drained zones; requests not yet sent to their upstreams are sent elsewhere. */
     void applyDrainedZones(List<String> zones) {
         if (zones.equals(drainedZones)) {
             return;
         }
-        drainedZones.stream().filter(zone -> !zones.contains(zone)).forEach(this::zoneReturned);
+        drainedZones.stream().filter(zone -> !zones.contains(zone)).forEach(this::markZoneUnconfirmed);
         drainedZones = List.copyOf(zones);
         updateAvailable();
         for (Upstream upstream : List.copyOf(byId.values())) {
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Leaves out the upstreams of drained zones, and of the others those that are not ready unless
-     * less than half of a service would remain.
+     * Recomputes the available upstreams: those outside drained zones that are ready, or all
+     * outside drained zones if less than half of them are ready.
      */
     private void updateAvailable() {
         availableByService.clear();
@@ -205,12 +205,12 @@
                 });
     }
 
-    /** The upstreams of a service that take requests. */
+    /** The upstreams of a service that may be picked. */
     List<Upstream> available(String service) {
         return availableByService.getOrDefault(service, List.of());
     }
 
-    /** All upstreams that take requests, by service. */
+    /** All upstreams that may be picked, by service. */
     Map<String, List<Upstream>> availableByService() {
         return availableByService;
     }
@@ -220,7 +220,7 @@
         return byId.values();
     }
 
-    /** Takes what the other balancers have in flight; upstreams without a load are idle. */
+    /** Applies the sums of the other balancers' loads; upstreams without a load have none. */
     void applyFleetLoads(List<UpstreamLoad> loads, long nowMs) {
         Map<Integer, UpstreamLoad> byKey = new HashMap<>();
         for (UpstreamLoad load : loads) {
@@ -236,7 +236,7 @@
         }
     }
 
-    /** Takes prompt prefixes that upstreams cache since other balancers sent them there. */
+    /** Applies announcements by other balancers of prompt prefixes that upstreams cache. */
     void applyCachedPrompts(List<CachedPrompt> prompts, long nowMs) {
         if (prompts.isEmpty()) {
             return;
--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -12,25 +12,25 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * Picks the upstream of a request. Candidates are narrowed by health, connections, the budgets of
- * cold upstreams and, for model services, the expected time to the first event; among those left,
- * picks go by weight / (in-flight + 1)^bias, earliest deadline first ({@link
- * EarliestDeadlineFirstScheduler}). Confined to the event loop.
+ * Picks the upstream of a request. Candidates are filtered by health, connection limit, warm-up
+ * limit and, for model services, the expected time to the first event. The pick among the remaining
+ * ones is weighted by weight / (in-flight + 1)^bias, using earliest deadline first scheduling
+ * ({@link EarliestDeadlineFirstScheduler}). Confined to the event loop.
  */
 final class UpstreamPicker {
-    /** Bias for model services, so that a clearly shorter queue nearly always wins. */
+    /** Bias for model services: a clearly shorter queue is nearly always preferred. */
     private static final double MODEL_BIAS = 3;
 
     /** Bias for other services. */
-    private static final double PLAIN_BIAS = 4;
+    private static final double NON_MODEL_BIAS = 4;
 
-    /** Ejected upstreams are picked too if less than this share is healthy. */
-    private static final double PANIC_THRESHOLD = 0.4;
+    /** If a smaller fraction of the upstreams is healthy, ejected ones are picked too. */
+    private static final double PANIC_HEALTHY_FRACTION = 0.4;
 
-    /** Share of an upstream's connection limit that all balancers use together. */
-    private static final double CONNECTION_LIMIT_SHARE = 0.9;
+    /** Fraction of an upstream's connection limit that all balancers together use. */
+    private static final double CONNECTION_LIMIT_FRACTION = 0.9;
 
-    /** Connections that each balancer may open to an upstream in any case. */
+    /** Connections that each balancer may open to an upstream regardless of the limit. */
     private static final int MIN_CONNECTION_LIMIT = 2;
 
     private final UpstreamDirectory directory;
@@ -38,8 +38,8 @@
     private final PrefillTimeEstimator prefillTime;
     private final WeightsRollout weightsRollout;
     private final PrefixCacheAwarePolicy modelPolicy;
-    private final Map<String, EarliestDeadlineFirstScheduler> schedules = new HashMap<>();
-    private int balancers = 1;
+    private final Map<String, EarliestDeadlineFirstScheduler> schedulers = new HashMap<>();
+    private int balancerCount = 1;
 
     UpstreamPicker(
             UpstreamDirectory directory,
@@ -54,12 +54,12 @@
         this.modelPolicy = new PrefixCacheAwarePolicy(fleetLoads, prefillTime, weightsRollout);
     }
 
-    /** Sets the number of balancers that share the upstreams' connection limits. */
+    /** Sets the number of balancers that share the connection limits; at least 1 is assumed. */
     void setBalancers(int count) {
-        balancers = Math.max(1, count);
+        balancerCount = Math.max(1, count);
     }
 
-    /** Carries out a period of the reweighting, service by service. */
+    /** Recomputes the utilisation and weight of all available upstreams; called periodically. */
     void reweight(long nowMs) {
         for (List<Upstream> upstreams : directory.availableByService().values()) {
             for (Upstream upstream : upstreams) {
@@ -72,61 +72,63 @@
     /**
      * Picks an upstream.
      *
-     * @param tried upstreams to which the request was sent already; none of them is picked
-     * @param weightsVersion version of the model weights that began the response, or {@link
-     *     InstanceRecord#UNKNOWN_WEIGHTS_VERSION}; upstreams with this version are preferred
-     * @return null if no upstream can take the request now
+     * @param triedUpstreams upstreams to which the request has already been sent; not picked again
+     * @param weightsVersion version of the model weights that produced the beginning of the
+     *     response, or {@link InstanceRecord#UNKNOWN_WEIGHTS_VERSION} for a new request; upstreams
+     *     with this version are preferred
+     * @return null if no upstream can accept the request now
      */
     PickResult pick(
             Service service,
             PromptSegments prompt,
-            Set<Upstream> tried,
+            Set<Upstream> triedUpstreams,
             long weightsVersion,
             long nowMs) {
         weightsRollout.observe(service.name(), directory.available(service.name()), nowMs);
-        List<Upstream> all = candidates(service, tried, nowMs);
+        List<Upstream> all = candidates(service, triedUpstreams, nowMs);
         List<Upstream> candidates =
                 weightsVersion == InstanceRecord.UNKNOWN_WEIGHTS_VERSION
                         ? weightsRollout.withoutExpired(service.name(), all, nowMs)
-                        : withWeightsVersion(all, weightsVersion);
+                        : preferWeightsVersion(all, weightsVersion);
         if (candidates.isEmpty()) {
             return null;
         }
         return service.engine() == null
-                ? pickPlain(service, candidates, nowMs)
-                : modelPolicy.pick(schedule(service), prompt, candidates, nowMs);
+                ? pickForNonModelService(service, candidates, nowMs)
+                : modelPolicy.pick(schedulerOf(service), prompt, candidates, nowMs);
     }
 
     /**
-     * The load that a request would likely be; picks nothing.
+     * Estimates which upstream a request would be sent to and the load it would add there. Does not
+     * change the state of the scheduler.
      *
-     * @return null if it is not known
+     * @return null for services without a model engine and if no upstream can accept the request
      */
     UpstreamLoad likelyLoad(Service service, PromptSegments prompt, long nowMs) {
         List<Upstream> candidates = candidates(service, Set.of(), nowMs);
         if (service.engine() == null || candidates.isEmpty()) {
             return null;
         }
-        PickResult likely = modelPolicy.cheapest(prompt, candidates, nowMs);
-        return UpstreamLoad.of(likely.upstream().key(), 1, likely.promptTokens());
+        PickResult cheapest = modelPolicy.cheapest(prompt, candidates, nowMs);
+        return UpstreamLoad.of(cheapest.upstream().key(), 1, cheapest.promptTokens());
     }
 
-    /** Whether the shared prefix of a prompt is long enough to announce where it is cached. */
+    /** See {@link PrefixCacheAwarePolicy#shouldAnnounce}. */
     boolean shouldAnnounce(PromptSegments prompt) {
         return modelPolicy.shouldAnnounce(prompt);
     }
 
-    private List<Upstream> candidates(Service service, Set<Upstream> tried, long nowMs) {
+    private List<Upstream> candidates(Service service, Set<Upstream> triedUpstreams, long nowMs) {
         List<Upstream> available = directory.available(service.name());
-        boolean panic = isPanic(available, nowMs);
+        boolean panicMode = isInPanicMode(available, nowMs);
         int limit = connectionLimit(service);
         List<Upstream> candidates = new ArrayList<>();
         for (Upstream upstream : available) {
             boolean connectable =
                     connections.idleConnections(upstream) > 0
                             || connections.openConnections(upstream) < limit;
-            boolean healthy = panic || !upstream.isEjected(nowMs);
-            if (!tried.contains(upstream)
+            boolean healthy = panicMode || !upstream.isEjected(nowMs);
+            if (!triedUpstreams.contains(upstream)
                     && connectable
                     && healthy
                     && upstream.admitsRequest(nowMs)) {
@@ -136,46 +138,46 @@
         return candidates;
     }
 
-    private static boolean isPanic(List<Upstream> upstreams, long nowMs) {
+    private static boolean isInPanicMode(List<Upstream> upstreams, long nowMs) {
         int healthy = 0;
         for (Upstream upstream : upstreams) {
             healthy += upstream.isEjected(nowMs) ? 0 : 1;
         }
-        return healthy < PANIC_THRESHOLD * upstreams.size();
+        return healthy < PANIC_HEALTHY_FRACTION * upstreams.size();
     }
 
-    private static List<Upstream> withWeightsVersion(
+    private static List<Upstream> preferWeightsVersion(
             List<Upstream> candidates, long weightsVersion) {
-        List<Upstream> same = new ArrayList<>();
+        List<Upstream> matching = new ArrayList<>();
         for (Upstream upstream : candidates) {
             if (upstream.record().weightsVersion == weightsVersion) {
-                same.add(upstream);
+                matching.add(upstream);
             }
         }
-        return same.isEmpty() ? candidates : same;
+        return matching.isEmpty() ? candidates : matching;
     }
 
-    /** This balancer's part of the limit that all balancers together keep. */
+    /** Connections that this balancer may open to each upstream of the service. */
     private int connectionLimit(Service service) {
-        double part = CONNECTION_LIMIT_SHARE * service.maxConnections() / balancers;
-        return Math.max(MIN_CONNECTION_LIMIT, (int) part);
+        double limit = CONNECTION_LIMIT_FRACTION * service.maxConnections() / balancerCount;
+        return Math.max(MIN_CONNECTION_LIMIT, (int) limit);
     }
 
-    private EarliestDeadlineFirstScheduler schedule(Service service) {
-        return schedules.computeIfAbsent(
+    private EarliestDeadlineFirstScheduler schedulerOf(Service service) {
+        return schedulers.computeIfAbsent(
                 service.name(),
                 name ->
                         new EarliestDeadlineFirstScheduler(
-                                service.engine() == null ? PLAIN_BIAS : MODEL_BIAS));
+                                service.engine() == null ? NON_MODEL_BIAS : MODEL_BIAS));
     }
 
-    private PickResult pickPlain(Service service, List<Upstream> candidates, long nowMs) {
+    private PickResult pickForNonModelService(Service service, List<Upstream> candidates, long nowMs) {
         for (Upstream upstream : candidates) {
             upstream.refreshInFlight(nowMs);
         }
-        Upstream picked = schedule(service).pick(candidates);
-        double queued = Math.max(0, picked.inFlight() + 1 - picked.capacity());
-        double expectedMs = queued / picked.capacity() * picked.responseTimeMs();
+        Upstream picked = schedulerOf(service).pick(candidates);
+        double queuedRequests = Math.max(0, picked.inFlight() + 1 - picked.capacity());
+        double expectedMs = queuedRequests / picked.capacity() * picked.responseTimeMs();
         return new PickResult(picked, 0, expectedMs, 0, expectedMs, false);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/UpstreamWarmup.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamWarmup.java
@@ -5,50 +5,50 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Whether an upstream may be cold, and how many requests this balancer may send there meanwhile.
- * All balancers together keep the bound without a message: a few of them own the budget of an
- * upstream ({@link WarmupOwnership}), each a fixed part of it, and the others send nothing. See
- * docs/warmup.md.
+ * Tracks whether an upstream may be cold and limits the rate of requests that this balancer sends
+ * there until it is warm. All balancers together observe the limit without exchanging messages: a
+ * few of them own the budget of an upstream ({@link WarmupOwnership}), each a fixed fraction of it,
+ * and the others send nothing. See docs/warmup.md.
  *
  * <p>Confined to the event loop; belongs to one {@link Upstream}.
  */
 final class UpstreamWarmup {
     private static final Logger LOG = LogManager.getLogger(UpstreamWarmup.class);
 
-    /** No failure is known. */
-    private static final long NEVER = Long.MIN_VALUE / 2;
+    /** Value of {@code failedAtMs} if there is no unconfirmed failure. */
+    private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     /**
-     * How long a new owner sends nothing: until the former owners have the list too (a poll's
-     * timeout) and their last requests are a second old.
+     * Time during which a new owner sends nothing: until the previous owners have received the new
+     * list (a poll timeout) and their last requests are a second old.
      */
     private static final long NEW_OWNER_DELAY_MS = 1_750;
 
-    /** What is known; only a warm upstream is without a budget. */
+    /** Warm-up state of an upstream; requests are limited in every state but WARM. */
     enum State {
-        /** Not cold by its record, and nothing happened since that makes it doubtful. */
+        /** Not cold according to its record, and no failure was observed since then. */
         WARM,
-        /** Cold by its record, for a time that runs out here. */
+        /** Cold according to its record, for a time that is measured by the local clock. */
         COLD,
-        /** It failed here and may have come back cold; the primary has not confirmed it yet. */
+        /** It failed here and may have restarted cold, which the primary has not yet ruled out. */
         UNCONFIRMED,
-        /** Lost by its record, until a heartbeat of it was received. */
+        /** Lost according to its record, until a heartbeat from it is received. */
         LOST
     }
 
     private final WarmupContext context;
     private final String id;
     private final long idHash;
-    private final WarmupBudget budget = new WarmupBudget();
+    private final WarmupBudget sentRequests = new WarmupBudget();
     private State state = State.WARM;
     private long coldUntilMs;
-    private long failedAtMs = NEVER;
-    private int allowance = WarmupSettings.UNLIMITED;
-    private int rank;
+    private long failedAtMs = NEVER_MS;
+    private int allowancePerSecond = WarmupSettings.UNLIMITED;
+    private int ownershipRank;
     private boolean isOwner;
     private long ownerSinceMs;
 
-    /** Creates the state of an upstream of which only the id is known yet. */
+    /** Creates the state of an upstream before its first record is applied. */
     UpstreamWarmup(WarmupContext context, String id) {
         this.context = context;
         this.id = id;
@@ -57,41 +57,41 @@
 
     private void transitionTo(State next) {
         if (state != next) {
-            LOG.debug("{} is {} after {}", id, next, state);
+            LOG.debug("upstream {} warm-up state is {}, previously {}", id, next, state);
             state = next;
         }
     }
 
-    /** The state now, which may have ended by time. */
+    /** The state at the given time; performs transitions that are due. */
     State state(long nowMs) {
         if (state == State.COLD && nowMs >= coldUntilMs) {
-            transitionTo(failedAtMs == NEVER ? State.WARM : State.UNCONFIRMED);
+            transitionTo(failedAtMs == NEVER_MS ? State.WARM : State.UNCONFIRMED);
         }
         if (state == State.UNCONFIRMED && context.wasReportedSince(failedAtMs, nowMs)) {
-            failedAtMs = NEVER;
+            failedAtMs = NEVER_MS;
             transitionTo(State.WARM);
         }
         return state;
     }
 
     /**
-     * Takes a record of the upstream.
+     * Applies a record of the upstream.
      *
-     * @param isNewer whether it stems from a later heartbeat than all before; another record may
-     *     come from a node that has not heard everything, so it ends nothing
+     * @param isNewer whether the record contains a later heartbeat than all earlier ones; other
+     *     records may come from a node with incomplete information and never lift the limit
      */
     void recordReceived(InstanceRecord record, boolean isNewer, long nowMs) {
-        long untilMs = nowMs + record.warmupLeftMs();
+        long newColdUntilMs = nowMs + record.warmupLeftMs();
         if (record.stage == InstanceRecord.Stage.LOST) {
             transitionTo(State.LOST);
         } else if (isNewer && record.warmupLeftMs() == 0) {
-            failedAtMs = NEVER;
+            failedAtMs = NEVER_MS;
             transitionTo(State.WARM);
         } else if (isNewer) {
-            coldUntilMs = untilMs;
+            coldUntilMs = newColdUntilMs;
             transitionTo(State.COLD);
         } else if (record.warmupLeftMs() > 0) {
-            coldUntilMs = Math.max(coldUntilMs, untilMs);
+            coldUntilMs = Math.max(coldUntilMs, newColdUntilMs);
             transitionTo(State.COLD);
         } else if (state == State.LOST) {
             failedAtMs = nowMs;
@@ -99,7 +99,7 @@
         }
     }
 
-    /** The upstream may be down, or may have become cold unnoticed. */
+    /** Records that the upstream may be down or may have become cold without being reported. */
     void markUnconfirmed(long nowMs) {
         failedAtMs = nowMs;
         if (state(nowMs) == State.WARM) {
@@ -108,63 +108,66 @@
     }
 
     /**
-     * Sets the requests a second that all balancers of the list may send while the upstream is not
-     * warm.
+     * Sets the number of requests per second that all listed balancers together may send while the
+     * upstream is not warm, or {@link WarmupSettings#UNLIMITED}.
      */
     void setAllowance(int value) {
-        allowance = value;
+        allowancePerSecond = value;
         updateOwnership(context.ownership().changedAtMs());
     }
 
-    /** Takes a new list of balancers, or the first one, which is in use since a time. */
+    /** Recomputes the ownership; {@code sinceMs} is when the list of balancers changed. */
     void updateOwnership(long sinceMs) {
-        rank = context.ownership().rank(idHash);
+        ownershipRank = context.ownership().rank(idHash);
         boolean wasOwner = isOwner;
-        isOwner = rank < owners();
+        isOwner = ownershipRank < ownerCount();
         if (isOwner && !wasOwner) {
             ownerSinceMs = sinceMs;
         }
     }
 
-    private int owners() {
-        return Math.min(allowance, context.ownership().balancers());
+    private int ownerCount() {
+        return Math.min(allowancePerSecond, context.ownership().balancers());
     }
 
-    /** Whether there is a budget now. */
+    /** Whether requests to the upstream are limited now. */
     boolean isLimited(long nowMs) {
-        return allowance != WarmupSettings.UNLIMITED && state(nowMs) != State.WARM;
+        return allowancePerSecond != WarmupSettings.UNLIMITED && state(nowMs) != State.WARM;
     }
 
     /**
-     * Whether one more request may be sent now; counts if not.
+     * Whether one more request may be sent now. If not, increments the counter of withheld requests.
      *
-     * @param reserved requests that wait for a connection, which come first
+     * @param connectingRequests requests that wait for a connection and are sent first
      */
-    boolean admits(int reserved, long nowMs) {
-        boolean isAdmitted = !isLimited(nowMs) || budget.sent(nowMs) + reserved < share(nowMs);
+    boolean admits(int connectingRequests, long nowMs) {
+        boolean isAdmitted = !isLimited(nowMs) || sentRequests.countInWindow(nowMs) + connectingRequests < ownAllowancePerSecond(nowMs);
         if (!isAdmitted) {
             context.counters().countWithheld();
         }
         return isAdmitted;
     }
 
-    /** Records a request that is sent now, warm or not: the upstream may become cold just after. */
+    /**
+     * Records a request that is sent now. Requests to a warm upstream are recorded too, since it
+     * may become cold immediately afterwards.
+     */
     void recordSent(long nowMs) {
-        if (allowance == WarmupSettings.UNLIMITED) {
+        if (allowancePerSecond == WarmupSettings.UNLIMITED) {
             return;
         }
-        budget.record(nowMs);
+        sentRequests.record(nowMs);
         if (isLimited(nowMs)) {
             context.counters().countSent();
         }
     }
 
-    /** Requests a second that this balancer may send; the first owners get what is left over. */
-    private int share(long nowMs) {
+    /** Requests per second that this balancer may send; the first owners get the remainder. */
+    private int ownAllowancePerSecond(long nowMs) {
         if (!isOwner || nowMs - ownerSinceMs < NEW_OWNER_DELAY_MS) {
             return 0;
         }
-        int owners = owners();
-        return allowance / owners + (rank < allowance % owners ? 1 : 0);
+        int ownerCount = ownerCount();
+        return allowancePerSecond / ownerCount + (ownershipRank < allowancePerSecond % ownerCount ? 1 : 0);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/WarmupContext.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupContext.java
@@ -5,8 +5,8 @@
 import myrtleladder.protocol.BalancerAddress;
 
 /**
- * What the warm-ups of all upstreams share: the settings, the list of balancers and the contact
- * with the control plane. Confined to the event loop.
+ * State shared by the {@link UpstreamWarmup}s of all upstreams: settings, the list of balancers,
+ * counters and the contact with the control plane. Confined to the event loop.
  */
 final class WarmupContext {
     private final WarmupSettings settings;
@@ -19,7 +19,7 @@
         this.ownership = new WarmupOwnership(settings.balancer());
     }
 
-    /** The primary of an epoch answered a poll. */
+    /** Records that the primary of this epoch answered a poll. */
     void pollAnswered(long epoch, long nowMs) {
         contact.pollAnswered(epoch, nowMs);
     }
@@ -37,12 +37,12 @@
         return ownership;
     }
 
-    /** See {@link WarmupSettings#allowance}. */
+    /** See {@link WarmupSettings#allowancePerSecond}. */
     int allowance(Service service) {
         return settings.allowance(service);
     }
 
-    /** Whether the primary would have reported by now that an upstream was down at a time. */
+    /** Whether the primary would have reported by now if an upstream had gone down at that time. */
     boolean wasReportedSince(long failedAtMs, long nowMs) {
         return contact.lasted(settings.confirmationMs(), failedAtMs, nowMs);
     }
--- a/src/main/java/myrtleladder/dataplane/WarmupCounters.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupCounters.java
@@ -7,8 +7,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Counts requests to upstreams that are not warm, and logs how many upstreams are in which state
- * whenever that changed. Confined to the event loop.
+ * Counts requests to upstreams that are not warm and logs changes of the number of upstreams in each
+ * warm-up state. Confined to the event loop.
  */
 final class WarmupCounters {
     private static final Logger LOG = LogManager.getLogger(WarmupCounters.class);
@@ -18,17 +18,17 @@
     private Map<UpstreamWarmup.State, Integer> loggedStates =
             new EnumMap<>(UpstreamWarmup.State.class);
 
-    /** A request was sent to an upstream that is not warm. */
+    /** Counts a request sent to an upstream that is not warm. */
     void countSent() {
         sent++;
     }
 
-    /** An upstream was left out for its budget, at a pick or at the moment of sending. */
+    /** Counts a request that the warm-up limit kept from an upstream, when picking or sending. */
     void countWithheld() {
         withheld++;
     }
 
-    /** Logs the states of the upstreams that are not warm if they changed since the last time. */
+    /** Logs the number of upstreams in each state but WARM if it changed since the last call. */
     void logStates(Collection<Upstream> upstreams, long nowMs) {
         Map<UpstreamWarmup.State, Integer> states = new EnumMap<>(UpstreamWarmup.State.class);
         for (Upstream upstream : upstreams) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Both counts as label=count. */
+    /** Both counters as name=value pairs. */
     @Override
     public String toString() {
         return "cold_sent=" + sent + " cold_withheld=" + withheld;
--- a/src/main/java/myrtleladder/dataplane/WarmupOwnership.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupOwnership.java
@@ -3,50 +3,53 @@
 import java.util.List;
 
 /**
- * The order in which the balancers own the budget of a cold upstream, by rendezvous hashing of
- * upstream and balancer over the primary's list: all balancers with the same list agree on it
- * without a message, and a balancer more or less changes one owner at most. Confined to the event
- * loop.
+ * Ranks the balancers as owners of the warm-up budget of an upstream, by rendezvous hashing of
+ * upstream and balancer over the primary's list of balancers. All balancers with the same list agree
+ * on the ranks without exchanging messages, and adding or removing a balancer changes at most one
+ * owner. Confined to the event loop.
  */
 final class WarmupOwnership {
-    private final String balancer;
-    private final long balancerHash;
-    private long[] listHashes = {};
+    private final String ownName;
+    private final long ownHash;
+    private long[] balancerHashes = {};
     private boolean isListed;
     private long changedAtMs;
 
-    /** Creates the order of an empty list; {@code balancer} is the name of this one. */
-    WarmupOwnership(String balancer) {
-        this.balancer = balancer;
-        this.balancerHash = StableHash.of(balancer);
+    /** Creates an instance with an empty list; {@code ownName} is the name of this balancer. */
+    WarmupOwnership(String ownName) {
+        this.ownName = ownName;
+        this.ownHash = StableHash.of(ownName);
     }
 
-    /** Replaces the list of the names of all balancers. */
+    /** Replaces the list of balancer names. */
     void setBalancers(List<String> names, long nowMs) {
-        listHashes = names.stream().mapToLong(StableHash::of).toArray();
-        isListed = names.contains(balancer);
+        balancerHashes = names.stream().mapToLong(StableHash::of).toArray();
+        isListed = names.contains(ownName);
         changedAtMs = nowMs;
     }
 
-    /** When the list was replaced last. */
+    /** Time of the last replacement of the list. */
     long changedAtMs() {
         return changedAtMs;
     }
 
-    /** The number of balancers on the list. */
+    /** Number of listed balancers. */
     int balancers() {
-        return listHashes.length;
+        return balancerHashes.length;
     }
 
-    /** The place of this balancer for an upstream, from 0; behind all if it is not listed. */
+    /**
+     * The rank of this balancer for an upstream, from 0. If this balancer is not listed, the rank is
+     * the number of listed balancers, so that it owns no budget.
+     */
     int rank(long upstreamHash) {
         if (!isListed) {
-            return listHashes.length;
+            return balancerHashes.length;
         }
-        long own = StableHash.mix(upstreamHash ^ balancerHash);
+        long ownScore = StableHash.mix(upstreamHash ^ ownHash);
         int rank = 0;
-        for (long listed : listHashes) {
-            rank += StableHash.mix(upstreamHash ^ listed) > own ? 1 : 0;
+        for (long listed : balancerHashes) {
+            rank += StableHash.mix(upstreamHash ^ listed) > ownScore ? 1 : 0;
         }
         return rank;
     }
--- a/src/main/java/myrtleladder/dataplane/WarmupSettings.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupSettings.java
@@ -3,39 +3,39 @@
 import myrtleladder.configuration.Service;
 
 /**
- * What limits the requests to cold upstreams.
+ * Settings of the limit on requests to cold upstreams.
  *
  * @param balancer name of this balancer
- * @param overage factor of a service's {@code warmup_per_s}
- * @param slack requests a second beyond that
- * @param heartbeatMs interval of the upstreams' heartbeats
+ * @param overageFactor factor applied to a service's {@code warmup_per_s}
+ * @param slackPerSecond requests per second allowed in addition
+ * @param heartbeatMs interval between heartbeats of an upstream
  */
-record WarmupSettings(String balancer, double overage, double slack, long heartbeatMs) {
-    /** Value of {@link #allowance} for services without a limit. */
+record WarmupSettings(String balancer, double overageFactor, double slackPerSecond, long heartbeatMs) {
+    /** Value of {@link #allowancePerSecond} for services without a limit. */
     static final int UNLIMITED = -1;
 
-    /** Two lists of balancers may be in use at a time, each with half of what is allowed. */
-    private static final int LISTS_IN_USE = 2;
+    /** Two lists of balancers may be in use at the same time, each with half of the limit. */
+    private static final int MAX_CONCURRENT_LISTS = 2;
 
-    /** Heartbeat intervals in which the primary has reported an upstream that was down. */
-    private static final int INTERVALS_UNTIL_REPORTED = 4;
+    /** Heartbeat intervals within which the primary reports an upstream that is down. */
+    private static final int REPORT_HEARTBEAT_INTERVALS = 4;
 
-    /** The time that a report takes from the primary to a balancer. */
+    /** Delay of a report from the primary to a balancer. */
     private static final long REPORT_DELAY_MS = 200;
 
     /**
-     * Requests a second that the balancers of one list may send to a cold upstream of a service,
-     * {@link #UNLIMITED} if the service is unknown (null) or has no limit.
+     * Requests per second that all balancers of one list together may send to a cold upstream of a
+     * service; {@link #UNLIMITED} if the service is unknown (null) or has no limit.
      */
     int allowance(Service service) {
         if (service == null || service.warmupPerSecond() <= 0) {
             return UNLIMITED;
         }
-        return (int) ((service.warmupPerSecond() * overage + slack) / LISTS_IN_USE);
+        return (int) ((service.warmupPerSecond() * overageFactor + slackPerSecond) / MAX_CONCURRENT_LISTS);
     }
 
-    /** The time from a failure until the primary has reported if the upstream was down, in ms. */
+    /** Time after a failure within which the primary reports the upstream if it is down. */
     long confirmationMs() {
-        return INTERVALS_UNTIL_REPORTED * heartbeatMs + REPORT_DELAY_MS;
+        return REPORT_HEARTBEAT_INTERVALS * heartbeatMs + REPORT_DELAY_MS;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/WeightsRollout.java
+++ b/src/main/java/myrtleladder/dataplane/WeightsRollout.java
@@ -6,44 +6,45 @@
 import java.util.Map;
 
 /**
- * Follows the versions of the model weights while upstreams are upgraded, so that new requests
- * begin on the newest. As long as few upstreams have it, older ones are picked too where the newest
- * would take clearly longer; once the bound of the deployment has passed, only if no upstream with
- * the newest can take a request.
+ * Tracks the versions of the model weights while upstreams are upgraded, so that new requests start
+ * on the newest version. During the grace period, an upstream with older weights is still picked if
+ * those with the newest version would take clearly longer; afterwards, only if no upstream with the
+ * newest version can accept the request.
  *
  * <p>Confined to the event loop.
  */
 final class WeightsRollout {
     /**
-     * What a request costs more on older weights, as time; a request that is late by a third of the
-     * shortest latency target is worth less than one on older weights.
+     * Extra cost of an upstream with older weights, as time. It is a third of the shortest latency
+     * target: a request that is delayed by more than that is better served with older weights.
      */
     static final double OLDER_WEIGHTS_COST_MS = 200;
 
-    /** How long before the bound older weights are avoided already; a send takes less. */
-    private static final long BOUND_MARGIN_MS = 200;
+    /** Older weights are avoided this long before the grace period ends; a send takes less time. */
+    private static final long GRACE_PERIOD_MARGIN_MS = 200;
 
-    private final long boundMs;
-    private final Map<String, Newest> newestByService = new HashMap<>();
+    private final long gracePeriodMs;
+    private final Map<String, NewestVersion> newestByService = new HashMap<>();
 
-    /** The newest version that ready upstreams of a service have, and since when it is known. */
-    private record Newest(long version, long sinceMs) {}
+    /** Newest version among the available upstreams of a service and when it was first seen. */
+    private record NewestVersion(long version, long sinceMs) {}
 
     /**
-     * Creates it.
+     * Creates an instance that has not seen any versions.
      *
-     * @param boundMs time after which requests may not begin on older weights, 0 if there is none
+     * @param gracePeriodMs time from the first upstream with a new version after which requests may
+     *     not start on older weights, 0 if unlimited
      */
-    WeightsRollout(long boundMs) {
-        this.boundMs = boundMs;
+    WeightsRollout(long gracePeriodMs) {
+        this.gracePeriodMs = gracePeriodMs;
     }
 
-    /** Takes the upstreams of a service that are available now. */
+    /** Updates the newest version from the available upstreams of a service. */
     void observe(String service, List<Upstream> available, long nowMs) {
         long version = newestVersion(available);
-        Newest known = newestByService.get(service);
-        if (known == null || known.version != version) {
-            newestByService.put(service, new Newest(version, nowMs));
+        NewestVersion current = newestByService.get(service);
+        if (current == null || current.version != version) {
+            newestByService.put(service, new NewestVersion(version, nowMs));
         }
     }
 
@@ -55,13 +56,16 @@
         return newest;
     }
 
-    /** The candidates for a new request: without older weights once the bound has passed. */
+    /**
+     * Filters the candidates for a new request: after the grace period, those with the newest
+     * version if there are any; otherwise all.
+     */
     List<Upstream> withoutExpired(String service, List<Upstream> candidates, long nowMs) {
-        Newest newest = newestByService.get(service);
+        NewestVersion newest = newestByService.get(service);
         boolean expired =
-                boundMs > 0
+                gracePeriodMs > 0
                         && newest != null
-                        && nowMs - newest.sinceMs >= boundMs - BOUND_MARGIN_MS;
+                        && nowMs - newest.sinceMs >= gracePeriodMs - GRACE_PERIOD_MARGIN_MS;
         if (!expired) {
             return candidates;
         }
@@ -74,10 +78,10 @@
         return upgraded.isEmpty() ? candidates : upgraded;
     }
 
-    /** What a new request costs at an upstream for its weights, in ms. */
+    /** Extra cost of a new request at an upstream due to the version of its weights. */
     double costMs(Upstream upstream) {
-        Newest newest = newestByService.get(upstream.record().service);
-        boolean older = newest != null && upstream.record().weightsVersion < newest.version;
-        return older ? OLDER_WEIGHTS_COST_MS : 0;
+        NewestVersion newest = newestByService.get(upstream.record().service);
+        boolean hasOlderWeights = newest != null && upstream.record().weightsVersion < newest.version;
+        return hasOlderWeights ? OLDER_WEIGHTS_COST_MS : 0;
     }
 }
--- a/src/test/java/myrtleladder/dataplane/ColdUpstreamTest.java
+++ b/src/test/java/myrtleladder/dataplane/ColdUpstreamTest.java
@@ -13,10 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What one upstream that may be cold gets from all balancers of a fleet together. */
+/**
+ * Limit on the requests that all balancers of a fleet together send to an upstream that may be cold.
+ */
 class ColdUpstreamTest {
-    private static final double PER_SECOND = 8.4;
-    private static final double ALLOWED = PER_SECOND * 1.5 + 5;
+    private static final double WARMUP_PER_SECOND = 8.4;
+    private static final double MAX_REQUESTS_PER_SECOND = WARMUP_PER_SECOND * 1.5 + 5;
     private static final long STEP_MS = 50;
     private static final String DOCUMENT =
             RoutesDocument.TEXT.replace("{'name':'m',", "{'name':'m','warmup_per_s':8.4,");
@@ -24,7 +26,7 @@
     private final ManualScheduler clock = new ManualScheduler();
     private final List<DataPlaneContext> fleet = new ArrayList<>();
     private final List<Long> sentAtMs = new ArrayList<>();
-    private boolean isDark;
+    private boolean isUnreachable;
 
     private static InstanceRecord record(Stage stage, long sequence, long warmupLeftMs) {
         return InstanceRecord.of("m1", "m", "10.0.0.1:80", "z", 64, "v1", stage, sequence)
@@ -45,13 +47,16 @@
         for (int i = 0; i < balancers; i++) {
             fleet.add(start(i));
         }
-        tellList(0, balancers, 0, balancers);
-        play(2_000);
+        setBalancerList(0, balancers, 0, balancers);
+        runTraffic(2_000);
         sentAtMs.clear();
     }
 
-    /** Tells some balancers that the list holds the balancers from a number up to another. */
-    private void tellList(int from, int to, int firstListed, int endListed) {
+    /**
+     * Sets the balancer list of the balancers {@code from} to {@code to - 1} to the balancers {@code
+     * firstListed} to {@code endListed - 1}.
+     */
+    private void setBalancerList(int from, int to, int firstListed, int endListed) {
         List<BalancerAddress> list = new ArrayList<>();
         for (int i = firstListed; i < endListed; i++) {
             list.add(BalancerAddress.of("b" + i, "b" + i + ":1"));
@@ -59,15 +64,15 @@
         fleet.subList(from, to).forEach(balancer -> balancer.dataPlane.setBalancerList(list));
     }
 
-    private void tellRecord(InstanceRecord record) {
+    private void applyRecord(InstanceRecord record) {
         fleet.forEach(balancer -> balancer.update(record));
     }
 
-    /** Every balancer gets a request at each step; the upstream answers unless it is dark. */
-    private void play(long durationMs) {
+    /** Every balancer gets a request at each step; the upstream responds unless unreachable. */
+    private void runTraffic(long durationMs) {
         for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += STEP_MS) {
             for (DataPlaneContext balancer : fleet) {
-                balancer.connections.neverConnects = isDark;
+                balancer.connections.neverConnects = isUnreachable;
                 balancer.send("/s/1");
                 balancer.connections.sent.forEach(this::answer);
                 balancer.connections.sent.clear();
@@ -83,148 +88,148 @@
         request.completeResponse();
     }
 
-    private int mostInASecond() {
-        int most = 0;
+    private int maxRequestsInOneSecond() {
+        int maximum = 0;
         for (long begin : sentAtMs) {
-            long inSecond = sentAtMs.stream().filter(t -> t >= begin && t - begin < 1_000).count();
-            most = Math.max(most, (int) inSecond);
+            long inSecond = sentAtMs.stream().filter(timeMs -> timeMs >= begin && timeMs - begin < 1_000).count();
+            maximum = Math.max(maximum, (int) inSecond);
         }
-        return most;
+        return maximum;
     }
 
     private void assertWithinAllowance() {
-        assertTrue(mostInASecond() <= ALLOWED, mostInASecond() + " requests in a second");
+        assertTrue(maxRequestsInOneSecond() <= MAX_REQUESTS_PER_SECOND, maxRequestsInOneSecond() + " requests in a second");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 6, 56, 94, 440})
-    void coldUpstreamIsNotFloodedAndStillUsedByAFleetOf(int balancers) {
+    void coldUpstreamIsLimitedButStillUsedByAFleetOf(int balancers) {
         startFleet(balancers);
-        play(1_000);
+        runTraffic(1_000);
         assertTrue(sentAtMs.size() >= 20 * balancers, "warm: " + sentAtMs.size());
         clock.run(1_000);
         sentAtMs.clear();
-        tellRecord(record(Stage.READY, 2, 3_000));
-        play(2_900);
+        applyRecord(record(Stage.READY, 2, 3_000));
+        runTraffic(2_900);
         assertWithinAllowance();
-        assertTrue(sentAtMs.size() >= 2.9 * PER_SECOND / 2, "used: " + sentAtMs.size());
-        play(1_200);
-        assertTrue(mostInASecond() > ALLOWED);
+        assertTrue(sentAtMs.size() >= 2.9 * WARMUP_PER_SECOND / 2, "used: " + sentAtMs.size());
+        runTraffic(1_200);
+        assertTrue(maxRequestsInOneSecond() > MAX_REQUESTS_PER_SECOND);
     }
 
     @Test
-    void listsThatChangeWhileAnUpstreamIsColdDoNotAddUp() {
+    void changingBalancerListsDoNotRaiseTheTotalAboveTheLimit() {
         startFleet(36);
         clock.run(1_000);
-        tellRecord(record(Stage.READY, 2, 20_000));
+        applyRecord(record(Stage.READY, 2, 20_000));
         for (int round = 0; round < 12; round++) {
             int firstListed = round % 3 * 12;
-            tellList(0, 36, firstListed, firstListed + 12);
-            play(300);
+            setBalancerList(0, 36, firstListed, firstListed + 12);
+            runTraffic(300);
         }
         assertWithinAllowance();
-        play(4_000);
-        assertTrue(sentAtMs.size() >= PER_SECOND, "used: " + sentAtMs.size());
+        runTraffic(4_000);
+        assertTrue(sentAtMs.size() >= WARMUP_PER_SECOND, "used: " + sentAtMs.size());
     }
 
     @Test
-    void balancersWithAStaleListBehindACutDoNotAddUpWithTheOthers() {
+    void partitionedBalancersWithAnOldListStayWithinTheLimitTogether() {
         startFleet(56);
         clock.run(1_000);
-        tellRecord(record(Stage.READY, 2, 8_000));
-        tellList(28, 56, 28, 56);
-        play(4_000);
-        tellList(0, 28, 0, 28);
-        play(3_000);
+        applyRecord(record(Stage.READY, 2, 8_000));
+        setBalancerList(28, 56, 28, 56);
+        runTraffic(4_000);
+        setBalancerList(0, 28, 0, 28);
+        runTraffic(3_000);
         assertWithinAllowance();
     }
 
     @Test
-    void balancersThatRestartDoNotSpendTheirPartsTwice() {
+    void restartedBalancersStayWithinTheLimit() {
         startFleet(6);
         clock.run(1_000);
-        tellRecord(record(Stage.READY, 2, 9_000));
+        applyRecord(record(Stage.READY, 2, 9_000));
         for (int restart = 0; restart < 8; restart++) {
-            play(200);
+            runTraffic(200);
             for (int i = 0; i < 6; i++) {
                 fleet.set(i, start(i));
             }
-            tellRecord(record(Stage.READY, 2, 5_000));
-            tellList(0, 6, 0, 6);
+            applyRecord(record(Stage.READY, 2, 5_000));
+            setBalancerList(0, 6, 0, 6);
         }
-        play(3_000);
+        runTraffic(3_000);
         assertWithinAllowance();
     }
 
     @Test
-    void warmupThatIsAnnouncedAgainLastsLonger() {
+    void repeatedWarmupReportExtendsTheLimit() {
         startFleet(56);
         clock.run(1_000);
-        tellRecord(record(Stage.READY, 2, 3_000));
-        play(2_000);
-        tellRecord(record(Stage.READY, 3, 3_000));
-        play(2_900);
+        applyRecord(record(Stage.READY, 2, 3_000));
+        runTraffic(2_000);
+        applyRecord(record(Stage.READY, 3, 3_000));
+        runTraffic(2_900);
         assertWithinAllowance();
     }
 
     @Test
-    void upstreamThatComesBackColdBeforeItIsReportedLostIsNotFlooded() {
+    void upstreamThatReturnsColdBeforeItIsReportedLostIsLimited() {
         startFleet(56);
-        isDark = true;
-        play(3_000);
-        isDark = false;
-        play(1_000);
-        tellRecord(record(Stage.READY, 9, 3_000));
-        play(2_900);
+        isUnreachable = true;
+        runTraffic(3_000);
+        isUnreachable = false;
+        runTraffic(1_000);
+        applyRecord(record(Stage.READY, 9, 3_000));
+        runTraffic(2_900);
         assertWithinAllowance();
-        assertTrue(sentAtMs.size() >= 3.9 * PER_SECOND / 2, "used: " + sentAtMs.size());
+        assertTrue(sentAtMs.size() >= 3.9 * WARMUP_PER_SECOND / 2, "used: " + sentAtMs.size());
     }
 
     @Test
-    void failedUpstreamIsUnlimitedAgainOnlyWhileThePrimaryAnswers() {
+    void limitAfterAFailureEndsOnlyWhileThePrimaryAnswers() {
         startFleet(56);
-        isDark = true;
-        play(600);
-        isDark = false;
+        isUnreachable = true;
+        runTraffic(600);
+        isUnreachable = false;
         clock.run(60_000);
-        play(1_000);
+        runTraffic(1_000);
         assertWithinAllowance();
         for (int poll = 0; poll <= 10; poll++) {
             fleet.forEach(balancer -> balancer.dataPlane.pollAnswered(1));
             clock.run(500);
         }
-        play(1_000);
-        assertTrue(mostInASecond() > ALLOWED);
+        runTraffic(1_000);
+        assertTrue(maxRequestsInOneSecond() > MAX_REQUESTS_PER_SECOND);
     }
 
     @Test
-    void recordsOfANewPrimaryDoNotEndWhatTheFormerOneReported() {
+    void recordsOfANewPrimaryDoNotEndTheWarmupReportedByThePreviousOne() {
         startFleet(56);
         clock.run(1_000);
-        tellRecord(record(Stage.READY, 2, 3_000));
-        tellRecord(record(Stage.READY, 2, 0));
-        play(1_000);
-        tellRecord(record(Stage.LOST, 2, 0));
-        tellRecord(record(Stage.READY, 2, 0));
-        play(4_000);
+        applyRecord(record(Stage.READY, 2, 3_000));
+        applyRecord(record(Stage.READY, 2, 0));
+        runTraffic(1_000);
+        applyRecord(record(Stage.LOST, 2, 0));
+        applyRecord(record(Stage.READY, 2, 0));
+        runTraffic(4_000);
         assertWithinAllowance();
     }
 
     @Test
-    void zoneThatIsTakenBackIsLimitedUntilItsUpstreamsReport() {
+    void undrainedZoneIsLimitedUntilItsUpstreamsReport() {
         startFleet(56);
         clock.run(1_000);
         fleet.forEach(balancer -> balancer.dataPlane.directory().applyDrainedZones(List.of("z")));
         fleet.forEach(balancer -> balancer.dataPlane.directory().applyDrainedZones(List.of()));
-        play(1_000);
+        runTraffic(1_000);
         assertWithinAllowance();
-        tellRecord(record(Stage.READY, 2, 0));
-        play(1_000);
-        assertTrue(mostInASecond() > ALLOWED);
+        applyRecord(record(Stage.READY, 2, 0));
+        runTraffic(1_000);
+        assertTrue(maxRequestsInOneSecond() > MAX_REQUESTS_PER_SECOND);
     }
 
     @Test
-    void requestThatWaitedForItsConnectionIsWithheldIfTheUpstreamBecameCold() {
+    void connectingRequestIsWithheldIfTheUpstreamBecomesCold() {
         DataPlaneContext balancer = start(0);
         balancer.connections.holdsConnections = true;
         ScriptedClient client = balancer.send("/s/1");
--- a/src/test/java/myrtleladder/dataplane/CoreQuotaTest.java
+++ b/src/test/java/myrtleladder/dataplane/CoreQuotaTest.java
@@ -10,36 +10,36 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A balancer whose share of a core is a quota: it runs for a while and stands still for the rest of
- * each tenth of a second. Its own pauses are not taken for those of upstreams.
+ * A balancer under a CPU quota runs for a part of each 100 ms period and is paused for the rest. It
+ * must not mistake its own pauses for unresponsive upstreams.
  */
 class CoreQuotaTest {
     private static final long RUNNING_MS = 10;
-    private static final long STANDING_STILL_MS = 90;
+    private static final long PAUSED_MS = 90;
     private static final int PERIODS = 100;
 
-    /** An upstream answers so many periods after the request. */
-    private static final int ANSWERED_AFTER = 3;
+    /** Number of periods after which an upstream responds. */
+    private static final int RESPONSE_DELAY_PERIODS = 3;
 
     private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
 
-    private void nextPeriod() {
-        context.clock.freeze(STANDING_STILL_MS);
+    private void runPeriod() {
+        context.clock.freeze(PAUSED_MS);
         context.clock.run(RUNNING_MS);
     }
 
     @Test
-    void noUpstreamIsTakenForUnresponsiveAndNoRequestGivenUp() {
+    void ownPausesDoNotMakeUpstreamsUnresponsiveOrFailRequests() {
         List<ScriptedClient> clients = new ArrayList<>();
         for (int period = 0; period < PERIODS; period++) {
-            nextPeriod();
+            runPeriod();
             clients.add(context.send(period % 2 == 0 ? "/i/" + period : "/s/" + period));
-            int answered = context.connections.sent.size() - 1 - ANSWERED_AFTER;
-            if (answered >= 0) {
-                answer(context.connections.sent.get(answered));
+            int respondedIndex = context.connections.sent.size() - 1 - RESPONSE_DELAY_PERIODS;
+            if (respondedIndex >= 0) {
+                respond(context.connections.sent.get(respondedIndex));
             }
         }
-        for (int i = 0; i < clients.size() - ANSWERED_AFTER; i++) {
+        for (int i = 0; i < clients.size() - RESPONSE_DELAY_PERIODS; i++) {
             assertEquals(200, clients.get(i).status, "request " + i);
         }
         assertEquals(PERIODS, context.connections.sent.size(), "nothing was sent twice");
@@ -49,7 +49,7 @@
         }
     }
 
-    private static void answer(SentRequest sent) {
+    private static void respond(SentRequest sent) {
         sent.respondHead(200);
         if (sent.head.target().startsWith("/s/")) {
             sent.sendEvent(1);
--- a/src/test/java/myrtleladder/dataplane/DrainedZoneTest.java
+++ b/src/test/java/myrtleladder/dataplane/DrainedZoneTest.java
@@ -11,7 +11,7 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Nothing new is sent to the upstreams of a zone that an operator has drained. */
+/** No new requests are sent to upstreams of a zone that an operator has drained. */
 class DrainedZoneTest {
     private static final List<String> EAST = List.of("east");
     private static final List<String> BOTH = List.of("east", "west");
@@ -24,13 +24,13 @@
     private final ScriptedConnectionPool connections = context.connections;
     private final UpstreamDirectory directory = context.dataPlane.directory();
 
-    /** Of each service two upstreams in the east and one in the west. */
-    private static List<InstanceRecord> records(Stage western) {
+    /** Two upstreams of each service in the east and one in the west. */
+    private static List<InstanceRecord> records(Stage westernStage) {
         List<InstanceRecord> records = new ArrayList<>();
         for (String service : List.of("m", "p")) {
             records.add(record(service + "1", service, "east", Stage.READY));
             records.add(record(service + "2", service, "east", Stage.READY));
-            records.add(record(service + "3", service, "west", western));
+            records.add(record(service + "3", service, "west", westernStage));
         }
         return records;
     }
@@ -43,7 +43,7 @@
         return connections.lastSent().upstream.record().id;
     }
 
-    private ScriptedClient sendWhereTheEastIsPicked() {
+    private ScriptedClient sendToTheEast() {
         directory.applyDrainedZones(List.of("west"));
         ScriptedClient client = context.send("/s/1");
         directory.applyDrainedZones(List.of());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void requestsGoToTheOtherZonesUntilTheZoneIsTakenBack() {
+    void requestsGoToOtherZonesUntilTheZoneIsUndrained() {
         directory.applyDrainedZones(EAST);
         for (int i = 0; i < 5; i++) {
             context.send("/s/" + i);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void lostUpstreamIsTriedRatherThanADrainedOne() {
+    void lostUpstreamIsPreferredToADrainedOne() {
         directory.applyDrainedZones(EAST);
         directory.applyRecords(records(Stage.LOST), true);
         context.send("/u/1");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void ejectedUpstreamIsTriedRatherThanADrainedOne() {
+    void ejectedUpstreamIsPreferredToADrainedOne() {
         directory.applyDrainedZones(EAST);
         directory
                 .available("p")
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void requestWithoutAnUndrainedUpstreamIsRejectedWithARetryTime() {
+    void requestIsRejectedWithARetryDelayIfAllZonesAreDrained() {
         directory.applyDrainedZones(BOTH);
         ScriptedClient client = context.send("/s/1");
         assertEquals(503, client.status);
@@ -91,16 +91,16 @@
     }
 
     @Test
-    void retryOfARequestThatBeganInADrainedZoneGoesElsewhere() {
-        sendWhereTheEastIsPicked();
+    void retryAfterAFailureInADrainedZoneGoesElsewhere() {
+        sendToTheEast();
         directory.applyDrainedZones(EAST);
         connections.lastSent().loseConnection();
         assertEquals("m3", lastUpstream());
     }
 
     @Test
-    void streamEndsWhereItRunsAndIsResumedElsewhere() {
-        ScriptedClient client = sendWhereTheEastIsPicked();
+    void streamContinuesInTheDrainedZoneAndIsResumedElsewhereAfterAFailure() {
+        ScriptedClient client = sendToTheEast();
         SentRequest running = connections.lastSent();
         running.respondHead(200);
         running.sendEvent(1);
@@ -119,9 +119,9 @@
     }
 
     @Test
-    void requestWhoseConnectionIsBeingOpenedGoesElsewhereAndEjectsNothing() {
+    void connectingRequestGoesElsewhereWithoutAnEjection() {
         connections.neverConnects = true;
-        ScriptedClient client = sendWhereTheEastIsPicked();
+        ScriptedClient client = sendToTheEast();
         connections.neverConnects = false;
         directory.applyDrainedZones(EAST);
         assertEquals("m3", lastUpstream());
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void connectingRequestWithoutAnotherZoneIsRejectedOnce() {
+    void connectingRequestIsRejectedOnceIfAllZonesAreDrained() {
         connections.neverConnects = true;
         ScriptedClient client = context.send("/u/1");
         directory.applyDrainedZones(BOTH);
--- a/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which loads and prefixes a balancer reports, and which it takes from others. */
+/** Loads and prefixes that a balancer reports, and those that it applies from other balancers. */
 class FleetLoadSyncTest {
     private static final long NOW_MS = 50_000;
     private static final PromptSegments PROMPT = PromptSegments.parse("a:5000,b:300");
@@ -44,18 +44,18 @@
     @Test
     void announcementIsRepeatedUntilAResponseAcknowledgesIt() {
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
-        LoadReport lost = fleetLoads.createReport();
-        assertEquals(PROMPT.sharedPrefixHash(), lost.cachedPrompts.get(0).prefixHash);
-        assertEquals(upstream.key(), lost.cachedPrompts.get(0).upstreamKey);
+        LoadReport unacknowledged = fleetLoads.createReport();
+        assertEquals(PROMPT.sharedPrefixHash(), unacknowledged.cachedPrompts.get(0).prefixHash);
+        assertEquals(upstream.key(), unacknowledged.cachedPrompts.get(0).upstreamKey);
         LoadReport second = fleetLoads.createReport();
         assertEquals(1, second.cachedPrompts.size());
-        assertTrue(second.sequence > lost.sequence);
+        assertTrue(second.sequence > unacknowledged.sequence);
         fleetLoads.applyResponse(second, response(3, 1), NOW_MS);
         assertEquals(List.of(), fleetLoads.createReport().cachedPrompts);
     }
 
     @Test
-    void announcedPrefixIsNotAnnouncedAgainForAWhile() {
+    void prefixIsAnnouncedAgainOnlyAfterAnInterval() {
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
         fleetLoads.applyResponse(fleetLoads.createReport(), response(3, 1), NOW_MS);
         fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 1_000);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void peerLoadsCountLessWithAgeAndThenNotAtAll() {
+    void weightOfPeerLoadsFallsToZeroWithAge() {
         FleetLoads response = response(3, 1);
         response.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
         fleetLoads.applyResponse(fleetLoads.createReport(), response, NOW_MS);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void upstreamWithoutAPeerLoadIsIdle() {
+    void upstreamMissingFromAResponseHasNoPeerLoad() {
         FleetLoads withLoad = response(3, 1);
         withLoad.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
         fleetLoads.applyResponse(fleetLoads.createReport(), withLoad, NOW_MS);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void primaryWithoutSumsLeavesPeerLoadsUnchanged() {
+    void responseWithoutKnownLoadsLeavesPeerLoadsUnchanged() {
         FleetLoads withLoad = response(3, 1);
         withLoad.loads.add(UpstreamLoad.of(upstream.key(), 4, 8_000));
         fleetLoads.applyResponse(fleetLoads.createReport(), withLoad, NOW_MS);
@@ -112,11 +112,11 @@
     }
 
     @Test
-    void prefixesThatOthersAnnouncedCountAsCached() {
+    void prefixesAnnouncedByOtherBalancersCountAsCached() {
         FleetLoads response = response(3, 7);
         response.cachedPrompts.add(CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key()));
         response.cachedPrompts.add(
-                CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key() + 1)); // not known here
+                CachedPrompt.of(PROMPT.sharedPrefixHash(), upstream.key() + 1)); // unknown upstream
         fleetLoads.applyResponse(fleetLoads.createReport(), response, NOW_MS);
         assertEquals(5_000, upstream.prefixCache().cachedTokens(PROMPT, NOW_MS));
         assertEquals(7, fleetLoads.createReport().promptRevision);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void pendingLoadIsReportedWhileTheRequestWaitsForItsQuota() {
+    void pendingLoadIsReportedWhileTheRequestWaitsForQuota() {
         fleetLoads.setPendingLoad(() -> UpstreamLoad.of(upstream.key(), 1, 5_300));
         assertEquals(5_300, fleetLoads.createReport().loads.get(0).pendingPromptTokens);
         fleetLoads.setPendingLoad(FleetLoadSync.NO_PENDING_LOAD);
--- a/src/test/java/myrtleladder/dataplane/OutlierEjectionTest.java
+++ b/src/test/java/myrtleladder/dataplane/OutlierEjectionTest.java
@@ -6,21 +6,21 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Ejections of an upstream by its failures. */
+/** Ejections of an upstream after failures. */
 class OutlierEjectionTest {
     private static final long NOW_MS = 10_000;
 
     private final OutlierEjection ejection = new OutlierEjection();
 
     @Test
-    void thirdConsecutiveFailureEjects() {
+    void thirdConsecutiveFailureLeadsToEjection() {
         assertFalse(ejection.recordFailure());
         assertFalse(ejection.recordFailure());
         assertTrue(ejection.recordFailure());
     }
 
     @Test
-    void successEndsTheRowOfFailures() {
+    void successResetsConsecutiveFailures() {
         ejection.recordFailure();
         ejection.recordFailure();
         ejection.recordSuccess();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void ejectionsDoubleUpToABoundAndSuccessResetsThem() {
+    void ejectionTimeDoublesUpToAMaximumAndIsResetBySuccess() {
         long nowMs = NOW_MS;
         for (long durationMs : new long[] {700, 1_400, 2_800, 5_600, 6_000, 6_000}) {
             assertTrue(ejection.eject(nowMs));
@@ -44,14 +44,14 @@
     }
 
     @Test
-    void ejectedUpstreamIsNotEjectedAgain() {
+    void ejectionOfAnEjectedUpstreamHasNoEffect() {
         assertTrue(ejection.eject(NOW_MS));
         assertFalse(ejection.eject(NOW_MS + 100));
         assertFalse(ejection.isEjected(NOW_MS + 700));
     }
 
     @Test
-    void errorRateIsSmoothed() {
+    void errorRateIsAMovingAverage() {
         ejection.recordFailure();
         assertEquals(0.2, ejection.errorRate(), 1e-9);
         ejection.recordSuccess();
--- a/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -8,14 +8,14 @@
 import myrtleladder.configuration.Route;
 import org.junit.jupiter.api.Test;
 
-/** The prefill class of a request at a model upstream. */
+/** Prefill classes of prompts by target latency. */
 class PrefillPriorityTest {
-    private static Route route(int targetMs, int priority) {
+    private static Route route(int targetLatencyMs, int priority) {
         String text =
                 "{\"generation\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
                         + "\"path_prefix\":\"/r/\",\"type\":\"streaming\",\"backend\":\"m\","
                         + "\"timeout_ms\":8000,\"target_latency_ms\":"
-                        + targetMs
+                        + targetLatencyMs
                         + ",\"priority\":"
                         + priority
                         + "}],\"services\":[{\"name\":\"m\"}]}";
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void shortPrefillComparedWithTheTargetGoesFirst() {
+    void prefillClassDependsOnTheFractionOfTheTargetLatency() {
         Route route = route(800, 1);
         assertEquals(0, PrefillPriority.prefillClass(route, 0));
         assertEquals(0, PrefillPriority.prefillClass(route, 100));
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void samePromptIsALaterClassTheShorterTheTarget() {
+    void shorterTargetLatencyPutsAPromptInALaterClass() {
         assertEquals(1, PrefillPriority.prefillClass(route(500, 0), 100));
         assertEquals(0, PrefillPriority.prefillClass(route(2_000, 0), 100));
     }
 
     @Test
-    void routeWithoutATargetIsInTheLastClass() {
+    void routeWithoutATargetLatencyIsInTheLastClass() {
         assertEquals(2, PrefillPriority.prefillClass(route(0, 0), 100));
     }
 }
--- a/src/test/java/myrtleladder/dataplane/PrefillTimeEstimatorTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillTimeEstimatorTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Estimates of the time to the first event from samples. */
+/** Estimates of base time and time per token from samples of the time to the first event. */
 class PrefillTimeEstimatorTest {
     private static final double BASE_MS = 90;
     private static final double MS_PER_TOKEN = 0.025;
@@ -27,20 +27,20 @@
     }
 
     @Test
-    void fewSamplesDelayedByUnknownPromptsChangeLittle() {
+    void fewSamplesDelayedByUnknownPromptsHaveLittleEffect() {
         PrefillTimeEstimator estimator = new PrefillTimeEstimator();
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 300; i++) {
-            double waitedMs = random.nextInt(5) == 0 ? 800 : 0;
-            estimator.addSample(1_000, timeToFirstEventMs(1_000) + waitedMs);
-            estimator.addSample(12_000, timeToFirstEventMs(12_000) + waitedMs);
+            double queueDelayMs = random.nextInt(5) == 0 ? 800 : 0;
+            estimator.addSample(1_000, timeToFirstEventMs(1_000) + queueDelayMs);
+            estimator.addSample(12_000, timeToFirstEventMs(12_000) + queueDelayMs);
         }
         assertEquals(BASE_MS, estimator.baseMs(), 25);
         assertEquals(MS_PER_TOKEN, estimator.msPerToken(), 0.006);
     }
 
     @Test
-    void estimatesStayWithinTheirBounds() {
+    void estimatesStayWithinBounds() {
         PrefillTimeEstimator estimator = new PrefillTimeEstimator();
         for (int i = 0; i < 1_000; i++) {
             estimator.addSample(10, 1e9);
--- a/src/test/java/myrtleladder/dataplane/RetryPolicyTest.java
+++ b/src/test/java/myrtleladder/dataplane/RetryPolicyTest.java
@@ -8,7 +8,7 @@
 import myrtleladder.configuration.Service;
 import org.junit.jupiter.api.Test;
 
-/** Retries by route, number of attempts, deadline and budget. */
+/** Retry decisions by route, number of attempts, deadline and budget. */
 class RetryPolicyTest {
     private static final Configuration CONFIGURATION =
             DataPlaneContext.configuration(RoutesDocument.TEXT);
@@ -16,7 +16,7 @@
     private static final Route NON_IDEMPOTENT = CONFIGURATION.route("h.example", "/u/1");
     private static final Service SERVICE = CONFIGURATION.service("p");
 
-    /** With a slack of 4 the bucket of a new balancer holds one retry and a bit. */
+    /** With a slack of 4, the initial bucket contains 1.2 tokens, enough for one retry. */
     private final RetryPolicy policy = new RetryPolicy(new RetryBudget(0, 4));
 
     @Test
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void exhaustedAttemptsAndReachedDeadlinesCostNoBudget() {
+    void exhaustedAttemptsAndReachedDeadlinesTakeNoTokens() {
         assertFalse(policy.shouldRetryFailure(IDEMPOTENT, SERVICE, 2, false));
         assertFalse(policy.shouldRetryFailure(IDEMPOTENT, SERVICE, 1, true));
         assertFalse(policy.shouldRetryRejection(IDEMPOTENT, SERVICE, 2));
--- a/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
@@ -14,13 +14,13 @@
 import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
 
-/** Quotas at balancers, with a scripted primary. */
+/** Quota acquisition by balancers from a scripted primary and without one. */
 class TenantQuotaClientTest {
     private static final int RATE_PER_S = 446_000;
     private static final double SLACK_UNITS = 190_000;
-    private static final double GRANTED_AHEAD = 800;
+    private static final double EXTRA_GRANTED_UNITS = 800;
     private static final int BALANCERS = 56;
-    private static final double REQUEST_COST = 17_000;
+    private static final double REQUEST_UNITS = 17_000;
 
     private final Configuration configuration =
             DataPlaneContext.configuration(
@@ -32,65 +32,65 @@
                             + "}]}");
     private final Tenant tenant = configuration.tenant("k");
     private final List<QuotaRequest> requests = new ArrayList<>();
-    private double granted;
+    private double grantedUnits;
 
-    private TenantQuotaClient quotas(TenantQuotaClient.QuotaAllocator allocator, long seed) {
-        TenantQuotaClient quotas = new TenantQuotaClient(allocator, seed);
-        quotas.applyConfiguration(configuration);
-        quotas.setBalancers(BALANCERS);
-        return quotas;
+    private TenantQuotaClient client(TenantQuotaClient.QuotaAllocator allocator, long seed) {
+        TenantQuotaClient client = new TenantQuotaClient(allocator, seed);
+        client.applyConfiguration(configuration);
+        client.setBalancers(BALANCERS);
+        return client;
     }
 
-    private void grantAheadOfUse(QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
+    private void grantWithExtraUnits(QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
         requests.add(request);
-        double units = request.units < 0 ? 0 : request.units + GRANTED_AHEAD;
-        granted += units;
-        callback.accept(QuotaResponse.of(true, units, 0));
+        double unitsToGrant = request.units < 0 ? 0 : request.units + EXTRA_GRANTED_UNITS;
+        grantedUnits += unitsToGrant;
+        callback.accept(QuotaResponse.of(true, unitsToGrant, 0));
     }
 
     @Test
-    void balancerKeepsNoMoreThanWasGrantedAhead() {
-        TenantQuotaClient quotas = quotas(this::grantAheadOfUse, 1);
+    void unusedUnitsNeverExceedTheExtraGrant() {
+        TenantQuotaClient client = client(this::grantWithExtraUnits, 1);
         SplittableRandom costs = new SplittableRandom(1);
-        double used = 0;
+        double usedUnits = 0;
         for (int i = 0; i < 1_000; i++) {
-            double cost = 1 + costs.nextInt(20_000);
-            quotas.acquire(tenant, cost, i, waitMs -> assertEquals(0, waitMs));
-            used += cost;
-            assertTrue(granted - used <= GRANTED_AHEAD + 1e-3, "keeps " + (granted - used));
+            double costUnits = 1 + costs.nextInt(20_000);
+            client.acquire(tenant, costUnits, i, waitMs -> assertEquals(0, waitMs));
+            usedUnits += costUnits;
+            assertTrue(grantedUnits - usedUnits <= EXTRA_GRANTED_UNITS + 1e-3, "unused: " + (grantedUnits - usedUnits));
         }
     }
 
     @Test
-    void refundGoesBackToThePrimary() {
-        TenantQuotaClient quotas = quotas(this::grantAheadOfUse, 1);
-        quotas.acquire(tenant, REQUEST_COST, 0, waitMs -> {});
-        quotas.refund(tenant, REQUEST_COST);
-        assertEquals(-REQUEST_COST, requests.get(1).units);
-        quotas.acquire(tenant, REQUEST_COST, 0, waitMs -> {});
-        assertEquals(REQUEST_COST - GRANTED_AHEAD, requests.get(2).units);
+    void refundIsSentToThePrimary() {
+        TenantQuotaClient client = client(this::grantWithExtraUnits, 1);
+        client.acquire(tenant, REQUEST_UNITS, 0, waitMs -> {});
+        client.refund(tenant, REQUEST_UNITS);
+        assertEquals(-REQUEST_UNITS, requests.get(1).units);
+        client.acquire(tenant, REQUEST_UNITS, 0, waitMs -> {});
+        assertEquals(REQUEST_UNITS - EXTRA_GRANTED_UNITS, requests.get(2).units);
     }
 
     @Test
-    void balancersWithoutAPrimaryStayWithinTheQuotaTogether() {
-        List<TenantQuotaClient> all = new ArrayList<>();
+    void balancersWithoutAPrimaryTogetherStayWithinTheQuota() {
+        List<TenantQuotaClient> clients = new ArrayList<>();
         for (int i = 0; i < BALANCERS; i++) {
-            all.add(quotas((request, timeoutMs, callback) -> callback.accept(null), i));
+            clients.add(client((request, timeoutMs, callback) -> callback.accept(null), i));
         }
-        double[] sent = {0};
+        double[] acquiredUnits = {0};
         long durationMs = 4_000;
         for (long nowMs = 1; nowMs <= durationMs; nowMs += 50) {
-            for (TenantQuotaClient quotas : all) {
-                quotas.advanceClock(nowMs);
-                quotas.acquire(
+            for (TenantQuotaClient client : clients) {
+                client.advanceClock(nowMs);
+                client.acquire(
                         tenant,
-                        REQUEST_COST,
+                        REQUEST_UNITS,
                         nowMs,
-                        waitMs -> sent[0] += waitMs == 0 ? REQUEST_COST : 0);
+                        waitMs -> acquiredUnits[0] += waitMs == 0 ? REQUEST_UNITS : 0);
             }
         }
-        double expected = 0.85 * RATE_PER_S * durationMs / 1_000;
-        assertTrue(sent[0] <= expected + SLACK_UNITS / 2, sent[0] + " of " + expected);
-        assertTrue(sent[0] >= 0.7 * expected, "too little: " + sent[0] + " of " + expected);
+        double expectedUnits = 0.85 * RATE_PER_S * durationMs / 1_000;
+        assertTrue(acquiredUnits[0] <= expectedUnits + SLACK_UNITS / 2, acquiredUnits[0] + " of " + expectedUnits);
+        assertTrue(acquiredUnits[0] >= 0.7 * expectedUnits, "too few units: " + acquiredUnits[0] + " of " + expectedUnits);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A model is upgraded zone by zone while replies are in flight at several balancers: each reply
- * completes where it began, and requests of a session go to one upstream before and after.
+ * A model is upgraded zone by zone while replies are in flight at several balancers. Each reply must
+ * complete at the upstream where it started, and all balancers must send the requests of a session
+ * to the same upstream, before and after the upgrade.
  */
 class UpgradeByRegionTest {
     private static final int BALANCERS = 4;
@@ -44,19 +45,19 @@
     private final List<DataPlaneContext> balancers = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
     private final Map<String, InstanceRecord> records = new HashMap<>();
-    private int attempts;
+    private int attemptCount;
     private long lastEventId = 1;
 
-    /** A reply in flight, with the request that was sent for it. */
+    /** A reply in flight and the request sent to an upstream for it. */
     private record Reply(ScriptedClient client, SentRequest sent) {}
 
     @BeforeEach
     void startBalancers() {
         for (int i = 0; i < ZONES * UPSTREAMS_PER_ZONE; i++) {
-            store("old" + i, "m", i / UPSTREAMS_PER_ZONE, Stage.READY, i + 1);
+            putRecord("old" + i, "m", i / UPSTREAMS_PER_ZONE, Stage.READY, i + 1);
         }
-        store("cert0", "p", 0, Stage.READY, 1);
-        store("cert1", "p", 1, Stage.READY, 2);
+        putRecord("cert0", "p", 0, Stage.READY, 1);
+        putRecord("cert1", "p", 1, Stage.READY, 2);
         for (int i = 0; i < BALANCERS; i++) {
             balancers.add(
                     new DataPlaneContext.Builder()
@@ -68,7 +69,7 @@
         }
     }
 
-    private void store(String id, String service, int zone, Stage stage, int ordinal) {
+    private void putRecord(String id, String service, int zone, Stage stage, int ordinal) {
         records.put(
                 id,
                 InstanceRecord.of(id, service, "10.0.0.1:80", "z" + zone, 64, "v1", stage, 1)
@@ -76,36 +77,36 @@
     }
 
     private void update(String id, String service, int zone, Stage stage, int ordinal) {
-        store(id, service, zone, stage, ordinal);
+        putRecord(id, service, zone, stage, ordinal);
         balancers.forEach(balancer -> balancer.update(records.get(id)));
         sendNextEvent();
         clock.run(UPDATE_INTERVAL_MS);
     }
 
     private SentRequest send(int balancer, String path, String... fields) {
-        String[] all = new String[fields.length + 4];
-        all[0] = HeaderNames.ATTEMPT_ID;
-        all[1] = "a" + attempts++;
-        all[2] = HeaderNames.DEADLINE_MS;
-        all[3] = "60000";
-        System.arraycopy(fields, 0, all, 4, fields.length);
+        String[] allFields = new String[fields.length + 4];
+        allFields[0] = HeaderNames.ATTEMPT_ID;
+        allFields[1] = "a" + attemptCount++;
+        allFields[2] = HeaderNames.DEADLINE_MS;
+        allFields[3] = "60000";
+        System.arraycopy(fields, 0, allFields, 4, fields.length);
         List<SentRequest> requests = balancers.get(balancer).connections.sent;
-        int before = requests.size();
-        ScriptedClient client = balancers.get(balancer).send(path, all);
-        assertEquals(before + 1, requests.size(), "sent once");
-        SentRequest sent = requests.get(before);
+        int sentBefore = requests.size();
+        ScriptedClient client = balancers.get(balancer).send(path, allFields);
+        assertEquals(sentBefore + 1, requests.size(), "sent once");
+        SentRequest sent = requests.get(sentBefore);
         replies.add(new Reply(client, sent));
         return sent;
     }
 
-    /** Sends a request of a session; its reply begins and stays in flight. */
+    /** Sends a request of a session and starts its reply, which stays in flight. */
     private SentRequest startReply(int balancer, int session) {
         SentRequest sent =
                 send(
                         balancer,
                         "/s/" + session,
                         HeaderNames.PROMPT_PREFIX,
-                        "5e55" + session + ":9000,b" + attempts + ":50",
+                        "5e55" + session + ":9000,b" + attemptCount + ":50",
                         HeaderNames.TOKEN_USAGE,
                         "9050,10");
         clock.run(PREFILL_MS);
@@ -114,11 +115,11 @@
         return sent;
     }
 
-    private int requestsSent() {
+    private int sentRequestCount() {
         return balancers.stream().mapToInt(balancer -> balancer.connections.sent.size()).sum();
     }
 
-    private static List<InFlightRequests> leavingInFlight(DataPlaneContext balancer) {
+    private static List<InFlightRequests> inFlightAtRemovedUpstreams(DataPlaneContext balancer) {
         return balancer.dataPlane.directory().inFlightAtLeavingUpstreams();
     }
 
@@ -139,7 +140,7 @@
         }
     }
 
-    private Set<String> upstreamsOf(int session) {
+    private Set<String> upstreamsForSession(int session) {
         Set<String> upstreams = new HashSet<>();
         for (int balancer = 0; balancer < BALANCERS; balancer++) {
             upstreams.add(startReply(balancer, session).upstream.record().id);
@@ -156,7 +157,7 @@
     }
 
     @Test
-    void repliesInFlightCompleteWhereTheyBeganWhileEveryZoneIsUpgraded() {
+    void repliesInFlightCompleteAtTheirUpstreamsWhileEveryZoneIsUpgraded() {
         for (int session = 0; session < SESSIONS; session++) {
             startReply(session % BALANCERS, session);
             sendNextEvent();
@@ -164,17 +165,17 @@
         for (int request = 0; request < SESSIONS; request++) {
             send(request % BALANCERS, "/c/" + request);
         }
-        int sent = requestsSent();
+        int sent = sentRequestCount();
         for (int number = 0; number < ZONES * UPSTREAMS_PER_ZONE; number++) {
             replaceUpstream(number);
         }
         int inFlight = 0;
         for (DataPlaneContext balancer : balancers) {
-            for (InFlightRequests requests : leavingInFlight(balancer)) {
+            for (InFlightRequests requests : inFlightAtRemovedUpstreams(balancer)) {
                 inFlight += requests.requests;
             }
         }
-        assertEquals(SESSIONS, inFlight, "all model replies are at upstreams that left");
+        assertEquals(SESSIONS, inFlight, "all model replies are in flight at removed upstreams");
         for (Reply reply : replies) {
             if (reply.client().head().path().startsWith("/c/")) {
                 reply.sent().respondHead(200);
@@ -182,50 +183,50 @@
             }
         }
         completeReplies();
-        assertEquals(sent, requestsSent(), "sent twice");
+        assertEquals(sent, sentRequestCount(), "a request was sent again");
         for (Reply reply : replies) {
-            assertFalse(reply.sent().closed, "dropped");
-            assertTrue(reply.client().ended, "not complete");
+            assertFalse(reply.sent().closed, "a reply was cancelled");
+            assertTrue(reply.client().ended, "a reply is incomplete");
             assertEquals(1, reply.client().responses);
             if (reply.client().head().path().startsWith("/s/")) {
                 assertTrue(
                         reply.client().body.toString().endsWith("data: x" + lastEventId + "\n\n"));
             }
         }
-        balancers.forEach(balancer -> assertTrue(leavingInFlight(balancer).isEmpty()));
+        balancers.forEach(balancer -> assertTrue(inFlightAtRemovedUpstreams(balancer).isEmpty()));
     }
 
     @Test
     void requestsOfASessionGoToTheReplacementOfTheirUpstream() {
-        Map<Integer, String> before = new HashMap<>();
+        Map<Integer, String> upstreamsBefore = new HashMap<>();
         for (int session = 0; session < SESSIONS; session++) {
-            Set<String> upstreams = upstreamsOf(session);
+            Set<String> upstreams = upstreamsForSession(session);
             assertEquals(1, upstreams.size(), "balancers differ: " + upstreams);
-            before.put(session, upstreams.iterator().next());
+            upstreamsBefore.put(session, upstreams.iterator().next());
             completeReplies();
         }
         for (int number = 0; number < ZONES * UPSTREAMS_PER_ZONE; number++) {
             replaceUpstream(number);
         }
         for (int session = 0; session < SESSIONS; session++) {
-            Set<String> upstreams = upstreamsOf(session);
+            Set<String> upstreams = upstreamsForSession(session);
             completeReplies();
-            assertEquals(Set.of(before.get(session).replace("old", "new")), upstreams);
+            assertEquals(Set.of(upstreamsBefore.get(session).replace("old", "new")), upstreams);
         }
     }
 
     @Test
-    void newUpstreamWithoutOrdinalTakesNoSessionFromAnother() {
-        Map<Integer, Set<String>> before = new HashMap<>();
+    void newUpstreamWithoutOrdinalReceivesNoExistingSession() {
+        Map<Integer, Set<String>> upstreamsBefore = new HashMap<>();
         for (int session = 0; session < SESSIONS; session++) {
-            before.put(session, upstreamsOf(session));
+            upstreamsBefore.put(session, upstreamsForSession(session));
             completeReplies();
         }
         for (int i = 0; i < ZONES; i++) {
             update("extra" + i, "m", i, Stage.READY, InstanceRecord.UNASSIGNED_ORDINAL);
         }
         for (int session = 0; session < SESSIONS; session++) {
-            assertEquals(before.get(session), upstreamsOf(session));
+            assertEquals(upstreamsBefore.get(session), upstreamsForSession(session));
             completeReplies();
         }
     }
--- a/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
@@ -5,14 +5,14 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Which upstreams take requests as their records change. */
+/** Availability of upstreams as their records change. */
 class UpstreamDirectoryTest {
     private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
     private final ScriptedConnectionPool connections = context.connections;
     private final DataPlane dataPlane = context.dataPlane;
 
     @Test
-    void drainingUpstreamGetsNoRequestsAndNeverComesBack() {
+    void drainingUpstreamGetsNoRequestsEvenIfItIsReportedReadyAgain() {
         context.update(
                 DataPlaneContext.record("p1", "p", Stage.DRAINING),
                 DataPlaneContext.record("p2", "p", Stage.GONE));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void lostUpstreamIsLeftOutUnlessHalfOfTheServiceIsLost() {
+    void lostUpstreamIsExcludedUnlessMostOfTheServiceIsLost() {
         context.update(DataPlaneContext.record("p1", "p", Stage.LOST));
         assertEquals(2, dataPlane.directory().available("p").size());
         context.update(DataPlaneContext.record("p2", "p", Stage.LOST));
--- a/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
@@ -17,7 +17,7 @@
 import myrtleladder.protocol.UpstreamLoad;
 import org.junit.jupiter.api.Test;
 
-/** Which upstream a prompt goes to, by loads and cached prefixes of all balancers. */
+/** Picks for model services by the loads and cached prefixes of all balancers. */
 class UpstreamPickerTest {
     private static final long NOW_MS = 50_000;
     private static final int UPSTREAMS = 10;
@@ -26,7 +26,7 @@
                     "{'generation':1,'services':[{'name':'m','engine':"
                             + "{'capacity':64,'kv_tokens':500000,'stride':3}}]}");
 
-    /** What one balancer knows. */
+    /** A balancer with ten upstreams and the loads and prefixes it received. */
     private static final class Balancer {
         private final UpstreamDirectory directory = DataPlaneContext.emptyDirectory();
         private final FleetLoadSync fleetLoads = new FleetLoadSync(directory, 1);
@@ -69,7 +69,7 @@
         }
     }
 
-    private static FleetLoads caching(String prompt, Upstream upstream) {
+    private static FleetLoads withCachedPrompt(String prompt, Upstream upstream) {
         FleetLoads response = new FleetLoads();
         response.cachedPrompts.add(
                 CachedPrompt.of(PromptSegments.parse(prompt).sharedPrefixHash(), upstream.key()));
@@ -97,33 +97,33 @@
     }
 
     @Test
-    void cachedPrefixGoesWhereAnotherBalancerSentIt() {
+    void promptGoesToTheUpstreamWhereAnotherBalancerCachedItsPrefix() {
         Balancer balancer = new Balancer();
         Upstream affinityUpstream = new Balancer().pick("a:9000,x:100", NOW_MS);
         Upstream cachingUpstream =
                 otherUpstream(balancer, sameUpstreamAt(balancer, affinityUpstream));
-        balancer.receive(caching("a:9000,x:100", cachingUpstream), NOW_MS);
+        balancer.receive(withCachedPrompt("a:9000,x:100", cachingUpstream), NOW_MS);
         assertEquals(cachingUpstream, balancer.pick("a:9000,y:100", NOW_MS));
     }
 
     @Test
-    void newPrefixesGoToTheSameUpstreamAtAllBalancersAndSpread() {
+    void allBalancersSpreadNewPrefixesOverTheUpstreamsInTheSameWay() {
         Balancer one = new Balancer();
         Balancer two = new Balancer();
         one.receive(new FleetLoads(), NOW_MS);
         two.receive(new FleetLoads(), NOW_MS);
-        Set<Integer> used = new HashSet<>();
+        Set<Integer> pickedKeys = new HashSet<>();
         for (int prefix = 0; prefix < 60; prefix++) {
             String prompt = prefix + ":9000,x:100";
             int key = one.pick(prompt, NOW_MS).key();
             assertEquals(key, two.pick(prompt, NOW_MS).key());
-            used.add(key);
+            pickedKeys.add(key);
         }
-        assertTrue(used.size() >= UPSTREAMS - 1, "prefixes at " + used.size());
+        assertTrue(pickedKeys.size() >= UPSTREAMS - 1, "upstreams picked: " + pickedKeys.size());
     }
 
     @Test
-    void newPrefixAvoidsItsAffinityUpstreamWhenOthersHaveMuchUnreadThere() {
+    void newPrefixAvoidsItsAffinityUpstreamIfPeersHaveALargeBacklogThere() {
         Balancer balancer = new Balancer();
         balancer.receive(new FleetLoads(), NOW_MS);
         Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
@@ -132,10 +132,10 @@
     }
 
     @Test
-    void cachedPrefixStaysUntilTheWaitExceedsTheCostOfReadingItAnew() {
+    void cachedPrefixIsPreferredUntilTheWaitExceedsTheCostOfACacheMiss() {
         Balancer balancer = new Balancer();
         Upstream cachingUpstream = balancer.directory.available("m").get(0);
-        balancer.receive(caching("a:9000,x:100", cachingUpstream), NOW_MS);
+        balancer.receive(withCachedPrompt("a:9000,x:100", cachingUpstream), NOW_MS);
         balancer.receive(withLoad(cachingUpstream, 20_000), NOW_MS);
         assertEquals(cachingUpstream, balancer.pick("a:9000,x:100", NOW_MS));
         balancer.receive(withLoad(cachingUpstream, 60_000), NOW_MS);
@@ -143,10 +143,10 @@
     }
 
     @Test
-    void shortSharedPrefixIsNoReasonToWait() {
+    void shortCachedPrefixDoesNotOutweighABacklog() {
         Balancer balancer = new Balancer();
         Upstream cachingUpstream = balancer.directory.available("m").get(0);
-        balancer.receive(caching("a:350,x:1100", cachingUpstream), NOW_MS);
+        balancer.receive(withCachedPrompt("a:350,x:1100", cachingUpstream), NOW_MS);
         balancer.receive(withLoad(cachingUpstream, 5_000), NOW_MS);
         assertNotEquals(cachingUpstream, balancer.pick("a:350,x:1100", NOW_MS));
     }
@@ -161,14 +161,14 @@
     }
 
     @Test
-    void cachedPrefixStaysWhileThereIsNoPrimary() {
+    void cachedPrefixIsPreferredWithoutAPrimary() {
         Balancer balancer = new Balancer();
         Upstream affinityUpstream = balancer.pick("a:9000,x:100", NOW_MS);
         Upstream cachingUpstream = otherUpstream(balancer, affinityUpstream);
-        balancer.receive(caching("a:9000,x:100", cachingUpstream), NOW_MS);
+        balancer.receive(withCachedPrompt("a:9000,x:100", cachingUpstream), NOW_MS);
         long laterMs = NOW_MS + FleetLoadSync.MAX_LOAD_AGE_MS + 1;
         cachingUpstream.recordExtraDelay(
-                300, laterMs); // more than the affinity upstream is thought to save
+                300, laterMs); // more than affinity is assumed to save
         assertEquals(cachingUpstream, balancer.pick("a:9000,y:100", laterMs));
     }
 
@@ -198,13 +198,13 @@
     }
 
     @Test
-    void likelyLoadIsThatOfThePickAndPicksNothing() {
+    void estimatedLoadMatchesTheNextPick() {
         Balancer balancer = new Balancer();
         balancer.receive(new FleetLoads(), NOW_MS);
         PromptSegments prompt = PromptSegments.parse("a:9000,x:100");
-        UpstreamLoad likely =
+        UpstreamLoad estimated =
                 balancer.picker.likelyLoad(CONFIGURATION.service("m"), prompt, NOW_MS);
-        assertEquals(9_100, likely.pendingPromptTokens);
-        assertEquals(likely.upstreamKey, balancer.pick("a:9000,x:100", NOW_MS).key());
+        assertEquals(9_100, estimated.pendingPromptTokens);
+        assertEquals(estimated.upstreamKey, balancer.pick("a:9000,x:100", NOW_MS).key());
     }
 }
--- a/src/test/java/myrtleladder/dataplane/WeightsRolloutTest.java
+++ b/src/test/java/myrtleladder/dataplane/WeightsRolloutTest.java
@@ -11,16 +11,16 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Where new requests begin while the weights of a model are replaced, upstream by upstream. */
+/** Upstreams of new requests while the model weights are replaced, upstream by upstream. */
 class WeightsRolloutTest {
-    private static final long BOUND_MS = 3_000;
+    private static final long GRACE_PERIOD_MS = 3_000;
     private static final int UPSTREAMS = 4;
 
     private final DataPlaneContext context =
             new DataPlaneContext.Builder()
                     .withConfiguration(RoutesDocument.TEXT)
                     .withRecords(records())
-                    .withVersionBoundMs(BOUND_MS)
+                    .withVersionBoundMs(GRACE_PERIOD_MS)
                     .build();
 
     private static List<InstanceRecord> records() {
@@ -31,8 +31,8 @@
         return records;
     }
 
-    private static InstanceRecord record(int number, long weights) {
-        return DataPlaneContext.record("m" + number, "m", Stage.READY).withWeightsVersion(weights);
+    private static InstanceRecord record(int number, long weightsVersion) {
+        return DataPlaneContext.record("m" + number, "m", Stage.READY).withWeightsVersion(weightsVersion);
     }
 
     private SentRequest send(int number, int promptTokens) {
@@ -51,16 +51,16 @@
         sent.completeResponse();
     }
 
-    private static long weightsAt(SentRequest sent) {
+    private static long weightsVersionOf(SentRequest sent) {
         return sent.upstream.record().weightsVersion;
     }
 
     @Test
-    void requestsBeginOnTheNewestWeightsWhileItsUpstreamsHaveRoom() {
+    void requestsStartOnTheNewestWeightsIfItsUpstreamsAreNotLoaded() {
         context.update(record(1, 2), record(2, 2));
         for (int i = 0; i < 30; i++) {
             SentRequest sent = send(i, 100);
-            assertEquals(2, weightsAt(sent));
+            assertEquals(2, weightsVersionOf(sent));
             complete(sent);
         }
     }
@@ -70,41 +70,41 @@
         context.update(record(1, 2));
         int onOlderWeights = 0;
         for (int i = 0; i < 20; i++) {
-            onOlderWeights += weightsAt(send(i, 4_000)) == 1 ? 1 : 0;
+            onOlderWeights += weightsVersionOf(send(i, 4_000)) == 1 ? 1 : 0;
         }
-        assertTrue(onOlderWeights > 5, onOlderWeights + " of 20 began on older weights");
+        assertTrue(onOlderWeights > 5, onOlderWeights + " of 20 started on older weights");
     }
 
     @Test
-    void nothingBeginsOnOlderWeightsOnceTheBoundHasPassed() {
+    void noRequestStartsOnOlderWeightsAfterTheGracePeriod() {
         context.update(record(1, 2));
         complete(send(0, 100));
-        context.clock.run(BOUND_MS);
+        context.clock.run(GRACE_PERIOD_MS);
         for (int i = 1; i < 20; i++) {
             SentRequest sent = send(i, 4_000);
-            assertEquals(2, weightsAt(sent));
+            assertEquals(2, weightsVersionOf(sent));
             complete(sent);
         }
     }
 
     @Test
-    void olderWeightsServeAfterTheBoundIfNoUpstreamWithTheNewestIsLeft() {
+    void olderWeightsAreUsedAfterTheGracePeriodIfNoUpstreamHasTheNewest() {
         context.update(record(1, 2));
         complete(send(0, 100));
-        context.clock.run(BOUND_MS);
+        context.clock.run(GRACE_PERIOD_MS);
         context.update(DataPlaneContext.record("m1", "m", Stage.GONE));
         SentRequest sent = send(1, 100);
-        assertEquals(1, weightsAt(sent));
+        assertEquals(1, weightsVersionOf(sent));
         complete(sent);
     }
 
     @Test
-    void retryOfARequestThatBeganNoStreamGoesToTheNewestWeights() {
+    void retryBeforeTheResponseStartsGoesToTheNewestWeights() {
         context.update(record(1, 2), record(2, 2));
         SentRequest first = send(0, 100);
         first.loseConnection();
         SentRequest second = context.connections.lastSent();
         assertNotEquals(first.upstream, second.upstream);
-        assertEquals(2, weightsAt(second));
+        assertEquals(2, weightsVersionOf(second));
     }
 }
