--- a/src/main/java/myrtleladder/dataplane/AdmissionController.java
+++ b/src/main/java/myrtleladder/dataplane/AdmissionController.java
@@ -45,7 +45,8 @@
             waitLimitMs = Math.min(remainingMs, modelWaitLimitMs(route));
         }
         int priority = Math.min(LOWEST_PRIORITY, route.priority());
-        double admissionLimitMs = waitLimitMs * (HIGHEST_PRIORITY_FRACTION - FRACTION_STEP_PER_PRIORITY * priority);
+        double admissionLimitMs =
+                waitLimitMs * (HIGHEST_PRIORITY_FRACTION - FRACTION_STEP_PER_PRIORITY * priority);
         double excessMs = pick.expectedMs() - admissionLimitMs;
         if (pick.expectedMs() <= admissionLimitMs) {
             return 0;
--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -113,7 +113,7 @@
 
     /** Time to the first event that the requests known at the pick explain. */
     double explainedMs() {
-        return pick.explainedMs();
+        return pick.knownPrefillMs();
     }
 
     /** Tokens of the prompt that the upstream has yet to read. */
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -114,7 +114,7 @@
         this.heartbeatAgent = heartbeatAgent;
         this.seedSource = seedSource;
         this.seeds = seedSource.get();
-        dataPlane.fleetLoads().setBalancer(balancer);
+        dataPlane.fleetLoads().setBalancerName(balancer);
     }
 
     /** Reads the seeds again. */
@@ -193,7 +193,7 @@
         request.loadReport = dataPlane.fleetLoads().createReport();
         request.relayWanted = isRelayed ? true : null;
         request.drainedZones = DrainedZones.of(dataPlane.directory().drainedZones());
-        request.inFlightAtDraining.addAll(dataPlane.directory().inFlightAtLeavingUpstreams());
+        request.inFlightAtDraining.addAll(dataPlane.directory().inFlightAtRemovedUpstreams());
         return request;
     }
 
--- a/src/main/java/myrtleladder/dataplane/DataPlane.java
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -80,7 +80,7 @@
         if (nowMs >= nextReweightAtMs) {
             nextReweightAtMs =
                     nowMs + REWEIGHT_INTERVAL_MS / 2 + random.nextLong(REWEIGHT_INTERVAL_MS);
-            picker.reweight(nowMs);
+            picker.updateWeights(nowMs);
             warmupContext.counters().logStates(directory.all(), nowMs);
             connections.closeExpired();
         }
@@ -100,20 +100,20 @@
 
     /** Sets the number of balancers among which quotas, budgets and connections are divided. */
     void setBalancers(int count) {
-        picker.setBalancers(count);
-        retryBudget.setBalancers(count);
-        quotas.setBalancers(count);
+        picker.setBalancerCount(count);
+        retryBudget.setBalancerCount(count);
+        quotas.setBalancerCount(count);
     }
 
     /** Replaces the list of balancers, among which budgets of cold upstreams are divided. */
     void setBalancerList(List<BalancerAddress> balancers) {
         warmupContext.setBalancers(balancers, nowMs());
-        directory.balancersChanged();
+        directory.balancerListChanged();
     }
 
     /** The primary of an epoch answered a poll. */
     void pollAnswered(long epoch) {
-        warmupContext.pollAnswered(epoch, nowMs());
+        warmupContext.recordPollResponse(epoch, nowMs());
     }
 
     /** What the warm-ups of all upstreams share. */
--- a/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
+++ b/src/main/java/myrtleladder/dataplane/FleetLoadSync.java
@@ -56,7 +56,7 @@
     }
 
     /** Sets the balancer name in the reports. */
-    void setBalancer(String name) {
+    void setBalancerName(String name) {
         balancerName = name;
     }
 
@@ -69,7 +69,7 @@
      * Queues the announcement that an upstream caches the shared prefix of a prompt sent to it,
      * unless the prefix was announced there recently.
      */
-    void promptSent(PromptSegments prompt, Upstream upstream, long nowMs) {
+    void recordPromptSent(PromptSegments prompt, Upstream upstream, long nowMs) {
         long prefixHash = prompt.sharedPrefixHash();
         long announcedAtMs = upstream.prefixCache().lastAnnouncedAtMs(prefixHash);
         if (nowMs - announcedAtMs < ANNOUNCE_INTERVAL_MS) {
@@ -92,7 +92,7 @@
     /** Builds the next report and increments the report sequence number. */
     LoadReport createReport() {
         LoadReport report = new LoadReport();
-        report.balancerName = balancerName;
+        report.balancer = balancerName;
         report.processId = processId;
         report.sequence = ++sequence;
         report.epoch = epoch;
--- a/src/main/java/myrtleladder/dataplane/OutlierEjection.java
+++ b/src/main/java/myrtleladder/dataplane/OutlierEjection.java
@@ -37,7 +37,8 @@
     boolean recordFailure() {
         errorRate += SMOOTHING_FACTOR * (1 - errorRate);
         consecutiveFailures++;
-        return errorRate > ERROR_RATE_THRESHOLD || consecutiveFailures >= CONSECUTIVE_FAILURE_THRESHOLD;
+        return errorRate > ERROR_RATE_THRESHOLD
+                || consecutiveFailures >= CONSECUTIVE_FAILURE_THRESHOLD;
     }
 
     /** Ejects the upstream; returns false if it is already ejected. */
--- a/src/main/java/myrtleladder/dataplane/PickResult.java
+++ b/src/main/java/myrtleladder/dataplane/PickResult.java
@@ -16,6 +16,6 @@
         Upstream upstream,
         int promptTokens,
         double expectedMs,
-        double explainedMs,
+        double knownPrefillMs,
         double costMs,
         boolean withoutBacklog) {}
--- a/src/main/java/myrtleladder/dataplane/PrefillTimeEstimator.java
+++ b/src/main/java/myrtleladder/dataplane/PrefillTimeEstimator.java
@@ -72,7 +72,8 @@
 
     private void addShortPromptSample(int promptTokens, double timeToFirstEventMs) {
         double sample = timeToFirstEventMs - promptTokens * msPerToken;
-        double updated = shortPromptSamples == 0 ? sample : moveTowards(sample, baseMs, shortPromptSamples);
+        double updated =
+                shortPromptSamples == 0 ? sample : moveTowards(sample, baseMs, shortPromptSamples);
         shortPromptSamples++;
         baseMs = Math.max(MIN_BASE_MS, Math.min(MAX_BASE_MS, updated));
     }
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
@@ -188,7 +188,8 @@
         double queueMs =
                 Math.max(0, upstream.inFlight() + 1 - upstream.capacity())
                         * DELAY_PER_QUEUED_REQUEST_MS;
-        double reportedQueueMs = upstream.reportedWaiting(nowMs) * DELAY_PER_QUEUED_REQUEST_MS;
+        double reportedQueueMs =
+                upstream.reportedWaitingRequests(nowMs) * DELAY_PER_QUEUED_REQUEST_MS;
         double successRate = Math.max(MIN_SUCCESS_RATE, 1 - upstream.errorRate());
         return (knownPrefillMs + upstream.extraDelayMs(nowMs) + queueMs + reportedQueueMs)
                 / successRate;
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
@@ -49,7 +49,7 @@
 
     /** Records that a balancer announced a prefix. */
     void recordAnnounced(long prefixHash, long nowMs) {
-        announcedAtMsByPrefix.remove(prefixHash); // so that the prefix moves to the end of the insertion order
+        announcedAtMsByPrefix.remove(prefixHash); // moves it to the end of the insertion order
         announcedAtMsByPrefix.put(prefixHash, nowMs);
         while (announcedAtMsByPrefix.size() > MAX_ANNOUNCED_PREFIXES) {
             announcedAtMsByPrefix.remove(announcedAtMsByPrefix.keySet().iterator().next());
--- a/src/main/java/myrtleladder/dataplane/PromptSegments.java
+++ b/src/main/java/myrtleladder/dataplane/PromptSegments.java
@@ -16,8 +16,8 @@
     static final PromptSegments NONE = new PromptSegments(new long[0], new int[0]);
 
     /**
-     * Parses ID:TOKENS pairs separated by commas. Parsing stops at the first invalid pair; the pairs
-     * before it are returned.
+     * Parses ID:TOKENS pairs separated by commas. Parsing stops at the first invalid pair; the
+     * pairs before it are returned.
      *
      * @param text null if the request has no such field
      */
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -161,7 +161,7 @@
                         client.head().target(),
                         upstreamHeaders(upstream, prefillMs, nowMs));
         if (dataPlane.picker().shouldAnnounce(prompt)) {
-            dataPlane.fleetLoads().promptSent(prompt, upstream, nowMs);
+            dataPlane.fleetLoads().recordPromptSent(prompt, upstream, nowMs);
         }
         current = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
         current.start(dataPlane.connections(), !route.repeatable());
@@ -208,7 +208,7 @@
             return;
         }
         current = null;
-        attempt.upstream().connectionFailed(dataPlane.nowMs());
+        attempt.upstream().recordConnectFailure(dataPlane.nowMs());
         count(Event.NOT_SENT);
         retryUnsent();
     }
@@ -279,7 +279,7 @@
         current = null;
         attempt.cancel();
         if (head.status() == MISDIRECTED_REQUEST && !canResumeWithSameWeights(attempt.upstream())) {
-            dataPlane.directory().markGone(attempt.upstream());
+            dataPlane.directory().removeGone(attempt.upstream());
         }
         if (dataPlane.retryPolicy().shouldRetryRejection(route, service, sentAttempts())) {
             tryNextUpstream();
@@ -349,7 +349,7 @@
         }
         boolean isServerError = response.status() >= 500;
         if (isServerError && shouldRetryFailure()) {
-            attempt.upstream().requestFailed(dataPlane.nowMs());
+            attempt.upstream().recordFailure(dataPlane.nowMs());
             response.keepFailure();
             tryNextUpstream();
             return;
@@ -373,9 +373,9 @@
     private void recordOutcome(Attempt attempt, boolean isServerError) {
         long nowMs = dataPlane.nowMs();
         if (isServerError) {
-            attempt.upstream().requestFailed(nowMs);
+            attempt.upstream().recordFailure(nowMs);
         } else {
-            attempt.upstream().requestSucceeded(nowMs - attempt.sentAtMs());
+            attempt.upstream().recordSuccess(nowMs - attempt.sentAtMs());
         }
     }
 
@@ -390,7 +390,7 @@
     private void attemptFailed(Attempt attempt) {
         current = null;
         mayHaveRun = true;
-        attempt.upstream().requestFailed(dataPlane.nowMs());
+        attempt.upstream().recordFailure(dataPlane.nowMs());
         count(Event.ATTEMPT_FAILED);
         if (shouldRetryFailure()) {
             tryNextUpstream();
@@ -421,7 +421,7 @@
         if (!dataPlane.unresponsiveDetector().isUnresponsive(current, service, nowMs)) {
             return;
         }
-        current.upstream().becameUnresponsive(nowMs);
+        current.upstream().markUnresponsive(nowMs);
         if (shouldRetryFailure()) {
             count(Event.UNRESPONSIVE);
             Attempt unresponsive = current;
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -132,7 +132,7 @@
         String prefix = client.head().headers().get(HeaderNames.PROMPT_PREFIX);
         return dataPlane
                 .picker()
-                .likelyLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
+                .estimateLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
     }
 
     /** Starts an admitted request; the configuration may have changed since its route matched. */
--- a/src/main/java/myrtleladder/dataplane/RetryBudget.java
+++ b/src/main/java/myrtleladder/dataplane/RetryBudget.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * This balancer's retry budget for each service, as a token bucket. Each client request adds a fixed
- * fraction of a token, so that the budgets of all balancers add up to the configured ratio without
- * coordination. The capacity of the bucket is an equal fraction of the configured slack. Confined
- * to the event loop.
+ * This balancer's retry budget for each service, as a token bucket. Each client request adds a
+ * fixed fraction of a token, so that the budgets of all balancers add up to the configured ratio
+ * without coordination. The capacity of the bucket is an equal fraction of the configured slack.
+ * Confined to the event loop.
  */
 final class RetryBudget {
     /** Fraction of the configured ratio that is used. */
@@ -22,7 +22,7 @@
     private final double tokensPerRequest;
     private final int slack;
     private final Map<String, Double> tokensByService = new HashMap<>();
-    private int balancers = 1;
+    private int balancerCount = 1;
 
     /**
      * Creates the budgets of one balancer.
@@ -36,17 +36,18 @@
     }
 
     /** Sets the number of balancers that share the slack; at least 1 is assumed. */
-    void setBalancers(int count) {
-        balancers = Math.max(1, count);
+    void setBalancerCount(int count) {
+        balancerCount = Math.max(1, count);
     }
 
     private double capacity() {
-        return Math.max(1, slack * SLACK_FRACTION / balancers);
+        return Math.max(1, slack * SLACK_FRACTION / balancerCount);
     }
 
     /** Adds the token fraction of a client request to the budget of its service. */
     void recordRequest(String service) {
-        tokensByService.put(service, Math.min(capacity(), availableTokens(service) + tokensPerRequest));
+        tokensByService.put(
+                service, Math.min(capacity(), availableTokens(service) + tokensPerRequest));
     }
 
     private double availableTokens(String service) {
--- a/src/main/java/myrtleladder/dataplane/RetryPolicy.java
+++ b/src/main/java/myrtleladder/dataplane/RetryPolicy.java
@@ -26,7 +26,8 @@
     }
 
     /**
-     * Decides after a failure. The request may have run, so it is retried on idempotent routes only.
+     * Decides after a failure. The request may have run, so it is retried on idempotent routes
+     * only.
      *
      * @param sentAttempts number of upstreams to which the request was sent so far
      */
--- a/src/main/java/myrtleladder/dataplane/WarmupBudget.java
+++ b/src/main/java/myrtleladder/dataplane/SlidingWindowCounter.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /** Counts the requests sent to one upstream in the last second. Confined to the event loop. */
-final class WarmupBudget {
+final class SlidingWindowCounter {
     /** Length of the sliding window. */
     private static final long WINDOW_MS = 1_000;
 
--- a/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
@@ -58,7 +58,7 @@
     private final QuotaAllocator allocator;
     private final SplittableRandom random;
     private final Map<String, TenantState> tenants = new HashMap<>();
-    private int balancers = 1;
+    private int balancerCount = 1;
     private long primaryUnavailableSinceMs = NEVER_MS;
     private long nextPrimaryRequestAtMs;
     private long clockMs;
@@ -96,8 +96,8 @@
     }
 
     /** Sets the number of balancers among which quotas are divided without the primary. */
-    void setBalancers(int count) {
-        balancers = Math.max(1, count);
+    void setBalancerCount(int count) {
+        balancerCount = Math.max(1, count);
     }
 
     /**
@@ -183,19 +183,20 @@
     private double fallbackRatePerS(Tenant tenant, long nowMs) {
         boolean isInitialPeriod = nowMs - primaryUnavailableSinceMs <= INITIAL_FALLBACK_DURATION_MS;
         double fraction = isInitialPeriod ? INITIAL_FALLBACK_FRACTION : REDUCED_FALLBACK_FRACTION;
-        return tenant.ratePerSecond() * fraction / balancers;
+        return tenant.ratePerSecond() * fraction / balancerCount;
     }
 
     private void refillFallback(TenantState state, double costUnits, double ratePerS, long nowMs) {
         if (state.fallbackUpdatedAtMs < primaryUnavailableSinceMs) {
-            // A request may overdraw its bucket, and all balancers start to fall back at once. Random
-            // initial debts keep them from all overdrawing at the same time.
+            // A request may overdraw its bucket, and all balancers fall back at the same time.
+            // Random initial debts keep them from all overdrawing at once.
             state.fallbackUnits = -random.nextDouble() * costUnits;
         }
         long refilledUntilMs = Math.max(state.fallbackUpdatedAtMs, primaryUnavailableSinceMs);
         double refilledUnits = ratePerS * (nowMs - refilledUntilMs) / 1_000;
         double capacityUnits = ratePerS * FALLBACK_CAPACITY_S;
-        state.fallbackUnits = Math.min(capacityUnits, state.fallbackUnits + Math.max(0, refilledUnits));
+        state.fallbackUnits =
+                Math.min(capacityUnits, state.fallbackUnits + Math.max(0, refilledUnits));
         state.fallbackUpdatedAtMs = nowMs;
     }
 
--- a/src/main/java/myrtleladder/dataplane/UnresponsiveUpstreamDetector.java
+++ b/src/main/java/myrtleladder/dataplane/UnresponsiveUpstreamDetector.java
@@ -34,7 +34,8 @@
 
     private double timeoutMs(Upstream upstream, Service service) {
         if (service.engine() == null) {
-            return Math.max(MIN_NON_MODEL_TIMEOUT_MS, RESPONSE_TIME_FACTOR * upstream.responseTimeMs());
+            return Math.max(
+                    MIN_NON_MODEL_TIMEOUT_MS, RESPONSE_TIME_FACTOR * upstream.responseTimeMs());
         }
         double weightedBacklogTokens = BACKLOG_TIMEOUT_FACTOR * upstream.pendingPromptTokens();
         return BASE_MODEL_TIMEOUT_MS + weightedBacklogTokens * prefillTime.msPerToken();
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -63,7 +63,7 @@
     }
 
     /** Whether the warm-up limit admits one more request, counting those that are connecting. */
-    boolean admitsRequest(long nowMs) {
+    boolean warmupAdmitsRequest(long nowMs) {
         if (!warmup.isLimited(nowMs)) {
             return true; // common case, without counting attempts
         }
@@ -171,7 +171,7 @@
     }
 
     /** Requests that wait for a slot there according to the last report. */
-    int reportedWaiting(long nowMs) {
+    int reportedWaitingRequests(long nowMs) {
         return reportedLoad.waitingRequests(nowMs);
     }
 
@@ -190,34 +190,37 @@
         lastByteAtMs = nowMs;
     }
 
-    /** Time of the last byte received, or of the start of the first attempt after an idle period. */
+    /**
+     * Time of the last byte received, or of the start of the first attempt after an idle period.
+     */
     long lastByteAtMs() {
         return lastByteAtMs;
     }
 
-    void requestSucceeded(long durationMs) {
+    void recordSuccess(long durationMs) {
         ejection.recordSuccess();
         responseTimeMs =
                 responseTimeMs == 0
                         ? durationMs
-                        : responseTimeMs + OutlierEjection.SMOOTHING_FACTOR * (durationMs - responseTimeMs);
+                        : responseTimeMs
+                                + OutlierEjection.SMOOTHING_FACTOR * (durationMs - responseTimeMs);
     }
 
     /** Records the failure of a request that was sent; repeated failures eject the upstream. */
-    void requestFailed(long nowMs) {
+    void recordFailure(long nowMs) {
         if (ejection.recordFailure()) {
             eject(nowMs);
         }
     }
 
     /** Records that no connection could be established, which ejects the upstream immediately. */
-    void connectionFailed(long nowMs) {
+    void recordConnectFailure(long nowMs) {
         ejection.recordFailure();
-        becameUnresponsive(nowMs);
+        markUnresponsive(nowMs);
     }
 
     /** Ejects an upstream that does not respond. It may be down and return cold. */
-    void becameUnresponsive(long nowMs) {
+    void markUnresponsive(long nowMs) {
         eject(nowMs);
         warmup.markUnconfirmed(nowMs);
     }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -39,7 +39,8 @@
     private Configuration configuration;
 
     /** Creates an empty directory; {@code onRemoved} is called for each upstream it removes. */
-    UpstreamDirectory(Consumer<Upstream> onRemoved, WarmupContext warmupContext, Scheduler scheduler) {
+    UpstreamDirectory(
+            Consumer<Upstream> onRemoved, WarmupContext warmupContext, Scheduler scheduler) {
         this.onRemoved = onRemoved;
         this.warmupContext = warmupContext;
         this.scheduler = scheduler;
@@ -57,16 +58,18 @@
         if (service != null && !upstream.hasEngine()) {
             upstream.setEngine(service.engine());
         }
-        upstream.warmup().setAllowance(warmupContext.allowance(service));
+        upstream.warmup().setAllowancePerSecond(warmupContext.allowancePerSecond(service));
     }
 
     /** Recomputes the ownership of warm-up budgets after the list of balancers changed. */
-    void balancersChanged() {
+    void balancerListChanged() {
         long sinceMs = warmupContext.ownership().changedAtMs();
         byId.values().forEach(upstream -> upstream.warmup().updateOwnership(sinceMs));
     }
 
-    /** Treats upstreams of an undrained zone as cold until the primary confirms that they are not. */
+    /**
+     * Treats upstreams of an undrained zone as cold until the primary confirms that they are not.
+     */
     private void markZoneUnconfirmed(String zone) {
         for (Upstream upstream : byId.values()) {
             if (upstream.record().zone.equals(zone)) {
@@ -122,7 +125,8 @@
         long existingSequence = existing.record().heartbeatSequence;
         boolean isNewer = record.heartbeatSequence > existingSequence;
         existing.warmup().recordReceived(record, isNewer, scheduler.now());
-        if (existingSequence <= record.heartbeatSequence || existing.record().stage != record.stage) {
+        if (existingSequence <= record.heartbeatSequence
+                || existing.record().stage != record.stage) {
             existing.updateRecord(record);
         }
     }
@@ -142,7 +146,7 @@
     }
 
     /** Removes an incarnation after a response showed that its address belongs to another one. */
-    void markGone(Upstream upstream) {
+    void removeGone(Upstream upstream) {
         if (byId.get(upstream.record().id) == upstream) {
             rememberRemoved(upstream.record().id);
             remove(upstream, Stage.GONE);
@@ -151,7 +155,7 @@
     }
 
     /** Requests in flight at removed upstreams, where they are allowed to complete. */
-    List<InFlightRequests> inFlightAtLeavingUpstreams() {
+    List<InFlightRequests> inFlightAtRemovedUpstreams() {
         removedUpstreams.removeIf(upstream -> upstream.ownRequests() == 0);
         List<InFlightRequests> inFlight = new ArrayList<>();
         for (Upstream upstream : removedUpstreams) {
@@ -170,7 +174,9 @@
         if (zones.equals(drainedZones)) {
             return;
         }
-        drainedZones.stream().filter(zone -> !zones.contains(zone)).forEach(this::markZoneUnconfirmed);
+        drainedZones.stream()
+                .filter(zone -> !zones.contains(zone))
+                .forEach(this::markZoneUnconfirmed);
         drainedZones = List.copyOf(zones);
         updateAvailable();
         for (Upstream upstream : List.copyOf(byId.values())) {
--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -55,12 +55,12 @@
     }
 
     /** Sets the number of balancers that share the connection limits; at least 1 is assumed. */
-    void setBalancers(int count) {
+    void setBalancerCount(int count) {
         balancerCount = Math.max(1, count);
     }
 
     /** Recomputes the utilisation and weight of all available upstreams; called periodically. */
-    void reweight(long nowMs) {
+    void updateWeights(long nowMs) {
         for (List<Upstream> upstreams : directory.availableByService().values()) {
             for (Upstream upstream : upstreams) {
                 upstream.updateUtilisation(nowMs, prefillTime.msPerToken());
@@ -104,7 +104,7 @@
      *
      * @return null for services without a model engine and if no upstream can accept the request
      */
-    UpstreamLoad likelyLoad(Service service, PromptSegments prompt, long nowMs) {
+    UpstreamLoad estimateLoad(Service service, PromptSegments prompt, long nowMs) {
         List<Upstream> candidates = candidates(service, Set.of(), nowMs);
         if (service.engine() == null || candidates.isEmpty()) {
             return null;
@@ -131,7 +131,7 @@
             if (!triedUpstreams.contains(upstream)
                     && connectable
                     && healthy
-                    && upstream.admitsRequest(nowMs)) {
+                    && upstream.warmupAdmitsRequest(nowMs)) {
                 candidates.add(upstream);
             }
         }
@@ -171,7 +171,8 @@
                                 service.engine() == null ? NON_MODEL_BIAS : MODEL_BIAS));
     }
 
-    private PickResult pickForNonModelService(Service service, List<Upstream> candidates, long nowMs) {
+    private PickResult pickForNonModelService(
+            Service service, List<Upstream> candidates, long nowMs) {
         for (Upstream upstream : candidates) {
             upstream.refreshInFlight(nowMs);
         }
--- a/src/main/java/myrtleladder/dataplane/UpstreamWarmup.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamWarmup.java
@@ -39,7 +39,7 @@
     private final WarmupContext context;
     private final String id;
     private final long idHash;
-    private final WarmupBudget sentRequests = new WarmupBudget();
+    private final SlidingWindowCounter sentRequests = new SlidingWindowCounter();
     private State state = State.WARM;
     private long coldUntilMs;
     private long failedAtMs = NEVER_MS;
@@ -67,7 +67,7 @@
         if (state == State.COLD && nowMs >= coldUntilMs) {
             transitionTo(failedAtMs == NEVER_MS ? State.WARM : State.UNCONFIRMED);
         }
-        if (state == State.UNCONFIRMED && context.wasReportedSince(failedAtMs, nowMs)) {
+        if (state == State.UNCONFIRMED && context.hasConfirmationDelayPassed(failedAtMs, nowMs)) {
             failedAtMs = NEVER_MS;
             transitionTo(State.WARM);
         }
@@ -111,7 +111,7 @@
      * Sets the number of requests per second that all listed balancers together may send while the
      * upstream is not warm, or {@link WarmupSettings#UNLIMITED}.
      */
-    void setAllowance(int value) {
+    void setAllowancePerSecond(int value) {
         allowancePerSecond = value;
         updateOwnership(context.ownership().changedAtMs());
     }
@@ -127,7 +127,7 @@
     }
 
     private int ownerCount() {
-        return Math.min(allowancePerSecond, context.ownership().balancers());
+        return Math.min(allowancePerSecond, context.ownership().balancerCount());
     }
 
     /** Whether requests to the upstream are limited now. */
@@ -136,12 +136,16 @@
     }
 
     /**
-     * Whether one more request may be sent now. If not, increments the counter of withheld requests.
+     * Whether one more request may be sent now. If not, increments the counter of withheld
+     * requests.
      *
      * @param connectingRequests requests that wait for a connection and are sent first
      */
     boolean admits(int connectingRequests, long nowMs) {
-        boolean isAdmitted = !isLimited(nowMs) || sentRequests.countInWindow(nowMs) + connectingRequests < ownAllowancePerSecond(nowMs);
+        boolean isAdmitted =
+                !isLimited(nowMs)
+                        || sentRequests.countInWindow(nowMs) + connectingRequests
+                                < ownAllowancePerSecond(nowMs);
         if (!isAdmitted) {
             context.counters().countWithheld();
         }
@@ -168,6 +172,7 @@
             return 0;
         }
         int ownerCount = ownerCount();
-        return allowancePerSecond / ownerCount + (ownershipRank < allowancePerSecond % ownerCount ? 1 : 0);
+        return allowancePerSecond / ownerCount
+                + (ownershipRank < allowancePerSecond % ownerCount ? 1 : 0);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/WarmupContext.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupContext.java
@@ -20,7 +20,7 @@
     }
 
     /** Records that the primary of this epoch answered a poll. */
-    void pollAnswered(long epoch, long nowMs) {
+    void recordPollResponse(long epoch, long nowMs) {
         contact.pollAnswered(epoch, nowMs);
     }
 
@@ -38,12 +38,12 @@
     }
 
     /** See {@link WarmupSettings#allowancePerSecond}. */
-    int allowance(Service service) {
-        return settings.allowance(service);
+    int allowancePerSecond(Service service) {
+        return settings.allowancePerSecond(service);
     }
 
     /** Whether the primary would have reported by now if an upstream had gone down at that time. */
-    boolean wasReportedSince(long failedAtMs, long nowMs) {
-        return contact.lasted(settings.confirmationMs(), failedAtMs, nowMs);
+    boolean hasConfirmationDelayPassed(long failedAtMs, long nowMs) {
+        return contact.lasted(settings.confirmationDelayMs(), failedAtMs, nowMs);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/WarmupCounters.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupCounters.java
@@ -7,8 +7,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Counts requests to upstreams that are not warm and logs changes of the number of upstreams in each
- * warm-up state. Confined to the event loop.
+ * Counts requests to upstreams that are not warm and logs changes of the number of upstreams in
+ * each warm-up state. Confined to the event loop.
  */
 final class WarmupCounters {
     private static final Logger LOG = LogManager.getLogger(WarmupCounters.class);
--- a/src/main/java/myrtleladder/dataplane/WarmupOwnership.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupOwnership.java
@@ -4,9 +4,9 @@
 
 /**
  * Ranks the balancers as owners of the warm-up budget of an upstream, by rendezvous hashing of
- * upstream and balancer over the primary's list of balancers. All balancers with the same list agree
- * on the ranks without exchanging messages, and adding or removing a balancer changes at most one
- * owner. Confined to the event loop.
+ * upstream and balancer over the primary's list of balancers. All balancers with the same list
+ * agree on the ranks without exchanging messages, and adding or removing a balancer changes at most
+ * one owner. Confined to the event loop.
  */
 final class WarmupOwnership {
     private final String ownName;
@@ -34,13 +34,13 @@
     }
 
     /** Number of listed balancers. */
-    int balancers() {
+    int balancerCount() {
         return balancerHashes.length;
     }
 
     /**
-     * The rank of this balancer for an upstream, from 0. If this balancer is not listed, the rank is
-     * the number of listed balancers, so that it owns no budget.
+     * The rank of this balancer for an upstream, from 0. If this balancer is not listed, the rank
+     * is the number of listed balancers, so that it owns no budget.
      */
     int rank(long upstreamHash) {
         if (!isListed) {
--- a/src/main/java/myrtleladder/dataplane/WarmupSettings.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupSettings.java
@@ -10,7 +10,8 @@
  * @param slackPerSecond requests per second allowed in addition
  * @param heartbeatMs interval between heartbeats of an upstream
  */
-record WarmupSettings(String balancer, double overageFactor, double slackPerSecond, long heartbeatMs) {
+record WarmupSettings(
+        String balancer, double overageFactor, double slackPerSecond, long heartbeatMs) {
     /** Value of {@link #allowancePerSecond} for services without a limit. */
     static final int UNLIMITED = -1;
 
@@ -27,15 +28,17 @@
      * Requests per second that all balancers of one list together may send to a cold upstream of a
      * service; {@link #UNLIMITED} if the service is unknown (null) or has no limit.
      */
-    int allowance(Service service) {
+    int allowancePerSecond(Service service) {
         if (service == null || service.warmupPerSecond() <= 0) {
             return UNLIMITED;
         }
-        return (int) ((service.warmupPerSecond() * overageFactor + slackPerSecond) / MAX_CONCURRENT_LISTS);
+        return (int)
+                ((service.warmupPerSecond() * overageFactor + slackPerSecond)
+                        / MAX_CONCURRENT_LISTS);
     }
 
     /** Time after a failure within which the primary reports the upstream if it is down. */
-    long confirmationMs() {
+    long confirmationDelayMs() {
         return REPORT_HEARTBEAT_INTERVALS * heartbeatMs + REPORT_DELAY_MS;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/WeightsRollout.java
+++ b/src/main/java/myrtleladder/dataplane/WeightsRollout.java
@@ -81,7 +81,8 @@
     /** Extra cost of a new request at an upstream due to the version of its weights. */
     double costMs(Upstream upstream) {
         NewestVersion newest = newestByService.get(upstream.record().service);
-        boolean hasOlderWeights = newest != null && upstream.record().weightsVersion < newest.version;
+        boolean hasOlderWeights =
+                newest != null && upstream.record().weightsVersion < newest.version;
         return hasOlderWeights ? OLDER_WEIGHTS_COST_MS : 0;
     }
 }
--- a/src/test/java/myrtleladder/dataplane/ColdUpstreamTest.java
+++ b/src/test/java/myrtleladder/dataplane/ColdUpstreamTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Limit on the requests that all balancers of a fleet together send to an upstream that may be cold.
+ * Limit on the requests that all balancers of a fleet together send to an upstream that may be
+ * cold.
  */
 class ColdUpstreamTest {
     private static final double WARMUP_PER_SECOND = 8.4;
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Sets the balancer list of the balancers {@code from} to {@code to - 1} to the balancers {@code
-     * firstListed} to {@code endListed - 1}.
+     * Sets the balancer list of the balancers {@code from} to {@code to - 1} to the balancers
+     * {@code firstListed} to {@code endListed - 1}.
      */
     private void setBalancerList(int from, int to, int firstListed, int endListed) {
         List<BalancerAddress> list = new ArrayList<>();
@@ -91,14 +92,19 @@
     private int maxRequestsInOneSecond() {
         int maximum = 0;
         for (long begin : sentAtMs) {
-            long inSecond = sentAtMs.stream().filter(timeMs -> timeMs >= begin && timeMs - begin < 1_000).count();
+            long inSecond =
+                    sentAtMs.stream()
+                            .filter(timeMs -> timeMs >= begin && timeMs - begin < 1_000)
+                            .count();
             maximum = Math.max(maximum, (int) inSecond);
         }
         return maximum;
     }
 
     private void assertWithinAllowance() {
-        assertTrue(maxRequestsInOneSecond() <= MAX_REQUESTS_PER_SECOND, maxRequestsInOneSecond() + " requests in a second");
+        assertTrue(
+                maxRequestsInOneSecond() <= MAX_REQUESTS_PER_SECOND,
+                maxRequestsInOneSecond() + " requests in a second");
     }
 
     @ParameterizedTest
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -207,9 +207,9 @@
         PollResponse response = response(3, 0);
         response.balancerList = List.of(BalancerAddress.of("e", "e:1"));
         pendingCallback.accept(response);
-        assertEquals(0, dataPlane.warmup().ownership().balancers());
+        assertEquals(0, dataPlane.warmup().ownership().balancerCount());
         response.authoritative = true;
         pendingCallback.accept(response);
-        assertEquals(1, dataPlane.warmup().ownership().balancers());
+        assertEquals(1, dataPlane.warmup().ownership().balancerCount());
     }
 }
--- a/src/test/java/myrtleladder/dataplane/CoreQuotaTest.java
+++ b/src/test/java/myrtleladder/dataplane/CpuQuotaTest.java
@@ -13,7 +13,7 @@
  * A balancer under a CPU quota runs for a part of each 100 ms period and is paused for the rest. It
  * must not mistake its own pauses for unresponsive upstreams.
  */
-class CoreQuotaTest {
+class CpuQuotaTest {
     private static final long RUNNING_MS = 10;
     private static final long PAUSED_MS = 90;
     private static final int PERIODS = 100;
--- a/src/test/java/myrtleladder/dataplane/DrainedZoneTest.java
+++ b/src/test/java/myrtleladder/dataplane/DrainedZoneTest.java
@@ -76,7 +76,7 @@
         directory.applyDrainedZones(EAST);
         directory
                 .available("p")
-                .forEach(upstream -> upstream.becameUnresponsive(context.clock.now()));
+                .forEach(upstream -> upstream.markUnresponsive(context.clock.now()));
         context.send("/u/1");
         assertEquals("p3", lastUpstream());
     }
--- a/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
+++ b/src/test/java/myrtleladder/dataplane/FleetLoadSyncTest.java
@@ -43,7 +43,7 @@
 
     @Test
     void announcementIsRepeatedUntilAResponseAcknowledgesIt() {
-        fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
+        fleetLoads.recordPromptSent(PROMPT, upstream, NOW_MS);
         LoadReport unacknowledged = fleetLoads.createReport();
         assertEquals(PROMPT.sharedPrefixHash(), unacknowledged.cachedPrompts.get(0).prefixHash);
         assertEquals(upstream.key(), unacknowledged.cachedPrompts.get(0).upstreamKey);
@@ -56,11 +56,11 @@
 
     @Test
     void prefixIsAnnouncedAgainOnlyAfterAnInterval() {
-        fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
+        fleetLoads.recordPromptSent(PROMPT, upstream, NOW_MS);
         fleetLoads.applyResponse(fleetLoads.createReport(), response(3, 1), NOW_MS);
-        fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 1_000);
+        fleetLoads.recordPromptSent(PROMPT, upstream, NOW_MS + 1_000);
         assertEquals(List.of(), fleetLoads.createReport().cachedPrompts);
-        fleetLoads.promptSent(PROMPT, upstream, NOW_MS + 30_000);
+        fleetLoads.recordPromptSent(PROMPT, upstream, NOW_MS + 30_000);
         assertEquals(1, fleetLoads.createReport().cachedPrompts.size());
     }
 
@@ -120,7 +120,7 @@
         fleetLoads.applyResponse(fleetLoads.createReport(), response, NOW_MS);
         assertEquals(5_000, upstream.prefixCache().cachedTokens(PROMPT, NOW_MS));
         assertEquals(7, fleetLoads.createReport().promptRevision);
-        fleetLoads.promptSent(PROMPT, upstream, NOW_MS);
+        fleetLoads.recordPromptSent(PROMPT, upstream, NOW_MS);
         assertEquals(List.of(), fleetLoads.createReport().cachedPrompts);
     }
 
--- a/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
@@ -37,11 +37,12 @@
     private TenantQuotaClient client(TenantQuotaClient.QuotaAllocator allocator, long seed) {
         TenantQuotaClient client = new TenantQuotaClient(allocator, seed);
         client.applyConfiguration(configuration);
-        client.setBalancers(BALANCERS);
+        client.setBalancerCount(BALANCERS);
         return client;
     }
 
-    private void grantWithExtraUnits(QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
+    private void grantWithExtraUnits(
+            QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
         requests.add(request);
         double unitsToGrant = request.units < 0 ? 0 : request.units + EXTRA_GRANTED_UNITS;
         grantedUnits += unitsToGrant;
@@ -57,7 +58,9 @@
             double costUnits = 1 + costs.nextInt(20_000);
             client.acquire(tenant, costUnits, i, waitMs -> assertEquals(0, waitMs));
             usedUnits += costUnits;
-            assertTrue(grantedUnits - usedUnits <= EXTRA_GRANTED_UNITS + 1e-3, "unused: " + (grantedUnits - usedUnits));
+            assertTrue(
+                    grantedUnits - usedUnits <= EXTRA_GRANTED_UNITS + 1e-3,
+                    "unused: " + (grantedUnits - usedUnits));
         }
     }
 
@@ -90,7 +93,11 @@
             }
         }
         double expectedUnits = 0.85 * RATE_PER_S * durationMs / 1_000;
-        assertTrue(acquiredUnits[0] <= expectedUnits + SLACK_UNITS / 2, acquiredUnits[0] + " of " + expectedUnits);
-        assertTrue(acquiredUnits[0] >= 0.7 * expectedUnits, "too few units: " + acquiredUnits[0] + " of " + expectedUnits);
+        assertTrue(
+                acquiredUnits[0] <= expectedUnits + SLACK_UNITS / 2,
+                acquiredUnits[0] + " of " + expectedUnits);
+        assertTrue(
+                acquiredUnits[0] >= 0.7 * expectedUnits,
+                "too few units: " + acquiredUnits[0] + " of " + expectedUnits);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamPickerTest.java
@@ -167,8 +167,7 @@
         Upstream cachingUpstream = otherUpstream(balancer, affinityUpstream);
         balancer.receive(withCachedPrompt("a:9000,x:100", cachingUpstream), NOW_MS);
         long laterMs = NOW_MS + FleetLoadSync.MAX_LOAD_AGE_MS + 1;
-        cachingUpstream.recordExtraDelay(
-                300, laterMs); // more than affinity is assumed to save
+        cachingUpstream.recordExtraDelay(300, laterMs); // more than affinity is assumed to save
         assertEquals(cachingUpstream, balancer.pick("a:9000,y:100", laterMs));
     }
 
@@ -203,7 +202,7 @@
         balancer.receive(new FleetLoads(), NOW_MS);
         PromptSegments prompt = PromptSegments.parse("a:9000,x:100");
         UpstreamLoad estimated =
-                balancer.picker.likelyLoad(CONFIGURATION.service("m"), prompt, NOW_MS);
+                balancer.picker.estimateLoad(CONFIGURATION.service("m"), prompt, NOW_MS);
         assertEquals(9_100, estimated.pendingPromptTokens);
         assertEquals(estimated.upstreamKey, balancer.pick("a:9000,x:100", NOW_MS).key());
     }
--- a/src/test/java/myrtleladder/dataplane/WeightsRolloutTest.java
+++ b/src/test/java/myrtleladder/dataplane/WeightsRolloutTest.java
@@ -32,7 +32,8 @@
     }
 
     private static InstanceRecord record(int number, long weightsVersion) {
-        return DataPlaneContext.record("m" + number, "m", Stage.READY).withWeightsVersion(weightsVersion);
+        return DataPlaneContext.record("m" + number, "m", Stage.READY)
+                .withWeightsVersion(weightsVersion);
     }
 
     private SentRequest send(int number, int promptTokens) {
--- a/src/test/java/myrtleladder/dataplane/UpgradeByRegionTest.java
+++ b/src/test/java/myrtleladder/dataplane/ZoneUpgradeTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A model is upgraded zone by zone while replies are in flight at several balancers. Each reply must
- * complete at the upstream where it started, and all balancers must send the requests of a session
- * to the same upstream, before and after the upgrade.
+ * A model is upgraded zone by zone while replies are in flight at several balancers. Each reply
+ * must complete at the upstream where it started, and all balancers must send the requests of a
+ * session to the same upstream, before and after the upgrade.
  */
-class UpgradeByRegionTest {
+class ZoneUpgradeTest {
     private static final int BALANCERS = 4;
     private static final int ZONES = 3;
     private static final int UPSTREAMS_PER_ZONE = 3;
@@ -120,7 +120,7 @@
     }
 
     private static List<InFlightRequests> inFlightAtRemovedUpstreams(DataPlaneContext balancer) {
-        return balancer.dataPlane.directory().inFlightAtLeavingUpstreams();
+        return balancer.dataPlane.directory().inFlightAtRemovedUpstreams();
     }
 
     private void sendNextEvent() {
