--- a/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheAwarePolicy.java
@@ -109,7 +109,7 @@
 
     /** Whether prefill of the shared prefix takes long enough to announce where it is cached. */
     boolean shouldAnnounce(PromptSegments prompt) {
-        return prompt.sharedTokens() * prefillTime.msPerToken() > COST_TIE_MARGIN_MS;
+        return prompt.sharedPrefixTokens() * prefillTime.msPerToken() > COST_TIE_MARGIN_MS;
     }
 
     private List<PickResult> evaluate(
@@ -162,7 +162,7 @@
             long nowMs) {
         int cachedTokens = upstream.prefixCache().cachedTokens(prompt, nowMs);
         double prefixMissMs =
-                Math.max(0, prompt.sharedTokens() - cachedTokens) * prefillTime.msPerToken();
+                Math.max(0, prompt.sharedPrefixTokens() - cachedTokens) * prefillTime.msPerToken();
         double affinityCostMs =
                 hasFreshLoads
                         ? Math.min(affinity.affinityCostMs, prefixMissMs)
@@ -180,7 +180,7 @@
                 expectedMs
                         + PREFIX_MISS_COST_FACTOR * prefixMissMs
                         + affinityCostMs
-                        + weightsRollout.costMs(upstream),
+                        + weightsRollout.weightsCostMs(upstream),
                 backlogTokens == 0);
     }
 
--- a/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
+++ b/src/main/java/myrtleladder/dataplane/PrefixCacheModel.java
@@ -35,7 +35,7 @@
 
     /** Records that a prompt was sent and evicts the least recently used segments over capacity. */
     void recordSent(PromptSegments prompt, long nowMs) {
-        for (int i = 0; i < prompt.count(); i++) {
+        for (int i = 0; i < prompt.segmentCount(); i++) {
             Segment segment = new Segment(prompt.tokens(i), nowMs);
             Segment previous = sentSegments.put(prompt.prefixHash(i), segment);
             sentTokens += segment.tokens() - (previous == null ? 0 : previous.tokens());
@@ -70,7 +70,7 @@
     private int announcedTokensOf(PromptSegments prompt, long nowMs) {
         int prefixTokens = 0;
         int cachedTokens = 0;
-        for (int i = 0; i < prompt.count(); i++) {
+        for (int i = 0; i < prompt.segmentCount(); i++) {
             prefixTokens += prompt.tokens(i);
             if (nowMs - lastAnnouncedAtMs(prompt.prefixHash(i)) <= CACHE_TTL_MS) {
                 cachedTokens = prefixTokens;
@@ -82,7 +82,7 @@
     /** Tokens of the leading segments that were sent and have not expired or been evicted. */
     private int sentTokensOf(PromptSegments prompt, long nowMs) {
         int cachedTokens = 0;
-        for (int i = 0; i < prompt.count(); i++) {
+        for (int i = 0; i < prompt.segmentCount(); i++) {
             Segment segment = sentSegments.get(prompt.prefixHash(i));
             if (segment == null || nowMs - segment.sentAtMs() > CACHE_TTL_MS) {
                 break;
--- a/src/main/java/myrtleladder/dataplane/PromptSegments.java
+++ b/src/main/java/myrtleladder/dataplane/PromptSegments.java
@@ -56,7 +56,7 @@
     }
 
     /** Number of segments. */
-    int count() {
+    int segmentCount() {
         return prefixHashes.length;
     }
 
@@ -80,8 +80,8 @@
     }
 
     /** Number of tokens of all segments but the last; 0 without segments. */
-    int sharedTokens() {
-        return count() == 0 ? 0 : totalTokens() - segmentTokens[count() - 1];
+    int sharedPrefixTokens() {
+        return segmentCount() == 0 ? 0 : totalTokens() - segmentTokens[segmentCount() - 1];
     }
 
     /**
@@ -89,6 +89,6 @@
      * the last, or the only segment; 0 without segments.
      */
     long sharedPrefixHash() {
-        return count() == 0 ? 0 : prefixHashes[Math.max(0, count() - 2)];
+        return segmentCount() == 0 ? 0 : prefixHashes[Math.max(0, segmentCount() - 2)];
     }
 }
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -36,7 +36,7 @@
     Upstream(InstanceRecord record, WarmupContext warmupContext, long nowMs) {
         this.record = record;
         this.warmup = new UpstreamWarmup(warmupContext, record.id);
-        this.warmup.recordReceived(record, true, nowMs);
+        this.warmup.applyRecord(record, true, nowMs);
         this.affinityHash = affinityHash(record);
         this.key = UpstreamLoad.keyOf(record.id);
     }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -124,7 +124,7 @@
     private void updateRecord(Upstream existing, InstanceRecord record) {
         long existingSequence = existing.record().heartbeatSequence;
         boolean isNewer = record.heartbeatSequence > existingSequence;
-        existing.warmup().recordReceived(record, isNewer, scheduler.now());
+        existing.warmup().applyRecord(record, isNewer, scheduler.now());
         if (existingSequence <= record.heartbeatSequence
                 || existing.record().stage != record.stage) {
             existing.updateRecord(record);
--- a/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamPicker.java
@@ -88,7 +88,7 @@
         List<Upstream> all = candidates(service, triedUpstreams, nowMs);
         List<Upstream> candidates =
                 weightsVersion == InstanceRecord.UNKNOWN_WEIGHTS_VERSION
-                        ? weightsRollout.withoutExpired(service.name(), all, nowMs)
+                        ? weightsRollout.filterCandidates(service.name(), all, nowMs)
                         : preferWeightsVersion(all, weightsVersion);
         if (candidates.isEmpty()) {
             return null;
--- a/src/main/java/myrtleladder/dataplane/UpstreamWarmup.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamWarmup.java
@@ -80,7 +80,7 @@
      * @param isNewer whether the record contains a later heartbeat than all earlier ones; other
      *     records may come from a node with incomplete information and never lift the limit
      */
-    void recordReceived(InstanceRecord record, boolean isNewer, long nowMs) {
+    void applyRecord(InstanceRecord record, boolean isNewer, long nowMs) {
         long newColdUntilMs = nowMs + record.warmupLeftMs();
         if (record.stage == InstanceRecord.Stage.LOST) {
             transitionTo(State.LOST);
--- a/src/main/java/myrtleladder/dataplane/WarmupContext.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupContext.java
@@ -16,7 +16,7 @@
 
     WarmupContext(WarmupSettings settings) {
         this.settings = settings;
-        this.ownership = new WarmupOwnership(settings.balancer());
+        this.ownership = new WarmupOwnership(settings.balancerName());
     }
 
     /** Records that the primary of this epoch answered a poll. */
--- a/src/main/java/myrtleladder/dataplane/WarmupSettings.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupSettings.java
@@ -5,13 +5,13 @@
 /**
  * Settings of the limit on requests to cold upstreams.
  *
- * @param balancer name of this balancer
+ * @param balancerName name of this balancer
  * @param overageFactor factor applied to a service's {@code warmup_per_s}
  * @param slackPerSecond requests per second allowed in addition
  * @param heartbeatMs interval between heartbeats of an upstream
  */
 record WarmupSettings(
-        String balancer, double overageFactor, double slackPerSecond, long heartbeatMs) {
+        String balancerName, double overageFactor, double slackPerSecond, long heartbeatMs) {
     /** Value of {@link #allowancePerSecond} for services without a limit. */
     static final int UNLIMITED = -1;
 
--- a/src/main/java/myrtleladder/dataplane/WeightsRollout.java
+++ b/src/main/java/myrtleladder/dataplane/WeightsRollout.java
@@ -60,13 +60,13 @@
      * Filters the candidates for a new request: after the grace period, those with the newest
      * version if there are any; otherwise all.
      */
-    List<Upstream> withoutExpired(String service, List<Upstream> candidates, long nowMs) {
+    List<Upstream> filterCandidates(String service, List<Upstream> candidates, long nowMs) {
         NewestVersion newest = newestByService.get(service);
-        boolean expired =
+        boolean gracePeriodOver =
                 gracePeriodMs > 0
                         && newest != null
                         && nowMs - newest.sinceMs >= gracePeriodMs - GRACE_PERIOD_MARGIN_MS;
-        if (!expired) {
+        if (!gracePeriodOver) {
             return candidates;
         }
         List<Upstream> upgraded = new ArrayList<>();
@@ -79,7 +79,7 @@
     }
 
     /** Extra cost of a new request at an upstream due to the version of its weights. */
-    double costMs(Upstream upstream) {
+    double weightsCostMs(Upstream upstream) {
         NewestVersion newest = newestByService.get(upstream.record().service);
         boolean hasOlderWeights =
                 newest != null && upstream.record().weightsVersion < newest.version;
