--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -99,7 +99,7 @@
      */
     private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
         int usedTokens = usedTokens(client.head().headers().get(HeaderNames.TOKEN_USAGE));
-        double cost = TenantQuotaClient.cost(tenant, usedTokens);
+        double cost = TenantQuotaClient.costUnits(tenant, usedTokens);
         dataPlane.quotas().advanceClock(dataPlane.nowMs());
         dataPlane.fleetLoads().setPendingLoad(() -> likelyLoad(client, route));
         dataPlane
@@ -132,7 +132,7 @@
         String prefix = client.head().headers().get(HeaderNames.PROMPT_PREFIX);
         return dataPlane
                 .picker()
-                .likelyLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
+                .estimateLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
     }
 
     /** Starts an admitted request; the configuration may have changed since its route matched. */
