--- a/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/OpenRequests.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The requests that are owed a final answer or have outstanding attempts, and the final answers
- * that this balancer gives of its own: rejections and failures.
+ * The requests that need a final answer or have outstanding attempts. Gives the final answers that
+ * do not come from an upstream: rejections and failures.
  */
 final class OpenRequests {
     private final Limits limits;
     private final RequestQueue queue;
-    private final DeadlineTimer deadlines;
+    private final DeadlineTimer deadlineTimer;
     private final RequestStatistics statistics;
     private final LoadBalancer.Actions actions;
     private final Map<String, RequestState> byId = new HashMap<>();
@@ -19,47 +19,50 @@
     OpenRequests(
             Limits limits,
             RequestQueue queue,
-            DeadlineTimer deadlines,
+            DeadlineTimer deadlineTimer,
             RequestStatistics statistics,
             LoadBalancer.Actions actions) {
         this.limits = limits;
         this.queue = queue;
-        this.deadlines = deadlines;
+        this.deadlineTimer = deadlineTimer;
         this.statistics = statistics;
         this.actions = actions;
     }
 
-    /** Adds a request, which is queued from here on. */
+    /** Adds a new request and queues it. */
     void add(RequestState request, long nowUs) {
         byId.put(request.request.id(), request);
-        deadlines.add(request);
+        deadlineTimer.add(request);
         queue.add(request, nowUs);
     }
 
-    /** The request with that name; null if it is not open. */
+    /** The request with that identifier; null if it is not open. */
     RequestState get(String id) {
         return byId.get(id);
     }
 
-    /** All of them, in no order. */
+    /** All open requests, in no particular order. */
     Collection<RequestState> all() {
         return byId.values();
     }
 
-    /** Gives their final answers to those whose deadlines are close. */
-    void finishDue(long nowUs) {
-        RequestState due = deadlines.pollDue(nowUs);
+    /** Gives a final answer to each request whose deadline is close. */
+    void rejectOrFailDue(long nowUs) {
+        RequestState due = deadlineTimer.pollDue(nowUs);
         while (due != null) {
-            finish(due, nowUs);
-            due = deadlines.pollDue(nowUs);
+            rejectOrFail(due, nowUs);
+            due = deadlineTimer.pollDue(nowUs);
         }
     }
 
-    /** Gives a request that could not be served its final answer: a rejection where permitted. */
-    void finish(RequestState request, long nowUs) {
+    /**
+     * Gives a final answer to a request that could not be served: a rejection if permitted, else a
+     * failure.
+     */
+    void rejectOrFail(RequestState request, long nowUs) {
         queue.remove(request);
         if (RetryPolicy.mayReject(request)) {
-            actions.refuse(request.request.id(), retryAfterUs(request));
+            actions.reject(request.request.id(), retryAfterUs(request));
             if (!request.request.isRetry()) {
                 statistics.recordRejection(
                         request.request.classIndex(), nowUs - request.arrivedAtUs);
@@ -71,8 +74,8 @@
     }
 
     /**
-     * When to come back: what is queued now is served or rejected within its latency target, so
-     * that the queue is new then. 0 gives no advice.
+     * The retry-after time: after one latency target, all requests that are queued now have been
+     * served or rejected. 0 gives no retry-after time.
      */
     private long retryAfterUs(RequestState request) {
         return limits.retryAfter()
@@ -80,11 +83,14 @@
                 : 0;
     }
 
-    /** Nothing is owed any more: cancels what is outstanding, unless the answer is streaming. */
+    /**
+     * Ends a request that no longer needs an answer. Cancels its outstanding attempts unless the
+     * answer is being streamed.
+     */
     void conclude(RequestState request) {
         queue.remove(request);
         request.isEnded = true;
-        if (limits.cancel() && !request.isStreaming) {
+        if (limits.cancellation() && !request.isStreaming) {
             cancelOutstanding(request);
         }
         removeIfDone(request);
@@ -93,12 +99,12 @@
     private void cancelOutstanding(RequestState request) {
         for (int i = 0; i < request.attempts.size(); i++) {
             if (request.attempts.get(i).isOutstanding) {
-                actions.cancel(request.request.id(), i);
+                actions.cancelAttempt(request.request.id(), i);
             }
         }
     }
 
-    /** Forgets an ended request once no attempt of it is outstanding. */
+    /** Removes an ended request if no attempt of it is outstanding. */
     void removeIfDone(RequestState request) {
         if (request.outstandingAttempts() == 0) {
             byId.remove(request.request.id());
--- a/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/UpstreamTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The upstreams that the endpoint list has as ready, with their state. */
+/** The state of the upstreams that are ready according to the endpoint list. */
 final class UpstreamTable {
     private final int balancerPosition;
     private final boolean usesRatings;
@@ -27,13 +27,13 @@
             ConcurrencyLimiter limiter,
             SlowStart slowStart) {
         this.balancerPosition = settings.position();
-        this.usesRatings = settings.ratings() != Ratings.NONE;
+        this.usesRatings = settings.ratingKind() != CapacityRatingKind.NONE;
         this.statistics = statistics;
         this.limiter = limiter;
         this.slowStart = slowStart;
     }
 
-    /** Takes in changes, or a complete list where {@code isComplete}. */
+    /** Applies changes of the endpoint list, or a complete list if {@code isComplete}. */
     void update(List<Upstream> entries, boolean isComplete, long nowUs) {
         if (isComplete) {
             byId.keySet().retainAll(entries.stream().map(Upstream::id).toList());
@@ -56,16 +56,16 @@
     }
 
     /**
-     * A new process starts afresh but for the learnt weight: what the old one had in flight and
-     * what was known of it say nothing now. {@code previous} is null for a new upstream.
+     * Creates the state of a new process. It keeps only the weight of the previous process; load
+     * and health of that one do not apply to it. {@code previous} is null for a new upstream.
      */
     private UpstreamState create(Upstream entry, UpstreamState previous, long nowUs) {
         UpstreamState created = new UpstreamState(entry.id(), balancerPosition);
         created.logWeight = previous == null ? 0 : previous.logWeight;
         created.weight = Math.exp(created.logWeight);
-        created.paceUs = statistics.paceUs();
-        created.concurrencyLimit = limiter.firstLimit();
-        slowStart.fillFirst(created, nowUs);
+        created.delayPerRequestUs = statistics.delayPerRequestUs();
+        created.concurrencyLimit = limiter.initialLimit();
+        slowStart.initializeTokens(created, nowUs);
         return created;
     }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /** All upstreams in the order of this balancer's preference; not to be changed. */
+    /** All upstreams by their rank for this balancer; callers must not modify the list. */
     List<UpstreamState> ranked() {
         return ranked;
     }
@@ -93,7 +93,7 @@
         return ranked.isEmpty();
     }
 
-    /** The upstream with that name; null if it is not listed. */
+    /** The upstream with that identifier; null if it is not listed. */
     UpstreamState byId(String id) {
         return byId.get(id);
     }
@@ -103,7 +103,9 @@
         return byHash.get(hash);
     }
 
-    /** Whether this is still the state of a listed process. */
+    /**
+     * Whether this is the current state of a listed upstream, and not that of an earlier process.
+     */
     boolean contains(UpstreamState upstream) {
         return byId.get(upstream.id) == upstream;
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/WeightedLeastLoadPicker.java
@@ -6,26 +6,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Picks an upstream at random in proportion to weight / (load + 1)^bias among a sample of the
- * subset. Preferences are stated in terms of load: one of 2 makes up for a queue twice as long.
+ * Picks an upstream at random, in proportion to weight / (load + 1)^bias, from a sample of the
+ * subset. Preferences are factors on the load: a preference of 2 compensates for twice the load.
  */
 final class WeightedLeastLoadPicker {
-    /** Exponent of load and preferences; a clearly shorter queue nearly always wins. */
+    /**
+     * Exponent of load and preferences. With 4, a clearly shorter queue is nearly always picked.
+     */
     private static final double BIAS = 4;
 
-    /** Preference for the upstream of a request's key, where affinity saves work. */
+    /** Preference for the upstream of a request's key. */
     private static final double AFFINITY_PREFERENCE = 2.5;
 
-    /** Upstreams that a pick draws among. That of the key is always one of them. */
+    /** Candidates of a random pick. The upstream of the key is always one of them. */
     private static final int SAMPLE_SIZE = 12;
 
-    /** Preference for an upstream just back from ejection. */
+    /** Preference for an upstream that has not answered since its ejection. */
     private static final double UNPROVEN_PREFERENCE = 0.74;
 
-    /** The same for a request that cannot be retried. */
-    private static final double UNPROVEN_PREFERENCE_UNSAFE = 0.38;
+    /** The same for a request that is not idempotent. */
+    private static final double UNPROVEN_PREFERENCE_NON_IDEMPOTENT = 0.38;
 
-    /** Exponent of the share of attempts without an error. */
+    /** Exponent of the fraction of attempts without an error. */
     private static final double SUCCESS_EXPONENT = 2;
 
     private final RendezvousSubsetting subsetting;
@@ -53,22 +55,22 @@
         this.random = random;
     }
 
-    /** Picks an upstream that has room for the request now; null if there is none. */
-    UpstreamState pickWithRoom(RequestState request, long nowUs) {
+    /** Picks an upstream that has capacity for the request now; null if there is none. */
+    UpstreamState pickWithCapacity(RequestState request, long nowUs) {
         return pick(request, nowUs, true);
     }
 
-    /** Picks an upstream for a retry, which is not made to wait for room; null if there is none. */
+    /** Picks an upstream for a retry, which does not wait for capacity; null if there is none. */
     UpstreamState pickForRetry(RequestState request, long nowUs) {
         return pick(request, nowUs, false);
     }
 
-    private UpstreamState pick(RequestState request, long nowUs, boolean needsRoom) {
+    private UpstreamState pick(RequestState request, long nowUs, boolean needsCapacity) {
         boolean isPanic = eligibility.isPanic(nowUs);
         List<UpstreamState> candidates = new ArrayList<>();
         for (UpstreamState upstream : subsetting.upstreams(nowUs)) {
             if (eligibility.isEligible(upstream, request, nowUs, isPanic)
-                    && (!needsRoom || admission.hasRoom(upstream, request, nowUs))) {
+                    && (!needsCapacity || admission.hasCapacity(upstream, request, nowUs))) {
                 candidates.add(upstream);
             }
         }
@@ -85,13 +87,13 @@
     private double score(UpstreamState upstream, RequestState request, long nowUs) {
         double preference =
                 upstream.rating
-                        * slowStart.factor(upstream, nowUs)
+                        * slowStart.capacityFraction(upstream, nowUs)
                         * Math.pow(1 - upstream.errorRate, SUCCESS_EXPONENT)
-                        * zones.factor(upstream)
+                        * zones.preference(upstream)
                         * (upstream == request.affinityUpstream ? AFFINITY_PREFERENCE : 1)
                         * unprovenPreference(upstream, request);
         double weight = upstream.weight * Math.pow(preference, BIAS);
-        double load = loads.ownLoad(upstream) + loads.loadOfOthers(upstream, nowUs);
+        double load = loads.ownLoad(upstream) + loads.otherBalancersLoad(upstream, nowUs);
         return weight / Math.pow(load + 1, BIAS);
     }
 
@@ -99,15 +101,15 @@
         if (!upstream.isUnprovenSinceEjection()) {
             return 1;
         }
-        return request.requestClass.effect() == Effect.UNSAFE
-                ? UNPROVEN_PREFERENCE_UNSAFE
+        return request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                ? UNPROVEN_PREFERENCE_NON_IDEMPOTENT
                 : UNPROVEN_PREFERENCE;
     }
 
     /**
-     * Leaves a random few, and the upstream of the key if it is among them. Drawn among all of a
-     * large fleet, the preference for it was one against dozens: its keys were served everywhere,
-     * and everywhere without a warm cache.
+     * Reduces the candidates to a random sample that includes the upstream of the key if it is a
+     * candidate. Without a sample, that upstream competes with dozens of others in a large fleet,
+     * so that a key is served everywhere and without a warm cache.
      */
     private void sample(List<UpstreamState> candidates, UpstreamState affinityUpstream) {
         if (candidates.size() <= SAMPLE_SIZE) {
@@ -121,10 +123,10 @@
     }
 
     private UpstreamState draw(List<UpstreamState> candidates, double[] scores, double sum) {
-        double x = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         UpstreamState last = null;
-        for (int i = 0; i < scores.length && x >= 0; i++) {
-            x -= scores[i];
+        for (int i = 0; i < scores.length && remaining >= 0; i++) {
+            remaining -= scores[i];
             last = scores[i] > 0 ? candidates.get(i) : last;
         }
         return last;
--- a/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
@@ -1,20 +1,20 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Prefers upstreams of the own zone by what crossing to another one costs. */
+/** Prefers upstreams of the balancer's own zone, depending on the price of crossing zones. */
 final class ZonePreference {
-    /** Preference of the own zone for each point that crossing costs. */
+    /** Added to the preference for the own zone per point that crossing costs. */
     private static final double PREFERENCE_PER_POINT = 80;
 
     private final int zone;
-    private final double ownZoneFactor;
+    private final double ownZonePreference;
 
     ZonePreference(Settings settings) {
         this.zone = settings.zone();
-        this.ownZoneFactor = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
+        this.ownZonePreference = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
     }
 
-    /** A factor on the weight: 1 in other zones, 1 or more in the own. */
-    double factor(UpstreamState upstream) {
-        return upstream.endpoint.zone() == zone ? ownZoneFactor : 1;
+    /** The preference for an upstream: 1 in other zones, 1 or more in the own zone. */
+    double preference(UpstreamState upstream) {
+        return upstream.endpoint.zone() == zone ? ownZonePreference : 1;
     }
 }
