--- a/src/main/java/myrtleladder/replication/CandidateState.java
+++ b/src/main/java/myrtleladder/replication/CandidateState.java
@@ -11,33 +11,28 @@
 import myrtleladder.protocol.View;
 
 /**
- * The role of a candidate: one attempt to install a view. It collects promises of its epoch from
- * majorities of the base view's groups (Paxos phase 1, after an optional pre-vote), chooses the
- * replicas among those that promised, and lets {@link ViewInstaller} install the view.
+ * The candidate role: one attempt to install a view. The candidate collects promises for its epoch from majorities of the base view's groups (Paxos phase 1, after an optional pre-vote), chooses the replicas among the members that promised, and starts a {@link ViewInstaller}.
  *
- * <p>Invariants: an epoch is asked for only after this node has saved its own promise; the view is
- * based on the last view that any member of the majorities accepted, and only a replica of that one
- * goes on; the group changes only if the base view is known to be in effect. Confined to the event
- * loop; created by {@link QuorumState} alone, for one attempt each.
+ * <p>Invariants: prepare requests for an epoch are sent only after this node has saved its own promise for it. The new view is based on the latest view that any member of the majorities accepted, and only a replica of that view continues. The group changes only if the base view is known to be installed. Confined to the event loop; {@link QuorumState} creates one instance for each attempt.
  */
 final class CandidateState implements RoleState {
-    /** The phases of an attempt in their order. The names appear in the log. */
+    /** The phases of an attempt, in order. The names appear in the log. */
     enum Phase {
-        /** Asks without binding anyone whether a majority would promise. */
+        /** Asks, without binding any member, whether a majority would promise. */
         PRE_VOTE,
-        /** Saves its own promise. */
+        /** Saves this node's own promise. */
         SAVING,
         /** Collects promises. */
         PREPARING,
-        /** Sends the state to the replicas of the view. */
+        /** Sends the state to the replicas of the new view. */
         INSTALLING,
-        /** Collects the acceptance of the view. */
+        /** Collects acceptances of the new view. */
         ACCEPTING,
-        /** The view is installed, or the attempt was given up. */
+        /** The view is installed, or the attempt was abandoned. */
         ENDED
     }
 
-    /** No time yet at which the promises of majorities were complete. */
+    /** Value of {@link #majorityReachedAtMs} until majorities have promised. */
     private static final long NOT_REACHED_MS = 0;
 
     private final ReplicaContext context;
@@ -56,12 +51,12 @@
     private View base;
 
     /**
-     * Creates an attempt; {@link #begin} starts it.
+     * Creates an attempt; {@link #start} starts it.
      *
-     * @param plan the group that is wanted
-     * @param baseInEffect whether the view to start from is known to be in effect, so that its
-     *     group may change
-     * @param withPreVote whether to ask first if a majority would promise
+     * @param plan the group change to make with the new view
+     * @param baseViewInstalled whether the base view is known to be installed, so that its group
+     *     may change
+     * @param withPreVote whether to run a pre-vote first
      */
     CandidateState(
             ReplicaContext context,
@@ -106,7 +101,7 @@
     public void poll(long nowMs) {
         if (phase == Phase.PRE_VOTE
                 && nowMs - askedAtMs >= ReplicationTiming.PRE_VOTE_RETRY_INTERVAL_MS) {
-            // A member that heard a primary a moment ago may not hear it any more.
+            // A member that had contact with a primary recently may have lost it since.
             askedAddresses.clear();
         }
         if (phase == Phase.PRE_VOTE || phase == Phase.PREPARING) {
@@ -114,7 +109,7 @@
             evaluatePromises();
         }
         if (phase != Phase.ENDED && nowMs - startedAtMs > ReplicationTiming.CANDIDACY_TIMEOUT_MS) {
-            quorum.onCandidacyFailed("the attempt took too long at " + phase, true);
+            quorum.onCandidacyFailed("the attempt timed out in phase " + phase, true);
         }
     }
 
@@ -128,7 +123,7 @@
         return phase == expected;
     }
 
-    /** Returns an epoch above all known ones; lower epochs are always rejected. */
+    /** Returns an epoch above all known ones; members reject any lower epoch. */
     private long nextEpoch() {
         return Math.max(context.views().highestEpoch(), context.storedState().promisedEpoch) + 1;
     }
@@ -144,7 +139,7 @@
         }
     }
 
-    /** Asks those members for a promise, or a pre-vote, that have not been asked. */
+    /** Sends a prepare or pre-vote request to each of these members that has neither a request in flight nor responded. */
     private void ask(List<Member> members) {
         boolean preVote = phase == Phase.PRE_VOTE;
         long askedEpoch = epoch;
@@ -188,8 +183,8 @@
                 context.contacts().onAcknowledged(response.member, sentAtMs);
             }
         } else if (response.promisedEpoch >= epoch) {
-            // The next attempt begins above the epoch that this member promised.
-            quorum.onCandidacyFailed("epoch " + response.promisedEpoch + " is ahead", true);
+            // The next attempt uses an epoch above the one that this member promised.
+            quorum.onCandidacyFailed("a member promised the higher epoch " + response.promisedEpoch, true);
             return;
         }
         if (preVote) {
@@ -246,7 +241,7 @@
         }
     }
 
-    /** Returns whether all have promised, or no more are waited for. */
+    /** Returns whether every requested member has promised or the wait for further promises is over. */
     private boolean haveEnoughPromised() {
         long nowMs = context.nowMs();
         if (majorityReachedAtMs == NOT_REACHED_MS) {
@@ -269,8 +264,7 @@
     }
 
     /**
-     * Returns whether the group may change. Only a view that is known to be in effect can have a
-     * successor with another group; otherwise two different groups might follow one view.
+     * Returns whether the group may change. Only a view that is known to be installed can have a successor with another group; otherwise two different groups might follow one view.
      */
     private boolean canChangeGroup() {
         return baseInEffect && !baseReplaced;
--- a/src/main/java/myrtleladder/replication/ChangeReplicator.java
+++ b/src/main/java/myrtleladder/replication/ChangeReplicator.java
@@ -8,11 +8,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * Replicates the changes of a primary, one at a time.
+ * Replicates the changes that a primary commits, one at a time.
  *
- * <p>Invariant: a change is reported as committed only after every replica of the view has saved
- * it, or after a view that carries it was installed. Confined to the event loop; used by {@link
- * PrimaryState} alone.
+ * <p>Invariant: a change is reported as committed only after every replica of the view has saved it, or after a view whose state includes it was installed. Confined to the event loop; used only by {@link PrimaryState}.
  */
 final class ChangeReplicator {
     private final ReplicaContext context;
@@ -43,7 +41,7 @@
         return pending != null;
     }
 
-    /** Saves a change here and sends it to the other replicas; none may be in flight. */
+    /** Saves a change on this node and sends it to the other replicas. No other change may be in flight. */
     void submit(StateChange stateChange, Consumer<Boolean> onCommitted) {
         View view = context.view();
         Snapshot next = stateChange.applyTo(context.storedState().snapshot);
@@ -61,7 +59,9 @@
         }
     }
 
-    /** Ends the change in flight, if there is one, with a known or unknown outcome. */
+    /** Completes the change in flight, if there is one.
+     *
+     * @param committed false if the outcome is unknown */
     void finish(boolean committed) {
         PendingChange change = pending;
         pending = null;
@@ -105,17 +105,17 @@
         change.missingAcknowledgements--;
         if (change.missingAcknowledgements == 0) {
             pending = null;
-            // Before the callback, which may submit the next change at once.
+            // Must precede the callback, which may submit the next change immediately.
             viewChangeTrigger.changeViewIfDue();
             change.onCommitted.accept(true);
         }
     }
 
-    /** Starts a view without a replica that failed; a failed save of this node is handled there. */
+    /** Starts a view change that replaces a failed replica. A failed save on this node is handled by {@link QuorumState#onSaveFailed}. */
     private void replace(Member member) {
         if (!context.isSelf(member)) {
             context.unresponsiveReplicas().add(member);
-            quorum.transitionToCandidate(false, "replica " + member + " does not take a change");
+            quorum.transitionToCandidate(false, "replica " + member + " did not acknowledge a change");
         }
     }
 }
--- a/src/main/java/myrtleladder/replication/ElectionTimer.java
+++ b/src/main/java/myrtleladder/replication/ElectionTimer.java
@@ -3,13 +3,12 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * When this node last had contact with a primary or candidate, and when it may become a candidate
- * itself. Survives changes of the role.
+ * Records when this node last had contact with a primary or candidate, and decides when it may become a candidate itself. One instance is kept across role changes.
  *
  * <p>Confined to the event loop. All times are in milliseconds of the scheduler's clock.
  */
 final class ElectionTimer {
-    /** Long before any time of the clock, without overflow in differences. */
+    /** Earlier than any clock time; half of the minimum so that differences do not overflow. */
     private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private final Scheduler scheduler;
@@ -22,34 +21,34 @@
         this.scheduler = scheduler;
     }
 
-    /** Counts the election timeout from now on. */
+    /** Restarts the election timeout. */
     void restart() {
         lastContactMs = scheduler.now();
     }
 
-    /** Takes note of a message from the primary of the current view. */
+    /** Records a message from the primary of the current view. */
     void onPrimaryHeard() {
         restart();
         primaryHeardAtMs = lastContactMs;
         useFullTimeout();
     }
 
-    /** Uses the election timeout of a group that had a primary. */
+    /** Selects the election timeout for a group that has had a primary. */
     void useFullTimeout() {
         electionTimeoutMs = ReplicationTiming.ELECTION_TIMEOUT_MS;
     }
 
-    /** Uses the short timeout after an attempt that may succeed if it is repeated. */
+    /** Selects the shorter timeout for a retry after an attempt that may succeed if it is repeated. */
     void useRetryTimeout() {
         electionTimeoutMs = ReplicationTiming.ELECTION_RETRY_TIMEOUT_MS;
     }
 
-    /** Permits no candidacy for the given time from now on. */
+    /** Forbids candidacies of this node for the given duration. */
     void suppress(long durationMs) {
         suppressedUntilMs = scheduler.now() + durationMs;
     }
 
-    /** Returns whether a candidacy is not permitted at the given time. */
+    /** Returns whether candidacies are forbidden at the given time. */
     boolean isSuppressed(long nowMs) {
         return nowMs < suppressedUntilMs;
     }
@@ -59,12 +58,12 @@
         return millisSinceContact(nowMs) > electionTimeoutMs + additionalDelayMs;
     }
 
-    /** Returns the time since the last contact with a primary or candidate. */
+    /** Returns the milliseconds since the last contact with a primary or candidate. */
     long millisSinceContact(long nowMs) {
         return nowMs - lastContactMs;
     }
 
-    /** Returns whether a primary was heard less than the given time ago. */
+    /** Returns whether the last message from a primary is more recent than the given duration. */
     boolean hasHeardPrimaryWithin(long durationMs) {
         return scheduler.now() - primaryHeardAtMs < durationMs;
     }
--- a/src/main/java/myrtleladder/replication/FollowerState.java
+++ b/src/main/java/myrtleladder/replication/FollowerState.java
@@ -3,8 +3,7 @@
 import myrtleladder.protocol.View;
 
 /**
- * The role of a member that follows a primary or waits for one. It becomes a candidate once the
- * election timeout has passed without contact, if it is a replica. Confined to the event loop.
+ * The role of a member that follows a primary or waits for one. A follower that is a replica becomes a candidate when the election timeout passes without contact. Confined to the event loop.
  */
 final class FollowerState implements RoleState {
     private final ReplicaContext context;
@@ -29,7 +28,7 @@
             joinRequester.poll(nowMs);
         }
         if (voter && isEligible() && mayBecomeCandidate(nowMs)) {
-            quorum.transitionToCandidate(true, "no primary is heard");
+            quorum.transitionToCandidate(true, "no contact with a primary within the election timeout");
         }
     }
 
@@ -39,8 +38,7 @@
     }
 
     /**
-     * Returns whether this node is a replica of the last view known or stored. Whether a later view
-     * exists is known to the members that promise.
+     * Returns whether this node is a replica of the latest known or stored view. If a later view exists, the members that respond to the prepare request report it.
      */
     private boolean isEligible() {
         View accepted = context.storedState().acceptedView;
@@ -55,7 +53,7 @@
                 && timer.hasExpired(nowMs, electionDelayMs());
     }
 
-    /** Returns what is added to the election timeout by rank and for a node that is leaving. */
+    /** Returns the delay added to the election timeout for this node's rank in the view, and if it is leaving. */
     private long electionDelayMs() {
         View view = context.view();
         int position = view.replicas.indexOf(context.self());
--- a/src/main/java/myrtleladder/replication/InitialState.java
+++ b/src/main/java/myrtleladder/replication/InitialState.java
@@ -6,13 +6,14 @@
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.View;
 
-/** The state of a node whose storage is empty. */
+/** Creates the state of a node whose storage is empty. */
 final class InitialState {
     private InitialState() {}
 
     /**
-     * Returns the first state of a node: on the first start of the system a seed is a member of the
-     * group of all seeds, with identities that every node can derive; any other node has to join.
+     * Returns the initial state of a node. On the first start of the system, a seed belongs to the group of all seeds, whose store ids every node can derive; any other node has to join.
+     *
+     * @param newStoreId the store id of a node that has to join
      */
     static StoredState create(ReplicaOptions options, String newStore) {
         String address = options.self().address;
--- a/src/main/java/myrtleladder/replication/JoinRequester.java
+++ b/src/main/java/myrtleladder/replication/JoinRequester.java
@@ -4,8 +4,7 @@
 import myrtleladder.protocol.JoinResponse;
 
 /**
- * Asks other nodes for the current view and, if this node is no member of it, to be admitted.
- * Confined to the event loop; polled by {@link JoiningState} and {@link FollowerState}.
+ * Sends join requests, which ask other nodes for the current view and, if this node is not in its group, for admission. Confined to the event loop; polled by {@link JoiningState} and {@link FollowerState}.
  */
 final class JoinRequester {
     private final ReplicaContext context;
@@ -19,7 +18,7 @@
         this.addresses = new PeerAddressRotation(context.self(), context.options().seedAddresses());
     }
 
-    /** Sends a request if one is due; a node that is leaving sends none. */
+    /** Sends a request if one is due. A node that is leaving sends none. */
     void poll(long nowMs) {
         boolean due = nowMs - lastRequestMs >= ReplicationTiming.JOIN_RETRY_INTERVAL_MS;
         if (due && !quorum.isLeaving()) {
--- a/src/main/java/myrtleladder/replication/JoiningState.java
+++ b/src/main/java/myrtleladder/replication/JoiningState.java
@@ -1,10 +1,9 @@
 package myrtleladder.replication;
 
 /**
- * The role of a node outside of the group: it asks to be admitted and neither votes nor leads.
+ * The role of a node outside the group: it requests admission, does not vote and cannot become primary.
  *
- * <p>Invariant: the latest known view, if there is one, does not have this node in its group; once
- * one has, {@link QuorumState} makes the node a follower. Confined to the event loop.
+ * <p>Invariant: this node is not in the group of the latest known view, if there is one. When a view includes it, {@link QuorumState} makes it a follower. Confined to the event loop.
  */
 final class JoiningState implements RoleState {
     private final JoinRequester joinRequester;
--- a/src/main/java/myrtleladder/replication/LeaveRequester.java
+++ b/src/main/java/myrtleladder/replication/LeaveRequester.java
@@ -8,11 +8,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes this node out of the group before its process ends: asks the primary to be released until
- * neither its copy of the state nor its vote is needed, or until the deadline.
+ * Removes this node from the group before its process exits. It repeats a leave request to the primary until the primary releases the node, that is, until neither its copy of the state nor its vote is needed, or until the deadline.
  *
- * <p>Confined to the event loop. Started once, by {@link Replica#leave}; the callback runs exactly
- * once.
+ * <p>Confined to the event loop. {@link Replica#leave} starts it once; the callback runs exactly once.
  */
 final class LeaveRequester {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
@@ -31,17 +29,16 @@
         this.addresses = new PeerAddressRotation(context.self(), context.options().seedAddresses());
     }
 
-    /** Returns whether this node was asked to leave. */
+    /** Returns whether this node is leaving the group. */
     boolean isStarted() {
         return started;
     }
 
     /**
-     * Resigns if this node is the primary, then asks to be released; without effect if it was
-     * started before.
+     * Resigns if this node is the primary, then sends leave requests. Does nothing if already started.
      *
-     * @param timeoutMs after which the node ends even if the group has not released it
-     * @param whenEnded takes whether the group released this node
+     * @param timeoutMs after which it completes even if the group has not released the node
+     * @param completionCallback receives whether the group released this node
      */
     void start(long timeoutMs, Consumer<Boolean> whenEnded) {
         if (started) {
@@ -51,7 +48,7 @@
         deadlineMs = context.nowMs() + timeoutMs;
         onEnded = whenEnded;
         if (quorum.isPrimary()) {
-            quorum.resign("asked to end");
+            quorum.resign("this node is shutting down");
         }
         requestRelease();
     }
@@ -68,7 +65,7 @@
         if (address.isPresent()) {
             sendRequest(address.get());
         } else {
-            end(false); // no other node could take anything over
+            end(false); // no other node exists to take over
         }
         context.scheduler()
                 .schedule(ReplicationTiming.LEAVE_RETRY_INTERVAL_MS, this::requestRelease);
@@ -100,7 +97,7 @@
         }
     }
 
-    /** A primary that was deposed releases by a view which later ones may have replaced. */
+    /** Returns whether no later epoch is known. A deposed primary may release a node on the basis of a view that has been superseded. */
     private boolean isLatestKnown(long epoch) {
         return epoch >= context.views().highestEpoch()
                 && epoch >= context.storedState().promisedEpoch;
@@ -108,7 +105,7 @@
 
     private void end(boolean released) {
         ended = true;
-        LOG.info("leaves; released by the group: {}", released);
+        LOG.info("leaving the group, released={}", released);
         onEnded.accept(released);
     }
 }
--- a/src/main/java/myrtleladder/replication/MemberContacts.java
+++ b/src/main/java/myrtleladder/replication/MemberContacts.java
@@ -8,34 +8,32 @@
 import myrtleladder.protocol.Member;
 
 /**
- * When each member last acknowledged a request of this node.
+ * Records when each member last acknowledged a request from this node.
  *
- * <p>Invariant: an acknowledgement counts from the sending of its request, so one that is read
- * late, even after the process was paused, proves nothing about the time since. Confined to the
- * event loop.
+ * <p>Invariant: an acknowledgement is dated by the time at which its request was sent. One that is read late, for example after the process was paused, is not evidence of later contact. Confined to the event loop.
  */
 final class MemberContacts {
     private final Map<Member, Long> acknowledgedAtMs = new HashMap<>();
     private final Map<Member, Long> watchedSinceMs = new HashMap<>();
 
-    /** Takes the acknowledgement of a request that was sent at the given time. */
+    /** Records the acknowledgement of a request that was sent at the given time. */
     void onAcknowledged(Member member, long sentAtMs) {
         acknowledgedAtMs.merge(member, sentAtMs, Math::max);
     }
 
-    /** Watches these members and no others, each from now on unless it is watched already. */
+    /** Tracks exactly these members. Members that were not tracked before count as in contact at the given time. */
     void watch(Collection<Member> members, long nowMs) {
         watchedSinceMs.keySet().retainAll(members);
         members.forEach(member -> watchedSinceMs.putIfAbsent(member, nowMs));
     }
 
-    /** Drops all acknowledgements; watched members are watched from now on. */
+    /** Discards all acknowledgements. Tracked members count as in contact at the given time. */
     void clear(long nowMs) {
         acknowledgedAtMs.clear();
         watchedSinceMs.replaceAll((member, sinceMs) -> nowMs);
     }
 
-    /** Returns the time since a member was last in contact, 0 if it is not watched. */
+    /** Returns the milliseconds since the last contact with a member, 0 if it is not tracked. */
     long millisSinceContact(Member member, long nowMs) {
         long sinceMs = watchedSinceMs.getOrDefault(member, nowMs);
         return nowMs - Math.max(sinceMs, acknowledgedAtMs.getOrDefault(member, sinceMs));
--- a/src/main/java/myrtleladder/replication/MembershipRequests.java
+++ b/src/main/java/myrtleladder/replication/MembershipRequests.java
@@ -7,31 +7,30 @@
 import myrtleladder.protocol.Member;
 
 /**
- * The nodes that asked a primary to be admitted to the group or to be released from it. They repeat
- * their requests; a request that is not repeated expires. Confined to the event loop.
+ * The join and leave requests that a primary has received. Nodes repeat their requests; a request that is not repeated expires. Confined to the event loop.
  */
 final class MembershipRequests {
     private final Map<Member, Long> joinRequestedAtMs = new LinkedHashMap<>();
     private final Map<Member, Long> leaveRequestedAtMs = new LinkedHashMap<>();
 
-    /** Takes the request of a node to be admitted; one that asked to leave was restarted. */
+    /** Records a join request. It replaces a leave request from the same node, which must have restarted since. */
     void join(Member member, long nowMs) {
         leaveRequestedAtMs.remove(member);
         joinRequestedAtMs.put(member, nowMs);
     }
 
-    /** Drops the join request of a node that does not answer; it may ask again. */
+    /** Removes the join request of a node that does not respond; it may send another. */
     void withdrawJoin(Member member) {
         joinRequestedAtMs.remove(member);
     }
 
-    /** Takes the request of a member to be released. */
+    /** Records a leave request. It replaces a join request from the same node. */
     void leave(Member member, long nowMs) {
         joinRequestedAtMs.remove(member);
         leaveRequestedAtMs.put(member, nowMs);
     }
 
-    /** Drops requests that were not repeated in time. */
+    /** Removes requests that are older than {@link ReplicationTiming#MEMBERSHIP_REQUEST_TTL_MS}. */
     void expire(long nowMs) {
         removeExpired(joinRequestedAtMs, nowMs);
         removeExpired(leaveRequestedAtMs, nowMs);
@@ -43,23 +42,23 @@
                 .removeIf(atMs -> nowMs - atMs > ReplicationTiming.MEMBERSHIP_REQUEST_TTL_MS);
     }
 
-    /** Drops all requests. */
+    /** Removes all requests. */
     void clear() {
         joinRequestedAtMs.clear();
         leaveRequestedAtMs.clear();
     }
 
-    /** Returns a copy of the nodes that asked to be admitted, in the order of their requests. */
+    /** Returns a copy of the nodes that requested to join, in the order of their first requests. */
     Set<Member> joining() {
         return new LinkedHashSet<>(joinRequestedAtMs.keySet());
     }
 
-    /** Returns a copy of the members that asked to be released, in the order of their requests. */
+    /** Returns a copy of the members that requested to leave, in the order of their first requests. */
     Set<Member> leaving() {
         return new LinkedHashSet<>(leaveRequestedAtMs.keySet());
     }
 
-    /** Returns whether a member asked to be released. */
+    /** Returns whether a member requested to leave. */
     boolean isLeaving(Member member) {
         return leaveRequestedAtMs.containsKey(member);
     }
--- a/src/main/java/myrtleladder/replication/PeerAddressRotation.java
+++ b/src/main/java/myrtleladder/replication/PeerAddressRotation.java
@@ -9,8 +9,7 @@
 import myrtleladder.protocol.View;
 
 /**
- * Chooses which control node to ask next: by turns the one that is taken for the primary and one of
- * all others, since the primary may have changed. Confined to the event loop.
+ * Chooses the control node to which the next join or leave request goes. It alternates between the last known primary and one of all other nodes, as the primary may have changed. Confined to the event loop.
  */
 final class PeerAddressRotation {
     private final Member self;
@@ -23,9 +22,9 @@
     }
 
     /**
-     * Returns the address to ask next, empty if no other node is known.
+     * Returns the next address, empty if no other node is known.
      *
-     * @param view the latest view, null if none is known; its primary is asked in every other turn
+     * @param view the latest view, null if none is known; every second call returns its primary
      */
     Optional<String> next(View view) {
         List<String> others = otherAddresses(view);
@@ -41,8 +40,7 @@
     }
 
     /**
-     * Returns the address of the view's primary unless it is that of this machine: a node that lost
-     * its disk may know a view that its former store leads.
+     * Returns the address of the view's primary unless it is this node's own address: a node that lost its disk may know a view in which its former store is the primary.
      */
     private Optional<String> primaryAddress(View view) {
         return Optional.ofNullable(view)
@@ -51,7 +49,7 @@
                 .filter(address -> !address.equals(self.address));
     }
 
-    /** Returns the seeds and the members of the view, without this node. */
+    /** Returns the addresses of the seeds and of the view's members, without this node's own. */
     private List<String> otherAddresses(View view) {
         Set<String> addresses = new LinkedHashSet<>(seedAddresses);
         if (view != null) {
--- a/src/main/java/myrtleladder/replication/Peers.java
+++ b/src/main/java/myrtleladder/replication/Peers.java
@@ -3,14 +3,13 @@
 import java.util.function.Consumer;
 import myrtleladder.protocol.Message;
 
-/** Sends requests to other nodes. Called on the event loop, which also runs the callbacks. */
+/** Sends requests to other nodes. Methods and callbacks run on the event loop. */
 public interface Peers {
     /**
-     * Sends a request without waiting for the answer.
+     * Sends a request and returns without waiting for the response.
      *
      * @param address host and port of the receiver
-     * @param timeoutMs in milliseconds
-     * @param answer takes the answer, or null if none came in time; called once
+     * @param answer receives the response, or null if none arrived within the timeout; called once
      */
     void call(String address, Message message, long timeoutMs, Consumer<Message> answer);
 }
--- a/src/main/java/myrtleladder/replication/PersistentState.java
+++ b/src/main/java/myrtleladder/replication/PersistentState.java
@@ -8,12 +8,9 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The state of this node in memory and on its way to the storage.
+ * The state of this node in memory, and the saves of it that are in flight.
  *
- * <p>Invariant: whatever is promised or acknowledged to another node waits for the callback of the
- * save that made it durable; {@link #current()} may be ahead of the storage. Saves complete in the
- * order in which they were begun. Confined to the event loop; called by all roles and by {@link
- * VoterRequestHandler}.
+ * <p>Invariant: a promise or acknowledgement is sent to another node only from the callback of the save that made it durable, as {@link #current()} may be ahead of the storage. Saves complete in the order in which they were started. Confined to the event loop; used by all roles and by {@link VoterRequestHandler}.
  */
 final class PersistentState {
     private final Storage storage;
@@ -28,8 +25,9 @@
     /**
      * Creates the state.
      *
-     * @param initial what the storage holds, or what is to be written first
-     * @param instances the upstreams known now, saved along with the state of a replica
+     * @param initial the stored state, or the first state to write if the storage is empty
+     * @param instances supplies the currently known upstream records, which a replica saves with
+     *     its state
      * @param onSaveFailed run when a save fails, before the callback of that save
      */
     PersistentState(
@@ -47,17 +45,17 @@
         this.onSaveFailed = onSaveFailed;
     }
 
-    /** Returns the newest state, which may not be durable yet. */
+    /** Returns the latest state, which may not be durable yet. */
     StoredState current() {
         return current;
     }
 
-    /** Makes a state current and saves it, with the known upstreams if this node is a replica. */
+    /** Makes a state current and saves it, with the known upstream records if this node is a replica. */
     void save(StoredState next, Consumer<Boolean> onSaved) {
         save(next, views.isReplica(), onSaved);
     }
 
-    /** Saves a state that makes this node a replica of the view to be installed. */
+    /** Makes a state current and saves it with the known upstream records, for a node that becomes a replica of the view being installed. */
     void saveAsReplica(StoredState next, Consumer<Boolean> onSaved) {
         save(next, true, onSaved);
     }
@@ -86,7 +84,7 @@
         return savesInFlight == 0;
     }
 
-    /** Returns whether a save is in flight and the storage completed none for too long. */
+    /** Returns whether a save is in flight and none has completed within {@link ReplicationTiming#STORAGE_TIMEOUT_MS}. */
     boolean isStalled() {
         return savesInFlight > 0
                 && scheduler.now() - lastProgressAtMs > ReplicationTiming.STORAGE_TIMEOUT_MS;
--- a/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
+++ b/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
@@ -13,11 +13,10 @@
 import myrtleladder.protocol.View;
 
 /**
- * The heartbeats of a primary to its group, and what a majority of acknowledgements confirms.
- * Confined to the event loop; used by {@link PrimaryState} alone.
+ * Sends a primary's heartbeats to its group and uses the acknowledgements to confirm that a majority still follows it. Confined to the event loop; used only by {@link PrimaryState}.
  */
 final class PrimaryHeartbeats {
-    /** Ends a confirmation only after the timeout of its requests was delivered. */
+    /** Timeout of a confirmation; longer than that of its requests, so that their timeouts are delivered first. */
     private static final long CONFIRMATION_TIMEOUT_MS =
             ReplicationTiming.REQUEST_TIMEOUT_MS + ReplicationTiming.POLL_INTERVAL_MS;
 
@@ -26,7 +25,7 @@
     private final List<Confirmation> pendingConfirmations = new ArrayList<>();
     private long lastHeartbeatMs;
 
-    /** A caller that waits for the acknowledgement of a majority; compared by identity. */
+    /** A caller that waits for acknowledgements from a majority; compared by identity. */
     private static final class Confirmation {
         final Consumer<Boolean> onConfirmed;
 
@@ -40,7 +39,7 @@
         this.quorum = quorum;
     }
 
-    /** Sends heartbeats if they are due. */
+    /** Sends heartbeats if the heartbeat interval has passed. */
     void poll(long nowMs) {
         if (nowMs - lastHeartbeatMs >= ReplicationTiming.HEARTBEAT_INTERVAL_MS) {
             lastHeartbeatMs = nowMs;
@@ -53,7 +52,7 @@
         lastHeartbeatMs = 0;
     }
 
-    /** Returns whether a majority acknowledged a request that was sent a short while ago. */
+    /** Returns whether a majority acknowledged requests sent within the last {@link ReplicationTiming#CONFIRMATION_VALIDITY_MS}. */
     boolean isRecentlyConfirmed() {
         long sinceMs = context.nowMs() - ReplicationTiming.CONFIRMATION_VALIDITY_MS;
         Set<Member> acknowledged = new HashSet<>(context.contacts().acknowledgedSince(sinceMs));
@@ -61,7 +60,10 @@
         return context.view().hasMajority(acknowledged);
     }
 
-    /** Asks a majority whether this node is still primary; the callback runs once. */
+    /** Asks the group whether this node is still primary.
+     *
+     * @param onConfirmed receives true once a majority has acknowledged, false on a timeout or if
+     *     this node is no longer primary; called once */
     void confirm(Consumer<Boolean> onConfirmed) {
         View view = context.view();
         Confirmation confirmation = new Confirmation(onConfirmed);
@@ -89,8 +91,7 @@
     /**
      * Sends a heartbeat to each other member.
      *
-     * @param onProgress takes the members that acknowledged so far, this node first, at once and
-     *     after each answer
+     * @param onProgress receives the members that have acknowledged so far, starting with this node; called before the requests are sent and after each response
      */
     private void send(Consumer<Set<Member>> onProgress) {
         Set<Member> acknowledged = new LinkedHashSet<>();
--- a/src/main/java/myrtleladder/replication/PrimaryState.java
+++ b/src/main/java/myrtleladder/replication/PrimaryState.java
@@ -6,12 +6,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * The role of the primary: it confirms its epoch by heartbeats, replicates changes, and starts
- * another view when one is due.
+ * The primary role: confirms its epoch by heartbeats, replicates changes, and starts a view change when one is due.
  *
- * <p>One instance serves all views that this node leads. It keeps its state, such as a change in
- * flight, while the node is a candidate for its own next view, and drops it in {@link
- * #onPrimacyLost}. Confined to the event loop.
+ * <p>One instance is used for all views of which this node is the primary. It keeps its state, such as a change in flight, while the node is a candidate for its own next view, and discards it in {@link #onPrimacyLost}. Confined to the event loop.
  */
 final class PrimaryState implements RoleState {
     private static final long NOT_LEADING = -1;
@@ -40,11 +37,11 @@
     public void poll(long nowMs) {
         context.membershipRequests().expire(nowMs);
         if (context.persistentState().isStalled()) {
-            quorum.resign("the disk does not answer");
+            quorum.resign("the storage is stalled");
             return;
         }
         if (quorum.isLeaving() && canHandOver(nowMs)) {
-            quorum.resign("asked to end");
+            quorum.resign("this node is shutting down");
             return;
         }
         heartbeats.poll(nowMs);
@@ -54,7 +51,7 @@
         }
     }
 
-    /** Returns whether another replica stays, once members that leave had time to announce it. */
+    /** Returns whether another replica is staying, after leaving members have had time to announce it. */
     private boolean canHandOver(long nowMs) {
         return nowMs - leadingSinceMs >= ReplicationTiming.HANDOVER_DELAY_MS
                 && context.view().replicas.stream().anyMatch(this::isOtherThatStays);
@@ -64,14 +61,14 @@
         return !context.isSelf(member) && !context.membershipRequests().isLeaving(member);
     }
 
-    /** A view of this node is in effect; a change that it carries along is committed by it. */
+    /** Called when this node has installed a view, which commits a change in flight since the view's state includes it. */
     void onViewInstalled(View view) {
         context.contacts().watch(view.group, context.nowMs());
         leadingSinceMs = leadingSinceMs == NOT_LEADING ? context.nowMs() : leadingSinceMs;
         changeReplicator.finish(true);
     }
 
-    /** This node is primary no more; the outcome of all that is in flight is unknown. */
+    /** Called when this node is no longer primary. The outcome of any change in flight is unknown. */
     void onPrimacyLost() {
         leadingSinceMs = NOT_LEADING;
         context.membershipRequests().clear();
@@ -81,15 +78,14 @@
         heartbeats.failConfirmations();
     }
 
-    /** The process was paused: acknowledgements from before prove nothing. */
+    /** Called after the process was paused. Acknowledgements from before the pause are discarded. */
     void onProcessPaused(long nowMs) {
         context.contacts().clear(nowMs);
         heartbeats.sendAtNextPoll();
     }
 
     /**
-     * Returns the replica that should lead next: the first that is not leaving, else the last that
-     * is; null if there is no other.
+     * Returns the replica that should become primary next: the first one that is not leaving, otherwise the last one; null if there is no other replica.
      */
     Member chooseSuccessor() {
         Member leavingSuccessor = null;
@@ -105,14 +101,14 @@
         return leavingSuccessor;
     }
 
-    /** Takes the request of a node to be admitted to the group. */
+    /** Records the join request of a node that is not in the group. */
     void onJoinRequested(Member member) {
         if (!context.view().group.contains(member)) {
             context.membershipRequests().join(member, context.nowMs());
         }
     }
 
-    /** Takes the request of a member to be released; returns whether it is. */
+    /** Records a leave request. Returns whether the node is released: the group is stable and no longer includes it. */
     boolean onLeaveRequested(Member member) {
         View view = context.view();
         context.membershipRequests().leave(member, context.nowMs());
@@ -121,17 +117,17 @@
                 && !view.replicas.contains(member);
     }
 
-    /** Returns the next group as far as it may change now. */
+    /** Returns the group change that may be made now. */
     ReconfigurationPlan reconfigurationPlan() {
         return viewChangeTrigger.reconfigurationPlan();
     }
 
-    /** Returns whether a majority acknowledged a request that was sent a short while ago. */
+    /** Returns whether a majority has confirmed this primary recently; see {@link PrimaryHeartbeats#isRecentlyConfirmed}. */
     boolean isRecentlyConfirmed() {
         return heartbeats.isRecentlyConfirmed();
     }
 
-    /** Asks a majority whether this node is still primary; the callback runs once. */
+    /** Asks the group whether this node is still primary; see {@link PrimaryHeartbeats#confirm}. */
     void confirm(Consumer<Boolean> onConfirmed) {
         heartbeats.confirm(onConfirmed);
     }
--- a/src/main/java/myrtleladder/replication/Promises.java
+++ b/src/main/java/myrtleladder/replication/Promises.java
@@ -14,9 +14,7 @@
 import myrtleladder.protocol.View;
 
 /**
- * The promises, or pre-votes, that a candidate got from other members, with what these reported.
- * This node counts as promising without an entry. Confined to the event loop; used by {@link
- * CandidateState} alone.
+ * The promises, or pre-votes, that a candidate received from other members, with the state that they reported. This node's own promise is implied and has no entry. Confined to the event loop; used by {@link CandidateState} and {@link ViewInstaller}.
  */
 final class Promises {
     private final ReplicaContext context;
@@ -31,7 +29,7 @@
         granted.put(response.member, response);
     }
 
-    /** Drops all, as pre-votes are before the epoch is prepared. */
+    /** Removes all entries, for example the pre-votes before the epoch is prepared. */
     void clear() {
         granted.clear();
     }
@@ -46,12 +44,12 @@
         return granted.containsKey(member);
     }
 
-    /** Returns a view of the other members that promised. */
+    /** Returns an unmodifiable live view of the other members that promised. */
     Set<Member> otherMembers() {
         return Collections.unmodifiableSet(granted.keySet());
     }
 
-    /** Returns whether this node and those that promised are majorities of a view's groups. */
+    /** Returns whether this node and the members that promised form majorities of a view's group and previous group. */
     boolean isMajorityOf(View view) {
         Set<Member> members = new LinkedHashSet<>(granted.keySet());
         members.add(context.self());
@@ -59,8 +57,7 @@
     }
 
     /**
-     * Returns the last view that this node or a member that promised has accepted, so the last that
-     * may have committed changes; null if nobody accepted any.
+     * Returns the latest view that this node or a member that promised has accepted, which is the latest view that may have committed changes; null if none was accepted.
      */
     View lastAccepted() {
         View last = context.storedState().acceptedView;
@@ -73,7 +70,7 @@
         return last;
     }
 
-    /** Returns the upstreams that the promising members and this node know, the latest of each. */
+    /** Merges the upstream records of this node and of the members that promised, with the latest record of each upstream. */
     List<InstanceRecord> inheritedInstances() {
         Map<String, InstanceRecord> latest = new LinkedHashMap<>();
         for (PrepareResponse promise : granted.values()) {
--- a/src/main/java/myrtleladder/replication/QuorumState.java
+++ b/src/main/java/myrtleladder/replication/QuorumState.java
@@ -9,22 +9,20 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The role of this replica; only this class makes transitions between roles.
+ * Holds the current role of this replica and makes all transitions between roles.
  *
  * <pre>
- *   JOINING   -> FOLLOWER   a view has this node in its group
- *   FOLLOWER  -> JOINING    a view does not have this node in its group
+ *   JOINING   -> FOLLOWER   a view includes this node in its group
+ *   FOLLOWER  -> JOINING    a view does not include this node in its group
  *   FOLLOWER  -> CANDIDATE  election timeout, or the primary resigned
  *   CANDIDATE -> PRIMARY    its view is installed
  *   CANDIDATE -> FOLLOWER   the attempt failed, or another member prepared an epoch
- *   CANDIDATE -> JOINING    the attempt failed, and this node is no member any more
- *   PRIMARY   -> CANDIDATE  another view is due; changes in flight go on
+ *   CANDIDATE -> JOINING    the attempt failed, and this node is no longer a member
+ *   PRIMARY   -> CANDIDATE  a view change is due; a change in flight continues
  *   PRIMARY   -> FOLLOWER   it resigned, or another member prepared an epoch
  * </pre>
  *
- * <p>Invariants: a transition makes the new role current before the callbacks of the old one run; a
- * primary that is a candidate for its own next view keeps its primacy, which ends with the
- * transition to follower or joining. Confined to the event loop.
+ * <p>Invariants: a transition makes the new role current before the callbacks of the old one run. A primary that is a candidate for its own next view keeps its primacy; only the transition to follower or joining ends it. Confined to the event loop.
  */
 final class QuorumState {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
@@ -51,51 +49,50 @@
         return role.state();
     }
 
-    /** Returns whether the current role is that of the primary. */
+    /** Returns whether the current role is primary. */
     boolean isPrimary() {
         return role == primaryState;
     }
 
-    /** Returns whether the current role is that of a candidate. */
+    /** Returns whether the current role is candidate. */
     boolean isCandidate() {
         return role instanceof CandidateState;
     }
 
     /**
-     * Returns whether this node leads a view that is in effect, also while it is a candidate for
-     * the next one.
+     * Returns whether this node is the primary of an installed view, even while it is a candidate for the next one.
      */
     boolean hasPrimacy() {
         return isPrimary() || (isCandidate() && hasPrimacy);
     }
 
-    /** Returns whether this node was asked to leave the group. */
+    /** Returns whether this node is leaving the group. */
     boolean isLeaving() {
         return leaveRequester.isStarted();
     }
 
-    /** Returns the role of the primary; it holds state also while it is not current. */
+    /** Returns the primary role, which keeps its state while it is not the current role. */
     PrimaryState primaryState() {
         return primaryState;
     }
 
-    /** Returns the requester that takes this node out of the group. */
+    /** Returns the requester that removes this node from the group. */
     LeaveRequester leaveRequester() {
         return leaveRequester;
     }
 
-    /** Lets the current role do what is due. */
+    /** Polls the current role for due work. */
     void poll(long nowMs) {
         role.poll(nowMs);
     }
 
-    /** The process was paused: what was or was not heard meanwhile proves nothing. */
+    /** Called after the process was paused: neither missing nor late messages are evidence about other nodes. */
     void onProcessPaused(long nowMs) {
         context.electionTimer().restart();
         primaryState.onProcessPaused(nowMs);
     }
 
-    /** Makes this node a follower, if it is none; ends a candidacy or primacy. */
+    /** Makes this node a follower if it is not one already. Ends a candidacy or primacy. */
     void transitionToFollower(String reason) {
         FollowerState follower = new FollowerState(context, this, joinRequester);
         if (transitionTo(follower, reason)) {
@@ -103,7 +100,7 @@
         }
     }
 
-    /** Makes this node one outside of the group, if it is in it; ends a candidacy or primacy. */
+    /** Makes this node a joining one if it is not already. Ends a candidacy or primacy. */
     void transitionToJoining(String reason) {
         if (transitionTo(new JoiningState(joinRequester), reason)) {
             endPrimacy();
@@ -111,9 +108,9 @@
     }
 
     /**
-     * Makes this node a candidate for the next view and begins the attempt.
+     * Makes this node a candidate for the next view and starts the attempt.
      *
-     * @param withPreVote whether to ask first if a majority has lost contact with the primary
+     * @param withPreVote whether to run a pre-vote first, which fails while a majority has contact with the primary
      */
     void transitionToCandidate(boolean withPreVote, String reason) {
         boolean baseInEffect = isPrimary();
@@ -129,9 +126,9 @@
     }
 
     /**
-     * Makes this node the primary of a view that it installed.
+     * Makes this node the primary of a view that it has installed.
      *
-     * @param inherited the upstreams that the members knew
+     * @param instances the upstream records that this node and the members that promised knew
      */
     void transitionToPrimary(View view, Collection<InstanceRecord> inherited) {
         context.views().install(view);
@@ -143,7 +140,7 @@
         listener.onPrimacyGained(inherited);
     }
 
-    /** Returns whether the role changed; without effect if the node has that role already. */
+    /** Replaces the role and returns true, unless the node already has a role of that kind. */
     private boolean transitionTo(RoleState next, String reason) {
         RoleState previous = role;
         if (previous.state() == next.state()) {
@@ -151,7 +148,7 @@
         }
         role = next;
         long epoch = context.storedState().promisedEpoch;
-        LOG.info("{} -> {} epoch {}: {}", previous.state(), next.state(), epoch, reason);
+        LOG.info("role {} -> {}, epoch {}: {}", previous.state(), next.state(), epoch, reason);
         previous.close();
         return true;
     }
@@ -164,7 +161,10 @@
         }
     }
 
-    /** A candidacy failed; {@code retrySoon} says that another attempt may succeed at once. */
+    /** Called when a candidacy failed.
+     *
+     * @param retrySoon whether another attempt may succeed, so that the shorter election timeout
+     *     applies */
     void onCandidacyFailed(String reason, boolean retrySoon) {
         context.electionTimer().restart();
         if (retrySoon) {
@@ -180,7 +180,7 @@
     }
 
     /**
-     * A candidacy failed because this node is no replica of a later view that may have committed.
+     * Called when a candidacy failed because this node is not a replica of a later view, which may have committed changes.
      */
     void onNotEligible(View later) {
         onViewLearned(later);
@@ -188,43 +188,43 @@
         onCandidacyFailed("not a replica of " + later, false);
     }
 
-    /** A member that a primary asked has promised a higher epoch. */
+    /** Called when a member rejected a request of this primary because it has promised a higher epoch. */
     void onHigherEpochPromised(long epoch) {
         context.electionTimer().restart();
-        transitionToFollower("epoch " + epoch + " was promised to another");
+        transitionToFollower("a member promised epoch " + epoch + " to another candidate");
     }
 
-    /** This node is about to promise an epoch to a candidate. */
+    /** Called before this node promises an epoch to a candidate. */
     void onEpochPrepared(long epoch, Member candidate) {
         context.electionTimer().restart();
         if (isPrimary() || isCandidate()) {
-            transitionToFollower("epoch " + epoch + " is prepared by " + candidate);
+            transitionToFollower(candidate + " is preparing epoch " + epoch);
         }
     }
 
-    /** Another node reported a view; it is followed if it is later than the known one. */
+    /** Called when another node reported a view. Adopts it if it is later than the known one. */
     void onViewLearned(View view) {
         if (!context.views().update(view)) {
             return;
         }
         boolean voter = context.views().isVoter();
         if (role instanceof FollowerState && !voter) {
-            transitionToJoining("not in the group of " + view);
+            transitionToJoining("not in the group of the view " + view);
         } else if (role instanceof JoiningState && voter) {
-            transitionToFollower("in the group of " + view);
+            transitionToFollower("in the group of the view " + view);
         }
     }
 
-    /** The primary of a view sent it itself. */
+    /** Called when the primary of a view sent it to this node. */
     void onPrimaryHeard(View view) {
         onViewLearned(view);
         context.electionTimer().onPrimaryHeard();
         if (!(role instanceof FollowerState) && view.group.contains(context.self())) {
-            transitionToFollower("follows " + view.primary);
+            transitionToFollower("following primary " + view.primary);
         }
     }
 
-    /** Returns whether a primary other than the candidate was heard a short while ago. */
+    /** Returns whether this node recently had contact with a primary other than the candidate, or is itself a recently confirmed primary. */
     boolean hasContactToOtherPrimary(Member candidate) {
         if (isPrimary()) {
             return primaryState.isRecentlyConfirmed();
@@ -237,24 +237,23 @@
                 && context.storedState().promisedEpoch <= view.epoch;
     }
 
-    /** The storage failed to save the state. */
+    /** Called when the storage failed to save the state. */
     void onSaveFailed() {
         context.electionTimer().suppress(ReplicationTiming.ELECTION_BACKOFF_MS);
         if (isPrimary() || isCandidate()) {
-            resign("the disk does not take the state");
+            resign("the storage failed to save the state");
         }
     }
 
     /**
-     * Gives up the role and, if this node is the primary, asks another replica to take over;
-     * without effect outside of the group.
+     * Makes this node a follower and, if it was the primary, asks another replica to take over. Does nothing if this node is not in the group.
      */
     void resign(String reason) {
         if (role instanceof JoiningState) {
             return;
         }
         context.electionTimer().suppress(ReplicationTiming.ELECTION_BACKOFF_MS);
-        // Chosen before the transition, which drops the requests of members that are leaving.
+        // Chosen before the transition, which clears the leave requests.
         Member successor = isPrimary() ? primaryState.chooseSuccessor() : null;
         transitionToFollower(reason);
         context.electionTimer().restart();
@@ -268,7 +267,7 @@
         }
     }
 
-    /** The primary resigned and asks this node to take over, if it is able to. */
+    /** Called when the primary of an epoch has resigned and asks this node to take over. */
     void onPrimaryResigned(long epoch) {
         View view = context.view();
         boolean replicaOfView = view != null && view.epoch == epoch && context.views().isReplica();
--- a/src/main/java/myrtleladder/replication/ReconfigurationPlan.java
+++ b/src/main/java/myrtleladder/replication/ReconfigurationPlan.java
@@ -8,16 +8,13 @@
 import myrtleladder.protocol.Member;
 
 /**
- * The change of the group that a primary wants: with the nodes that ask to be admitted, without
- * members whose machine has another store now, and without those that are unresponsive or leaving
- * as far as enough members remain. A joiner takes the place of such a member in the same change, so
- * no group has fewer live members than the one before. Immutable if its collections are.
+ * The group change that a primary wants to make. It adds the nodes that requested to join, removes members whose machine now has another store, and removes unresponsive and leaving members as long as the group stays above its minimum size. A joiner replaces such a member in the same change, so that no group has fewer live members than the previous one. Immutable if its collections are.
  *
  * @param group the current group
  * @param joining the nodes to admit, in this order
  * @param unresponsive the members to remove first, in this order
  * @param leaving the members to remove next, in this order
- * @param minimumSize the size below which unresponsive and leaving members stay
+ * @param minimumSize the group size at which no more unresponsive or leaving members are removed
  */
 record ReconfigurationPlan(
         List<Member> group,
@@ -30,12 +27,12 @@
         return new ReconfigurationPlan(group, Set.of(), List.of(), Set.of(), group.size());
     }
 
-    /** Returns the group that results if all joiners answer. */
+    /** Returns the next group if all joiners respond. */
     List<Member> nextGroup() {
         return nextGroup(joiner -> true);
     }
 
-    /** Returns the group that results from the change with those joiners that are present. */
+    /** Returns the next group with only those joiners that the predicate accepts. */
     List<Member> nextGroup(Predicate<Member> isPresent) {
         List<Member> next = new ArrayList<>(group);
         for (Member joiner : joining) {
@@ -57,7 +54,7 @@
         }
     }
 
-    /** Returns whether the plan leads to another group if all joiners answer. */
+    /** Returns whether the next group differs from the current one if all joiners respond. */
     boolean isChange() {
         List<Member> next = nextGroup();
         return next.size() != group.size() || !group.containsAll(next);
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -21,43 +21,40 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A node of primary-backup replication with voting members that store epochs only.
+ * A node of the primary-backup replication. The group includes witnesses, which vote and store epochs and views but not the replicated state.
  *
- * <p>A change is committed once every replica of the current view has saved it. A member that is a
- * replica of the last view installs the next one under a new epoch, once the replicas have the
- * complete state and majorities of the group and of the group before it have saved the view. From
- * the promise of an epoch on, a member rejects requests of lower ones.
+ * <p>A change is committed once every replica of the current view has saved it. Only a replica of the latest view can install the next view, under a new epoch. The next view is installed once its replicas have the complete state and majorities of its group and of the previous group have saved the view. A member that has promised an epoch rejects all requests with a lower one.
  *
- * <p>This class is the entry point; {@link QuorumState} holds the role. Confined to the event loop
- * of the scheduler, which also runs all callbacks.
+ * <p>This class is the entry point of the package; {@link QuorumState} holds the role. Confined to the event loop of the scheduler, which also runs all callbacks.
  */
 public final class Replica {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
 
-    /** The role of a node. The names are visible to operators in the status and the log. */
+    /** The role of a node. The names are visible to operators in the status page and the log. */
     public enum State {
-        /** Outside of the group: asks to be admitted. */
+        /** Not in the group; requests admission. */
         JOINING,
-        /** A member that follows a primary or waits for one. */
+        /** Follows a primary or waits for one. */
         FOLLOWER,
-        /** Attempts to install a view. */
+        /** Is attempting to install a view. */
         CANDIDATE,
-        /** Leads the view that is in effect. */
+        /** Is the primary of the installed view. */
         PRIMARY
     }
 
-    /** Is notified of changes of the role, on the event loop. */
+    /** Is notified of role changes, on the event loop. */
     public interface Listener {
         /**
-         * This node is primary of a new epoch; {@code instances} are the upstreams that the members
-         * knew.
+         * Called when this node has become the primary of a new epoch.
+         *
+         * @param instances the upstream records that this node and the members that promised knew
          */
         void onPrimacyGained(Collection<InstanceRecord> instances);
 
-        /** This node is primary no more. */
+        /** Called when this node is no longer primary. */
         void onPrimacyLost();
 
-        /** A candidate sent the upstreams that it knows along with the state. */
+        /** Called when a candidate sent its upstream records together with the state. */
         void onInstancesReceived(Collection<InstanceRecord> instances);
     }
 
@@ -69,11 +66,11 @@
     private boolean identityStored;
 
     /**
-     * Creates a replica; {@link #start} lets it take part.
+     * Creates a replica, which takes part in the protocol after {@link #start}.
      *
-     * @param onDisk what the storage holds, null if it is empty
-     * @param newStore the identity of the store if it is empty
-     * @param instances the upstreams that this node knows now
+     * @param stored the stored state, null if the storage is empty
+     * @param newStoreId the store id to use if the storage is empty
+     * @param instances supplies the upstream records that this node currently knows
      */
     public Replica(
             ReplicaOptions options,
@@ -109,13 +106,13 @@
         this.identityStored = onDisk != null;
     }
 
-    /** Starts to take part. Called once. */
+    /** Starts to take part in the protocol. Called once. */
     public void start() {
         context.electionTimer().restart();
         rolePoller.initialize();
         StoredState stored = context.storedState();
         LOG.info(
-                "replica starts: store {} promised {} view {} generation {}",
+                "replica starting: store {}, promised epoch {}, view {}, generation {}",
                 stored.storeId,
                 stored.promisedEpoch,
                 stored.acceptedView,
@@ -123,7 +120,7 @@
         storeIdentity();
     }
 
-    /** Saves the identity of the store; before that, nothing is sent to or answered to others. */
+    /** Saves the store id. Until that succeeds, this node sends no requests and no responses. */
     private void storeIdentity() {
         context.persistentState().save(context.storedState(), this::onIdentitySaved);
     }
@@ -136,7 +133,7 @@
         }
         identityStored = true;
         if (context.views().isVoter()) {
-            quorum.transitionToFollower("in the group");
+            quorum.transitionToFollower("member of the stored view's group");
         }
         rolePoller.poll();
     }
@@ -160,32 +157,31 @@
         return context.self();
     }
 
-    /** Returns the epoch promised last. */
+    /** Returns the last promised epoch. */
     public long epoch() {
         return context.storedState().promisedEpoch;
     }
 
     /**
-     * Returns the replicated state; committed if this node is primary and no change is in flight.
+     * Returns the replicated state. It is committed if this node is primary and no change is in flight.
      */
     public Snapshot snapshot() {
         return context.storedState().snapshot;
     }
 
-    /** Returns the upstreams that the storage held at the start. */
+    /** Returns the upstream records that were stored when this node started. */
     public List<InstanceRecord> instancesAtStart() {
         return instancesAtStart;
     }
 
     /**
-     * Returns whether a majority confirmed this primary a short while ago. A primary that installs
-     * another view of its own still leads the one before.
+     * Returns whether a majority has confirmed this primary recently. A primary that is a candidate for its own next view still counts as the primary of the previous one.
      */
     public boolean isRecentlyConfirmed() {
         return quorum.hasPrimacy() && quorum.primaryState().isRecentlyConfirmed();
     }
 
-    /** Returns the primary if this node is it or heard it a short while ago, else null. */
+    /** Returns the primary if this node is the primary or had recent contact with it, otherwise null. */
     public Member primary() {
         if (quorum.isPrimary()) {
             return context.self();
@@ -201,12 +197,15 @@
         return quorum.primaryState().isChangeInFlight() || quorum.isCandidate();
     }
 
-    /** Returns whether this node was asked to leave the group. */
+    /** Returns whether this node is leaving the group. */
     public boolean isLeaving() {
         return quorum.isLeaving();
     }
 
-    /** Asks a majority whether this node is still primary; the callback runs once. */
+    /** Asks the group whether this node is still primary.
+     *
+     * @param onConfirmed receives true once a majority has acknowledged, otherwise false; called
+     *     once */
     public void confirm(Consumer<Boolean> onConfirmed) {
         if (quorum.isPrimary()) {
             quorum.primaryState().confirm(onConfirmed);
@@ -218,8 +217,7 @@
     /**
      * Submits a change.
      *
-     * @param onCommitted takes true once every replica has saved the change, false if the outcome
-     *     is unknown: the change may take effect later or not; called once
+     * @param onCommitted receives true once every replica has saved the change, false if the outcome is unknown and the change may or may not take effect later, or if it was not submitted because this node is not primary or has a change in flight; called once
      */
     public void submit(StateChange change, Consumer<Boolean> onCommitted) {
         if (!quorum.isPrimary() || quorum.primaryState().isChangeInFlight()) {
@@ -229,7 +227,7 @@
         }
     }
 
-    /** Saves the known upstreams if this node is a replica and no other save is in flight. */
+    /** Saves the known upstream records if this node is a replica and no other save is in flight. */
     public void saveInstancesIfIdle() {
         if (context.views().isReplica() && context.persistentState().isIdle()) {
             context.persistentState().save(context.storedState(), saved -> {});
@@ -237,9 +235,9 @@
     }
 
     /**
-     * Saves the known upstreams.
+     * Saves the known upstream records.
      *
-     * @param onSaved takes whether they are durable, false if this node is no replica; called once
+     * @param onSaved receives whether they are durable; false if this node is not a replica; called once
      */
     public void saveInstances(Consumer<Boolean> onSaved) {
         if (context.views().isReplica()) {
@@ -249,27 +247,26 @@
         }
     }
 
-    /** Gives up the role and asks the next replica to take over. */
+    /** Makes this node a follower and, if it was the primary, asks another replica to take over. */
     public void resign(String reason) {
         quorum.resign(reason);
     }
 
     /**
-     * Leaves the group before this process ends: another node becomes primary, this node's copy of
-     * the state and its vote are replaced. Without effect if called before.
+     * Leaves the group before this process exits: resigns if this node is the primary, and waits until the group no longer needs its vote or its copy of the state. Does nothing if called before.
      *
-     * @param timeoutMs after which this node ends whether it was released or not, in milliseconds
-     * @param onEnded takes whether the group released this node; called once
+     * @param timeoutMs after which the callback runs even if the group has not released the node
+     * @param onCompleted receives whether the group released this node; called once
      */
     public void leave(long timeoutMs, Consumer<Boolean> onEnded) {
         quorum.leaveRequester().start(timeoutMs, onEnded);
     }
 
     /**
-     * Handles a request of another node.
+     * Handles a request from another node.
      *
-     * @param answer takes the answer, null if there is to be none; called once
-     * @return whether it is a request of this protocol
+     * @param answer receives the response, or null if none is to be sent; called once
+     * @return whether the message is a request of this protocol
      */
     public boolean receive(Message message, Consumer<Message> answer) {
         if (!identityStored) {
@@ -303,7 +300,7 @@
         boolean released =
                 quorum.isPrimary() && quorum.primaryState().onLeaveRequested(request.member);
         if (released) {
-            // A deposed primary may not know it yet; a majority does.
+            // This node may have been deposed without knowing it, so a majority has to confirm.
             confirm(confirmed -> answer.accept(LeaveResponse.of(confirmed, view)));
         } else {
             answer.accept(LeaveResponse.of(false, view));
--- a/src/main/java/myrtleladder/replication/ReplicaContext.java
+++ b/src/main/java/myrtleladder/replication/ReplicaContext.java
@@ -9,13 +9,12 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * What the roles of one replica share; it outlives every change of the role. Confined to the event
- * loop.
+ * The state and collaborators that the roles of one replica share, kept across role changes. Confined to the event loop.
  *
- * @param self this node, with the identity of its store
- * @param instances the upstreams that this node knows now
- * @param contacts when members last acknowledged a request of this node
- * @param membershipRequests who asked this node, as the primary, to join or to leave
+ * @param self this node, with its store id
+ * @param knownInstances supplies the upstream records that this node currently knows
+ * @param memberContacts when members last acknowledged a request from this node
+ * @param membershipRequests the join and leave requests that this node received as the primary
  */
 record ReplicaContext(
         ReplicaOptions options,
@@ -40,7 +39,7 @@
         return views.view();
     }
 
-    /** Returns the newest state, which may not be durable yet. */
+    /** Returns the latest state, which may not be durable yet. */
     StoredState storedState() {
         return persistentState.current();
     }
@@ -51,7 +50,7 @@
     }
 
     /**
-     * Returns whether a member is neither leaving nor unresponsive, so a good choice of replica.
+     * Returns whether a member is neither leaving nor unresponsive.
      */
     boolean isPreferredReplica(Member member) {
         return !membershipRequests.isLeaving(member) && !unresponsiveReplicas.contains(member);
--- a/src/main/java/myrtleladder/replication/ReplicaOptions.java
+++ b/src/main/java/myrtleladder/replication/ReplicaOptions.java
@@ -8,15 +8,15 @@
 /**
  * The configuration of a replica.
  *
- * @param self the addresses of this node; the store may be empty, the storage tells it
- * @param toleratedFailures the number of members that may be lost at one time
- * @param bootstrap whether this is the first start of the system, so that the seeds are the group
- * @param seeds the addresses of nodes to ask at first
- * @param catchUpMs within which a machine that is back has to be a member again, in milliseconds
+ * @param self the addresses of this node; its store id is ignored, as the storage determines it
+ * @param toleratedFailures the number of members that may fail at the same time
+ * @param bootstrap whether this is the first start of the system, so that the seeds form the group
+ * @param seeds the nodes to contact first
+ * @param catchUpMs the time within which a machine that returns has to be a member again
  */
 public record ReplicaOptions(
         Member self, int toleratedFailures, boolean bootstrap, List<Member> seeds, long catchUpMs) {
-    /** Part of the catch-up time after which a member has timed out. */
+    /** Fraction of the catch-up time after which a member has timed out. */
     private static final double MEMBER_TIMEOUT_FRACTION = 0.375;
 
     /** Lower bound of the member timeout. */
@@ -31,15 +31,14 @@
     }
 
     /**
-     * Returns the size of the smallest group that keeps a majority after the tolerated failures.
+     * Returns the size of the smallest group that keeps a majority when the tolerated number of members fails.
      */
     public int minimumGroupSize() {
         return 2 * toleratedFailures + 1;
     }
 
     /**
-     * Returns the time without contact, in milliseconds, after which a member may be removed from
-     * the group; well below the catch-up time.
+     * Returns the time without contact after which a member may be removed from the group. It is well below the catch-up time unless that is short.
      */
     public long memberTimeoutMs() {
         long timeoutMs = Math.round(catchUpMs * MEMBER_TIMEOUT_FRACTION);
--- a/src/main/java/myrtleladder/replication/ReplicaSelection.java
+++ b/src/main/java/myrtleladder/replication/ReplicaSelection.java
@@ -7,9 +7,7 @@
 import myrtleladder.protocol.Member;
 
 /**
- * Chooses the replicas of a candidate's view among the members that promised: this node, then
- * preferred replicas of the base view, then other preferred members of the group, and only if these
- * are too few those that are leaving or unresponsive.
+ * Chooses the replicas of a candidate's view among the members that promised: first this node, then preferred replicas of the base view, then other preferred members of the group. Members that are leaving or unresponsive are chosen only if the others are too few.
  */
 final class ReplicaSelection {
     private final ReplicaContext context;
@@ -21,10 +19,10 @@
     }
 
     /**
-     * Returns the replicas with this node first, empty if too few members promised.
+     * Returns the replicas, with this node first; empty if too few members promised.
      *
-     * @param baseReplicas the replicas of the view before
-     * @param group the group of the view
+     * @param baseReplicas the replicas of the base view
+     * @param group the group of the new view
      */
     Optional<List<Member>> select(List<Member> baseReplicas, List<Member> group) {
         List<Member> replicas = new ArrayList<>();
--- a/src/main/java/myrtleladder/replication/RolePoller.java
+++ b/src/main/java/myrtleladder/replication/RolePoller.java
@@ -1,8 +1,7 @@
 package myrtleladder.replication;
 
 /**
- * Polls the current role at a fixed interval and detects that the process was paused, so that the
- * pause is not taken for a failure of other nodes. Confined to the event loop.
+ * Polls the current role at a fixed interval and detects pauses of the process, so that a pause is not mistaken for a failure of other nodes. Confined to the event loop.
  */
 final class RolePoller {
     private final ReplicaContext context;
@@ -14,12 +13,12 @@
         this.quorum = quorum;
     }
 
-    /** Counts the time to the first poll from now on. */
+    /** Sets the start of the interval before the first poll, for the detection of pauses. */
     void initialize() {
         lastPollMs = context.nowMs();
     }
 
-    /** Polls now and from then on at the fixed interval. */
+    /** Polls now and schedules the next poll. */
     void poll() {
         long nowMs = context.nowMs();
         context.scheduler().schedule(ReplicationTiming.POLL_INTERVAL_MS, this::poll);
--- a/src/main/java/myrtleladder/replication/RoleState.java
+++ b/src/main/java/myrtleladder/replication/RoleState.java
@@ -1,16 +1,15 @@
 package myrtleladder.replication;
 
 /**
- * One role of a replica. {@link QuorumState} holds exactly one at a time and alone replaces it.
- * Confined to the event loop.
+ * A role of a replica. {@link QuorumState} holds exactly one at a time and is the only class that replaces it. Confined to the event loop.
  */
 sealed interface RoleState permits JoiningState, FollowerState, CandidateState, PrimaryState {
-    /** Returns the name under which operators see the role. */
+    /** Returns the kind of role, under the name that operators see. */
     Replica.State state();
 
-    /** Does what is due; called each {@link ReplicationTiming#POLL_INTERVAL_MS}. */
+    /** Performs due work. Called every {@link ReplicationTiming#POLL_INTERVAL_MS}. */
     void poll(long nowMs);
 
-    /** Called once when another role has replaced this one. */
+    /** Called once, after another role has replaced this one. */
     default void close() {}
 }
--- a/src/main/java/myrtleladder/replication/StateChange.java
+++ b/src/main/java/myrtleladder/replication/StateChange.java
@@ -6,25 +6,23 @@
 import myrtleladder.protocol.Snapshot;
 
 /**
- * A change of the replicated state, with all that a replica has to know to carry it out.
+ * A change of the replicated state, with everything that a replica needs to apply it.
  *
  * @param document the configuration after the change, as compressed JSON
- * @param generation the operator's number of the document after the change
- * @param changeDigest identifies the request for a change of the configuration, so that a repeated
- *     one is known; empty for other changes
- * @param drainedZones the drained zones after the change, in ascending order; null to keep those of
- *     the state before
+ * @param generation the operator's generation number of the document after the change
+ * @param changeDigest identifies the request that changes the configuration, so that a retry is recognised; empty for other changes
+ * @param drainedZones the drained zones after the change, in ascending order; null to keep the previous ones
  */
 public record StateChange(
         byte[] document, long generation, String changeDigest, List<String> drainedZones) {
     private static final String NO_DIGEST = "";
 
-    /** Returns the change to another configuration. */
+    /** Returns a change that replaces the configuration document. */
     public static StateChange toDocument(byte[] document, long generation, String changeDigest) {
         return new StateChange(document, generation, changeDigest, null);
     }
 
-    /** Returns the change of a state to other drained zones. */
+    /** Returns a change that replaces the drained zones of a state. */
     public static StateChange toDrainedZones(Snapshot before, List<String> drainedZones) {
         return new StateChange(before.document, before.generation, NO_DIGEST, drainedZones);
     }
@@ -38,14 +36,14 @@
                 zones == null ? null : zones.names);
     }
 
-    /** Returns the request by which a primary sends this change to another replica. */
+    /** Returns the request with which a primary sends this change to another replica. */
     ReplicateRequest toRequest(long epoch) {
         ReplicateRequest request = ReplicateRequest.of(epoch, document, generation, changeDigest);
         request.drainedZones = drainedZones == null ? null : DrainedZones.of(drainedZones);
         return request;
     }
 
-    /** Returns the state that this change leads to. */
+    /** Returns the state after this change. */
     Snapshot applyTo(Snapshot before) {
         Snapshot after =
                 changeDigest.equals(NO_DIGEST)
--- a/src/main/java/myrtleladder/replication/UnresponsiveReplicas.java
+++ b/src/main/java/myrtleladder/replication/UnresponsiveReplicas.java
@@ -6,8 +6,7 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Members that failed as replicas a short while ago. A candidate chooses them again only if there
- * are not enough others. Confined to the event loop.
+ * Members that recently failed as replicas. A candidate chooses them again only if there are too few others. Confined to the event loop.
  */
 final class UnresponsiveReplicas {
     private final Scheduler scheduler;
@@ -17,12 +16,12 @@
         this.scheduler = scheduler;
     }
 
-    /** Takes note of a replica that did not acknowledge in time. */
+    /** Records a replica that rejected a request or did not acknowledge it in time. */
     void add(Member member) {
         untilMs.put(member, scheduler.now() + ReplicationTiming.UNRESPONSIVE_REPLICA_MS);
     }
 
-    /** Returns whether a member failed as a replica a short while ago. */
+    /** Returns whether a member failed as a replica within {@link ReplicationTiming#UNRESPONSIVE_REPLICA_TTL_MS}. */
     boolean contains(Member member) {
         return untilMs.getOrDefault(member, 0L) > scheduler.now();
     }
--- a/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
+++ b/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
@@ -7,9 +7,7 @@
 import myrtleladder.protocol.View;
 
 /**
- * Decides for a primary when another view is due, because a replica failed or because the group or
- * the replicas are to change, and starts it. Confined to the event loop; used by {@link
- * PrimaryState} and {@link ChangeReplicator}.
+ * Starts a view change for a primary when a replica has failed or when the group or the replicas are to change. Confined to the event loop; used by {@link PrimaryState} and {@link ChangeReplicator}.
  */
 final class ViewChangeTrigger {
     private final ReplicaContext context;
@@ -21,7 +19,7 @@
     }
 
     /**
-     * Returns the next group as far as it may change now: not before the last change is settled.
+     * Returns the group change that may be made now. The group may not change until the previous group change is complete, that is, until the group is stable.
      */
     ReconfigurationPlan reconfigurationPlan() {
         View view = context.view();
@@ -38,7 +36,7 @@
                 context.options().minimumGroupSize());
     }
 
-    /** Returns the members without contact for too long, the longest first. */
+    /** Returns the members that have timed out, those with the longest time without contact first. */
     private List<Member> unresponsiveMembers(View view) {
         long nowMs = context.nowMs();
         long timeoutMs = context.options().memberTimeoutMs();
@@ -54,30 +52,30 @@
                 .toList();
     }
 
-    /** Starts a view without a replica that has timed out; returns whether there was one. */
+    /** Starts a view change that replaces a replica if one has timed out. Returns whether one has. */
     boolean replaceUnresponsiveReplica(long nowMs) {
         for (Member member : context.view().replicas) {
             if (!context.isSelf(member) && hasTimedOut(member, nowMs)) {
                 context.unresponsiveReplicas().add(member);
-                quorum.transitionToCandidate(false, "replica " + member + " is silent");
+                quorum.transitionToCandidate(false, "replica " + member + " timed out");
                 return true;
             }
         }
         return false;
     }
 
-    /** Starts another view if the group or the replicas are to change. */
+    /** Starts a view change if the group or the replicas are to change. */
     void changeViewIfDue() {
         if (!quorum.isPrimary()) {
             return;
         }
         View view = context.view();
         if (!view.isGroupStable()) {
-            quorum.transitionToCandidate(false, "the group settles");
+            quorum.transitionToCandidate(false, "completing the previous group change");
         } else if (reconfigurationPlan().isChange()) {
-            quorum.transitionToCandidate(false, "the group changes");
+            quorum.transitionToCandidate(false, "changing the group");
         } else if (canReplaceLeavingReplica(view)) {
-            quorum.transitionToCandidate(false, "a replica is about to end");
+            quorum.transitionToCandidate(false, "replacing a leaving replica");
         }
     }
 
--- a/src/main/java/myrtleladder/replication/ViewInstaller.java
+++ b/src/main/java/myrtleladder/replication/ViewInstaller.java
@@ -10,11 +10,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * Installs the view of a candidate: first the state at all replicas of the view, then the view
- * itself at all replicas and at majorities of its group and of the group before it (Paxos phase 2).
+ * Installs the view of a candidate: sends the state to all replicas of the view, then the view itself to its group and the previous group. The view is installed once all replicas and majorities of both groups have accepted it (Paxos phase 2).
  *
- * <p>Invariant: no member is asked to accept the view before all its replicas have saved the state.
- * Confined to the event loop; created by {@link CandidateState} for one view.
+ * <p>Invariant: the view is sent to no member before all replicas of the view have saved the state. Confined to the event loop; {@link CandidateState} creates one instance for each view.
  */
 final class ViewInstaller {
     private final ReplicaContext context;
@@ -72,7 +70,7 @@
             acceptIfInstalled();
         } else {
             context.unresponsiveReplicas().add(member);
-            quorum.onCandidacyFailed(member + " does not take the state", true);
+            quorum.onCandidacyFailed(member + " did not save the state", true);
         }
     }
 
--- a/src/main/java/myrtleladder/replication/ViewTracker.java
+++ b/src/main/java/myrtleladder/replication/ViewTracker.java
@@ -4,17 +4,16 @@
 import myrtleladder.protocol.View;
 
 /**
- * The latest view known to this node and the highest epoch that it heard of.
+ * The latest view known to this node and the highest epoch that it has observed.
  *
- * <p>Invariant: the epoch of the view never decreases, except that a view installed by this node
- * itself replaces any other. Confined to the event loop; only {@link QuorumState} changes the view.
+ * <p>Invariant: the epoch of the view never decreases, except that a view installed by this node replaces any other. Confined to the event loop; only {@link QuorumState} changes the view.
  */
 final class ViewTracker {
     private final Member self;
     private View view;
     private long highestObservedEpoch;
 
-    /** Creates a tracker that begins with the view from the disk, null if there is none. */
+    /** Creates a tracker that starts with the stored view, null if there is none. */
     ViewTracker(Member self, View stored) {
         this.self = self;
         this.view = stored;
@@ -35,7 +34,7 @@
         return view != null && view.replicas.contains(self);
     }
 
-    /** Takes a view that another node reported; returns whether it is later than the known one. */
+    /** Adopts a view that another node reported if it is later than the known one. Returns whether it is. */
     boolean update(View reported) {
         boolean later = view == null || reported.epoch > view.epoch;
         if (later) {
@@ -44,17 +43,17 @@
         return later;
     }
 
-    /** Takes a view that this node installed as its primary. */
+    /** Sets the view that this node installed as its primary. */
     void install(View installed) {
         view = installed;
     }
 
-    /** Takes note of an epoch that another member promised. */
+    /** Records an epoch that another member promised. */
     void observeEpoch(long epoch) {
         highestObservedEpoch = Math.max(highestObservedEpoch, epoch);
     }
 
-    /** Returns the highest epoch of the known view and of what other members promised. */
+    /** Returns the highest of the known view's epoch and the epochs that other members promised. */
     long highestEpoch() {
         long epochOfView = view == null ? 0 : view.epoch;
         return Math.max(highestObservedEpoch, epochOfView);
--- a/src/main/java/myrtleladder/replication/VoterRequestHandler.java
+++ b/src/main/java/myrtleladder/replication/VoterRequestHandler.java
@@ -16,19 +16,16 @@
 import myrtleladder.protocol.View;
 
 /**
- * Answers the requests of candidates and primaries, whatever the role of this node (the acceptor of
- * Paxos).
+ * Handles the requests of candidates and primaries in every role of this node (the acceptor of Paxos).
  *
- * <p>Invariants: once an epoch is promised, requests of lower epochs are rejected; a positive
- * answer is given only after what it says was saved; no answer (null) if the save failed. Confined
- * to the event loop; called by {@link Replica} alone.
+ * <p>Invariants: once an epoch is promised, requests with lower epochs are rejected. A positive response is sent only after the state that it confirms was saved; if the save failed, no response (null) is sent. Confined to the event loop; called only by {@link Replica}.
  */
 final class VoterRequestHandler {
     private final ReplicaContext context;
     private final QuorumState quorum;
     private final Replica.Listener listener;
 
-    /** The candidate to which this process promised an epoch last, null if none. */
+    /** The candidate to which this process last promised an epoch, null if none. */
     private Member promisedTo;
 
     VoterRequestHandler(ReplicaContext context, QuorumState quorum, Replica.Listener listener) {
@@ -37,7 +34,7 @@
         this.listener = listener;
     }
 
-    /** Handles a request; returns whether it is one for a voter. */
+    /** Handles a request if it is one of a candidate or primary. Returns whether it is. */
     boolean handle(Message request, Consumer<Message> answer) {
         if (request instanceof PrepareRequest prepare) {
             handlePrepare(prepare, answer);
@@ -66,7 +63,7 @@
             quorum.onEpochPrepared(request.epoch, request.candidate);
             savePromise(stored().withPromisedEpoch(request.epoch), answer);
         } else if (request.epoch == promised && request.candidate.equals(promisedTo)) {
-            savePromise(stored(), answer); // a repeated request: the first answer was lost
+            savePromise(stored(), answer); // a retry: the first response was lost
         } else {
             answer.accept(prepareResponse(false));
         }
@@ -105,7 +102,7 @@
     }
 
     /**
-     * Returns whether this node accepted a view of this epoch as a replica and promised no later.
+     * Returns whether this node accepted a view of this epoch as a replica and has promised no later epoch.
      */
     private boolean isReplicaOfEpoch(long epoch) {
         View accepted = stored().acceptedView;
