--- a/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
@@ -10,23 +10,21 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Sends the heartbeats of this process to its monitors on the ring and records those of the
- * processes that it monitors itself. The live ones are reported to the primary with the next poll,
- * so that a process that is partitioned from the control plane still counts as live.
+ * Sends the heartbeats of this process to its monitors on the ring and records the heartbeats of the processes that it monitors. The live processes are reported to the primary with the next poll, so that a process that is partitioned from the control plane still counts as live.
  *
  * <p>Confined to the event loop of the scheduler.
  */
 public final class HeartbeatAgent {
-    /** Number of processes that monitor one. */
+    /** Number of monitors of each process. */
     private static final int MONITOR_COUNT = 2;
 
-    /** Interval of heartbeats. */
+    /** Interval between heartbeats. */
     private static final long HEARTBEAT_INTERVAL_MS = 600;
 
     /** A process counts as live this long after its last heartbeat. */
     private static final long LIVENESS_TIMEOUT_MS = 2_000;
 
-    /** Timeout of a heartbeat's acknowledgement, which is not looked at. */
+    /** Timeout of a heartbeat request, whose response is ignored. */
     private static final long REQUEST_TIMEOUT_MS = 400;
 
     private final Scheduler scheduler;
@@ -35,14 +33,14 @@
     private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
     private MonitorRing ring = new MonitorRing(List.of());
 
-    /** Creates an agent for the process of the given name. */
+    /** Creates an agent for the process with the given name. */
     public HeartbeatAgent(Scheduler scheduler, Peers peers, String selfName) {
         this.scheduler = scheduler;
         this.peers = peers;
         this.selfName = selfName;
     }
 
-    /** Starts to send heartbeats, the first at once. Called once. */
+    /** Starts to send heartbeats, the first ones immediately. Called once. */
     public void start() {
         sendHeartbeats();
     }
@@ -58,7 +56,7 @@
         }
     }
 
-    /** Replaces the processes on the ring and forgets the heartbeats of all others. */
+    /** Replaces the processes on the ring and discards the heartbeats of all others. */
     public void setMembers(List<BalancerAddress> members) {
         ring = new MonitorRing(members);
         lastHeartbeatMs
@@ -66,7 +64,7 @@
                 .removeIf(name -> members.stream().noneMatch(m -> m.name.equals(name)));
     }
 
-    /** Takes a heartbeat of a process that this one monitors. */
+    /** Records a heartbeat of a process that this one monitors. */
     public void onHeartbeat(BalancerHeartbeat heartbeat) {
         lastHeartbeatMs.put(heartbeat.balancer, scheduler.now());
     }
--- a/src/main/java/myrtleladder/heartbeat/MonitorRing.java
+++ b/src/main/java/myrtleladder/heartbeat/MonitorRing.java
@@ -9,8 +9,7 @@
 import myrtleladder.protocol.BalancerAddress;
 
 /**
- * Processes on a ring, ordered by a hash of their names; each is monitored by its successors. All
- * processes that know the same members compute the same ring. Immutable.
+ * A ring of processes, ordered by a hash of their names, in which each process is monitored by its successors. All processes that know the same members compute the same ring. Immutable.
  */
 public final class MonitorRing {
     private final List<BalancerAddress> ordered;
@@ -30,8 +29,7 @@
     }
 
     /**
-     * Returns the processes that monitor one: its successors, at most {@code count} and never the
-     * process itself; none if the process is not on the ring.
+     * Returns the monitors of a process: its successors, at most {@code count} and never the process itself; none if the process is not on the ring.
      */
     public List<BalancerAddress> monitorsOf(String name, int count) {
         List<BalancerAddress> monitors = new ArrayList<>();
@@ -45,7 +43,7 @@
         return monitors;
     }
 
-    /** Returns the index of a process, the size of the ring if it is not on it. */
+    /** Returns the index of a process, or the size of the ring if the process is not on it. */
     private int indexOf(String name) {
         int index = 0;
         while (index < ordered.size() && !ordered.get(index).name.equals(name)) {
--- a/src/main/java/myrtleladder/replication/PersistentState.java
+++ b/src/main/java/myrtleladder/replication/PersistentState.java
@@ -26,7 +26,7 @@
      * Creates the state.
      *
      * @param initial the stored state, or the first state to write if the storage is empty
-     * @param instances supplies the currently known upstream records, which a replica saves with
+     * @param knownInstances supplies the currently known upstream records, which a replica saves with
      *     its state
      * @param onSaveFailed run when a save fails, before the callback of that save
      */
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -70,7 +70,7 @@
      *
      * @param stored the stored state, null if the storage is empty
      * @param newStoreId the store id to use if the storage is empty
-     * @param instances supplies the upstream records that this node currently knows
+     * @param knownInstances supplies the upstream records that this node currently knows
      */
     public Replica(
             ReplicaOptions options,
@@ -80,7 +80,7 @@
             Storage storage,
             Peers peers,
             Listener listener,
-            Supplier<List<InstanceRecord>> instances) {
+            Supplier<List<InstanceRecord>> knownInstances) {
         StoredState initial = onDisk == null ? InitialState.create(options, newStore) : onDisk;
         Member self =
                 Member.of(options.self().address, options.self().controlAddress, initial.storeId);
@@ -91,10 +91,10 @@
                         self,
                         scheduler,
                         peers,
-                        instances,
+                        knownInstances,
                         views,
                         new PersistentState(
-                                initial, storage, scheduler, instances, views, this::onSaveFailed),
+                                initial, storage, scheduler, knownInstances, views, this::onSaveFailed),
                         new ElectionTimer(scheduler),
                         new MemberContacts(),
                         new MembershipRequests(),
--- a/src/main/java/myrtleladder/signal/Signals.java
+++ b/src/main/java/myrtleladder/signal/Signals.java
@@ -3,19 +3,17 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles signals such as HUP, which ends a JVM without a handler. The platform has nothing but
- * {@code sun.misc.Signal} for that; it is called by reflection since the compiler warns of any use
- * and warnings are errors here.
+ * Installs handlers for process signals such as HUP, which terminates a JVM that has no handler for it. The platform's only API for this is {@code sun.misc.Signal}. It is called by reflection because the compiler warns about any direct use and this build treats warnings as errors.
  */
 public final class Signals {
     private Signals() {}
 
     /**
-     * Sets the handler of a signal.
+     * Sets the handler for a signal.
      *
-     * @param name the name of the signal without SIG, such as HUP
-     * @param action runs at each signal, on a thread of the JVM
-     * @throws ReflectiveOperationException if the platform has no such signal or no signals
+     * @param name the name of the signal without the prefix SIG, such as HUP
+     * @param action runs on a JVM thread each time the signal arrives
+     * @throws ReflectiveOperationException if the platform does not support this signal, or signals at all
      */
     public static void on(String name, Runnable action) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
--- a/src/main/java/myrtleladder/signal/package-info.java
+++ b/src/main/java/myrtleladder/signal/package-info.java
@@ -1,2 +1,2 @@
-/** Handling of process signals. */
+/** Handlers for process signals. */
 package myrtleladder.signal;
--- a/src/main/java/myrtleladder/tally/AdditionPusher.java
+++ b/src/main/java/myrtleladder/tally/AdditionPusher.java
@@ -15,14 +15,13 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Sends additions to chosen peers, which answer once they are on their disks; one request to each
- * at a time, so that the additions of a replica arrive in their order. Confined to the event loop.
+ * Sends additions to chosen peers, which respond once the additions are on their disks. At most one request to each peer is in flight, so that the additions of a replica arrive in order. Confined to the event loop.
  */
 final class AdditionPusher {
-    /** Timeout of a push, in milliseconds; above the time for which receivers wait. */
+    /** Timeout of a push; longer than receivers wait for their disks. */
     private static final long TIMEOUT_MS = 700;
 
-    /** Delay before a push that achieved nothing is repeated, in milliseconds. */
+    /** Delay before a push that made no progress is retried. */
     private static final long RETRY_DELAY_MS = 100;
 
     private static final int MAX_ADDITIONS = 500;
@@ -35,16 +34,16 @@
     private final Listener listener;
     private final Map<TallyPeer, Push> pushByPeer = new HashMap<>();
 
-    /** Is told of the outcome of pushes. */
+    /** Is notified of the outcome of pushes. */
     interface Listener {
-        /** A peer has answered. */
+        /** Called when a peer has responded. */
         void onPushed(TallyPeer peer, TallySyncResponse response);
 
-        /** A peer has not answered. */
+        /** Called when a push failed or timed out. */
         void onPushFailed(TallyPeer peer);
     }
 
-    /** What a peer should have on its disk, and whether a request to it is under way. */
+    /** The additions that a peer should have on its disk, and the state of the requests to it. */
     private static final class Push {
         private final VersionVector wanted = new VersionVector();
         private boolean isInFlight;
@@ -66,7 +65,7 @@
         this.listener = listener;
     }
 
-    /** Brings the additions of a replica up to a sequence number to a peer's disk. */
+    /** Sends the additions of a replica, up to a sequence number, to a peer until they are on its disk. */
     void push(TallyPeer peer, String replica, long sequence) {
         pushByPeer.keySet().removeIf(other -> !peers.contains(other));
         Push push = pushByPeer.computeIfAbsent(peer, p -> new Push());
--- a/src/main/java/myrtleladder/tally/AdditionResult.java
+++ b/src/main/java/myrtleladder/tally/AdditionResult.java
@@ -1,11 +1,11 @@
 package myrtleladder.tally;
 
-/** What became of the request to add to a tally. */
+/** The outcome of a request to add to a tally. */
 public enum AdditionResult {
     /** The addition is durable on enough nodes. */
     ACKNOWLEDGED,
-    /** The addition may count or not; the request may be sent again with the same id. */
+    /** The addition may or may not take effect; the request may be retried with the same id. */
     UNCERTAIN,
-    /** Nothing was done, and nothing will be because of this request. */
+    /** The addition was rejected and will not take effect because of this request. */
     REFUSED
 }
--- a/src/main/java/myrtleladder/tally/AntiEntropy.java
+++ b/src/main/java/myrtleladder/tally/AntiEntropy.java
@@ -12,20 +12,17 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Pulls from one peer after the other, over and over, the additions that this node lacks. The bytes
- * grow with the difference: a request carries a version vector, its answer what the vector lacks.
- * While one peer has much to give, the others are asked for their vectors only, so that nothing is
- * sent several times. Confined to the event loop.
+ * Pulls the additions that this node lacks from all peers in turn, continuously. A request carries a version vector and its response the additions that the vector lacks, so the traffic is proportional to the difference. While one peer has more additions than fit into one response, the others are asked only for their vectors, so that no addition is sent several times. Confined to the event loop.
  */
 final class AntiEntropy {
-    /** Time in which each peer gets its turn, in milliseconds. */
+    /** Interval at which each peer is pulled from once. */
     static final long INTERVAL_MS = 300;
 
-    /** Timeout of a request, in milliseconds. */
+    /** Timeout of a pull request. */
     static final long TIMEOUT_MS = 600;
 
     /**
-     * An answer that comes later than this after its timeout finds a process that was suspended.
+     * If a failure is delivered later than this after the request's timeout, the process was suspended, and the failure is not evidence that the peer is unreachable.
      */
     private static final long SUSPENSION_MS = 200;
 
@@ -40,15 +37,15 @@
     private final Set<TallyPeer> inFlight = new HashSet<>();
     private int turn;
 
-    /** The peer that has more to give than one answer carries, null for none. */
+    /** The peer that has more additions than one response carries, null if there is none. */
     private TallyPeer bulkSource;
 
-    /** Is told of the outcome of requests. */
+    /** Is notified of the outcome of pull requests. */
     interface Listener {
-        /** A peer has answered. */
+        /** Called when a peer has responded. */
         void onPulled(TallyPeer peer, TallySyncResponse response);
 
-        /** A peer has not answered a request that was sent at a time. */
+        /** Called when a request that was sent at the given time failed or timed out. */
         void onUnanswered(TallyPeer peer, long sentAtMs);
     }
 
@@ -65,7 +62,7 @@
         this.listener = listener;
     }
 
-    /** Starts to pull from one peer after the other. */
+    /** Starts to pull from all peers in turn. */
     void start() {
         takeTurn();
     }
@@ -87,7 +84,7 @@
         }
     }
 
-    /** Pulls from a peer now, unless a request to it is in flight. */
+    /** Pulls from a peer immediately, unless a request to it is in flight. */
     void pull(TallyPeer peer) {
         if (!inFlight.add(peer)) {
             return;
--- a/src/main/java/myrtleladder/tally/CatchUp.java
+++ b/src/main/java/myrtleladder/tally/CatchUp.java
@@ -7,9 +7,7 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Decides when a process that has started may serve: once each peer that it knows has answered or
- * is unreachable, and all that those which answered had is here. Once it may, it may until its end.
- * Confined to the event loop.
+ * Decides when a newly started process may serve requests: once each known peer has responded or is unreachable, and this node has all additions that the reachable peers had when they first responded. This state is final for the process. Confined to the event loop.
  */
 final class CatchUp {
     private static final Logger LOG = LogManager.getLogger(CatchUp.class);
@@ -17,14 +15,14 @@
     private final TallySet additions;
     private final TallyPeers peers;
 
-    /** Whether this node lost its disk or is new, and so lacks what others have. */
+    /** Whether this node lost its disk or is new, so that it has to learn the additions of the others. */
     private final boolean isAnswerNeeded;
 
     private final Map<String, Target> targetByAddress = new HashMap<>();
     private boolean isStarted;
     private boolean isDone;
 
-    /** What the process of a peer had when it answered first. */
+    /** The additions that a peer's process had when it first responded. */
     private record Target(String process, VersionVector known) {}
 
     CatchUp(TallySet additions, TallyPeers peers, boolean isAnswerNeeded) {
@@ -33,13 +31,13 @@
         this.isAnswerNeeded = isAnswerNeeded;
     }
 
-    /** Starts once the first peers are known. */
+    /** Starts catching up. Called once the first peers are known. */
     void start() {
         isStarted = true;
         check();
     }
 
-    /** Takes that a peer told what it has; what a former process of its had may be lost. */
+    /** Records the additions of a peer that responded. A new process of the peer replaces the previous target, because the additions of the previous process may be lost. */
     void onAnswered(TallyPeer peer) {
         Target target = targetByAddress.get(peer.address());
         if (isDone || (target != null && target.process().equals(peer.process()))) {
@@ -50,7 +48,7 @@
         targetByAddress.put(peer.address(), new Target(peer.process(), known));
     }
 
-    /** Looks whether the process has caught up. */
+    /** Checks whether this process has caught up. */
     void check() {
         if (isDone || !isStarted || (isAnswerNeeded && !hasSufficientAnswers())) {
             return;
@@ -58,11 +56,11 @@
         isDone = peers.all().stream().allMatch(this::isCaughtUpWith);
         if (isDone) {
             targetByAddress.clear();
-            LOG.info("tallies: caught up with {} additions", additions.size());
+            LOG.info("tallies: caught up, {} additions known", additions.size());
         }
     }
 
-    /** Peers that have not caught up may have lost their disks too, unless all answer. */
+    /** Returns whether a reachable peer has caught up, or all peers are reachable. Peers that have not caught up may have lost their disks too, so they suffice only if all of them respond. */
     private boolean hasSufficientAnswers() {
         Collection<TallyPeer> all = peers.all();
         return all.stream().anyMatch(peer -> peer.isReachable() && peer.hasCaughtUp())
@@ -78,7 +76,7 @@
         };
     }
 
-    /** Returns whether the process has caught up. */
+    /** Returns whether this process has caught up. */
     boolean isDone() {
         return isDone;
     }
--- a/src/main/java/myrtleladder/tally/DurabilityRule.java
+++ b/src/main/java/myrtleladder/tally/DurabilityRule.java
@@ -5,9 +5,7 @@
 import java.util.Set;
 
 /**
- * Decides whether an addition is durable enough to be acknowledged: on one disk more than may be
- * lost at one time and in one zone more than may be lost, as far as this node reaches that many. So
- * a node that reaches nobody relies on its own disk. Confined to the event loop.
+ * Decides whether an addition is durable enough to be acknowledged: it has to be on one more disk, and in one more zone, than may be lost at the same time. If this node reaches fewer nodes or zones, all that it reaches suffice; an isolated node relies on its own disk. Confined to the event loop.
  */
 final class DurabilityRule {
     private final TallyOptions options;
@@ -20,12 +18,12 @@
         this.own = own;
     }
 
-    /** Returns the number of disks that an addition has to be on if enough nodes are reachable. */
+    /** Returns the number of disks on which an addition has to be stored if enough nodes are reachable. */
     int fullNodeCount() {
         return options.toleratedMachines() + 1;
     }
 
-    /** Returns whether an addition is durable enough. */
+    /** Returns whether an addition is durable enough to be acknowledged. */
     boolean isSatisfied(String replica, long sequence) {
         List<TallyPeer> reachable = peers.reachable();
         Set<String> reachableZones = new HashSet<>(Set.of(options.zone()));
--- a/src/main/java/myrtleladder/tally/DurableAdditions.java
+++ b/src/main/java/myrtleladder/tally/DurableAdditions.java
@@ -9,14 +9,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Brings additions to the disk, in their order and with one append under way at a time, and knows
- * which are there. What arrives during an append goes with the next one; a failed one is repeated.
- * Confined to the event loop.
+ * Appends additions to the disk in order, with one append in flight at a time, and tracks which additions are durable. Additions that arrive during an append are written by the next one; a failed append is retried. Confined to the event loop.
  */
 final class DurableAdditions {
     private static final Logger LOG = LogManager.getLogger(DurableAdditions.class);
 
-    /** Time after a failed append until it is repeated, in milliseconds. */
+    /** Delay before a failed append is retried. */
     private static final long RETRY_DELAY_MS = 200;
 
     private final Scheduler scheduler;
@@ -25,14 +23,14 @@
     private final Runnable onProgress;
     private final List<Waiter> waiters = new ArrayList<>();
 
-    /** What is in memory only and not being appended. */
+    /** The additions that are in memory only and not part of the append in flight. */
     private List<TallyAddition> queue = new ArrayList<>();
 
     private boolean isAppending;
     private int unsyncedCount;
     private long failureCount;
 
-    /** Somebody who is told once all of a vector is durable, or after a time. */
+    /** A task that waits until all additions of a vector are durable, or for its timeout. */
     private static final class Waiter {
         private final VersionVector target;
         private final Runnable task;
@@ -47,7 +45,7 @@
     /**
      * Creates an instance.
      *
-     * @param onProgress is run after further additions have become durable
+     * @param onProgress runs after further additions have become durable
      */
     DurableAdditions(Scheduler scheduler, TallyStorage storage, Runnable onProgress) {
         this.scheduler = scheduler;
@@ -55,12 +53,12 @@
         this.onProgress = onProgress;
     }
 
-    /** Takes additions that were read from the disk at the start. */
+    /** Marks additions that were read from the disk at startup as durable. */
     void recover(List<TallyAddition> onDisk) {
         onDisk.forEach(addition -> vector.raise(addition.replica, addition.sequence));
     }
 
-    /** Brings additions to the disk, each of them the next one of its replica. */
+    /** Queues additions for the disk. Each has to continue the sequence of its replica. */
     void append(List<TallyAddition> additions) {
         queue.addAll(additions);
         unsyncedCount += additions.size();
@@ -92,7 +90,7 @@
 
     private void onFailed(List<TallyAddition> batch) {
         failureCount++;
-        LOG.warn("{} additions to tallies are not on the disk yet", unsyncedCount);
+        LOG.warn("tallies: append failed, {} additions are not on the disk yet", unsyncedCount);
         batch.addAll(queue);
         queue = batch;
         scheduler.schedule(
@@ -104,8 +102,7 @@
     }
 
     /**
-     * Runs a task once all of a vector is durable, or after a time if it is not by then; now if it
-     * is already.
+     * Runs a task once all additions of a vector are durable, immediately if they are already, or after the timeout if they are not durable by then.
      */
     void whenDurable(VersionVector target, long timeoutMs, Runnable task) {
         if (vector.includes(target)) {
@@ -136,7 +133,7 @@
         satisfied.forEach(waiter -> waiter.task.run());
     }
 
-    /** Returns which additions are on the disk; a live view. */
+    /** Returns a live view of the additions that are on the disk. */
     VersionVector vector() {
         return vector;
     }
@@ -146,7 +143,7 @@
         return unsyncedCount;
     }
 
-    /** Returns how often an append has failed. */
+    /** Returns the number of failed appends. */
     long failureCount() {
         return failureCount;
     }
--- a/src/main/java/myrtleladder/tally/PendingAdditions.java
+++ b/src/main/java/myrtleladder/tally/PendingAdditions.java
@@ -7,14 +7,13 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Requests that wait until their addition is durable on enough nodes. Each addition is pushed to as
- * many peers as are needed, and to all others if that takes long. Confined to the event loop.
+ * The requests that wait until their addition is durable on enough nodes. Each addition is pushed to as many peers as are needed, and to all reachable peers if it is not durable after a delay. Confined to the event loop.
  */
 final class PendingAdditions {
-    /** Time after which an addition is pushed to all reachable peers, in milliseconds. */
+    /** Delay after which an addition that is not durable yet is pushed to all reachable peers. */
     private static final long WIDEN_AFTER_MS = 100;
 
-    /** Time after which a request is answered without a promise, in milliseconds. */
+    /** Time after which a request completes as {@link AdditionResult#UNCERTAIN}. */
     private static final long TIMEOUT_MS = 900;
 
     private final Scheduler scheduler;
@@ -25,7 +24,7 @@
     private final List<Pending> pending = new ArrayList<>();
     private int turn;
 
-    /** One request that waits. */
+    /** A request whose addition is not durable on enough nodes yet. */
     private static final class Pending {
         private final String replica;
         private final long sequence;
@@ -54,9 +53,9 @@
     }
 
     /**
-     * Waits for an addition that this node knows.
+     * Waits until an addition that this node knows is durable on enough nodes.
      *
-     * @param done takes {@code ACKNOWLEDGED} or {@code UNCERTAIN}; called once
+     * @param done receives {@code ACKNOWLEDGED} or {@code UNCERTAIN}; called once
      */
     void await(String replica, long sequence, Consumer<AdditionResult> done) {
         if (rule.isSatisfied(replica, sequence)) {
@@ -80,7 +79,7 @@
         targets.forEach(peer -> pusher.push(peer, addition.replica, addition.sequence));
     }
 
-    /** As many reachable peers as there have to be copies, by turns; other zones come first. */
+    /** Returns as many reachable peers as there have to be copies. Peers in other zones come first, in rotation. */
     private List<TallyPeer> preferredPeers() {
         List<TallyPeer> ordered = new ArrayList<>();
         List<TallyPeer> inOwnZone = new ArrayList<>();
@@ -94,13 +93,13 @@
         return ordered.subList(0, Math.min(rule.fullNodeCount(), ordered.size()));
     }
 
-    /** Pushes all that waits to all reachable peers: one that was chosen does not answer. */
+    /** Pushes all pending additions to all reachable peers. Called when a chosen peer has not responded. */
     void widen() {
         List<TallyPeer> reachable = peers.reachable();
         pending.forEach(waiting -> push(waiting, reachable));
     }
 
-    /** Acknowledges what has become durable on enough nodes. */
+    /** Acknowledges the additions that have become durable on enough nodes. */
     void check() {
         List<Pending> satisfied = new ArrayList<>();
         for (Pending waiting : pending) {
@@ -118,7 +117,7 @@
         waiting.done.accept(result);
     }
 
-    /** Returns the number of requests that wait. */
+    /** Returns the number of pending requests. */
     int size() {
         return pending.size();
     }
--- a/src/main/java/myrtleladder/tally/Tallies.java
+++ b/src/main/java/myrtleladder/tally/Tallies.java
@@ -18,21 +18,19 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The tallies on one node: named sums of additions, each of which counts once for its id. Every
- * node accepts additions, on either side of a partition, and all nodes that reach each other come
- * to the same sums (a state-based grow-only set, merged by dots).
+ * The tallies on one node: named sums of additions, where additions with the same id count once. Every node accepts additions, on either side of a partition, and the sums converge on all nodes that reach each other (a state-based grow-only set of additions, identified by replica and sequence number).
  *
  * <p>Entry point of the package. Confined to the event loop of the scheduler, which also runs all
  * callbacks.
  */
 public final class Tallies {
-    /** Additions beyond which no new ids are accepted; those of other nodes are still merged. */
+    /** The number of additions at which new ids are rejected; additions of other nodes are still merged. */
     private static final int MAX_ADDITIONS = 200_000;
 
-    /** How long an exchange waits for this node's disk at most, in milliseconds. */
+    /** How long the response to a push waits for this node's disk at most. */
     private static final long SYNC_WAIT_MS = 500;
 
-    /** A longer time between two looks at the peers means that the process was suspended. */
+    /** A gap between two refreshes of the peers that is longer than this means that the process was suspended. */
     private static final long SUSPENSION_MS = 2 * AntiEntropy.INTERVAL_MS;
 
     private static final List<String> NO_REPLICAS = List.of();
@@ -48,7 +46,7 @@
     private Supplier<? extends Collection<String>> memberAddresses = List::of;
     private final TallyStorage storage;
 
-    /** Whether the disk is known to hold what a restart of this node needs. */
+    /** Whether the disk is known to hold everything that a restart of this node needs. */
     private boolean isDiskComplete;
 
     private boolean isStarted;
@@ -59,9 +57,9 @@
     private long reachabilityChangeCount;
 
     /**
-     * Creates the tallies of a node; {@link #start} lets it take part.
+     * Creates the tallies of a node, which exchanges additions after {@link #start}.
      *
-     * @param onDisk the additions that the disk held at the start, those of a replica in order
+     * @param additionsOnDisk the additions that were on the disk at startup, those of each replica in order
      */
     public Tallies(
             TallyOptions options,
@@ -92,9 +90,9 @@
     }
 
     /**
-     * Starts to take part. Called once.
+     * Starts to exchange additions with other nodes. Called once.
      *
-     * @param members supplies the internal addresses of the nodes of the group at each time
+     * @param members supplies the internal addresses of the current members of the group
      */
     public void start(Supplier<? extends Collection<String>> members) {
         memberAddresses = members;
@@ -123,10 +121,10 @@
     }
 
     /**
-     * Adds to a tally, once for each id however often and wherever it is added.
+     * Adds to a tally. Idempotent: additions with the same id count once, on whichever nodes they are requested.
      *
-     * @param amount what is added; not negative
-     * @param done takes the result; called once
+     * @param amount the amount to add; not negative
+     * @param done receives the result; called once
      */
     public void add(String tally, String id, long amount, Consumer<AdditionResult> done) {
         TallyAddition known = additions.find(tally, id);
@@ -167,15 +165,15 @@
         }
     }
 
-    /** Returns the sum of a tally, 0 for an unknown name; empty until this node has caught up. */
+    /** Returns the sum of a tally, 0 for an unknown name, or empty until this node has caught up. */
     public OptionalLong total(String tally) {
         return catchUp.isDone() ? OptionalLong.of(additions.total(tally)) : OptionalLong.empty();
     }
 
     /**
-     * Handles an exchange of another node.
+     * Handles a push or pull request from another node.
      *
-     * @param answer takes the response, null if there is to be none; called once
+     * @param answer receives the response, or null if none is to be sent; called once
      */
     public void receive(TallySyncRequest request, Consumer<Message> answer) {
         if (!isStarted || request.sender.address.equals(options.address())) {
@@ -217,7 +215,7 @@
         return summaryOf(additions.vector().replicas());
     }
 
-    /** What this node tells of itself and of its additions of some replicas. */
+    /** Returns the summary of this node for its peers, with the positions of some replicas. */
     private TallyStateSummary summaryOf(Collection<String> replicas) {
         VersionVector known = additions.vector().only(replicas);
         return TallyStateSummary.of(
@@ -238,7 +236,7 @@
         }
     }
 
-    /** Returns figures for operators. */
+    /** Returns the metrics that operators see. */
     public TallyFigures figures() {
         Map<String, TallyFigures.Peer> peerFigures = new LinkedHashMap<>();
         for (TallyPeer peer : peers.all()) {
@@ -264,7 +262,7 @@
                 peerFigures);
     }
 
-    /** Takes the outcome of exchanges that this node began. */
+    /** Handles the outcome of the requests that this node sent. */
     private final class ExchangeListener implements AntiEntropy.Listener, AdditionPusher.Listener {
         @Override
         public void onPulled(TallyPeer peer, TallySyncResponse response) {
--- a/src/main/java/myrtleladder/tally/TallyFigures.java
+++ b/src/main/java/myrtleladder/tally/TallyFigures.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * Figures by which operators tell what the tallies of one node do.
+ * Metrics of the tallies on one node, for operators.
  *
- * @param isCaughtUp whether this process serves
+ * @param isCaughtUp whether this process has caught up and serves requests
  * @param tallies number of tallies that have additions
- * @param additions number of additions known, repeated ids included
- * @param unsynced number of those that are not on the disk
- * @param failedAppends how often the disk refused additions
- * @param waiting number of requests that wait until their addition is durable
+ * @param additions number of known additions, including those that repeat an id
+ * @param unsynced number of known additions that are not on the disk yet
+ * @param failedAppends number of failed appends to the disk
+ * @param pending number of requests that wait until their addition is durable
  * @param acknowledged number of requests acknowledged since the start
- * @param uncertain number of requests answered without a promise since the start
- * @param refused number of requests refused since the start
+ * @param uncertain number of requests that completed as {@link AdditionResult#UNCERTAIN} since the start
+ * @param refused number of requests rejected since the start
  * @param reachabilityChanges how often a peer became reachable or unreachable since the start
- * @param peers the peers by their addresses
+ * @param peers the metrics of each peer, by address
  */
 public record TallyFigures(
         boolean isCaughtUp,
@@ -30,12 +30,12 @@
         long reachabilityChanges,
         Map<String, Peer> peers) {
     /**
-     * Figures of a peer.
+     * Metrics of a peer.
      *
-     * @param reachability whether it answers
+     * @param reachability name of its reachability state
      * @param zone name of its zone
-     * @param additionsItLacks additions of this node that it did not have when it told last
-     * @param additionsLackedHere additions that it told of and that this node lacks
+     * @param additionsMissingAtPeer number of this node's additions that the peer lacked when it last reported
+     * @param additionsMissingHere number of additions that the peer reported and this node lacks
      */
     public record Peer(
             String reachability, String zone, long additionsItLacks, long additionsLackedHere) {}
--- a/src/main/java/myrtleladder/tally/TallyOptions.java
+++ b/src/main/java/myrtleladder/tally/TallyOptions.java
@@ -7,12 +7,11 @@
  *
  * @param address host and port of this node's internal protocol
  * @param zone name of this node's zone
- * @param process identity of this process, drawn at its start; never used before
- * @param toleratedMachines the number of machines that may lose their disks at one time
- * @param toleratedZones the number of zones that may be lost at one time
- * @param isDiskComplete whether the disk holds all that this node ever saved, even if that is
- *     nothing: it was used before and not lost, or this is the first start of the system
- * @param seeds internal addresses of nodes to ask at first; this node's own is ignored
+ * @param process identity of this process, generated at its start and never used before
+ * @param toleratedMachines the number of machines that may lose their disks at the same time
+ * @param toleratedZones the number of zones that may be lost at the same time
+ * @param isDiskComplete whether the disk holds everything that this node ever saved, even if that is nothing: the disk was used before and not lost, or this is the first start of the system
+ * @param seeds internal addresses of the nodes to contact first; this node's own is ignored
  */
 public record TallyOptions(
         String address,
--- a/src/main/java/myrtleladder/tally/TallyPeer.java
+++ b/src/main/java/myrtleladder/tally/TallyPeer.java
@@ -7,33 +7,30 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What this node knows of another one: whether it answers, and which additions it has. Confined to
- * the event loop.
+ * What this node knows about another node: whether it is reachable and which additions it has. Confined to the event loop.
  */
 final class TallyPeer {
     private static final Logger LOG = LogManager.getLogger(TallyPeer.class);
 
     /**
-     * Time without answer after which a peer is unreachable, in milliseconds: that of one exchange,
-     * or of several that are refused.
+     * Time without a response, in milliseconds, after which a peer is unreachable. It covers one request that times out or several that fail at once.
      */
     static final long SILENCE_MS = 600;
 
     /**
-     * The same for a peer that never answered, which may be starting as this node is, in
-     * milliseconds.
+     * The same for a peer that has never responded, in milliseconds. It is longer because the peer may be starting at the same time as this node.
      */
     static final long FIRST_SILENCE_MS = 1_800;
 
     private static final long NONE = -1;
 
-    /** Whether a peer answers. */
+    /** Whether a peer responds to requests. */
     enum Reachability {
-        /** Neither an answer nor a long enough silence so far. */
+        /** It has never responded, and the timeout has not passed yet. */
         UNKNOWN,
-        /** It has answered, and was not silent for long since. */
+        /** It has responded, and the timeout has not passed since. */
         REACHABLE,
-        /** It is silent. */
+        /** It has not responded within the timeout. */
         UNREACHABLE
     }
 
@@ -54,8 +51,7 @@
     }
 
     /**
-     * Takes what the peer tells of itself. A process that started anew may have lost its disk, so
-     * nothing is kept of what the one before said, nor taken from it any more.
+     * Applies the peer's summary of itself. A new process of the peer may have lost its disk, so the state reported by the previous process is discarded, and later summaries from that process are ignored.
      */
     void learn(TallyStateSummary summary) {
         if (formerProcesses.contains(summary.process)) {
@@ -87,14 +83,14 @@
         return part;
     }
 
-    /** Takes that the peer answered; returns whether its reachability changed. */
+    /** Records a response of the peer. Returns whether its reachability changed. */
     boolean onAnswered(long nowMs) {
         lastContactMs = nowMs;
         silentSinceMs = NONE;
         return transitionTo(Reachability.REACHABLE);
     }
 
-    /** Takes that a request got no answer; returns whether the peer's reachability changed. */
+    /** Records a request that failed or timed out. Returns whether the peer's reachability changed. */
     boolean onUnanswered(long sentAtMs, long nowMs) {
         if (silentSinceMs == NONE) {
             silentSinceMs = sentAtMs;
@@ -103,7 +99,7 @@
         return nowMs - silentSinceMs >= allowedMs && transitionTo(Reachability.UNREACHABLE);
     }
 
-    /** Forgets a silence: this process may have caused it itself, or the peer was heard since. */
+    /** Resets the time without response, because this process was suspended or the peer has sent a request since. */
     void forgiveSilence() {
         silentSinceMs = NONE;
     }
@@ -112,7 +108,7 @@
         if (reachability == next) {
             return false;
         }
-        LOG.info("tallies: {} in {} is {}, was {}", address, zone, next, reachability);
+        LOG.info("tallies: peer {} in zone {} is now {}, was {}", address, zone, next, reachability);
         reachability = next;
         return true;
     }
@@ -125,12 +121,12 @@
         return zone;
     }
 
-    /** Identity of the process that told last, empty before the first. */
+    /** Returns the identity of the process that reported last, empty before the first report. */
     String process() {
         return process;
     }
 
-    /** Whether its process serves, as far as it told. */
+    /** Returns whether its process has caught up, as of its last report. */
     boolean hasCaughtUp() {
         return hasCaughtUp;
     }
@@ -143,17 +139,17 @@
         return reachability == Reachability.REACHABLE;
     }
 
-    /** The last time at which it answered, or was made known, in milliseconds. */
+    /** Returns the time at which it last responded, or at which it was added if it never did. */
     long lastContactMs() {
         return lastContactMs;
     }
 
-    /** The additions that its process has in memory, as far as it told. */
+    /** Returns the additions that its process is known to have in memory. */
     VersionVector known() {
         return known;
     }
 
-    /** The additions on its disk, as far as it told. */
+    /** Returns the additions that are known to be on its disk. */
     VersionVector durable() {
         return durable;
     }
--- a/src/main/java/myrtleladder/tally/TallyPeers.java
+++ b/src/main/java/myrtleladder/tally/TallyPeers.java
@@ -7,11 +7,10 @@
 import java.util.Map;
 
 /**
- * The other nodes that this one exchanges additions with, by address: a node that comes back with
- * an empty disk takes the place of the one before. Confined to the event loop.
+ * The other nodes with which this node exchanges additions, by address. A node that returns with an empty disk keeps its entry. Confined to the event loop.
  */
 final class TallyPeers {
-    /** Time after which a silent peer that nobody names is forgotten, in milliseconds. */
+    /** Time without a response after which a peer that is no longer listed is removed. */
     private static final long FORGET_AFTER_MS = 60_000;
 
     private final String ownAddress;
@@ -22,10 +21,9 @@
     }
 
     /**
-     * Adds the peers at these addresses and forgets those that are neither among them nor in
-     * contact.
+     * Adds peers for these addresses and removes those that are not listed and have not responded for {@link #REMOVE_AFTER_MS}.
      *
-     * @return the peers that are new
+     * @return the peers that were added
      */
     List<TallyPeer> update(Collection<String> addresses, long nowMs) {
         peerByAddress
@@ -43,7 +41,7 @@
         return added;
     }
 
-    /** Returns whether there is no peer at an address yet and there may be one. */
+    /** Returns whether an address is not this node's own and has no peer yet. */
     boolean isNew(String address) {
         return !address.equals(ownAddress) && !peerByAddress.containsKey(address);
     }
@@ -60,7 +58,7 @@
         return peerByAddress.get(address);
     }
 
-    /** Returns whether a peer has not been forgotten. */
+    /** Returns whether a peer is registered, that is, has not been removed. */
     boolean contains(TallyPeer peer) {
         return peerByAddress.get(peer.address()) == peer;
     }
@@ -70,7 +68,7 @@
         return peerByAddress.values();
     }
 
-    /** Returns the peers that answer. */
+    /** Returns the reachable peers. */
     List<TallyPeer> reachable() {
         return peerByAddress.values().stream().filter(TallyPeer::isReachable).toList();
     }
--- a/src/main/java/myrtleladder/tally/TallySet.java
+++ b/src/main/java/myrtleladder/tally/TallySet.java
@@ -8,10 +8,7 @@
 import myrtleladder.protocol.TallyAddition;
 
 /**
- * All additions that this node knows: a grow-only set of dots, kept as the gap-free prefix of each
- * replica's additions, and the totals that follow from it. An id that stands in several dots of one
- * tally counts once, with the greatest of its amounts. So two nodes that have the same dots have
- * the same totals, in whatever order the dots came. Confined to the event loop.
+ * All additions that this node knows, and the resulting totals: a grow-only set that stores the gap-free prefix of each replica's additions. If several additions to a tally have the same id, the id counts once, with the greatest of their amounts. Two nodes with the same additions therefore have the same totals, in whatever order the additions arrived. Confined to the event loop.
  */
 final class TallySet {
     private final Map<String, List<TallyAddition>> additionsByReplica = new LinkedHashMap<>();
@@ -19,7 +16,7 @@
     private final VersionVector vector = new VersionVector();
     private int size;
 
-    /** The additions to one tally that count. */
+    /** The total of one tally, and the addition that counts for each id. */
     private static final class Tally {
         private final Map<String, TallyAddition> additionById = new HashMap<>();
         private final String name;
@@ -42,10 +39,9 @@
     }
 
     /**
-     * Adds those additions that continue the prefix of their replica; others are known already, or
-     * lie behind a gap and come again later.
+     * Adds those additions that continue the prefix of their replica. The others are already known, or follow a gap and will be received again later.
      *
-     * @return the additions that were added, in their order
+     * @return the additions that were added, in order
      */
     List<TallyAddition> merge(List<TallyAddition> additions) {
         List<TallyAddition> added = new ArrayList<>();
@@ -61,7 +57,7 @@
         Tally tally = tallyByName.computeIfAbsent(addition.tally, Tally::new);
         List<TallyAddition> prefix =
                 additionsByReplica.computeIfAbsent(addition.replica, replica -> new ArrayList<>());
-        // additions of one replica, and of one tally, share the texts that name them
+        // Additions of one replica, and of one tally, share the string instances that name them.
         String replica = prefix.isEmpty() ? addition.replica : prefix.get(0).replica;
         TallyAddition kept =
                 TallyAddition.of(
@@ -85,12 +81,12 @@
         return tally == null ? 0 : tally.total;
     }
 
-    /** Returns which additions are known; a live view. */
+    /** Returns a live view of the known additions. */
     VersionVector vector() {
         return vector;
     }
 
-    /** Returns additions that someone who has those of a vector lacks, up to a number of them. */
+    /** Returns at most {@code maxCount} of the additions that are not covered by a vector. */
     List<TallyAddition> missingFrom(VersionVector other, int maxCount) {
         List<TallyAddition> missing = new ArrayList<>();
         for (String replica : additionsByReplica.keySet()) {
@@ -100,7 +96,7 @@
         return missing;
     }
 
-    /** Returns additions of a replica that follow a sequence number, up to a number of them. */
+    /** Returns at most {@code maxCount} additions of a replica that follow a sequence number. */
     List<TallyAddition> after(String replica, long sequence, int maxCount) {
         List<TallyAddition> prefix = additionsByReplica.getOrDefault(replica, List.of());
         int from = (int) Math.min(sequence, prefix.size());
@@ -108,7 +104,7 @@
         return List.copyOf(prefix.subList(from, to));
     }
 
-    /** Returns the number of additions, those that repeat an id included. */
+    /** Returns the number of additions, including those that repeat an id. */
     int size() {
         return size;
     }
--- a/src/main/java/myrtleladder/tally/TallyStorage.java
+++ b/src/main/java/myrtleladder/tally/TallyStorage.java
@@ -4,18 +4,17 @@
 import java.util.function.Consumer;
 import myrtleladder.protocol.TallyAddition;
 
-/** Keeps the additions to tallies durably. Called on the event loop. */
+/** Durable storage for the additions to tallies. Called on the event loop. */
 public interface TallyStorage {
     /**
-     * Appends additions and syncs them without waiting; appends complete in order.
+     * Starts to append and sync additions and returns without waiting. Appends complete in order.
      *
-     * @param done takes whether the additions are durable; called once, on the event loop
+     * @param done receives whether the additions are durable; called once, on the event loop
      */
     void append(List<TallyAddition> additions, Consumer<Boolean> done);
 
     /**
-     * Notes without waiting that the disk holds all that this node has to know after a restart, so
-     * that it isn't taken for a lost one. Does nothing where a disk can't be lost.
+     * Starts to record that the disk holds everything that this node needs after a restart, so that it is not mistaken for a lost disk, and returns without waiting. Does nothing where a disk cannot be lost.
      */
     default void markComplete() {}
 }
--- a/src/main/java/myrtleladder/tally/VersionVector.java
+++ b/src/main/java/myrtleladder/tally/VersionVector.java
@@ -10,8 +10,7 @@
 import myrtleladder.protocol.TallyPosition;
 
 /**
- * How many additions of each replica are known somewhere: always the first ones, without gaps. Only
- * grows. Confined to the event loop.
+ * A version vector: the number of additions of each replica that are known at some place. These are always the first ones, without gaps, and entries never decrease. Confined to the event loop.
  */
 final class VersionVector {
     private final Map<String, Long> sequenceByReplica = new HashMap<>();
@@ -40,12 +39,12 @@
         other.sequenceByReplica.forEach(this::raise);
     }
 
-    /** Returns whether an addition is known. */
+    /** Returns whether this vector includes an addition. */
     boolean includes(String replica, long sequence) {
         return get(replica) >= sequence;
     }
 
-    /** Returns whether all that the other vector knows is known. */
+    /** Returns whether this vector includes all additions of the other one. */
     boolean includes(VersionVector other) {
         return other.sequenceByReplica.entrySet().stream()
                 .allMatch(entry -> includes(entry.getKey(), entry.getValue()));
@@ -56,14 +55,14 @@
         return Collections.unmodifiableSet(sequenceByReplica.keySet());
     }
 
-    /** Returns a copy with the entries of some replicas. */
+    /** Returns a copy with only the entries of the given replicas. */
     VersionVector only(Collection<String> replicas) {
         VersionVector part = new VersionVector();
         replicas.forEach(replica -> part.raise(replica, get(replica)));
         return part;
     }
 
-    /** Returns how many additions of the other vector are not known. */
+    /** Returns how many additions of the other vector this one does not include. */
     long countMissing(VersionVector other) {
         long missing = 0;
         for (Map.Entry<String, Long> entry : other.sequenceByReplica.entrySet()) {
@@ -72,7 +71,7 @@
         return missing;
     }
 
-    /** Returns the entries as a message has them. */
+    /** Returns the entries in the form used in messages. */
     List<TallyPosition> toPositions() {
         List<TallyPosition> positions = new ArrayList<>();
         sequenceByReplica.forEach(
@@ -80,7 +79,7 @@
         return positions;
     }
 
-    /** Returns the entries of the other vector's replicas where this vector is behind it. */
+    /** Returns this vector's entries for the replicas for which the other vector is ahead. */
     List<TallyPosition> positionsBehind(VersionVector other) {
         List<TallyPosition> positions = new ArrayList<>();
         for (Map.Entry<String, Long> entry : other.sequenceByReplica.entrySet()) {
--- a/src/main/java/myrtleladder/tally/package-info.java
+++ b/src/main/java/myrtleladder/tally/package-info.java
@@ -1,8 +1,5 @@
 /**
- * Tallies: named grow-only counters that every control node accepts additions to and that merge
- * after partitions. Without I/O: {@link myrtleladder.replication.Peers} sends requests, {@link
- * myrtleladder.tally.TallyStorage} keeps the additions and {@link myrtleladder.scheduler.Scheduler}
- * has the time.
+ * Tallies: named grow-only counters. Every control node accepts additions, and the counters are merged after a partition. The package does no I/O: {@link myrtleladder.replication.PeerTransport} sends requests, {@link myrtleladder.tally.TallyStorage} stores the additions and {@link myrtleladder.scheduler.Scheduler} supplies the clock and timers.
  *
  * <p>All classes are confined to one event loop.
  */
