--- a/src/test/java/myrtleladder/heartbeat/HeartbeatAgentTest.java
+++ b/src/test/java/myrtleladder/heartbeat/HeartbeatAgentTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The heartbeats that one of three processes sends and records. */
+/** The heartbeats that an agent sends and records, on a ring of three processes. */
 class HeartbeatAgentTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final List<String> calledAddresses = new ArrayList<>();
--- a/src/test/java/myrtleladder/heartbeat/MonitorRingTest.java
+++ b/src/test/java/myrtleladder/heartbeat/MonitorRingTest.java
@@ -13,7 +13,7 @@
 import myrtleladder.protocol.BalancerAddress;
 import org.junit.jupiter.api.Test;
 
-/** Which processes monitor which. */
+/** The assignment of monitors to processes. */
 class MonitorRingTest {
     private static final int MONITORS = 2;
 
--- a/src/test/java/myrtleladder/replication/CoreQuotaTest.java
+++ b/src/test/java/myrtleladder/replication/CoreQuotaTest.java
@@ -8,15 +8,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Machines whose share of a core is a quota: the processes run for a while and then stand still for
- * the rest of each tenth of a second. That alone makes nobody suspect anybody.
+ * Processes under a CPU quota, which run for 10 ms and are then throttled for the rest of each 100 ms period. Throttling alone must not cause an election.
  */
 class CoreQuotaTest {
     private static final long PERIOD_MS = 100;
     private static final long STARTUP_MS = 3_000;
     private static final int PERIODS = 300;
 
-    /** The processes stand still at the same time, or one after the other. */
+    /** The processes are throttled at the same time, or with a phase shift. */
     @ParameterizedTest
     @ValueSource(longs = {0, 30, 50})
     void processesThatStandStillForNineTenthsOfEachPeriodKeepTheirPrimary(long phaseMs) {
@@ -35,7 +34,7 @@
                 cluster.submitChange();
             }
         }
-        assertEquals(epoch, primary.replica.epoch(), "no other primary was needed");
+        assertEquals(epoch, primary.replica.epoch(), "throttling caused a view change");
         assertTrue(
                 cluster.acknowledged.size() > PERIODS / 15,
                 cluster.acknowledged.size() + " changes were acknowledged");
--- a/src/test/java/myrtleladder/replication/DeposedPrimaryTest.java
+++ b/src/test/java/myrtleladder/replication/DeposedPrimaryTest.java
@@ -9,18 +9,18 @@
 import myrtleladder.protocol.HeartbeatRequest;
 import org.junit.jupiter.api.Test;
 
-/** A primary whose epoch was exceeded stops calling under it as soon as it is refused. */
+/** A deposed primary stops sending heartbeats in its epoch as soon as one of them is rejected. */
 class DeposedPrimaryTest {
     private static final long STARTUP_MS = 3_000;
     private static final long ELECTION_MS = 3_000;
 
-    /** A round trip, and the interval of polls. */
+    /** One round trip plus one poll interval. */
     private static final long REFUSAL_MS = 100;
 
     private final VirtualCluster cluster =
             VirtualCluster.builder().nodes(5).toleratedFailures(2).start();
 
-    /** When the node sent heartbeats of an epoch. */
+    /** Returns a live list of the times at which a node sends heartbeats in an epoch. */
     private List<Long> heartbeats(VirtualNode of, long epoch) {
         List<Long> sentAtMs = new ArrayList<>();
         cluster.network.onCall(
--- a/src/test/java/myrtleladder/replication/ElectionTimerTest.java
+++ b/src/test/java/myrtleladder/replication/ElectionTimerTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a member may become a candidate. */
+/** Which election timeout applies, and when a member may become a candidate. */
 class ElectionTimerTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final ElectionTimer timer = new ElectionTimer(clock);
--- a/src/test/java/myrtleladder/replication/FullDiskTest.java
+++ b/src/test/java/myrtleladder/replication/FullDiskTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Disks that refuse every write, and take them again later. */
+/** Disks that fail every write for a while and then recover. */
 class FullDiskTest {
     private static final long STARTUP_MS = 3_000;
     private static final long RECOVERY_MS = 8_000;
@@ -28,7 +28,7 @@
         List<String> before = List.copyOf(cluster.acknowledged);
         cluster.nodes.values().forEach(node -> node.disk.fill());
         submitFor(4_000);
-        assertEquals(before, cluster.acknowledged, "no disk holds anything further");
+        assertEquals(before, cluster.acknowledged, "a change was acknowledged that no disk holds");
         cluster.nodes.values().forEach(node -> node.disk.repair());
         submitFor(RECOVERY_MS);
         assertTrue(cluster.acknowledged.size() > before.size());
--- a/src/test/java/myrtleladder/replication/LeaveRequesterTest.java
+++ b/src/test/java/myrtleladder/replication/LeaveRequesterTest.java
@@ -17,7 +17,7 @@
 import myrtleladder.protocol.View;
 import org.junit.jupiter.api.Test;
 
-/** A node leaves only once a primary that still leads has released it. */
+/** A node counts as released only if a primary that is still in office has released it. */
 class LeaveRequesterTest {
     private static final long LEAVE_TIMEOUT_MS = 3_000;
 
@@ -27,7 +27,7 @@
     private final Member third = Member.of("third:1", "third:2", "third");
     private final List<Boolean> ends = new ArrayList<>();
 
-    /** Nobody looks at the role here. */
+    /** These tests do not observe the role. */
     private static final class SilentListener implements Replica.Listener {
         @Override
         public void onPrimacyGained(Collection<InstanceRecord> instances) {
@@ -49,7 +49,7 @@
         return View.of(epoch, other, List.of(other), List.of(group), List.of(group));
     }
 
-    /** Starts a member of a view of this epoch and lets it leave; others answer as is said. */
+    /** Starts a member of a view with this epoch and lets it leave. The given function supplies the responses to its leave requests. */
     private void leave(long epoch, Function<LeaveRequest, Message> answer) {
         StoredState stored = new StoredState();
         stored.storeId = self.storeId;
@@ -84,7 +84,7 @@
     void releaseByAnOlderViewThanTheKnownOneIsIgnored() {
         leave(5, request -> LeaveResponse.of(true, view(4, other, third)));
         clock.run(LEAVE_TIMEOUT_MS - 500);
-        assertEquals(List.of(), ends, "a primary that was deposed can't release anyone");
+        assertEquals(List.of(), ends, "a deposed primary cannot release a node");
         clock.run(1_000);
         assertEquals(List.of(false), ends);
     }
@@ -99,7 +99,7 @@
         primary.replica.receive(
                 LeaveRequest.of(third), answer -> released.add(((LeaveResponse) answer).released));
         cluster.clock.run(2_000);
-        assertEquals(List.of(false), released, "another may lead by now");
+        assertEquals(List.of(false), released, "another node may be primary by now");
     }
 
     @Test
--- a/src/test/java/myrtleladder/replication/ManualScheduler.java
+++ b/src/test/java/myrtleladder/replication/ManualScheduler.java
@@ -3,9 +3,9 @@
 import myrtleladder.scheduler.Scheduler;
 import myrtleladder.scheduler.TimerQueue;
 
-/** A scheduler whose clock the test advances; all times are in milliseconds. */
+/** A scheduler whose clock is advanced by the test. All times are in milliseconds. */
 public final class ManualScheduler implements Scheduler {
-    /** The first time of the clock. */
+    /** The initial time of the clock. */
     private static final long START_MS = 1_000_000;
 
     private final TimerQueue timers = new TimerQueue();
@@ -21,12 +21,12 @@
         return timers.add(nowMs + Math.max(0, delayMs), task);
     }
 
-    /** Advances the clock without running any task, as for a process that is paused. */
+    /** Advances the clock without running any task, as if the process were paused. */
     public void freeze(long durationMs) {
         nowMs += durationMs;
     }
 
-    /** Advances the clock and runs each task when it is due. */
+    /** Advances the clock and runs each task at its due time. */
     public void run(long durationMs) {
         long endMs = nowMs + durationMs;
         while (timers.nextDue() <= endMs) {
--- a/src/test/java/myrtleladder/replication/MemberContactsTest.java
+++ b/src/test/java/myrtleladder/replication/MemberContactsTest.java
@@ -6,7 +6,7 @@
 import myrtleladder.protocol.Member;
 import org.junit.jupiter.api.Test;
 
-/** An acknowledgement counts from the sending of its request. */
+/** An acknowledgement is dated by the time at which its request was sent. */
 class MemberContactsTest {
     private final Member member = Member.of("a:1", "a:2", "a");
     private final MemberContacts contacts = new MemberContacts();
--- a/src/test/java/myrtleladder/replication/MembershipRequestsTest.java
+++ b/src/test/java/myrtleladder/replication/MembershipRequestsTest.java
@@ -8,7 +8,7 @@
 import myrtleladder.protocol.Member;
 import org.junit.jupiter.api.Test;
 
-/** The requests to join and to leave that a primary knows. */
+/** The join and leave requests that a primary has received. */
 class MembershipRequestsTest {
     private static final long START_MS = 1_000;
 
--- a/src/test/java/myrtleladder/replication/PeerAddressRotationTest.java
+++ b/src/test/java/myrtleladder/replication/PeerAddressRotationTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.protocol.View;
 import org.junit.jupiter.api.Test;
 
-/** Which node is asked next. */
+/** The order in which nodes are contacted. */
 class PeerAddressRotationTest {
     private final Member self = Member.of("self:1", "self:2", "self");
     private final Member voter = Member.of("voter:1", "voter:2", "voter");
--- a/src/test/java/myrtleladder/replication/PersistentStateTest.java
+++ b/src/test/java/myrtleladder/replication/PersistentStateTest.java
@@ -13,7 +13,7 @@
 import myrtleladder.protocol.StoredState;
 import org.junit.jupiter.api.Test;
 
-/** What is known of saves in flight, with a storage that the test completes. */
+/** The tracking of saves in flight, with a storage whose saves the test completes. */
 class PersistentStateTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final List<StoredState> written = new ArrayList<>();
--- a/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
+++ b/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
@@ -15,8 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Which members the next group has, for each size and number of tolerated failures. A member is one
- * letter, a group is a string of them.
+ * The members of the next group, for several group sizes and numbers of tolerated failures. A member is written as one letter, a group as a string of letters.
  */
 class ReconfigurationPlanTest {
     private static Member member(String letter) {
@@ -30,7 +29,7 @@
                 .toList();
     }
 
-    /** Starts a plan for a group with the minimum size. */
+    /** Starts a plan for a group with the given minimum size. */
     private static PlanBuilder group(String letters, int minimumSize) {
         return new PlanBuilder(letters, minimumSize);
     }
@@ -129,8 +128,7 @@
     }
 
     /**
-     * Members fail one after the other, each removed before the next fails. The expected numbers
-     * are those of the table in docs/control-safety.md.
+     * Members fail one after the other, and each is removed before the next one fails. The expected numbers are those of the table in docs/control-safety.md.
      */
     @ParameterizedTest
     @CsvSource({"3, 1, 1", "4, 1, 2", "5, 2, 2", "6, 2, 3", "8, 2, 5"})
--- a/src/test/java/myrtleladder/replication/ReplicaExplorationTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaExplorationTest.java
@@ -8,8 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random schedules of kills, lost disks, pauses, partitions and disk faults. No acknowledged change
- * is lost, each epoch has one primary, and a primary leads again once the faults end.
+ * Random schedules of kills, lost disks, pauses, partitions and disk faults. No acknowledged change may be lost, each epoch may have only one primary, and there has to be a primary again after the faults end.
  */
 class ReplicaExplorationTest {
     private static final int STEPS = 25;
@@ -84,7 +83,7 @@
         return nodes.get(cluster.random.nextInt(nodes.size()));
     }
 
-    /** Loses as many disks as are tolerated; all have recovered before and after that. */
+    /** Loses at most as many disks as are tolerated. All nodes recover before and after that. */
     private static void loseDisk(VirtualCluster cluster, VirtualNode node) {
         cluster.repair();
         cluster.clock.run(CATCH_UP_MS);
--- a/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
+++ b/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
@@ -13,11 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Pins the behaviour of replication by digests of whole runs on the manual clock, with crashes,
- * standstills and cuts: millisecond by millisecond each node's role, epoch and stored bytes, and
- * what was acknowledged. Each message and each save draws its delay from one generator, whose next
- * number at the end tells a run with another number of these. A change of structure keeps the
- * digests; one of behaviour does not, and has to say so.
+ * Compares digests of whole runs on the manual clock, with crashes, pauses and partitions, to recorded ones. A digest covers, for each millisecond, each node's role, epoch and stored bytes, and the acknowledged changes. The delays of all messages and saves are drawn from one generator, so its next number at the end of a run reveals a different number of messages or saves. A refactoring must keep the digests; a change of behaviour has to update them and state so.
  */
 class RunCompatibilityTest {
     private static final GoldenFile GOLDEN = new GoldenFile("replication-runs.txt");
@@ -52,7 +48,7 @@
                 HEX.formatHex(digest.digest()));
     }
 
-    /** Lets time pass and digests what is another at the end of each millisecond. */
+    /** Advances the clock and digests the changes at the end of each millisecond. */
     private static void watch(
             VirtualCluster cluster, int millis, Map<String, String> last, MessageDigest digest) {
         for (int i = 0; i < millis; i++) {
--- a/src/test/java/myrtleladder/replication/StateChangeTest.java
+++ b/src/test/java/myrtleladder/replication/StateChangeTest.java
@@ -9,7 +9,7 @@
 import myrtleladder.protocol.StoredState;
 import org.junit.jupiter.api.Test;
 
-/** What replicas make of a change, also one that a primary of the earlier program sends. */
+/** How replicas apply a change, including one from a primary of an earlier version, which does not send drained zones. */
 class StateChangeTest {
     private static final byte[] DOCUMENT = {1, 2};
 
--- a/src/test/java/myrtleladder/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -9,9 +9,7 @@
 import myrtleladder.protocol.Member;
 
 /**
- * Control nodes on one manual clock, with disks and links, and a client that submits changes and
- * checks the invariants: one primary for each epoch, and no acknowledged change is lost. All delays
- * are drawn from one generator, so a seed determines the run.
+ * Control nodes with simulated disks and network on one manual clock, and a client that submits changes and checks the invariants: each epoch has only one primary, and no acknowledged change is lost. All delays are drawn from one generator, so the random seed determines the run.
  */
 final class VirtualCluster {
     private static final int DEFAULT_SEED_NODES = 3;
@@ -22,7 +20,7 @@
     final Map<String, VirtualNode> nodes = new LinkedHashMap<>();
     final VirtualNetwork network;
 
-    /** The changes whose commit was reported to the client, in this order. */
+    /** The digests of the changes whose commit was reported to the client, in that order. */
     final List<String> acknowledged = new ArrayList<>();
 
     private final Map<Long, String> primaryOfEpoch = new HashMap<>();
@@ -32,7 +30,7 @@
     private int changesSubmitted;
     private int storesCreated;
 
-    /** Creates and starts a cluster whose first nodes are the seeds. */
+    /** Creates and starts a cluster whose first nodes are the seed nodes. */
     VirtualCluster(long randomSeed, int nodeCount, int seedNodes, int toleratedFailures) {
         this.random = new SplittableRandom(randomSeed);
         this.network = new VirtualNetwork(clock, random, nodes::get);
@@ -117,7 +115,7 @@
         nodes.values().forEach(VirtualNode::repair);
     }
 
-    /** Checks that an epoch has no other primary. */
+    /** Records the primary of an epoch, and a violation if the epoch already has another primary. */
     void recordPrimary(VirtualNode node) {
         long epoch = node.replica.view().epoch;
         String before = primaryOfEpoch.putIfAbsent(epoch, node.address);
@@ -142,7 +140,7 @@
         return found;
     }
 
-    /** Submits a change to any node that believes to be the primary and is not busy. */
+    /** Submits a change to a random node that believes that it is primary and is not busy. */
     void submitChange() {
         List<VirtualNode> primaries =
                 nodes.values().stream()
@@ -180,7 +178,7 @@
                 });
     }
 
-    /** Ends all faults, waits for recovery and returns the violations of the invariants. */
+    /** Ends all faults, waits for recovery and returns all violations of the invariants. */
     List<String> violationsAfterRecovery() {
         repair();
         clock.run(RECOVERY_MS);
--- a/src/test/java/myrtleladder/replication/VirtualDisk.java
+++ b/src/test/java/myrtleladder/replication/VirtualDisk.java
@@ -8,8 +8,7 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The disk of a virtual node. Saves are carried out one after the other, as the thread of the real
- * storage does it.
+ * The disk of a virtual node. Saves run one after the other, as on the thread of the real storage.
  */
 final class VirtualDisk implements Storage {
     private static final long DEFAULT_SAVE_DURATION_MS = 5;
@@ -29,7 +28,7 @@
         this.random = random;
     }
 
-    /** Serves a new process from now on; saves of the one before are lost. */
+    /** Attaches the disk to a new process. Pending saves of the previous process are lost. */
     void attach(Scheduler newProcess) {
         process = newProcess;
         busyUntilMs = 0;
@@ -63,22 +62,22 @@
         return content == null ? null : (StoredState) MessageCodec.decode(content);
     }
 
-    /** Loses all that was saved. */
+    /** Erases the disk. */
     void wipe() {
         content = null;
     }
 
-    /** Lets each save fail from now on. */
+    /** Makes every save fail from now on. */
     void fill() {
         full = true;
     }
 
-    /** Lets each save take this long from now on, and up to 2 ms more. */
+    /** Makes every save from now on take this long and up to 2 ms more. */
     void slowDown(long durationMs) {
         saveDurationMs = durationMs;
     }
 
-    /** Lets saves succeed in the usual time from now on. */
+    /** Makes saves succeed again, in the default time. */
     void repair() {
         full = false;
         saveDurationMs = DEFAULT_SAVE_DURATION_MS;
--- a/src/test/java/myrtleladder/replication/VirtualNetwork.java
+++ b/src/test/java/myrtleladder/replication/VirtualNetwork.java
@@ -9,7 +9,7 @@
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
 
-/** Links between virtual nodes: each message takes 1 to 4 ms and is lost on a partitioned link. */
+/** The network between virtual nodes. Each message takes 1 to 4 ms and is lost on a partitioned link. */
 final class VirtualNetwork {
     private static final int MINIMUM_DELAY_MS = 1;
     private static final int DELAY_JITTER_MS = 4;
@@ -23,7 +23,7 @@
     /** One direction between two addresses. */
     private record Link(String from, String to) {}
 
-    /** A request whose answer, or null for none, reaches the caller once. */
+    /** A request; its response, or null for none, is delivered to the caller once. */
     private static final class Call {
         private final VirtualNode caller;
         private final int callerIncarnation;
@@ -55,12 +55,12 @@
         this.nodeAt = nodeAt;
     }
 
-    /** Sets who sees each request when it is sent. */
+    /** Sets the observer that is called with each request when it is sent. */
     void onCall(BiConsumer<VirtualNode, Message> observer) {
         onCall = observer;
     }
 
-    /** Sends a request; see {@link Peers#call}. */
+    /** Sends a request; see {@link PeerTransport#call}. */
     void call(
             VirtualNode caller,
             String receiver,
@@ -106,7 +106,7 @@
                 });
     }
 
-    /** Loses all messages between two nodes from now on, also those that are in flight. */
+    /** Drops all messages between two nodes from now on, including those in flight. */
     void partition(String one, String other) {
         partitionedLinks.add(new Link(one, other));
         partitionedLinks.add(new Link(other, one));
--- a/src/test/java/myrtleladder/replication/VirtualNode.java
+++ b/src/test/java/myrtleladder/replication/VirtualNode.java
@@ -8,17 +8,17 @@
 import myrtleladder.protocol.Message;
 import myrtleladder.scheduler.Scheduler;
 
-/** A process with a replica, which can be killed, paused and started again, and its disk. */
+/** A node with a disk and a process that runs a replica and can be killed, paused and restarted. */
 final class VirtualNode implements Peers, Replica.Listener {
     private static final long CATCH_UP_MS = 4_000;
 
     final String address;
     final VirtualDisk disk;
 
-    /** The replica of the process that was started last. */
+    /** The replica of the latest process. */
     Replica replica;
 
-    /** Until when the process is paused, in milliseconds of the clock. */
+    /** The time of the clock until which the process is paused. */
     long pausedUntilMs;
 
     private final VirtualCluster cluster;
@@ -33,7 +33,9 @@
         this.disk = new VirtualDisk(cluster.random);
     }
 
-    /** Starts a process; {@code bootstrap} says that it is the first start of the system. */
+    /** Starts a process.
+     *
+     * @param bootstrap whether this is the first start of the system */
     void start(boolean bootstrap) {
         incarnation++;
         running = true;
@@ -59,24 +61,24 @@
         replica.start();
     }
 
-    /** Ends the process at once; its disk keeps what was saved. */
+    /** Kills the process. Its disk keeps all completed saves. */
     void kill() {
         running = false;
         incarnation++;
     }
 
-    /** Ends the process at once and loses its disk. */
+    /** Kills the process and erases its disk. */
     void killAndWipe() {
         kill();
         disk.wipe();
     }
 
-    /** Pauses the process for a time. */
+    /** Pauses the process for the given duration. */
     void pause(long durationMs) {
         pausedUntilMs = cluster.clock.now() + durationMs;
     }
 
-    /** Ends a pause and all faults of the disk, and starts the process if it does not run. */
+    /** Ends a pause and all disk faults, and starts the process if it is not running. */
     void repair() {
         pausedUntilMs = 0;
         disk.repair();
@@ -93,17 +95,17 @@
         return cluster.clock.now() < pausedUntilMs;
     }
 
-    /** Returns whether the process believes to be the primary. */
+    /** Returns whether the process believes that it is primary. */
     boolean isPrimary() {
         return replica.state() == Replica.State.PRIMARY;
     }
 
-    /** Returns the number of the process among those of this node. */
+    /** Returns the number of the current process, which changes with each start and kill. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Runs a task of a process: after its pause, and not at all once the process has ended. */
+    /** Runs a task of a process, after its pause if it is paused, or not at all if it has ended. */
     void execute(int ofIncarnation, Runnable task) {
         if (!running || incarnation != ofIncarnation) {
             return;
@@ -128,15 +130,15 @@
 
     @Override
     public void onInstancesReceived(Collection<InstanceRecord> instances) {
-        // There are no upstreams here.
+        // The simulation has no upstreams.
     }
 
     @Override
     public void onPrimacyLost() {
-        // The client looks at the role itself.
+        // The simulated client reads the role directly.
     }
 
-    /** Timers of one process. */
+    /** The scheduler of one process, whose timers end with it. */
     private final class ProcessScheduler implements Scheduler {
         private final int ofIncarnation;
 
--- a/src/test/java/myrtleladder/tally/TalliesTest.java
+++ b/src/test/java/myrtleladder/tally/TalliesTest.java
@@ -14,7 +14,7 @@
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
-/** Nodes that call each other directly, on one clock, with disks that sync at once. */
+/** The tallies of nodes that call each other directly, on one clock, with disks that sync immediately. */
 class TalliesTest {
     private static final long ROUND_TRIP_MS = 2;
 
