--- a/src/main/java/myrtleladder/replication/ReplicaOptions.java
+++ b/src/main/java/myrtleladder/replication/ReplicaOptions.java
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Returns the time without contact after which a member may be removed from the group. It is well below the catch-up time unless that is short.
+     * Returns the time without contact after which a member may be removed from the group. It is well below the catch-up time, except for catch-up times near {@link #MINIMUM_MEMBER_TIMEOUT_MS}.
      */
     public long memberTimeoutMs() {
         long timeoutMs = Math.round(catchUpMs * MEMBER_TIMEOUT_FRACTION);
--- a/src/main/java/myrtleladder/tally/TallyPeer.java
+++ b/src/main/java/myrtleladder/tally/TallyPeer.java
@@ -99,7 +99,7 @@
         return nowMs - silentSinceMs >= allowedMs && transitionTo(Reachability.UNREACHABLE);
     }
 
-    /** Resets the time without response, because this process was suspended or the peer has sent a request since. */
+    /** Discards failed requests, because this process may have caused them by being suspended, or because the peer has sent a request since. */
     void forgiveSilence() {
         silentSinceMs = NONE;
     }
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -213,7 +213,7 @@
     void successorLeadsSoonAfterPrimaryResigned() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         VirtualNode formerPrimary = cluster.primary();
-        formerPrimary.replica.resign("asked to end");
+        formerPrimary.replica.resign("shutting down");
         cluster.clock.run(300);
         assertNotNull(cluster.primary());
         assertNotEquals(formerPrimary.address, cluster.primary().address);
@@ -262,7 +262,7 @@
         outside.start(false);
         cluster.clock.run(ATTEMPT_INTERVAL_MS);
         assertEquals(Replica.State.JOINING, outside.replica.state());
-        outside.replica.resign("asked to end");
+        outside.replica.resign("shutting down");
         assertEquals(Replica.State.JOINING, outside.replica.state());
     }
 }
--- a/src/test/java/myrtleladder/tally/TallyPeerTest.java
+++ b/src/test/java/myrtleladder/tally/TallyPeerTest.java
@@ -8,6 +8,7 @@
 import myrtleladder.protocol.TallyStateSummary;
 import org.junit.jupiter.api.Test;
 
+/** How a node tracks the additions of a peer across restarts of the peer's process. */
 class TallyPeerTest {
     private final TallyPeer peer = new TallyPeer("n1:1", 0);
 
