--- a/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import myrtleladder.eventloop.EventLoop;
 import myrtleladder.protocol.StoredState;
-import myrtleladder.replication.Storage;
+import myrtleladder.replication.StateStorage;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
@@ -16,7 +16,7 @@
  * <p>{@link #save} may be called from any thread; callbacks run on the event loop. The writer
  * thread alone uses the {@link StateStore} once it is started.
  */
-public final class AsyncStateWriter implements Storage {
+public final class AsyncStateWriter implements StateStorage {
     private static final Logger LOG = LogManager.getLogger(AsyncStateWriter.class);
     private static final String THREAD_NAME = "disk";
 
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -86,7 +86,7 @@
     private void replicate(
             ConfigurationRequest request, ConfigurationDocument next, Runnable onProcessed) {
         replica.submit(
-                StateChange.toDocument(
+                StateChange.ofDocument(
                         Compression.deflate(next.bytes()), next.generation(), request.digest()),
                 isCommitted -> {
                     if (isCommitted) {
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -14,7 +14,7 @@
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.TallySyncRequest;
 import myrtleladder.protocol.View;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.replication.Replica;
 import myrtleladder.scheduler.Scheduler;
 import myrtleladder.tally.Tallies;
@@ -98,7 +98,7 @@
      */
     public ControlPlane(
             Scheduler scheduler,
-            Peers peers,
+            PeerTransport peers,
             long heartbeatIntervalMs,
             double quotaOverageShare,
             double quotaSlackUnits,
--- a/src/main/java/myrtleladder/controlplane/DrainRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/DrainRequestHandler.java
@@ -83,7 +83,7 @@
             Runnable beforeCommit,
             Runnable onProcessed) {
         replica.submit(
-                StateChange.toDrainedZones(replica.snapshot(), zones),
+                StateChange.ofDrainedZones(replica.snapshot(), zones),
                 isCommitted -> {
                     if (isCommitted) {
                         beforeCommit.run();
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -10,7 +10,7 @@
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.ShareInstancesRequest;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.scheduler.Scheduler;
 
 /**
@@ -31,12 +31,12 @@
     private static final int MAX_HINTS_PER_MEMBER = 2_000;
 
     private final Scheduler scheduler;
-    private final Peers peers;
+    private final PeerTransport peers;
     private final Map<Member, Map<String, InstanceRecord>> hints = new LinkedHashMap<>();
     private long epoch;
     private boolean isScheduled;
 
-    HintedHandoff(Scheduler scheduler, Peers peers) {
+    HintedHandoff(Scheduler scheduler, PeerTransport peers) {
         this.scheduler = scheduler;
         this.peers = peers;
     }
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -8,7 +8,7 @@
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.View;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.replication.Replica;
 import myrtleladder.scheduler.Scheduler;
 
@@ -24,12 +24,12 @@
     /** How long a member has to answer. */
     private static final long REQUEST_TIMEOUT_MS = 500;
 
-    private final Peers peers;
+    private final PeerTransport peers;
     private final HintedHandoff handoff;
     private Replica replica;
     private boolean isPrimary;
 
-    InstanceReplicator(Scheduler scheduler, Peers peers) {
+    InstanceReplicator(Scheduler scheduler, PeerTransport peers) {
         this.peers = peers;
         this.handoff = new HintedHandoff(scheduler, peers);
     }
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -38,9 +38,9 @@
         TallyLog tallyLog = new TallyLog(Path.of(settings.dataFolder()));
         Replica replica = ControlNode.start(settings, loop, store, tallyLog);
         CountDownLatch ended = new CountDownLatch(1);
-        Signals.on(
+        Signals.setHandler(
                 "TERM", () -> loop.execute(() -> leave(settings.bounds(), loop, replica, ended)));
-        Signals.on(
+        Signals.setHandler(
                 "HUP", () -> loop.execute(() -> LOG.info("settings are read at each start only")));
         LOG.info("control node {} at {}", settings.nodeName(), settings.control());
         ended.await();
--- a/src/main/java/myrtleladder/controlplane/PrimaryRelay.java
+++ b/src/main/java/myrtleladder/controlplane/PrimaryRelay.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import myrtleladder.protocol.Member;
 import myrtleladder.protocol.Message;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.replication.Replica;
 
 /**
@@ -12,10 +12,10 @@
  * loop.
  */
 final class PrimaryRelay {
-    private final Peers peers;
+    private final PeerTransport peers;
     private Replica replica;
 
-    PrimaryRelay(Peers peers) {
+    PrimaryRelay(PeerTransport peers) {
         this.peers = peers;
     }
 
--- a/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
@@ -7,7 +7,7 @@
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 import myrtleladder.tally.Tallies;
-import myrtleladder.tally.TallyFigures;
+import myrtleladder.tally.TallyMetrics;
 
 /**
  * Handles {@code GET /status}: what this node, primary or not, knows of itself and the fleet.
@@ -54,19 +54,19 @@
                                 "balancers", balancers.addresses().size(),
                                 "view", String.valueOf(replica.view())));
         if (tallies != null) {
-            status.put("tallies", toJson(tallies.figures()));
+            status.put("tallies", toJson(tallies.metrics()));
         }
         HttpResponses.json(exchange, HttpResponses.OK, Json.write(status));
     }
 
-    private static Map<String, Object> toJson(TallyFigures figures) {
+    private static Map<String, Object> toJson(TallyMetrics figures) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("caught_up", figures.isCaughtUp());
         json.put("tallies", figures.tallies());
         json.put("additions", figures.additions());
         json.put("unsynced", figures.unsynced());
         json.put("failed_appends", figures.failedAppends());
-        json.put("waiting", figures.waiting());
+        json.put("waiting", figures.pending());
         json.put("acknowledged", figures.acknowledged());
         json.put("uncertain", figures.uncertain());
         json.put("refused", figures.refused());
@@ -77,12 +77,12 @@
         return json;
     }
 
-    private static Map<String, Object> toJson(TallyFigures.Peer peer) {
+    private static Map<String, Object> toJson(TallyMetrics.Peer peer) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("reachability", peer.reachability());
         json.put("zone", peer.zone());
-        json.put("additions_it_lacks", peer.additionsItLacks());
-        json.put("additions_lacked_here", peer.additionsLackedHere());
+        json.put("additions_it_lacks", peer.additionsMissingAtPeer());
+        json.put("additions_lacked_here", peer.additionsMissingHere());
         return json;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -19,7 +19,7 @@
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.scheduler.Scheduler;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -54,7 +54,7 @@
     private static final int FAILURES_BEFORE_SEED_RELOAD = 6;
 
     private final Scheduler scheduler;
-    private final Peers peers;
+    private final PeerTransport peers;
     private final DataPlane dataPlane;
     private final String balancer;
     private final String address;
@@ -100,7 +100,7 @@
      */
     ControlPoller(
             Scheduler scheduler,
-            Peers peers,
+            PeerTransport peers,
             DataPlane dataPlane,
             String balancer,
             String address,
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -73,8 +73,8 @@
         Main main = new Main(settings, new EventLoop());
         main.loop.start();
         main.loop.execute(main::start);
-        Signals.on("TERM", () -> main.loop.execute(main::drain));
-        Signals.on("HUP", () -> main.loop.execute(main::reloadSeeds));
+        Signals.setHandler("TERM", () -> main.loop.execute(main::drain));
+        Signals.setHandler("HUP", () -> main.loop.execute(main::reloadSeeds));
         main.terminated.await();
         Runtime.getRuntime().halt(0);
     }
--- a/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
+++ b/src/main/java/myrtleladder/heartbeat/HeartbeatAgent.java
@@ -6,11 +6,13 @@
 import java.util.Map;
 import myrtleladder.protocol.BalancerAddress;
 import myrtleladder.protocol.BalancerHeartbeat;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Sends the heartbeats of this process to its monitors on the ring and records the heartbeats of the processes that it monitors. The live processes are reported to the primary with the next poll, so that a process that is partitioned from the control plane still counts as live.
+ * Sends the heartbeats of this process to its monitors on the ring and records the heartbeats of
+ * the processes that it monitors. The live processes are reported to the primary with the next
+ * poll, so that a process that is partitioned from the control plane still counts as live.
  *
  * <p>Confined to the event loop of the scheduler.
  */
@@ -28,15 +30,15 @@
     private static final long REQUEST_TIMEOUT_MS = 400;
 
     private final Scheduler scheduler;
-    private final Peers peers;
+    private final PeerTransport transport;
     private final String selfName;
     private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
     private MonitorRing ring = new MonitorRing(List.of());
 
     /** Creates an agent for the process with the given name. */
-    public HeartbeatAgent(Scheduler scheduler, Peers peers, String selfName) {
+    public HeartbeatAgent(Scheduler scheduler, PeerTransport transport, String selfName) {
         this.scheduler = scheduler;
-        this.peers = peers;
+        this.transport = transport;
         this.selfName = selfName;
     }
 
@@ -48,7 +50,7 @@
     private void sendHeartbeats() {
         scheduler.schedule(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
         for (BalancerAddress monitor : ring.monitorsOf(selfName, MONITOR_COUNT)) {
-            peers.call(
+            transport.call(
                     monitor.address,
                     BalancerHeartbeat.of(selfName),
                     REQUEST_TIMEOUT_MS,
--- a/src/main/java/myrtleladder/heartbeat/MonitorRing.java
+++ b/src/main/java/myrtleladder/heartbeat/MonitorRing.java
@@ -9,7 +9,8 @@
 import myrtleladder.protocol.BalancerAddress;
 
 /**
- * A ring of processes, ordered by a hash of their names, in which each process is monitored by its successors. All processes that know the same members compute the same ring. Immutable.
+ * A ring of processes, ordered by a hash of their names, in which each process is monitored by its
+ * successors. All processes that know the same members compute the same ring. Immutable.
  */
 public final class MonitorRing {
     private final List<BalancerAddress> ordered;
@@ -29,7 +30,8 @@
     }
 
     /**
-     * Returns the monitors of a process: its successors, at most {@code count} and never the process itself; none if the process is not on the ring.
+     * Returns the monitors of a process: its successors, at most {@code count} and never the
+     * process itself; none if the process is not on the ring.
      */
     public List<BalancerAddress> monitorsOf(String name, int count) {
         List<BalancerAddress> monitors = new ArrayList<>();
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -133,7 +133,7 @@
     private static void installSignalHandlers(
             Path file, BalancerConfig config, LoadBalancerServer server)
             throws ReflectiveOperationException {
-        Signals.on("HUP", () -> reload(file, server));
+        Signals.setHandler("HUP", () -> reload(file, server));
         // On SIGTERM the JVM waits for this hook while the event loop goes on.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(() -> drain(config, server).awaitUninterruptibly()));
--- a/src/main/java/myrtleladder/replication/CandidateState.java
+++ b/src/main/java/myrtleladder/replication/CandidateState.java
@@ -11,9 +11,15 @@
 import myrtleladder.protocol.View;
 
 /**
- * The candidate role: one attempt to install a view. The candidate collects promises for its epoch from majorities of the base view's groups (Paxos phase 1, after an optional pre-vote), chooses the replicas among the members that promised, and starts a {@link ViewInstaller}.
+ * The candidate role: one attempt to install a view. The candidate collects promises for its epoch
+ * from majorities of the base view's groups (Paxos phase 1, after an optional pre-vote), chooses
+ * the replicas among the members that promised, and starts a {@link ViewInstaller}.
  *
- * <p>Invariants: prepare requests for an epoch are sent only after this node has saved its own promise for it. The new view is based on the latest view that any member of the majorities accepted, and only a replica of that view continues. The group changes only if the base view is known to be installed. Confined to the event loop; {@link QuorumState} creates one instance for each attempt.
+ * <p>Invariants: prepare requests for an epoch are sent only after this node has saved its own
+ * promise for it. The new view is based on the latest view that any member of the majorities
+ * accepted, and only a replica of that view continues. The group changes only if the base view is
+ * known to be installed. Confined to the event loop; {@link QuorumState} creates one instance for
+ * each attempt.
  */
 final class CandidateState implements RoleState {
     /** The phases of an attempt, in order. The names appear in the log. */
@@ -38,17 +44,17 @@
     private final ReplicaContext context;
     private final QuorumState quorum;
     private final ReconfigurationPlan plan;
-    private final boolean baseInEffect;
+    private final boolean baseViewInstalled;
     private final boolean withPreVote;
     private final long startedAtMs;
     private final Promises promises;
-    private final Set<String> askedAddresses = new HashSet<>();
+    private final Set<String> requestedAddresses = new HashSet<>();
     private Phase phase = Phase.PRE_VOTE;
     private long epoch;
     private long majorityReachedAtMs = NOT_REACHED_MS;
-    private long askedAtMs;
-    private boolean baseReplaced;
-    private View base;
+    private long requestsSentAtMs;
+    private boolean baseViewReplaced;
+    private View baseView;
 
     /**
      * Creates an attempt; {@link #start} starts it.
@@ -62,17 +68,17 @@
             ReplicaContext context,
             QuorumState quorum,
             ReconfigurationPlan plan,
-            boolean baseInEffect,
+            boolean baseViewInstalled,
             boolean withPreVote) {
         this.context = context;
         this.quorum = quorum;
         this.plan = plan;
-        this.baseInEffect = baseInEffect;
+        this.baseViewInstalled = baseViewInstalled;
         this.withPreVote = withPreVote;
         this.promises = new Promises(context);
         this.startedAtMs = context.nowMs();
-        View accepted = context.storedState().acceptedView;
-        this.base = accepted == null ? context.view() : accepted;
+        View acceptedView = context.storedState().acceptedView;
+        this.baseView = acceptedView == null ? context.view() : acceptedView;
         this.epoch = nextEpoch();
     }
 
@@ -82,10 +88,10 @@
     }
 
     /** Starts the attempt. */
-    void begin() {
+    void start() {
         if (withPreVote) {
-            enter(Phase.PRE_VOTE);
-            askAll();
+            enterPhase(Phase.PRE_VOTE);
+            sendPrepareRequests();
             evaluatePreVotes();
         } else {
             prepare();
@@ -94,18 +100,18 @@
 
     @Override
     public void close() {
-        enter(Phase.ENDED);
+        enterPhase(Phase.ENDED);
     }
 
     @Override
     public void poll(long nowMs) {
         if (phase == Phase.PRE_VOTE
-                && nowMs - askedAtMs >= ReplicationTiming.PRE_VOTE_RETRY_INTERVAL_MS) {
+                && nowMs - requestsSentAtMs >= ReplicationTiming.PRE_VOTE_RETRY_INTERVAL_MS) {
             // A member that had contact with a primary recently may have lost it since.
-            askedAddresses.clear();
+            requestedAddresses.clear();
         }
         if (phase == Phase.PRE_VOTE || phase == Phase.PREPARING) {
-            askAll();
+            sendPrepareRequests();
             evaluatePromises();
         }
         if (phase != Phase.ENDED && nowMs - startedAtMs > ReplicationTiming.CANDIDACY_TIMEOUT_MS) {
@@ -114,58 +120,66 @@
     }
 
     /** Begins a phase. */
-    void enter(Phase next) {
+    void enterPhase(Phase next) {
         phase = next;
     }
 
     /** Returns whether the attempt is in a phase. */
-    boolean isIn(Phase expected) {
+    boolean isInPhase(Phase expected) {
         return phase == expected;
     }
 
     /** Returns an epoch above all known ones; members reject any lower epoch. */
     private long nextEpoch() {
-        return Math.max(context.views().highestEpoch(), context.storedState().promisedEpoch) + 1;
+        return Math.max(context.viewTracker().highestEpoch(), context.storedState().promisedEpoch)
+                + 1;
     }
 
-    private void askAll() {
-        if (askedAddresses.isEmpty()) {
-            askedAtMs = context.nowMs();
+    private void sendPrepareRequests() {
+        if (requestedAddresses.isEmpty()) {
+            requestsSentAtMs = context.nowMs();
         }
-        ask(base.group);
-        ask(base.previousGroup);
+        sendPrepareRequests(baseView.group);
+        sendPrepareRequests(baseView.previousGroup);
         if (phase == Phase.PREPARING) {
-            ask(plan.nextGroup());
+            sendPrepareRequests(plan.nextGroup());
         }
     }
 
-    /** Sends a prepare or pre-vote request to each of these members that has neither a request in flight nor responded. */
-    private void ask(List<Member> members) {
+    /**
+     * Sends a prepare or pre-vote request to each of these members that has neither a request in
+     * flight nor responded.
+     */
+    private void sendPrepareRequests(List<Member> members) {
         boolean preVote = phase == Phase.PRE_VOTE;
-        long askedEpoch = epoch;
+        long requestedEpoch = epoch;
         long sentAtMs = context.nowMs();
         for (Member member : members) {
             if (member.address.equals(context.self().address)
-                    || !askedAddresses.add(member.address)) {
+                    || !requestedAddresses.add(member.address)) {
                 continue;
             }
-            context.peers()
+            context.transport()
                     .call(
                             member.address,
-                            PrepareRequest.of(askedEpoch, context.self(), preVote),
+                            PrepareRequest.of(requestedEpoch, context.self(), preVote),
                             ReplicationTiming.REQUEST_TIMEOUT_MS,
                             answer ->
-                                    onAnswer(
-                                            member.address, askedEpoch, preVote, sentAtMs, answer));
+                                    onPrepareAnswer(
+                                            member.address,
+                                            requestedEpoch,
+                                            preVote,
+                                            sentAtMs,
+                                            answer));
         }
     }
 
-    private void onAnswer(
-            String address, long askedEpoch, boolean preVote, long sentAtMs, Message answer) {
+    private void onPrepareAnswer(
+            String address, long requestedEpoch, boolean preVote, long sentAtMs, Message answer) {
         if (answer instanceof PrepareResponse response && response.member != null) {
             onPrepareResponse(response, preVote, sentAtMs);
-        } else if (askedEpoch == epoch) {
-            askedAddresses.remove(address);
+        } else if (requestedEpoch == epoch) {
+            requestedAddresses.remove(address);
         }
     }
 
@@ -173,18 +187,19 @@
         if (phase != (preVote ? Phase.PRE_VOTE : Phase.PREPARING)) {
             return;
         }
-        context.views().observeEpoch(response.promisedEpoch);
+        context.viewTracker().observeEpoch(response.promisedEpoch);
         if (response.acceptedView != null) {
             quorum.onViewLearned(response.acceptedView);
         }
         if (response.granted) {
             promises.add(response);
             if (!preVote) {
-                context.contacts().onAcknowledged(response.member, sentAtMs);
+                context.memberContacts().onAcknowledged(response.member, sentAtMs);
             }
         } else if (response.promisedEpoch >= epoch) {
             // The next attempt uses an epoch above the one that this member promised.
-            quorum.onCandidacyFailed("a member promised the higher epoch " + response.promisedEpoch, true);
+            quorum.onCandidacyFailed(
+                    "a member promised the higher epoch " + response.promisedEpoch, true);
             return;
         }
         if (preVote) {
@@ -195,15 +210,15 @@
     }
 
     private void evaluatePreVotes() {
-        if (phase == Phase.PRE_VOTE && promises.isMajorityOf(base)) {
+        if (phase == Phase.PRE_VOTE && promises.isMajorityOf(baseView)) {
             prepare();
         }
     }
 
     private void prepare() {
-        enter(Phase.SAVING);
+        enterPhase(Phase.SAVING);
         promises.clear();
-        askedAddresses.clear();
+        requestedAddresses.clear();
         epoch = Math.max(epoch, nextEpoch());
         context.persistentState()
                 .save(context.storedState().withPromisedEpoch(epoch), this::onOwnPromiseSaved);
@@ -213,8 +228,8 @@
         if (!saved || phase != Phase.SAVING) {
             return;
         }
-        enter(Phase.PREPARING);
-        askAll();
+        enterPhase(Phase.PREPARING);
+        sendPrepareRequests();
         evaluatePromises();
     }
 
@@ -222,61 +237,66 @@
         if (phase != Phase.PREPARING) {
             return;
         }
-        View last = promises.lastAccepted();
-        if (last == null) {
+        View lastAccepted = promises.lastAcceptedView();
+        if (lastAccepted == null) {
             return;
         }
-        if (!last.replicas.contains(context.self())) {
-            quorum.onNotEligible(last);
+        if (!lastAccepted.replicas.contains(context.self())) {
+            quorum.onNotEligible(lastAccepted);
             return;
         }
-        if (last.epoch > base.epoch) {
-            base = last;
-            baseReplaced = true;
-            askAll();
+        if (lastAccepted.epoch > baseView.epoch) {
+            baseView = lastAccepted;
+            baseViewReplaced = true;
+            sendPrepareRequests();
         }
-        boolean majorities = promises.isMajorityOf(base) && promises.isMajorityOf(last);
-        if (majorities && haveEnoughPromised()) {
+        boolean hasMajorities =
+                promises.isMajorityOf(baseView) && promises.isMajorityOf(lastAccepted);
+        if (hasMajorities && hasEnoughPromises()) {
             chooseView();
         }
     }
 
-    /** Returns whether every requested member has promised or the wait for further promises is over. */
-    private boolean haveEnoughPromised() {
+    /**
+     * Returns whether every requested member has promised or the wait for further promises is over.
+     */
+    private boolean hasEnoughPromises() {
         long nowMs = context.nowMs();
         if (majorityReachedAtMs == NOT_REACHED_MS) {
             majorityReachedAtMs = nowMs;
         }
-        return promises.count() >= askedAddresses.size()
-                || nowMs - majorityReachedAtMs >= ReplicationTiming.PROMISE_GATHERING_MS;
+        return promises.size() >= requestedAddresses.size()
+                || nowMs - majorityReachedAtMs >= ReplicationTiming.PROMISE_COLLECTION_MS;
     }
 
     private void chooseView() {
         boolean canChangeGroup = canChangeGroup();
-        List<Member> group = canChangeGroup ? plan.nextGroup(promises::isFrom) : base.group;
-        List<Member> previous = canChangeGroup ? base.group : base.previousGroup;
+        List<Member> group = canChangeGroup ? plan.nextGroup(promises::includes) : baseView.group;
+        List<Member> previousGroup = canChangeGroup ? baseView.group : baseView.previousGroup;
         Optional<List<Member>> replicas =
-                new ReplicaSelection(context, promises.otherMembers()).select(base.replicas, group);
+                new ReplicaSelection(context, promises.otherMembers())
+                        .select(baseView.replicas, group);
         if (replicas.isEmpty()) {
             return; // more members may promise before the attempt times out
         }
-        install(View.of(epoch, context.self(), replicas.get(), group, previous));
+        install(View.of(epoch, context.self(), replicas.get(), group, previousGroup));
     }
 
     /**
-     * Returns whether the group may change. Only a view that is known to be installed can have a successor with another group; otherwise two different groups might follow one view.
+     * Returns whether the group may change. Only a view that is known to be installed can have a
+     * successor with another group; otherwise two different groups might follow one view.
      */
     private boolean canChangeGroup() {
-        return baseInEffect && !baseReplaced;
+        return baseViewInstalled && !baseViewReplaced;
     }
 
     private void install(View view) {
-        enter(Phase.INSTALLING);
+        enterPhase(Phase.INSTALLING);
         for (Member joiner : plan.joining()) {
-            if (!promises.isFrom(joiner)) {
+            if (!promises.includes(joiner)) {
                 context.membershipRequests().withdrawJoin(joiner);
             }
         }
-        new ViewInstaller(context, quorum, this, view, promises).begin();
+        new ViewInstaller(context, quorum, this, view, promises).start();
     }
 }
--- a/src/main/java/myrtleladder/replication/ChangeReplicator.java
+++ b/src/main/java/myrtleladder/replication/ChangeReplicator.java
@@ -10,7 +10,9 @@
 /**
  * Replicates the changes that a primary commits, one at a time.
  *
- * <p>Invariant: a change is reported as committed only after every replica of the view has saved it, or after a view whose state includes it was installed. Confined to the event loop; used only by {@link PrimaryState}.
+ * <p>Invariant: a change is reported as committed only after every replica of the view has saved
+ * it, or after a view whose state includes it was installed. Confined to the event loop; used only
+ * by {@link PrimaryState}.
  */
 final class ChangeReplicator {
     private final ReplicaContext context;
@@ -41,7 +43,10 @@
         return pending != null;
     }
 
-    /** Saves a change on this node and sends it to the other replicas. No other change may be in flight. */
+    /**
+     * Saves a change on this node and sends it to the other replicas. No other change may be in
+     * flight.
+     */
     void submit(StateChange stateChange, Consumer<Boolean> onCommitted) {
         View view = context.view();
         Snapshot next = stateChange.applyTo(context.storedState().snapshot);
@@ -50,7 +55,7 @@
         context.persistentState()
                 .save(
                         context.storedState().withSnapshot(next),
-                        saved -> onReplicaAnswered(change, saved, context.self()));
+                        saved -> onReplicaResponse(change, saved, context.self()));
         ReplicateRequest request = stateChange.toRequest(view.epoch);
         for (Member member : view.replicas) {
             if (!context.isSelf(member)) {
@@ -59,10 +64,12 @@
         }
     }
 
-    /** Completes the change in flight, if there is one.
+    /**
+     * Completes the change in flight, if there is one.
      *
-     * @param committed false if the outcome is unknown */
-    void finish(boolean committed) {
+     * @param committed false if the outcome is unknown
+     */
+    void completePending(boolean committed) {
         PendingChange change = pending;
         pending = null;
         if (change != null) {
@@ -72,7 +79,7 @@
 
     private void send(PendingChange change, ReplicateRequest request, Member member) {
         long sentAtMs = context.nowMs();
-        context.peers()
+        context.transport()
                 .call(
                         member.address,
                         request,
@@ -83,23 +90,23 @@
                                             && response.accepted
                                             && member.equals(response.member);
                             if (acknowledged) {
-                                context.contacts().onAcknowledged(member, sentAtMs);
+                                context.memberContacts().onAcknowledged(member, sentAtMs);
                             }
                             if (answer instanceof AcknowledgeResponse response
                                     && response.promisedEpoch
                                             > context.storedState().promisedEpoch) {
                                 quorum.onHigherEpochPromised(response.promisedEpoch);
                             }
-                            onReplicaAnswered(change, acknowledged, member);
+                            onReplicaResponse(change, acknowledged, member);
                         });
     }
 
-    private void onReplicaAnswered(PendingChange change, boolean acknowledged, Member member) {
+    private void onReplicaResponse(PendingChange change, boolean acknowledged, Member member) {
         if (pending != change || !quorum.isPrimary()) {
             return;
         }
         if (!acknowledged) {
-            replace(member);
+            replaceReplica(member);
             return;
         }
         change.missingAcknowledgements--;
@@ -111,11 +118,15 @@
         }
     }
 
-    /** Starts a view change that replaces a failed replica. A failed save on this node is handled by {@link QuorumState#onSaveFailed}. */
-    private void replace(Member member) {
+    /**
+     * Starts a view change that replaces a failed replica. A failed save on this node is handled by
+     * {@link QuorumState#onSaveFailed}.
+     */
+    private void replaceReplica(Member member) {
         if (!context.isSelf(member)) {
             context.unresponsiveReplicas().add(member);
-            quorum.transitionToCandidate(false, "replica " + member + " did not acknowledge a change");
+            quorum.transitionToCandidate(
+                    false, "replica " + member + " did not acknowledge a change");
         }
     }
 }
--- a/src/main/java/myrtleladder/replication/ElectionTimer.java
+++ b/src/main/java/myrtleladder/replication/ElectionTimer.java
@@ -3,7 +3,8 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Records when this node last had contact with a primary or candidate, and decides when it may become a candidate itself. One instance is kept across role changes.
+ * Records when this node last had contact with a primary or candidate, and decides when it may
+ * become a candidate itself. One instance is kept across role changes.
  *
  * <p>Confined to the event loop. All times are in milliseconds of the scheduler's clock.
  */
@@ -13,7 +14,7 @@
 
     private final Scheduler scheduler;
     private long lastContactMs;
-    private long primaryHeardAtMs = NEVER_MS;
+    private long lastPrimaryContactMs = NEVER_MS;
     private long electionTimeoutMs = ReplicationTiming.INITIAL_ELECTION_TIMEOUT_MS;
     private long suppressedUntilMs;
 
@@ -27,9 +28,9 @@
     }
 
     /** Records a message from the primary of the current view. */
-    void onPrimaryHeard() {
+    void onPrimaryContact() {
         restart();
-        primaryHeardAtMs = lastContactMs;
+        lastPrimaryContactMs = lastContactMs;
         useFullTimeout();
     }
 
@@ -38,18 +39,20 @@
         electionTimeoutMs = ReplicationTiming.ELECTION_TIMEOUT_MS;
     }
 
-    /** Selects the shorter timeout for a retry after an attempt that may succeed if it is repeated. */
+    /**
+     * Selects the shorter timeout for a retry after an attempt that may succeed if it is repeated.
+     */
     void useRetryTimeout() {
         electionTimeoutMs = ReplicationTiming.ELECTION_RETRY_TIMEOUT_MS;
     }
 
     /** Forbids candidacies of this node for the given duration. */
-    void suppress(long durationMs) {
+    void suppressCandidacy(long durationMs) {
         suppressedUntilMs = scheduler.now() + durationMs;
     }
 
     /** Returns whether candidacies are forbidden at the given time. */
-    boolean isSuppressed(long nowMs) {
+    boolean isCandidacySuppressed(long nowMs) {
         return nowMs < suppressedUntilMs;
     }
 
@@ -64,7 +67,7 @@
     }
 
     /** Returns whether the last message from a primary is more recent than the given duration. */
-    boolean hasHeardPrimaryWithin(long durationMs) {
-        return scheduler.now() - primaryHeardAtMs < durationMs;
+    boolean hadPrimaryContactWithin(long durationMs) {
+        return scheduler.now() - lastPrimaryContactMs < durationMs;
     }
 }
--- a/src/main/java/myrtleladder/replication/InitialState.java
+++ b/src/main/java/myrtleladder/replication/InitialState.java
@@ -11,25 +11,26 @@
     private InitialState() {}
 
     /**
-     * Returns the initial state of a node. On the first start of the system, a seed belongs to the group of all seeds, whose store ids every node can derive; any other node has to join.
+     * Returns the initial state of a node. On the first start of the system, a seed belongs to the
+     * group of all seeds, whose store ids every node can derive; any other node has to join.
      *
      * @param newStoreId the store id of a node that has to join
      */
-    static StoredState create(ReplicaOptions options, String newStore) {
+    static StoredState create(ReplicaOptions options, String newStoreId) {
         String address = options.self().address;
-        boolean seed = options.seeds().stream().anyMatch(s -> s.address.equals(address));
-        if (!options.bootstrap() || !seed) {
-            return StoredState.of(newStore, 0, null, new Snapshot());
+        boolean isSeed = options.seeds().stream().anyMatch(s -> s.address.equals(address));
+        if (!options.bootstrap() || !isSeed) {
+            return StoredState.of(newStoreId, 0, null, new Snapshot());
         }
         List<Member> group =
                 options.seeds().stream()
-                        .map(s -> Member.of(s.address, s.controlAddress, storeOfSeed(s)))
+                        .map(s -> Member.of(s.address, s.controlAddress, seedStoreId(s)))
                         .toList();
         View view = View.of(0, null, group, group, group);
-        return StoredState.of(storeOfSeed(options.self()), 0, view, new Snapshot());
+        return StoredState.of(seedStoreId(options.self()), 0, view, new Snapshot());
     }
 
-    private static String storeOfSeed(Member seed) {
-        return "first-" + seed.address;
+    private static String seedStoreId(Member isSeed) {
+        return "first-" + isSeed.address;
     }
 }
--- a/src/main/java/myrtleladder/replication/JoinRequester.java
+++ b/src/main/java/myrtleladder/replication/JoinRequester.java
@@ -4,7 +4,9 @@
 import myrtleladder.protocol.JoinResponse;
 
 /**
- * Sends join requests, which ask other nodes for the current view and, if this node is not in its group, for admission. Confined to the event loop; polled by {@link JoiningState} and {@link FollowerState}.
+ * Sends join requests, which ask other nodes for the current view and, if this node is not in its
+ * group, for admission. Confined to the event loop; polled by {@link JoiningState} and {@link
+ * FollowerState}.
  */
 final class JoinRequester {
     private final ReplicaContext context;
@@ -28,7 +30,7 @@
     }
 
     private void sendRequest(String address) {
-        context.peers()
+        context.transport()
                 .call(
                         address,
                         JoinRequest.of(context.self()),
--- a/src/main/java/myrtleladder/replication/LeaveRequester.java
+++ b/src/main/java/myrtleladder/replication/LeaveRequester.java
@@ -8,9 +8,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Removes this node from the group before its process exits. It repeats a leave request to the primary until the primary releases the node, that is, until neither its copy of the state nor its vote is needed, or until the deadline.
+ * Removes this node from the group before its process exits. It repeats a leave request to the
+ * primary until the primary releases the node, that is, until neither its copy of the state nor its
+ * vote is needed, or until the deadline.
  *
- * <p>Confined to the event loop. {@link Replica#leave} starts it once; the callback runs exactly once.
+ * <p>Confined to the event loop. {@link Replica#leave} starts it once; the callback runs exactly
+ * once.
  */
 final class LeaveRequester {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
@@ -19,9 +22,9 @@
     private final QuorumState quorum;
     private final PeerAddressRotation addresses;
     private boolean started;
-    private boolean ended;
+    private boolean completed;
     private long deadlineMs;
-    private Consumer<Boolean> onEnded;
+    private Consumer<Boolean> onCompleted;
 
     LeaveRequester(ReplicaContext context, QuorumState quorum) {
         this.context = context;
@@ -35,18 +38,19 @@
     }
 
     /**
-     * Resigns if this node is the primary, then sends leave requests. Does nothing if already started.
+     * Resigns if this node is the primary, then sends leave requests. Does nothing if already
+     * started.
      *
      * @param timeoutMs after which it completes even if the group has not released the node
      * @param completionCallback receives whether the group released this node
      */
-    void start(long timeoutMs, Consumer<Boolean> whenEnded) {
+    void start(long timeoutMs, Consumer<Boolean> completionCallback) {
         if (started) {
             return;
         }
         started = true;
         deadlineMs = context.nowMs() + timeoutMs;
-        onEnded = whenEnded;
+        onCompleted = completionCallback;
         if (quorum.isPrimary()) {
             quorum.resign("this node is shutting down");
         }
@@ -54,25 +58,25 @@
     }
 
     private void requestRelease() {
-        if (ended) {
+        if (completed) {
             return;
         }
         if (context.nowMs() >= deadlineMs) {
-            end(false);
+            complete(false);
             return;
         }
         Optional<String> address = addresses.next(context.view());
         if (address.isPresent()) {
             sendRequest(address.get());
         } else {
-            end(false); // no other node exists to take over
+            complete(false); // no other node exists to take over
         }
         context.scheduler()
                 .schedule(ReplicationTiming.LEAVE_RETRY_INTERVAL_MS, this::requestRelease);
     }
 
     private void sendRequest(String address) {
-        context.peers()
+        context.transport()
                 .call(
                         address,
                         LeaveRequest.of(context.self()),
@@ -85,7 +89,7 @@
     }
 
     private void onResponse(LeaveResponse response) {
-        if (ended) {
+        if (completed) {
             return;
         }
         if (response.view == null) {
@@ -93,19 +97,22 @@
         }
         quorum.onViewLearned(response.view);
         if (response.released && isLatestKnown(response.view.epoch)) {
-            end(true);
+            complete(true);
         }
     }
 
-    /** Returns whether no later epoch is known. A deposed primary may release a node on the basis of a view that has been superseded. */
+    /**
+     * Returns whether no later epoch is known. A deposed primary may release a node on the basis of
+     * a view that has been superseded.
+     */
     private boolean isLatestKnown(long epoch) {
-        return epoch >= context.views().highestEpoch()
+        return epoch >= context.viewTracker().highestEpoch()
                 && epoch >= context.storedState().promisedEpoch;
     }
 
-    private void end(boolean released) {
-        ended = true;
+    private void complete(boolean released) {
+        completed = true;
         LOG.info("leaving the group, released={}", released);
-        onEnded.accept(released);
+        onCompleted.accept(released);
     }
 }
--- a/src/main/java/myrtleladder/replication/MembershipRequests.java
+++ b/src/main/java/myrtleladder/replication/MembershipRequests.java
@@ -7,14 +7,18 @@
 import myrtleladder.protocol.Member;
 
 /**
- * The join and leave requests that a primary has received. Nodes repeat their requests; a request that is not repeated expires. Confined to the event loop.
+ * The join and leave requests that a primary has received. Nodes repeat their requests; a request
+ * that is not repeated expires. Confined to the event loop.
  */
 final class MembershipRequests {
     private final Map<Member, Long> joinRequestedAtMs = new LinkedHashMap<>();
     private final Map<Member, Long> leaveRequestedAtMs = new LinkedHashMap<>();
 
-    /** Records a join request. It replaces a leave request from the same node, which must have restarted since. */
-    void join(Member member, long nowMs) {
+    /**
+     * Records a join request. It replaces a leave request from the same node, which must have
+     * restarted since.
+     */
+    void recordJoin(Member member, long nowMs) {
         leaveRequestedAtMs.remove(member);
         joinRequestedAtMs.put(member, nowMs);
     }
@@ -25,7 +29,7 @@
     }
 
     /** Records a leave request. It replaces a join request from the same node. */
-    void leave(Member member, long nowMs) {
+    void recordLeave(Member member, long nowMs) {
         joinRequestedAtMs.remove(member);
         leaveRequestedAtMs.put(member, nowMs);
     }
@@ -53,7 +57,9 @@
         return new LinkedHashSet<>(joinRequestedAtMs.keySet());
     }
 
-    /** Returns a copy of the members that requested to leave, in the order of their first requests. */
+    /**
+     * Returns a copy of the members that requested to leave, in the order of their first requests.
+     */
     Set<Member> leaving() {
         return new LinkedHashSet<>(leaveRequestedAtMs.keySet());
     }
--- a/src/main/java/myrtleladder/replication/PeerAddressRotation.java
+++ b/src/main/java/myrtleladder/replication/PeerAddressRotation.java
@@ -9,7 +9,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * Chooses the control node to which the next join or leave request goes. It alternates between the last known primary and one of all other nodes, as the primary may have changed. Confined to the event loop.
+ * Chooses the control node to which the next join or leave request goes. It alternates between the
+ * last known primary and one of all other nodes, as the primary may have changed. Confined to the
+ * event loop.
  */
 final class PeerAddressRotation {
     private final Member self;
@@ -40,7 +42,8 @@
     }
 
     /**
-     * Returns the address of the view's primary unless it is this node's own address: a node that lost its disk may know a view in which its former store is the primary.
+     * Returns the address of the view's primary unless it is this node's own address: a node that
+     * lost its disk may know a view in which its former store is the primary.
      */
     private Optional<String> primaryAddress(View view) {
         return Optional.ofNullable(view)
--- a/src/main/java/myrtleladder/replication/Peers.java
+++ b/src/main/java/myrtleladder/replication/PeerTransport.java
@@ -4,7 +4,7 @@
 import myrtleladder.protocol.Message;
 
 /** Sends requests to other nodes. Methods and callbacks run on the event loop. */
-public interface Peers {
+public interface PeerTransport {
     /**
      * Sends a request and returns without waiting for the response.
      *
--- a/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
+++ b/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
@@ -13,10 +13,14 @@
 import myrtleladder.protocol.View;
 
 /**
- * Sends a primary's heartbeats to its group and uses the acknowledgements to confirm that a majority still follows it. Confined to the event loop; used only by {@link PrimaryState}.
+ * Sends a primary's heartbeats to its group and uses the acknowledgements to confirm that a
+ * majority still follows it. Confined to the event loop; used only by {@link PrimaryState}.
  */
 final class PrimaryHeartbeats {
-    /** Timeout of a confirmation; longer than that of its requests, so that their timeouts are delivered first. */
+    /**
+     * Timeout of a confirmation; longer than that of its requests, so that their timeouts are
+     * delivered first.
+     */
     private static final long CONFIRMATION_TIMEOUT_MS =
             ReplicationTiming.REQUEST_TIMEOUT_MS + ReplicationTiming.POLL_INTERVAL_MS;
 
@@ -43,7 +47,7 @@
     void poll(long nowMs) {
         if (nowMs - lastHeartbeatMs >= ReplicationTiming.HEARTBEAT_INTERVAL_MS) {
             lastHeartbeatMs = nowMs;
-            send(acknowledged -> {});
+            sendHeartbeats(acknowledged -> {});
         }
     }
 
@@ -52,24 +56,30 @@
         lastHeartbeatMs = 0;
     }
 
-    /** Returns whether a majority acknowledged requests sent within the last {@link ReplicationTiming#CONFIRMATION_VALIDITY_MS}. */
+    /**
+     * Returns whether a majority acknowledged requests sent within the last {@link
+     * ReplicationTiming#CONFIRMATION_VALIDITY_MS}.
+     */
     boolean isRecentlyConfirmed() {
         long sinceMs = context.nowMs() - ReplicationTiming.CONFIRMATION_VALIDITY_MS;
-        Set<Member> acknowledged = new HashSet<>(context.contacts().acknowledgedSince(sinceMs));
+        Set<Member> acknowledged =
+                new HashSet<>(context.memberContacts().acknowledgedSince(sinceMs));
         acknowledged.add(context.self());
         return context.view().hasMajority(acknowledged);
     }
 
-    /** Asks the group whether this node is still primary.
+    /**
+     * Asks the group whether this node is still primary.
      *
      * @param onConfirmed receives true once a majority has acknowledged, false on a timeout or if
-     *     this node is no longer primary; called once */
+     *     this node is no longer primary; called once
+     */
     void confirm(Consumer<Boolean> onConfirmed) {
         View view = context.view();
         Confirmation confirmation = new Confirmation(onConfirmed);
         pendingConfirmations.add(confirmation);
         context.scheduler().schedule(CONFIRMATION_TIMEOUT_MS, () -> complete(confirmation, false));
-        send(
+        sendHeartbeats(
                 acknowledged -> {
                     if (view.hasMajority(acknowledged)) {
                         complete(confirmation, quorum.isPrimary());
@@ -91,9 +101,10 @@
     /**
      * Sends a heartbeat to each other member.
      *
-     * @param onProgress receives the members that have acknowledged so far, starting with this node; called before the requests are sent and after each response
+     * @param onProgress receives the members that have acknowledged so far, starting with this
+     *     node; called before the requests are sent and after each response
      */
-    private void send(Consumer<Set<Member>> onProgress) {
+    private void sendHeartbeats(Consumer<Set<Member>> onProgress) {
         Set<Member> acknowledged = new LinkedHashSet<>();
         acknowledged.add(context.self());
         View view = context.view();
@@ -101,7 +112,7 @@
         long sentAtMs = context.nowMs();
         for (Member member : view.group) {
             if (!context.isSelf(member)) {
-                context.peers()
+                context.transport()
                         .call(
                                 member.address,
                                 HeartbeatRequest.of(view),
@@ -127,7 +138,7 @@
         if (response.promisedEpoch > view.epoch) {
             quorum.onHigherEpochPromised(response.promisedEpoch);
         } else if (response.accepted) {
-            context.contacts().onAcknowledged(response.member, sentAtMs);
+            context.memberContacts().onAcknowledged(response.member, sentAtMs);
             acknowledged.add(response.member);
         }
         onProgress.accept(acknowledged);
--- a/src/main/java/myrtleladder/replication/PrimaryState.java
+++ b/src/main/java/myrtleladder/replication/PrimaryState.java
@@ -6,9 +6,12 @@
 import myrtleladder.protocol.View;
 
 /**
- * The primary role: confirms its epoch by heartbeats, replicates changes, and starts a view change when one is due.
+ * The primary role: confirms its epoch by heartbeats, replicates changes, and starts a view change
+ * when one is due.
  *
- * <p>One instance is used for all views of which this node is the primary. It keeps its state, such as a change in flight, while the node is a candidate for its own next view, and discards it in {@link #onPrimacyLost}. Confined to the event loop.
+ * <p>One instance is used for all views of which this node is the primary. It keeps its state, such
+ * as a change in flight, while the node is a candidate for its own next view, and discards it in
+ * {@link #onPrimacyLost}. Confined to the event loop.
  */
 final class PrimaryState implements RoleState {
     private static final long NOT_LEADING = -1;
@@ -51,41 +54,52 @@
         }
     }
 
-    /** Returns whether another replica is staying, after leaving members have had time to announce it. */
+    /**
+     * Returns whether another replica is staying, after leaving members have had time to announce
+     * it.
+     */
     private boolean canHandOver(long nowMs) {
         return nowMs - leadingSinceMs >= ReplicationTiming.HANDOVER_DELAY_MS
-                && context.view().replicas.stream().anyMatch(this::isOtherThatStays);
+                && context.view().replicas.stream().anyMatch(this::isOtherStayingReplica);
     }
 
-    private boolean isOtherThatStays(Member member) {
+    private boolean isOtherStayingReplica(Member member) {
         return !context.isSelf(member) && !context.membershipRequests().isLeaving(member);
     }
 
-    /** Called when this node has installed a view, which commits a change in flight since the view's state includes it. */
+    /**
+     * Called when this node has installed a view, which commits a change in flight since the view's
+     * state includes it.
+     */
     void onViewInstalled(View view) {
-        context.contacts().watch(view.group, context.nowMs());
+        context.memberContacts().track(view.group, context.nowMs());
         leadingSinceMs = leadingSinceMs == NOT_LEADING ? context.nowMs() : leadingSinceMs;
-        changeReplicator.finish(true);
+        changeReplicator.completePending(true);
     }
 
-    /** Called when this node is no longer primary. The outcome of any change in flight is unknown. */
+    /**
+     * Called when this node is no longer primary. The outcome of any change in flight is unknown.
+     */
     void onPrimacyLost() {
         leadingSinceMs = NOT_LEADING;
         context.membershipRequests().clear();
-        context.contacts().clear(context.nowMs());
-        context.contacts().watch(List.of(), context.nowMs());
-        changeReplicator.finish(false);
+        context.memberContacts().clear(context.nowMs());
+        context.memberContacts().track(List.of(), context.nowMs());
+        changeReplicator.completePending(false);
         heartbeats.failConfirmations();
     }
 
-    /** Called after the process was paused. Acknowledgements from before the pause are discarded. */
+    /**
+     * Called after the process was paused. Acknowledgements from before the pause are discarded.
+     */
     void onProcessPaused(long nowMs) {
-        context.contacts().clear(nowMs);
+        context.memberContacts().clear(nowMs);
         heartbeats.sendAtNextPoll();
     }
 
     /**
-     * Returns the replica that should become primary next: the first one that is not leaving, otherwise the last one; null if there is no other replica.
+     * Returns the replica that should become primary next: the first one that is not leaving,
+     * otherwise the last one; null if there is no other replica.
      */
     Member chooseSuccessor() {
         Member leavingSuccessor = null;
@@ -104,14 +118,17 @@
     /** Records the join request of a node that is not in the group. */
     void onJoinRequested(Member member) {
         if (!context.view().group.contains(member)) {
-            context.membershipRequests().join(member, context.nowMs());
+            context.membershipRequests().recordJoin(member, context.nowMs());
         }
     }
 
-    /** Records a leave request. Returns whether the node is released: the group is stable and no longer includes it. */
+    /**
+     * Records a leave request. Returns whether the node is released: the group is stable and no
+     * longer includes it.
+     */
     boolean onLeaveRequested(Member member) {
         View view = context.view();
-        context.membershipRequests().leave(member, context.nowMs());
+        context.membershipRequests().recordLeave(member, context.nowMs());
         return view.isGroupStable()
                 && !view.group.contains(member)
                 && !view.replicas.contains(member);
@@ -122,7 +139,10 @@
         return viewChangeTrigger.reconfigurationPlan();
     }
 
-    /** Returns whether a majority has confirmed this primary recently; see {@link PrimaryHeartbeats#isRecentlyConfirmed}. */
+    /**
+     * Returns whether a majority has confirmed this primary recently; see {@link
+     * PrimaryHeartbeats#isRecentlyConfirmed}.
+     */
     boolean isRecentlyConfirmed() {
         return heartbeats.isRecentlyConfirmed();
     }
--- a/src/main/java/myrtleladder/replication/Promises.java
+++ b/src/main/java/myrtleladder/replication/Promises.java
@@ -14,11 +14,13 @@
 import myrtleladder.protocol.View;
 
 /**
- * The promises, or pre-votes, that a candidate received from other members, with the state that they reported. This node's own promise is implied and has no entry. Confined to the event loop; used by {@link CandidateState} and {@link ViewInstaller}.
+ * The promises, or pre-votes, that a candidate received from other members, with the state that
+ * they reported. This node's own promise is implied and has no entry. Confined to the event loop;
+ * used by {@link CandidateState} and {@link ViewInstaller}.
  */
 final class Promises {
     private final ReplicaContext context;
-    private final Map<Member, PrepareResponse> granted = new HashMap<>();
+    private final Map<Member, PrepareResponse> responseByMember = new HashMap<>();
 
     Promises(ReplicaContext context) {
         this.context = context;
@@ -26,42 +28,46 @@
 
     /** Adds a granted response. */
     void add(PrepareResponse response) {
-        granted.put(response.member, response);
+        responseByMember.put(response.member, response);
     }
 
     /** Removes all entries, for example the pre-votes before the epoch is prepared. */
     void clear() {
-        granted.clear();
+        responseByMember.clear();
     }
 
     /** Returns the number of other members that promised. */
-    int count() {
-        return granted.size();
+    int size() {
+        return responseByMember.size();
     }
 
     /** Returns whether another member promised. */
-    boolean isFrom(Member member) {
-        return granted.containsKey(member);
+    boolean includes(Member member) {
+        return responseByMember.containsKey(member);
     }
 
     /** Returns an unmodifiable live view of the other members that promised. */
     Set<Member> otherMembers() {
-        return Collections.unmodifiableSet(granted.keySet());
+        return Collections.unmodifiableSet(responseByMember.keySet());
     }
 
-    /** Returns whether this node and the members that promised form majorities of a view's group and previous group. */
+    /**
+     * Returns whether this node and the members that promised form majorities of a view's group and
+     * previous group.
+     */
     boolean isMajorityOf(View view) {
-        Set<Member> members = new LinkedHashSet<>(granted.keySet());
+        Set<Member> members = new LinkedHashSet<>(responseByMember.keySet());
         members.add(context.self());
         return view.hasMajority(members);
     }
 
     /**
-     * Returns the latest view that this node or a member that promised has accepted, which is the latest view that may have committed changes; null if none was accepted.
+     * Returns the latest view that this node or a member that promised has accepted, which is the
+     * latest view that may have committed changes; null if none was accepted.
      */
-    View lastAccepted() {
+    View lastAcceptedView() {
         View last = context.storedState().acceptedView;
-        for (PrepareResponse promise : granted.values()) {
+        for (PrepareResponse promise : responseByMember.values()) {
             View accepted = promise.acceptedView;
             if (accepted != null && (last == null || accepted.epoch > last.epoch)) {
                 last = accepted;
@@ -70,13 +76,16 @@
         return last;
     }
 
-    /** Merges the upstream records of this node and of the members that promised, with the latest record of each upstream. */
-    List<InstanceRecord> inheritedInstances() {
+    /**
+     * Merges the upstream records of this node and of the members that promised, with the latest
+     * record of each upstream.
+     */
+    List<InstanceRecord> mergedInstances() {
         Map<String, InstanceRecord> latest = new LinkedHashMap<>();
-        for (PrepareResponse promise : granted.values()) {
+        for (PrepareResponse promise : responseByMember.values()) {
             promise.instances.forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
         }
-        context.instances().get().forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
+        context.knownInstances().get().forEach(r -> latest.merge(r.id, r, InstanceRecord::latest));
         return new ArrayList<>(latest.values());
     }
 }
--- a/src/main/java/myrtleladder/replication/QuorumState.java
+++ b/src/main/java/myrtleladder/replication/QuorumState.java
@@ -22,7 +22,9 @@
  *   PRIMARY   -> FOLLOWER   it resigned, or another member prepared an epoch
  * </pre>
  *
- * <p>Invariants: a transition makes the new role current before the callbacks of the old one run. A primary that is a candidate for its own next view keeps its primacy; only the transition to follower or joining ends it. Confined to the event loop.
+ * <p>Invariants: a transition makes the new role current before the callbacks of the old one run. A
+ * primary that is a candidate for its own next view keeps its primacy; only the transition to
+ * follower or joining ends it. Confined to the event loop.
  */
 final class QuorumState {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
@@ -60,7 +62,8 @@
     }
 
     /**
-     * Returns whether this node is the primary of an installed view, even while it is a candidate for the next one.
+     * Returns whether this node is the primary of an installed view, even while it is a candidate
+     * for the next one.
      */
     boolean hasPrimacy() {
         return isPrimary() || (isCandidate() && hasPrimacy);
@@ -86,7 +89,10 @@
         role.poll(nowMs);
     }
 
-    /** Called after the process was paused: neither missing nor late messages are evidence about other nodes. */
+    /**
+     * Called after the process was paused: neither missing nor late messages are evidence about
+     * other nodes.
+     */
     void onProcessPaused(long nowMs) {
         context.electionTimer().restart();
         primaryState.onProcessPaused(nowMs);
@@ -110,19 +116,20 @@
     /**
      * Makes this node a candidate for the next view and starts the attempt.
      *
-     * @param withPreVote whether to run a pre-vote first, which fails while a majority has contact with the primary
+     * @param withPreVote whether to run a pre-vote first, which fails while a majority has contact
+     *     with the primary
      */
     void transitionToCandidate(boolean withPreVote, String reason) {
-        boolean baseInEffect = isPrimary();
+        boolean baseViewInstalled = isPrimary();
         ReconfigurationPlan plan =
-                baseInEffect
+                baseViewInstalled
                         ? primaryState.reconfigurationPlan()
                         : ReconfigurationPlan.unchanged(context.view().group);
         CandidateState candidate =
-                new CandidateState(context, this, plan, baseInEffect, withPreVote);
+                new CandidateState(context, this, plan, baseViewInstalled, withPreVote);
         transitionTo(candidate, reason);
         context.electionTimer().restart();
-        candidate.begin();
+        candidate.start();
     }
 
     /**
@@ -130,14 +137,14 @@
      *
      * @param instances the upstream records that this node and the members that promised knew
      */
-    void transitionToPrimary(View view, Collection<InstanceRecord> inherited) {
-        context.views().install(view);
+    void transitionToPrimary(View view, Collection<InstanceRecord> instances) {
+        context.viewTracker().install(view);
         context.electionTimer().restart();
         context.electionTimer().useFullTimeout();
         transitionTo(primaryState, view.toString());
         hasPrimacy = true;
         primaryState.onViewInstalled(view);
-        listener.onPrimacyGained(inherited);
+        listener.onPrimacyGained(instances);
     }
 
     /** Replaces the role and returns true, unless the node already has a role of that kind. */
@@ -161,10 +168,12 @@
         }
     }
 
-    /** Called when a candidacy failed.
+    /**
+     * Called when a candidacy failed.
      *
      * @param retrySoon whether another attempt may succeed, so that the shorter election timeout
-     *     applies */
+     *     applies
+     */
     void onCandidacyFailed(String reason, boolean retrySoon) {
         context.electionTimer().restart();
         if (retrySoon) {
@@ -172,7 +181,7 @@
         } else {
             context.electionTimer().useFullTimeout();
         }
-        if (context.views().isVoter()) {
+        if (context.viewTracker().isVoter()) {
             transitionToFollower(reason);
         } else {
             transitionToJoining(reason);
@@ -180,15 +189,19 @@
     }
 
     /**
-     * Called when a candidacy failed because this node is not a replica of a later view, which may have committed changes.
+     * Called when a candidacy failed because this node is not a replica of a later view, which may
+     * have committed changes.
      */
     void onNotEligible(View later) {
         onViewLearned(later);
-        context.electionTimer().suppress(ReplicationTiming.INELIGIBLE_BACKOFF_MS);
+        context.electionTimer().suppressCandidacy(ReplicationTiming.INELIGIBLE_BACKOFF_MS);
         onCandidacyFailed("not a replica of " + later, false);
     }
 
-    /** Called when a member rejected a request of this primary because it has promised a higher epoch. */
+    /**
+     * Called when a member rejected a request of this primary because it has promised a higher
+     * epoch.
+     */
     void onHigherEpochPromised(long epoch) {
         context.electionTimer().restart();
         transitionToFollower("a member promised epoch " + epoch + " to another candidate");
@@ -204,33 +217,37 @@
 
     /** Called when another node reported a view. Adopts it if it is later than the known one. */
     void onViewLearned(View view) {
-        if (!context.views().update(view)) {
+        if (!context.viewTracker().updateIfLater(view)) {
             return;
         }
-        boolean voter = context.views().isVoter();
-        if (role instanceof FollowerState && !voter) {
+        boolean isVoter = context.viewTracker().isVoter();
+        if (role instanceof FollowerState && !isVoter) {
             transitionToJoining("not in the group of the view " + view);
-        } else if (role instanceof JoiningState && voter) {
+        } else if (role instanceof JoiningState && isVoter) {
             transitionToFollower("in the group of the view " + view);
         }
     }
 
     /** Called when the primary of a view sent it to this node. */
-    void onPrimaryHeard(View view) {
+    void onPrimaryContact(View view) {
         onViewLearned(view);
-        context.electionTimer().onPrimaryHeard();
+        context.electionTimer().onPrimaryContact();
         if (!(role instanceof FollowerState) && view.group.contains(context.self())) {
             transitionToFollower("following primary " + view.primary);
         }
     }
 
-    /** Returns whether this node recently had contact with a primary other than the candidate, or is itself a recently confirmed primary. */
-    boolean hasContactToOtherPrimary(Member candidate) {
+    /**
+     * Returns whether this node recently had contact with a primary other than the candidate, or is
+     * itself a recently confirmed primary.
+     */
+    boolean hasContactWithOtherPrimary(Member candidate) {
         if (isPrimary()) {
             return primaryState.isRecentlyConfirmed();
         }
         View view = context.view();
-        return context.electionTimer().hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS)
+        return context.electionTimer()
+                        .hadPrimaryContactWithin(ReplicationTiming.PRIMARY_CONTACT_VALIDITY_MS)
                 && role instanceof FollowerState
                 && view.primary != null
                 && !view.primary.equals(candidate)
@@ -239,26 +256,27 @@
 
     /** Called when the storage failed to save the state. */
     void onSaveFailed() {
-        context.electionTimer().suppress(ReplicationTiming.ELECTION_BACKOFF_MS);
+        context.electionTimer().suppressCandidacy(ReplicationTiming.ELECTION_BACKOFF_MS);
         if (isPrimary() || isCandidate()) {
             resign("the storage failed to save the state");
         }
     }
 
     /**
-     * Makes this node a follower and, if it was the primary, asks another replica to take over. Does nothing if this node is not in the group.
+     * Makes this node a follower and, if it was the primary, asks another replica to take over.
+     * Does nothing if this node is not in the group.
      */
     void resign(String reason) {
         if (role instanceof JoiningState) {
             return;
         }
-        context.electionTimer().suppress(ReplicationTiming.ELECTION_BACKOFF_MS);
+        context.electionTimer().suppressCandidacy(ReplicationTiming.ELECTION_BACKOFF_MS);
         // Chosen before the transition, which clears the leave requests.
         Member successor = isPrimary() ? primaryState.chooseSuccessor() : null;
         transitionToFollower(reason);
         context.electionTimer().restart();
         if (successor != null) {
-            context.peers()
+            context.transport()
                     .call(
                             successor.address,
                             ResignRequest.of(context.view().epoch),
@@ -270,11 +288,12 @@
     /** Called when the primary of an epoch has resigned and asks this node to take over. */
     void onPrimaryResigned(long epoch) {
         View view = context.view();
-        boolean replicaOfView = view != null && view.epoch == epoch && context.views().isReplica();
-        if (replicaOfView
+        boolean isReplicaOfView =
+                view != null && view.epoch == epoch && context.viewTracker().isReplica();
+        if (isReplicaOfView
                 && !isLeaving()
                 && role instanceof FollowerState
-                && !context.electionTimer().isSuppressed(context.nowMs())) {
+                && !context.electionTimer().isCandidacySuppressed(context.nowMs())) {
             transitionToCandidate(false, "the primary resigned");
         }
     }
--- a/src/main/java/myrtleladder/replication/ReconfigurationPlan.java
+++ b/src/main/java/myrtleladder/replication/ReconfigurationPlan.java
@@ -8,7 +8,10 @@
 import myrtleladder.protocol.Member;
 
 /**
- * The group change that a primary wants to make. It adds the nodes that requested to join, removes members whose machine now has another store, and removes unresponsive and leaving members as long as the group stays above its minimum size. A joiner replaces such a member in the same change, so that no group has fewer live members than the previous one. Immutable if its collections are.
+ * The group change that a primary wants to make. It adds the nodes that requested to join, removes
+ * members whose machine now has another store, and removes unresponsive and leaving members as long
+ * as the group stays above its minimum size. A joiner replaces such a member in the same change, so
+ * that no group has fewer live members than the previous one. Immutable if its collections are.
  *
  * @param group the current group
  * @param joining the nodes to admit, in this order
@@ -46,8 +49,8 @@
         return next;
     }
 
-    private void removeWhileAboveMinimum(List<Member> members, Collection<Member> unwanted) {
-        for (Member member : unwanted) {
+    private void removeWhileAboveMinimum(List<Member> members, Collection<Member> membersToRemove) {
+        for (Member member : membersToRemove) {
             if (members.size() > minimumSize) {
                 members.remove(member);
             }
@@ -55,7 +58,7 @@
     }
 
     /** Returns whether the next group differs from the current one if all joiners respond. */
-    boolean isChange() {
+    boolean changesGroup() {
         List<Member> next = nextGroup();
         return next.size() != group.size() || !group.containsAll(next);
     }
--- a/src/main/java/myrtleladder/replication/Replica.java
+++ b/src/main/java/myrtleladder/replication/Replica.java
@@ -21,11 +21,16 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A node of the primary-backup replication. The group includes witnesses, which vote and store epochs and views but not the replicated state.
+ * A node of the primary-backup replication. The group includes witnesses, which vote and store
+ * epochs and views but not the replicated state.
  *
- * <p>A change is committed once every replica of the current view has saved it. Only a replica of the latest view can install the next view, under a new epoch. The next view is installed once its replicas have the complete state and majorities of its group and of the previous group have saved the view. A member that has promised an epoch rejects all requests with a lower one.
+ * <p>A change is committed once every replica of the current view has saved it. Only a replica of
+ * the latest view can install the next view, under a new epoch. The next view is installed once its
+ * replicas have the complete state and majorities of its group and of the previous group have saved
+ * the view. A member that has promised an epoch rejects all requests with a lower one.
  *
- * <p>This class is the entry point of the package; {@link QuorumState} holds the role. Confined to the event loop of the scheduler, which also runs all callbacks.
+ * <p>This class is the entry point of the package; {@link QuorumState} holds the role. Confined to
+ * the event loop of the scheduler, which also runs all callbacks.
  */
 public final class Replica {
     private static final Logger LOG = LogManager.getLogger(Replica.class);
@@ -63,7 +68,7 @@
     private final VoterRequestHandler voterRequestHandler;
     private final RolePoller rolePoller;
     private final List<InstanceRecord> instancesAtStart;
-    private boolean identityStored;
+    private boolean isStoreIdSaved;
 
     /**
      * Creates a replica, which takes part in the protocol after {@link #start}.
@@ -74,27 +79,32 @@
      */
     public Replica(
             ReplicaOptions options,
-            StoredState onDisk,
-            String newStore,
+            StoredState stored,
+            String newStoreId,
             Scheduler scheduler,
-            Storage storage,
-            Peers peers,
+            StateStorage storage,
+            PeerTransport transport,
             Listener listener,
             Supplier<List<InstanceRecord>> knownInstances) {
-        StoredState initial = onDisk == null ? InitialState.create(options, newStore) : onDisk;
+        StoredState initial = stored == null ? InitialState.create(options, newStoreId) : stored;
         Member self =
                 Member.of(options.self().address, options.self().controlAddress, initial.storeId);
-        ViewTracker views = new ViewTracker(self, initial.acceptedView);
+        ViewTracker viewTracker = new ViewTracker(self, initial.acceptedView);
         this.context =
                 new ReplicaContext(
                         options,
                         self,
                         scheduler,
-                        peers,
+                        transport,
                         knownInstances,
-                        views,
+                        viewTracker,
                         new PersistentState(
-                                initial, storage, scheduler, knownInstances, views, this::onSaveFailed),
+                                initial,
+                                storage,
+                                scheduler,
+                                knownInstances,
+                                viewTracker,
+                                this::onSaveFailed),
                         new ElectionTimer(scheduler),
                         new MemberContacts(),
                         new MembershipRequests(),
@@ -103,7 +113,7 @@
         this.voterRequestHandler = new VoterRequestHandler(context, quorum, listener);
         this.rolePoller = new RolePoller(context, quorum);
         this.instancesAtStart = initial.instances;
-        this.identityStored = onDisk != null;
+        this.isStoreIdSaved = stored != null;
     }
 
     /** Starts to take part in the protocol. Called once. */
@@ -117,22 +127,22 @@
                 stored.promisedEpoch,
                 stored.acceptedView,
                 stored.snapshot.generation);
-        storeIdentity();
+        saveStoreId();
     }
 
     /** Saves the store id. Until that succeeds, this node sends no requests and no responses. */
-    private void storeIdentity() {
-        context.persistentState().save(context.storedState(), this::onIdentitySaved);
+    private void saveStoreId() {
+        context.persistentState().save(context.storedState(), this::onStoreIdSaved);
     }
 
-    private void onIdentitySaved(boolean saved) {
-        if (!saved && !identityStored) {
+    private void onStoreIdSaved(boolean saved) {
+        if (!saved && !isStoreIdSaved) {
             context.scheduler()
-                    .schedule(ReplicationTiming.IDENTITY_SAVE_RETRY_DELAY_MS, this::storeIdentity);
+                    .schedule(ReplicationTiming.STORE_ID_SAVE_RETRY_DELAY_MS, this::saveStoreId);
             return;
         }
-        identityStored = true;
-        if (context.views().isVoter()) {
+        isStoreIdSaved = true;
+        if (context.viewTracker().isVoter()) {
             quorum.transitionToFollower("member of the stored view's group");
         }
         rolePoller.poll();
@@ -163,7 +173,8 @@
     }
 
     /**
-     * Returns the replicated state. It is committed if this node is primary and no change is in flight.
+     * Returns the replicated state. It is committed if this node is primary and no change is in
+     * flight.
      */
     public Snapshot snapshot() {
         return context.storedState().snapshot;
@@ -175,21 +186,25 @@
     }
 
     /**
-     * Returns whether a majority has confirmed this primary recently. A primary that is a candidate for its own next view still counts as the primary of the previous one.
+     * Returns whether a majority has confirmed this primary recently. A primary that is a candidate
+     * for its own next view still counts as the primary of the previous one.
      */
     public boolean isRecentlyConfirmed() {
         return quorum.hasPrimacy() && quorum.primaryState().isRecentlyConfirmed();
     }
 
-    /** Returns the primary if this node is the primary or had recent contact with it, otherwise null. */
+    /**
+     * Returns the primary if this node is the primary or had recent contact with it, otherwise
+     * null.
+     */
     public Member primary() {
         if (quorum.isPrimary()) {
             return context.self();
         }
-        boolean heard =
+        boolean hasRecentContact =
                 context.electionTimer()
-                        .hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_REDIRECT_VALIDITY_MS);
-        return context.view() != null && heard ? context.view().primary : null;
+                        .hadPrimaryContactWithin(ReplicationTiming.PRIMARY_REDIRECT_VALIDITY_MS);
+        return context.view() != null && hasRecentContact ? context.view().primary : null;
     }
 
     /** Returns whether a change or an attempt to install a view is in flight. */
@@ -202,10 +217,12 @@
         return quorum.isLeaving();
     }
 
-    /** Asks the group whether this node is still primary.
+    /**
+     * Asks the group whether this node is still primary.
      *
      * @param onConfirmed receives true once a majority has acknowledged, otherwise false; called
-     *     once */
+     *     once
+     */
     public void confirm(Consumer<Boolean> onConfirmed) {
         if (quorum.isPrimary()) {
             quorum.primaryState().confirm(onConfirmed);
@@ -217,7 +234,9 @@
     /**
      * Submits a change.
      *
-     * @param onCommitted receives true once every replica has saved the change, false if the outcome is unknown and the change may or may not take effect later, or if it was not submitted because this node is not primary or has a change in flight; called once
+     * @param onCommitted receives true once every replica has saved the change, false if the
+     *     outcome is unknown and the change may or may not take effect later, or if it was not
+     *     submitted because this node is not primary or has a change in flight; called once
      */
     public void submit(StateChange change, Consumer<Boolean> onCommitted) {
         if (!quorum.isPrimary() || quorum.primaryState().isChangeInFlight()) {
@@ -227,9 +246,11 @@
         }
     }
 
-    /** Saves the known upstream records if this node is a replica and no other save is in flight. */
+    /**
+     * Saves the known upstream records if this node is a replica and no other save is in flight.
+     */
     public void saveInstancesIfIdle() {
-        if (context.views().isReplica() && context.persistentState().isIdle()) {
+        if (context.viewTracker().isReplica() && context.persistentState().isIdle()) {
             context.persistentState().save(context.storedState(), saved -> {});
         }
     }
@@ -237,10 +258,11 @@
     /**
      * Saves the known upstream records.
      *
-     * @param onSaved receives whether they are durable; false if this node is not a replica; called once
+     * @param onSaved receives whether they are durable; false if this node is not a replica; called
+     *     once
      */
     public void saveInstances(Consumer<Boolean> onSaved) {
-        if (context.views().isReplica()) {
+        if (context.viewTracker().isReplica()) {
             context.persistentState().save(context.storedState(), onSaved);
         } else {
             onSaved.accept(false);
@@ -253,13 +275,15 @@
     }
 
     /**
-     * Leaves the group before this process exits: resigns if this node is the primary, and waits until the group no longer needs its vote or its copy of the state. Does nothing if called before.
+     * Leaves the group before this process exits: resigns if this node is the primary, and waits
+     * until the group no longer needs its vote or its copy of the state. Does nothing if called
+     * before.
      *
      * @param timeoutMs after which the callback runs even if the group has not released the node
      * @param onCompleted receives whether the group released this node; called once
      */
-    public void leave(long timeoutMs, Consumer<Boolean> onEnded) {
-        quorum.leaveRequester().start(timeoutMs, onEnded);
+    public void leave(long timeoutMs, Consumer<Boolean> onCompleted) {
+        quorum.leaveRequester().start(timeoutMs, onCompleted);
     }
 
     /**
@@ -269,7 +293,7 @@
      * @return whether the message is a request of this protocol
      */
     public boolean receive(Message message, Consumer<Message> answer) {
-        if (!identityStored) {
+        if (!isStoreIdSaved) {
             answer.accept(null);
         } else if (message instanceof ResignRequest request) {
             handleResign(request, answer);
--- a/src/main/java/myrtleladder/replication/ReplicaContext.java
+++ b/src/main/java/myrtleladder/replication/ReplicaContext.java
@@ -9,7 +9,8 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The state and collaborators that the roles of one replica share, kept across role changes. Confined to the event loop.
+ * The state and collaborators that the roles of one replica share, kept across role changes.
+ * Confined to the event loop.
  *
  * @param self this node, with its store id
  * @param knownInstances supplies the upstream records that this node currently knows
@@ -20,12 +21,12 @@
         ReplicaOptions options,
         Member self,
         Scheduler scheduler,
-        Peers peers,
-        Supplier<List<InstanceRecord>> instances,
-        ViewTracker views,
+        PeerTransport transport,
+        Supplier<List<InstanceRecord>> knownInstances,
+        ViewTracker viewTracker,
         PersistentState persistentState,
         ElectionTimer electionTimer,
-        MemberContacts contacts,
+        MemberContacts memberContacts,
         MembershipRequests membershipRequests,
         UnresponsiveReplicas unresponsiveReplicas) {
 
@@ -36,7 +37,7 @@
 
     /** Returns the latest view, null if none is known. */
     View view() {
-        return views.view();
+        return viewTracker.view();
     }
 
     /** Returns the latest state, which may not be durable yet. */
@@ -49,9 +50,7 @@
         return member.equals(self);
     }
 
-    /**
-     * Returns whether a member is neither leaving nor unresponsive.
-     */
+    /** Returns whether a member is neither leaving nor unresponsive. */
     boolean isPreferredReplica(Member member) {
         return !membershipRequests.isLeaving(member) && !unresponsiveReplicas.contains(member);
     }
--- a/src/main/java/myrtleladder/replication/ReplicaOptions.java
+++ b/src/main/java/myrtleladder/replication/ReplicaOptions.java
@@ -31,14 +31,17 @@
     }
 
     /**
-     * Returns the size of the smallest group that keeps a majority when the tolerated number of members fails.
+     * Returns the size of the smallest group that keeps a majority when the tolerated number of
+     * members fails.
      */
     public int minimumGroupSize() {
         return 2 * toleratedFailures + 1;
     }
 
     /**
-     * Returns the time without contact after which a member may be removed from the group. It is well below the catch-up time, except for catch-up times near {@link #MINIMUM_MEMBER_TIMEOUT_MS}.
+     * Returns the time without contact after which a member may be removed from the group. It is
+     * well below the catch-up time, except for catch-up times near {@link
+     * #MINIMUM_MEMBER_TIMEOUT_MS}.
      */
     public long memberTimeoutMs() {
         long timeoutMs = Math.round(catchUpMs * MEMBER_TIMEOUT_FRACTION);
--- a/src/main/java/myrtleladder/replication/ReplicaSelection.java
+++ b/src/main/java/myrtleladder/replication/ReplicaSelection.java
@@ -7,15 +7,17 @@
 import myrtleladder.protocol.Member;
 
 /**
- * Chooses the replicas of a candidate's view among the members that promised: first this node, then preferred replicas of the base view, then other preferred members of the group. Members that are leaving or unresponsive are chosen only if the others are too few.
+ * Chooses the replicas of a candidate's view among the members that promised: first this node, then
+ * preferred replicas of the base view, then other preferred members of the group. Members that are
+ * leaving or unresponsive are chosen only if the others are too few.
  */
 final class ReplicaSelection {
     private final ReplicaContext context;
-    private final Set<Member> promising;
+    private final Set<Member> promisedMembers;
 
-    ReplicaSelection(ReplicaContext context, Set<Member> promising) {
+    ReplicaSelection(ReplicaContext context, Set<Member> promisedMembers) {
         this.context = context;
-        this.promising = promising;
+        this.promisedMembers = promisedMembers;
     }
 
     /**
@@ -44,11 +46,11 @@
     }
 
     private void addIfEligible(
-            List<Member> replicas, Member member, List<Member> group, boolean includeNotPreferred) {
+            List<Member> replicas, Member member, List<Member> group, boolean allowNonPreferred) {
         boolean eligible =
-                promising.contains(member)
+                promisedMembers.contains(member)
                         && group.contains(member)
-                        && (includeNotPreferred || context.isPreferredReplica(member));
+                        && (allowNonPreferred || context.isPreferredReplica(member));
         if (eligible && !replicas.contains(member)) {
             replicas.add(member);
         }
--- a/src/main/java/myrtleladder/replication/ReplicationTiming.java
+++ b/src/main/java/myrtleladder/replication/ReplicationTiming.java
@@ -12,7 +12,8 @@
     static final long REQUEST_TIMEOUT_MS = 600;
 
     /**
-     * Timeout of a save, on this node or on a replica to which state is sent. A replica that takes longer is replaced.
+     * Timeout of a save, on this node or on a replica to which state is sent. A replica that takes
+     * longer is replaced.
      */
     static final long STORAGE_TIMEOUT_MS = 700;
 
@@ -20,7 +21,9 @@
     static final long REPLICA_TIMEOUT_MS = 800;
 
     /**
-     * How long an acknowledgement by a majority confirms a primary, counted from the time at which the request was sent. The bound on stale answers in docs/control-safety.md (section 1) is derived from it.
+     * How long an acknowledgement by a majority confirms a primary, counted from the time at which
+     * the request was sent. The bound on stale answers in docs/control-safety.md (section 1) is
+     * derived from it.
      */
     static final long CONFIRMATION_VALIDITY_MS = 700;
 
@@ -28,13 +31,14 @@
     static final long INITIAL_ELECTION_TIMEOUT_MS = 300;
 
     /** A member rejects pre-votes for this long after a message from a primary. */
-    static final long PRIMARY_CONTACT_MS = 300;
+    static final long PRIMARY_CONTACT_VALIDITY_MS = 300;
 
     /** Election timeout once there has been contact with a primary. */
     static final long ELECTION_TIMEOUT_MS = 550;
 
     /**
-     * Added to the election timeout for each replica that precedes this one in the view, so that replicas do not become candidates at the same time.
+     * Added to the election timeout for each replica that precedes this one in the view, so that
+     * replicas do not become candidates at the same time.
      */
     static final long ELECTION_TIMEOUT_PER_RANK_MS = 250;
 
@@ -45,7 +49,8 @@
     static final long ELECTION_RETRY_TIMEOUT_MS = 250;
 
     /**
-     * Callers are redirected to a primary that sent a message within this time: the election timeout plus one heartbeat interval.
+     * Callers are redirected to a primary that sent a message within this time: the election
+     * timeout plus one heartbeat interval.
      */
     static final long PRIMARY_REDIRECT_VALIDITY_MS = ELECTION_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS;
 
@@ -56,9 +61,10 @@
     static final long PRE_VOTE_RETRY_INTERVAL_MS = 150;
 
     /**
-     * How long a candidate with promises from majorities waits for further promises before it chooses the replicas.
+     * How long a candidate with promises from majorities waits for further promises before it
+     * chooses the replicas.
      */
-    static final long PROMISE_GATHERING_MS = 100;
+    static final long PROMISE_COLLECTION_MS = 100;
 
     /** Timeout of one attempt to install a view. */
     static final long CANDIDACY_TIMEOUT_MS = 2_000;
@@ -66,14 +72,17 @@
     /** A node does not become a candidate for this long after it resigned or a save failed. */
     static final long ELECTION_BACKOFF_MS = 3_000;
 
-    /** A node does not become a candidate for this long after it found a later view of which it is not a replica. */
+    /**
+     * A node does not become a candidate for this long after it found a later view of which it is
+     * not a replica.
+     */
     static final long INELIGIBLE_BACKOFF_MS = 1_500;
 
     /** How long after a failure a replica is chosen again only if there are too few others. */
-    static final long UNRESPONSIVE_REPLICA_MS = 3_000;
+    static final long UNRESPONSIVE_REPLICA_TTL_MS = 3_000;
 
     /** Delay before the store id is saved again after a failed save. */
-    static final long IDENTITY_SAVE_RETRY_DELAY_MS = 3_000;
+    static final long STORE_ID_SAVE_RETRY_DELAY_MS = 3_000;
 
     /** Minimum interval between join requests. */
     static final long JOIN_RETRY_INTERVAL_MS = 300;
@@ -82,7 +91,8 @@
     static final long LEAVE_RETRY_INTERVAL_MS = 150;
 
     /**
-     * A leaving node that is primary stays so for at least this long, so that other leaving replicas can send their leave requests before it chooses a successor.
+     * A leaving node that is primary stays so for at least this long, so that other leaving
+     * replicas can send their leave requests before it chooses a successor.
      */
     static final long HANDOVER_DELAY_MS = 400;
 
@@ -90,7 +100,7 @@
     static final long MEMBERSHIP_REQUEST_TTL_MS = 1_500;
 
     /** A gap between two polls that is longer than this means that the process was paused. */
-    static final long PROCESS_PAUSE_MS = 400;
+    static final long PROCESS_PAUSE_THRESHOLD_MS = 400;
 
     private ReplicationTiming() {}
 }
--- a/src/main/java/myrtleladder/replication/RolePoller.java
+++ b/src/main/java/myrtleladder/replication/RolePoller.java
@@ -1,7 +1,8 @@
 package myrtleladder.replication;
 
 /**
- * Polls the current role at a fixed interval and detects pauses of the process, so that a pause is not mistaken for a failure of other nodes. Confined to the event loop.
+ * Polls the current role at a fixed interval and detects pauses of the process, so that a pause is
+ * not mistaken for a failure of other nodes. Confined to the event loop.
  */
 final class RolePoller {
     private final ReplicaContext context;
@@ -22,7 +23,7 @@
     void poll() {
         long nowMs = context.nowMs();
         context.scheduler().schedule(ReplicationTiming.POLL_INTERVAL_MS, this::poll);
-        if (nowMs - lastPollMs > ReplicationTiming.PROCESS_PAUSE_MS) {
+        if (nowMs - lastPollMs > ReplicationTiming.PROCESS_PAUSE_THRESHOLD_MS) {
             quorum.onProcessPaused(nowMs);
         }
         lastPollMs = nowMs;
--- a/src/main/java/myrtleladder/replication/RoleState.java
+++ b/src/main/java/myrtleladder/replication/RoleState.java
@@ -1,7 +1,8 @@
 package myrtleladder.replication;
 
 /**
- * A role of a replica. {@link QuorumState} holds exactly one at a time and is the only class that replaces it. Confined to the event loop.
+ * A role of a replica. {@link QuorumState} holds exactly one at a time and is the only class that
+ * replaces it. Confined to the event loop.
  */
 sealed interface RoleState permits JoiningState, FollowerState, CandidateState, PrimaryState {
     /** Returns the kind of role, under the name that operators see. */
--- a/src/main/java/myrtleladder/replication/StateChange.java
+++ b/src/main/java/myrtleladder/replication/StateChange.java
@@ -10,24 +10,26 @@
  *
  * @param document the configuration after the change, as compressed JSON
  * @param generation the operator's generation number of the document after the change
- * @param changeDigest identifies the request that changes the configuration, so that a retry is recognised; empty for other changes
- * @param drainedZones the drained zones after the change, in ascending order; null to keep the previous ones
+ * @param changeDigest identifies the request that changes the configuration, so that a retry is
+ *     recognised; empty for other changes
+ * @param drainedZones the drained zones after the change, in ascending order; null to keep the
+ *     previous ones
  */
 public record StateChange(
         byte[] document, long generation, String changeDigest, List<String> drainedZones) {
     private static final String NO_DIGEST = "";
 
     /** Returns a change that replaces the configuration document. */
-    public static StateChange toDocument(byte[] document, long generation, String changeDigest) {
+    public static StateChange ofDocument(byte[] document, long generation, String changeDigest) {
         return new StateChange(document, generation, changeDigest, null);
     }
 
     /** Returns a change that replaces the drained zones of a state. */
-    public static StateChange toDrainedZones(Snapshot before, List<String> drainedZones) {
+    public static StateChange ofDrainedZones(Snapshot before, List<String> drainedZones) {
         return new StateChange(before.document, before.generation, NO_DIGEST, drainedZones);
     }
 
-    static StateChange of(ReplicateRequest request) {
+    static StateChange fromRequest(ReplicateRequest request) {
         DrainedZones zones = request.drainedZones;
         return new StateChange(
                 request.document,
--- a/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
+++ b/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
@@ -7,7 +7,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * Starts a view change for a primary when a replica has failed or when the group or the replicas are to change. Confined to the event loop; used by {@link PrimaryState} and {@link ChangeReplicator}.
+ * Starts a view change for a primary when a replica has failed or when the group or the replicas
+ * are to change. Confined to the event loop; used by {@link PrimaryState} and {@link
+ * ChangeReplicator}.
  */
 final class ViewChangeTrigger {
     private final ReplicaContext context;
@@ -19,7 +21,8 @@
     }
 
     /**
-     * Returns the group change that may be made now. The group may not change until the previous group change is complete, that is, until the group is stable.
+     * Returns the group change that may be made now. The group may not change until the previous
+     * group change is complete, that is, until the group is stable.
      */
     ReconfigurationPlan reconfigurationPlan() {
         View view = context.view();
@@ -36,11 +39,13 @@
                 context.options().minimumGroupSize());
     }
 
-    /** Returns the members that have timed out, those with the longest time without contact first. */
+    /**
+     * Returns the members that have timed out, those with the longest time without contact first.
+     */
     private List<Member> unresponsiveMembers(View view) {
         long nowMs = context.nowMs();
         long timeoutMs = context.options().memberTimeoutMs();
-        MemberContacts contacts = context.contacts();
+        MemberContacts contacts = context.memberContacts();
         return view.group.stream()
                 .filter(
                         member ->
@@ -52,7 +57,9 @@
                 .toList();
     }
 
-    /** Starts a view change that replaces a replica if one has timed out. Returns whether one has. */
+    /**
+     * Starts a view change that replaces a replica if one has timed out. Returns whether one has.
+     */
     boolean replaceUnresponsiveReplica(long nowMs) {
         for (Member member : context.view().replicas) {
             if (!context.isSelf(member) && hasTimedOut(member, nowMs)) {
@@ -72,7 +79,7 @@
         View view = context.view();
         if (!view.isGroupStable()) {
             quorum.transitionToCandidate(false, "completing the previous group change");
-        } else if (reconfigurationPlan().isChange()) {
+        } else if (reconfigurationPlan().changesGroup()) {
             quorum.transitionToCandidate(false, "changing the group");
         } else if (canReplaceLeavingReplica(view)) {
             quorum.transitionToCandidate(false, "replacing a leaving replica");
@@ -93,7 +100,7 @@
     }
 
     private boolean hasTimedOut(Member member, long nowMs) {
-        return context.contacts().millisSinceContact(member, nowMs)
+        return context.memberContacts().millisSinceContact(member, nowMs)
                 > ReplicationTiming.REPLICA_TIMEOUT_MS;
     }
 }
--- a/src/main/java/myrtleladder/replication/ViewInstaller.java
+++ b/src/main/java/myrtleladder/replication/ViewInstaller.java
@@ -10,9 +10,12 @@
 import myrtleladder.protocol.View;
 
 /**
- * Installs the view of a candidate: sends the state to all replicas of the view, then the view itself to its group and the previous group. The view is installed once all replicas and majorities of both groups have accepted it (Paxos phase 2).
+ * Installs the view of a candidate: sends the state to all replicas of the view, then the view
+ * itself to its group and the previous group. The view is installed once all replicas and
+ * majorities of both groups have accepted it (Paxos phase 2).
  *
- * <p>Invariant: the view is sent to no member before all replicas of the view have saved the state. Confined to the event loop; {@link CandidateState} creates one instance for each view.
+ * <p>Invariant: the view is sent to no member before all replicas of the view have saved the state.
+ * Confined to the event loop; {@link CandidateState} creates one instance for each view.
  */
 final class ViewInstaller {
     private final ReplicaContext context;
@@ -20,8 +23,8 @@
     private final CandidateState candidate;
     private final View view;
     private final Promises promises;
-    private final Set<Member> installed = new LinkedHashSet<>();
-    private final Set<Member> accepted = new LinkedHashSet<>();
+    private final Set<Member> installedReplicas = new LinkedHashSet<>();
+    private final Set<Member> acceptingMembers = new LinkedHashSet<>();
 
     ViewInstaller(
             ReplicaContext context,
@@ -37,48 +40,48 @@
     }
 
     /** Sends the state to the replicas of the view. */
-    void begin() {
-        installed.add(context.self());
+    void start() {
+        installedReplicas.add(context.self());
         for (Member member : view.replicas) {
             if (!context.isSelf(member)) {
                 sendState(member);
             }
         }
-        acceptIfInstalled();
+        sendViewIfInstalled();
     }
 
     private void sendState(Member member) {
-        context.peers()
+        context.transport()
                 .call(
                         member.address,
                         InstallStateRequest.of(
                                 view.epoch,
                                 context.storedState().snapshot,
-                                promises.inheritedInstances()),
+                                promises.mergedInstances()),
                         ReplicationTiming.STORAGE_TIMEOUT_MS,
-                        answer -> onStateAnswered(member, answer));
+                        answer -> onInstallResponse(member, answer));
     }
 
-    private void onStateAnswered(Member member, Message answer) {
-        if (!candidate.isIn(CandidateState.Phase.INSTALLING)) {
+    private void onInstallResponse(Member member, Message answer) {
+        if (!candidate.isInPhase(CandidateState.Phase.INSTALLING)) {
             return;
         }
         if (answer instanceof AcknowledgeResponse response
                 && response.accepted
                 && member.equals(response.member)) {
-            installed.add(member);
-            acceptIfInstalled();
+            installedReplicas.add(member);
+            sendViewIfInstalled();
         } else {
             context.unresponsiveReplicas().add(member);
             quorum.onCandidacyFailed(member + " did not save the state", true);
         }
     }
 
-    private void acceptIfInstalled() {
-        if (installed.size() < view.replicas.size()) {
+    private void sendViewIfInstalled() {
+        if (installedReplicas.size() < view.replicas.size()) {
             return;
         }
-        candidate.enter(CandidateState.Phase.ACCEPTING);
+        candidate.enterPhase(CandidateState.Phase.ACCEPTING);
         context.persistentState()
                 .save(context.storedState().withAcceptedView(view), this::onOwnAcceptanceSaved);
         Set<Member> voters = new LinkedHashSet<>(view.group);
@@ -86,41 +89,42 @@
         long sentAtMs = context.nowMs();
         for (Member member : voters) {
             if (!context.isSelf(member)) {
-                context.peers()
+                context.transport()
                         .call(
                                 member.address,
                                 AcceptViewRequest.of(view),
                                 ReplicationTiming.REQUEST_TIMEOUT_MS,
-                                answer -> onAcceptanceAnswered(answer, sentAtMs));
+                                answer -> onAcceptResponse(answer, sentAtMs));
             }
         }
     }
 
     private void onOwnAcceptanceSaved(boolean saved) {
-        if (saved && candidate.isIn(CandidateState.Phase.ACCEPTING)) {
-            accepted.add(context.self());
+        if (saved && candidate.isInPhase(CandidateState.Phase.ACCEPTING)) {
+            acceptingMembers.add(context.self());
             completeIfAccepted();
         }
     }
 
-    private void onAcceptanceAnswered(Message answer, long sentAtMs) {
+    private void onAcceptResponse(Message answer, long sentAtMs) {
         if (answer instanceof AcknowledgeResponse response
                 && response.accepted
                 && response.member != null) {
-            accepted.add(response.member);
-            context.contacts().onAcknowledged(response.member, sentAtMs);
+            acceptingMembers.add(response.member);
+            context.memberContacts().onAcknowledged(response.member, sentAtMs);
             completeIfAccepted();
         }
     }
 
     private void completeIfAccepted() {
         boolean acceptedByReplicas =
-                accepted.contains(context.self()) && accepted.containsAll(view.replicas);
-        if (candidate.isIn(CandidateState.Phase.ACCEPTING)
+                acceptingMembers.contains(context.self())
+                        && acceptingMembers.containsAll(view.replicas);
+        if (candidate.isInPhase(CandidateState.Phase.ACCEPTING)
                 && acceptedByReplicas
-                && view.hasMajority(accepted)) {
-            candidate.enter(CandidateState.Phase.ENDED);
-            quorum.transitionToPrimary(view, promises.inheritedInstances());
+                && view.hasMajority(acceptingMembers)) {
+            candidate.enterPhase(CandidateState.Phase.ENDED);
+            quorum.transitionToPrimary(view, promises.mergedInstances());
         }
     }
 }
--- a/src/main/java/myrtleladder/replication/ViewTracker.java
+++ b/src/main/java/myrtleladder/replication/ViewTracker.java
@@ -6,7 +6,8 @@
 /**
  * The latest view known to this node and the highest epoch that it has observed.
  *
- * <p>Invariant: the epoch of the view never decreases, except that a view installed by this node replaces any other. Confined to the event loop; only {@link QuorumState} changes the view.
+ * <p>Invariant: the epoch of the view never decreases, except that a view installed by this node
+ * replaces any other. Confined to the event loop; only {@link QuorumState} changes the view.
  */
 final class ViewTracker {
     private final Member self;
@@ -34,13 +35,16 @@
         return view != null && view.replicas.contains(self);
     }
 
-    /** Adopts a view that another node reported if it is later than the known one. Returns whether it is. */
-    boolean update(View reported) {
-        boolean later = view == null || reported.epoch > view.epoch;
-        if (later) {
+    /**
+     * Adopts a view that another node reported if it is later than the known one. Returns whether
+     * it is.
+     */
+    boolean updateIfLater(View reported) {
+        boolean isLater = view == null || reported.epoch > view.epoch;
+        if (isLater) {
             view = reported;
         }
-        return later;
+        return isLater;
     }
 
     /** Sets the view that this node installed as its primary. */
--- a/src/main/java/myrtleladder/replication/VoterRequestHandler.java
+++ b/src/main/java/myrtleladder/replication/VoterRequestHandler.java
@@ -16,9 +16,12 @@
 import myrtleladder.protocol.View;
 
 /**
- * Handles the requests of candidates and primaries in every role of this node (the acceptor of Paxos).
+ * Handles the requests of candidates and primaries in every role of this node (the acceptor of
+ * Paxos).
  *
- * <p>Invariants: once an epoch is promised, requests with lower epochs are rejected. A positive response is sent only after the state that it confirms was saved; if the save failed, no response (null) is sent. Confined to the event loop; called only by {@link Replica}.
+ * <p>Invariants: once an epoch is promised, requests with lower epochs are rejected. A positive
+ * response is sent only after the state that it confirms was saved; if the save failed, no response
+ * (null) is sent. Confined to the event loop; called only by {@link Replica}.
  */
 final class VoterRequestHandler {
     private final ReplicaContext context;
@@ -26,7 +29,7 @@
     private final Replica.Listener listener;
 
     /** The candidate to which this process last promised an epoch, null if none. */
-    private Member promisedTo;
+    private Member promisedCandidate;
 
     VoterRequestHandler(ReplicaContext context, QuorumState quorum, Replica.Listener listener) {
         this.context = context;
@@ -56,13 +59,14 @@
         long promised = stored().promisedEpoch;
         if (request.preVote) {
             boolean granted =
-                    request.epoch > promised && !quorum.hasContactToOtherPrimary(request.candidate);
+                    request.epoch > promised
+                            && !quorum.hasContactWithOtherPrimary(request.candidate);
             answer.accept(prepareResponse(granted));
         } else if (request.epoch > promised) {
-            promisedTo = request.candidate;
+            promisedCandidate = request.candidate;
             quorum.onEpochPrepared(request.epoch, request.candidate);
             savePromise(stored().withPromisedEpoch(request.epoch), answer);
-        } else if (request.epoch == promised && request.candidate.equals(promisedTo)) {
+        } else if (request.epoch == promised && request.candidate.equals(promisedCandidate)) {
             savePromise(stored(), answer); // a retry: the first response was lost
         } else {
             answer.accept(prepareResponse(false));
@@ -87,7 +91,7 @@
             answer.accept(acknowledgement(false));
             return;
         }
-        quorum.onPrimaryHeard(view);
+        quorum.onPrimaryContact(view);
         saveAndAcknowledge(stored().withAcceptedView(view), answer);
     }
 
@@ -97,12 +101,13 @@
             return;
         }
         context.electionTimer().restart();
-        Snapshot next = StateChange.of(request).applyTo(stored().snapshot);
+        Snapshot next = StateChange.fromRequest(request).applyTo(stored().snapshot);
         saveAndAcknowledge(stored().withSnapshot(next), answer);
     }
 
     /**
-     * Returns whether this node accepted a view of this epoch as a replica and has promised no later epoch.
+     * Returns whether this node accepted a view of this epoch as a replica and has promised no
+     * later epoch.
      */
     private boolean isReplicaOfEpoch(long epoch) {
         View accepted = stored().acceptedView;
@@ -117,7 +122,7 @@
             answer.accept(acknowledgement(false));
             return;
         }
-        quorum.onPrimaryHeard(view);
+        quorum.onPrimaryContact(view);
         if (stored().acceptedView == null || view.epoch > stored().acceptedView.epoch) {
             saveAndAcknowledge(stored().withAcceptedView(view), answer);
             return;
@@ -156,7 +161,7 @@
         response.member = context.self();
         response.acceptedView = stored().acceptedView;
         response.instances =
-                granted ? new ArrayList<>(context.instances().get()) : new ArrayList<>();
+                granted ? new ArrayList<>(context.knownInstances().get()) : new ArrayList<>();
         return response;
     }
 }
--- a/src/main/java/myrtleladder/rpc/PeerClient.java
+++ b/src/main/java/myrtleladder/rpc/PeerClient.java
@@ -13,7 +13,7 @@
 import myrtleladder.http.ResponseHead;
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.result.ResultException;
 import myrtleladder.scheduler.Scheduler;
 
@@ -24,7 +24,7 @@
  *
  * <p>Threading: confined to the event loop.
  */
-public final class PeerClient implements Peers {
+public final class PeerClient implements PeerTransport {
     /** Request target of all messages. */
     private static final String PATH = "/message";
 
--- a/src/main/java/myrtleladder/signal/Signals.java
+++ b/src/main/java/myrtleladder/signal/Signals.java
@@ -3,7 +3,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Installs handlers for process signals such as HUP, which terminates a JVM that has no handler for it. The platform's only API for this is {@code sun.misc.Signal}. It is called by reflection because the compiler warns about any direct use and this build treats warnings as errors.
+ * Installs handlers for process signals such as HUP, which terminates a JVM that has no handler for
+ * it. The platform's only API for this is {@code sun.misc.Signal}. It is called by reflection
+ * because the compiler warns about any direct use and this build treats warnings as errors.
  */
 public final class Signals {
     private Signals() {}
@@ -13,9 +15,11 @@
      *
      * @param name the name of the signal without the prefix SIG, such as HUP
      * @param action runs on a JVM thread each time the signal arrives
-     * @throws ReflectiveOperationException if the platform does not support this signal, or signals at all
+     * @throws ReflectiveOperationException if the platform does not support this signal, or signals
+     *     at all
      */
-    public static void on(String name, Runnable action) throws ReflectiveOperationException {
+    public static void setHandler(String name, Runnable action)
+            throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object proxy =
--- a/src/main/java/myrtleladder/tally/CatchUp.java
+++ b/src/main/java/myrtleladder/tally/CatchUp.java
@@ -7,7 +7,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Decides when a newly started process may serve requests: once each known peer has responded or is unreachable, and this node has all additions that the reachable peers had when they first responded. This state is final for the process. Confined to the event loop.
+ * Decides when a newly started process may serve requests: once each known peer has responded or is
+ * unreachable, and this node has all additions that the reachable peers had when they first
+ * responded. This state is final for the process. Confined to the event loop.
  */
 final class CatchUp {
     private static final Logger LOG = LogManager.getLogger(CatchUp.class);
@@ -15,8 +17,11 @@
     private final TallySet additions;
     private final TallyPeers peers;
 
-    /** Whether this node lost its disk or is new, so that it has to learn the additions of the others. */
-    private final boolean isAnswerNeeded;
+    /**
+     * Whether this node lost its disk or is new, so that it has to learn the additions of the
+     * others.
+     */
+    private final boolean requiresResponse;
 
     private final Map<String, Target> targetByAddress = new HashMap<>();
     private boolean isStarted;
@@ -25,20 +30,23 @@
     /** The additions that a peer's process had when it first responded. */
     private record Target(String process, VersionVector known) {}
 
-    CatchUp(TallySet additions, TallyPeers peers, boolean isAnswerNeeded) {
+    CatchUp(TallySet additions, TallyPeers peers, boolean requiresResponse) {
         this.additions = additions;
         this.peers = peers;
-        this.isAnswerNeeded = isAnswerNeeded;
+        this.requiresResponse = requiresResponse;
     }
 
     /** Starts catching up. Called once the first peers are known. */
     void start() {
         isStarted = true;
-        check();
+        updateCompletion();
     }
 
-    /** Records the additions of a peer that responded. A new process of the peer replaces the previous target, because the additions of the previous process may be lost. */
-    void onAnswered(TallyPeer peer) {
+    /**
+     * Records the additions of a peer that responded. A new process of the peer replaces the
+     * previous target, because the additions of the previous process may be lost.
+     */
+    void onResponse(TallyPeer peer) {
         Target target = targetByAddress.get(peer.address());
         if (isDone || (target != null && target.process().equals(peer.process()))) {
             return;
@@ -49,8 +57,8 @@
     }
 
     /** Checks whether this process has caught up. */
-    void check() {
-        if (isDone || !isStarted || (isAnswerNeeded && !hasSufficientAnswers())) {
+    void updateCompletion() {
+        if (isDone || !isStarted || (requiresResponse && !hasSufficientResponses())) {
             return;
         }
         isDone = peers.all().stream().allMatch(this::isCaughtUpWith);
@@ -60,8 +68,11 @@
         }
     }
 
-    /** Returns whether a reachable peer has caught up, or all peers are reachable. Peers that have not caught up may have lost their disks too, so they suffice only if all of them respond. */
-    private boolean hasSufficientAnswers() {
+    /**
+     * Returns whether a reachable peer has caught up, or all peers are reachable. Peers that have
+     * not caught up may have lost their disks too, so they suffice only if all of them respond.
+     */
+    private boolean hasSufficientResponses() {
         Collection<TallyPeer> all = peers.all();
         return all.stream().anyMatch(peer -> peer.isReachable() && peer.hasCaughtUp())
                 || (!all.isEmpty() && all.stream().allMatch(TallyPeer::isReachable));
--- a/src/main/java/myrtleladder/tally/DurableAdditions.java
+++ b/src/main/java/myrtleladder/tally/DurableAdditions.java
@@ -9,7 +9,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Appends additions to the disk in order, with one append in flight at a time, and tracks which additions are durable. Additions that arrive during an append are written by the next one; a failed append is retried. Confined to the event loop.
+ * Appends additions to the disk in order, with one append in flight at a time, and tracks which
+ * additions are durable. Additions that arrive during an append are written by the next one; a
+ * failed append is retried. Confined to the event loop.
  */
 final class DurableAdditions {
     private static final Logger LOG = LogManager.getLogger(DurableAdditions.class);
@@ -19,7 +21,7 @@
 
     private final Scheduler scheduler;
     private final TallyStorage storage;
-    private final VersionVector vector = new VersionVector();
+    private final VersionVector durableVector = new VersionVector();
     private final Runnable onProgress;
     private final List<Waiter> waiters = new ArrayList<>();
 
@@ -54,8 +56,9 @@
     }
 
     /** Marks additions that were read from the disk at startup as durable. */
-    void recover(List<TallyAddition> onDisk) {
-        onDisk.forEach(addition -> vector.raise(addition.replica, addition.sequence));
+    void recover(List<TallyAddition> additionsOnDisk) {
+        additionsOnDisk.forEach(
+                addition -> durableVector.raise(addition.replica, addition.sequence));
     }
 
     /** Queues additions for the disk. Each has to continue the sequence of its replica. */
@@ -77,18 +80,18 @@
 
     private void onAppended(List<TallyAddition> batch, boolean isDurable) {
         if (!isDurable) {
-            onFailed(batch);
+            onAppendFailed(batch);
             return;
         }
         isAppending = false;
         unsyncedCount -= batch.size();
-        batch.forEach(addition -> vector.raise(addition.replica, addition.sequence));
+        batch.forEach(addition -> durableVector.raise(addition.replica, addition.sequence));
         appendQueue();
         notifyWaiters();
         onProgress.run();
     }
 
-    private void onFailed(List<TallyAddition> batch) {
+    private void onAppendFailed(List<TallyAddition> batch) {
         failureCount++;
         LOG.warn("tallies: append failed, {} additions are not on the disk yet", unsyncedCount);
         batch.addAll(queue);
@@ -102,10 +105,11 @@
     }
 
     /**
-     * Runs a task once all additions of a vector are durable, immediately if they are already, or after the timeout if they are not durable by then.
+     * Runs a task once all additions of a vector are durable, immediately if they are already, or
+     * after the timeout if they are not durable by then.
      */
     void whenDurable(VersionVector target, long timeoutMs, Runnable task) {
-        if (vector.includes(target)) {
+        if (durableVector.includes(target)) {
             task.run();
             return;
         }
@@ -124,7 +128,7 @@
         List<Waiter> satisfied = new ArrayList<>();
         for (Iterator<Waiter> it = waiters.iterator(); it.hasNext(); ) {
             Waiter waiter = it.next();
-            if (vector.includes(waiter.target)) {
+            if (durableVector.includes(waiter.target)) {
                 it.remove();
                 waiter.timeout.cancel();
                 satisfied.add(waiter);
@@ -134,8 +138,8 @@
     }
 
     /** Returns a live view of the additions that are on the disk. */
-    VersionVector vector() {
-        return vector;
+    VersionVector durableVector() {
+        return durableVector;
     }
 
     /** Returns the number of additions that are in memory only. */
--- a/src/main/java/myrtleladder/tally/Tallies.java
+++ b/src/main/java/myrtleladder/tally/Tallies.java
@@ -14,24 +14,33 @@
 import myrtleladder.protocol.TallyStateSummary;
 import myrtleladder.protocol.TallySyncRequest;
 import myrtleladder.protocol.TallySyncResponse;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The tallies on one node: named sums of additions, where additions with the same id count once. Every node accepts additions, on either side of a partition, and the sums converge on all nodes that reach each other (a state-based grow-only set of additions, identified by replica and sequence number).
+ * The tallies on one node: named sums of additions, where additions with the same id count once.
+ * Every node accepts additions, on either side of a partition, and the sums converge on all nodes
+ * that reach each other (a state-based grow-only set of additions, identified by replica and
+ * sequence number).
  *
  * <p>Entry point of the package. Confined to the event loop of the scheduler, which also runs all
  * callbacks.
  */
 public final class Tallies {
-    /** The number of additions at which new ids are rejected; additions of other nodes are still merged. */
+    /**
+     * The number of additions at which new ids are rejected; additions of other nodes are still
+     * merged.
+     */
     private static final int MAX_ADDITIONS = 200_000;
 
     /** How long the response to a push waits for this node's disk at most. */
-    private static final long SYNC_WAIT_MS = 500;
+    private static final long MAX_DURABILITY_WAIT_MS = 500;
 
-    /** A gap between two refreshes of the peers that is longer than this means that the process was suspended. */
-    private static final long SUSPENSION_MS = 2 * AntiEntropy.INTERVAL_MS;
+    /**
+     * A gap between two refreshes of the peers that is longer than this means that the process was
+     * suspended.
+     */
+    private static final long SUSPENSION_THRESHOLD_MS = 2 * AntiEntropy.ROUND_INTERVAL_MS;
 
     private static final List<String> NO_REPLICAS = List.of();
 
@@ -50,7 +59,7 @@
     private boolean isDiskComplete;
 
     private boolean isStarted;
-    private long lastLookMs;
+    private long lastRefreshMs;
     private long acknowledgedCount;
     private long uncertainCount;
     private long refusedCount;
@@ -59,21 +68,22 @@
     /**
      * Creates the tallies of a node, which exchanges additions after {@link #start}.
      *
-     * @param additionsOnDisk the additions that were on the disk at startup, those of each replica in order
+     * @param additionsOnDisk the additions that were on the disk at startup, those of each replica
+     *     in order
      */
     public Tallies(
             TallyOptions options,
             Scheduler scheduler,
-            Peers transport,
+            PeerTransport transport,
             TallyStorage storage,
-            List<TallyAddition> onDisk) {
+            List<TallyAddition> additionsOnDisk) {
         this.options = options;
         this.scheduler = scheduler;
         this.storage = storage;
         this.isDiskComplete = options.isDiskComplete();
         peers = new TallyPeers(options.address());
         durable = new DurableAdditions(scheduler, storage, this::checkProgress);
-        durable.recover(additions.merge(onDisk));
+        durable.recover(additions.merge(additionsOnDisk));
         catchUp = new CatchUp(additions, peers, !options.isDiskComplete());
         ExchangeListener listener = new ExchangeListener();
         AdditionPusher pusher =
@@ -84,8 +94,8 @@
                         additions,
                         () -> summaryOf(NO_REPLICAS),
                         listener);
-        DurabilityRule rule = new DurabilityRule(options, peers, durable);
-        pending = new PendingAdditions(scheduler, options, peers, rule, pusher);
+        DurabilityRule durabilityRule = new DurabilityRule(options, peers, durable);
+        pending = new PendingAdditions(scheduler, options, peers, durabilityRule, pusher);
         antiEntropy = new AntiEntropy(scheduler, transport, peers, this::summary, listener);
     }
 
@@ -97,20 +107,20 @@
     public void start(Supplier<? extends Collection<String>> members) {
         memberAddresses = members;
         isStarted = true;
-        lastLookMs = scheduler.now();
+        lastRefreshMs = scheduler.now();
         updatePeers();
         antiEntropy.start();
         catchUp.start();
-        scheduler.schedule(AntiEntropy.INTERVAL_MS, this::lookAtPeers);
+        scheduler.schedule(AntiEntropy.ROUND_INTERVAL_MS, this::refreshPeers);
     }
 
-    private void lookAtPeers() {
-        scheduler.schedule(AntiEntropy.INTERVAL_MS, this::lookAtPeers);
+    private void refreshPeers() {
+        scheduler.schedule(AntiEntropy.ROUND_INTERVAL_MS, this::refreshPeers);
         long nowMs = scheduler.now();
-        if (nowMs - lastLookMs > SUSPENSION_MS) {
-            peers.all().forEach(TallyPeer::forgiveSilence);
+        if (nowMs - lastRefreshMs > SUSPENSION_THRESHOLD_MS) {
+            peers.all().forEach(TallyPeer::resetFailures);
         }
-        lastLookMs = nowMs;
+        lastRefreshMs = nowMs;
         updatePeers();
     }
 
@@ -121,7 +131,8 @@
     }
 
     /**
-     * Adds to a tally. Idempotent: additions with the same id count once, on whichever nodes they are requested.
+     * Adds to a tally. Idempotent: additions with the same id count once, on whichever nodes they
+     * are requested.
      *
      * @param amount the amount to add; not negative
      * @param done receives the result; called once
@@ -138,7 +149,7 @@
                 addition.replica,
                 addition.sequence,
                 result -> {
-                    count(result);
+                    countResult(result);
                     done.accept(result);
                 });
     }
@@ -157,7 +168,7 @@
         }
     }
 
-    private void count(AdditionResult result) {
+    private void countResult(AdditionResult result) {
         if (result == AdditionResult.ACKNOWLEDGED) {
             acknowledgedCount++;
         } else {
@@ -165,7 +176,9 @@
         }
     }
 
-    /** Returns the sum of a tally, 0 for an unknown name, or empty until this node has caught up. */
+    /**
+     * Returns the sum of a tally, 0 for an unknown name, or empty until this node has caught up.
+     */
     public OptionalLong total(String tally) {
         return catchUp.isDone() ? OptionalLong.of(additions.total(tally)) : OptionalLong.empty();
     }
@@ -180,32 +193,32 @@
             answer.accept(null);
             return;
         }
-        learnSender(request.sender);
+        updateSender(request.sender);
         merge(request.additions);
         if (request.awaited.isEmpty()) {
             VersionVector known = VersionVector.of(request.sender.known);
             List<TallyAddition> missing = additions.missingFrom(known, request.maxAdditions);
             answer.accept(TallySyncResponse.of(summary(), missing));
         } else {
-            answerOnceDurable(VersionVector.of(request.awaited), answer);
+            respondOnceDurable(VersionVector.of(request.awaited), answer);
         }
         checkProgress();
     }
 
-    private void learnSender(TallyStateSummary sender) {
-        if (peers.isNew(sender.address)) {
+    private void updateSender(TallyStateSummary sender) {
+        if (peers.isUnknownPeer(sender.address)) {
             antiEntropy.pull(peers.add(sender.address, scheduler.now()));
         }
         TallyPeer peer = peers.get(sender.address);
-        peer.learn(sender);
-        peer.forgiveSilence();
+        peer.update(sender);
+        peer.resetFailures();
     }
 
-    private void answerOnceDurable(VersionVector awaited, Consumer<Message> answer) {
+    private void respondOnceDurable(VersionVector awaited, Consumer<Message> answer) {
         Runnable respond =
                 () -> answer.accept(TallySyncResponse.of(summaryOf(awaited.replicas()), List.of()));
         if (additions.vector().includes(awaited)) {
-            durable.whenDurable(awaited, SYNC_WAIT_MS, respond);
+            durable.whenDurable(awaited, MAX_DURABILITY_WAIT_MS, respond);
         } else {
             respond.run();
         }
@@ -217,19 +230,19 @@
 
     /** Returns the summary of this node for its peers, with the positions of some replicas. */
     private TallyStateSummary summaryOf(Collection<String> replicas) {
-        VersionVector known = additions.vector().only(replicas);
+        VersionVector known = additions.vector().restrictedTo(replicas);
         return TallyStateSummary.of(
                 options.address(),
                 options.zone(),
                 options.process(),
                 known.toPositions(),
-                durable.vector().positionsBehind(known),
+                durable.durableVector().positionsBehind(known),
                 catchUp.isDone());
     }
 
     private void checkProgress() {
-        pending.check();
-        catchUp.check();
+        pending.acknowledgeDurable();
+        catchUp.updateCompletion();
         if (!isDiskComplete && catchUp.isDone() && durable.unsyncedCount() == 0) {
             isDiskComplete = true;
             storage.markComplete();
@@ -237,18 +250,18 @@
     }
 
     /** Returns the metrics that operators see. */
-    public TallyFigures figures() {
-        Map<String, TallyFigures.Peer> peerFigures = new LinkedHashMap<>();
+    public TallyMetrics metrics() {
+        Map<String, TallyMetrics.Peer> peerMetrics = new LinkedHashMap<>();
         for (TallyPeer peer : peers.all()) {
-            peerFigures.put(
+            peerMetrics.put(
                     peer.address(),
-                    new TallyFigures.Peer(
+                    new TallyMetrics.Peer(
                             peer.reachability().name(),
                             peer.zone(),
                             peer.known().countMissing(additions.vector()),
                             additions.vector().countMissing(peer.known())));
         }
-        return new TallyFigures(
+        return new TallyMetrics(
                 catchUp.isDone(),
                 additions.tallyCount(),
                 additions.size(),
@@ -259,34 +272,34 @@
                 uncertainCount,
                 refusedCount,
                 reachabilityChangeCount,
-                peerFigures);
+                peerMetrics);
     }
 
     /** Handles the outcome of the requests that this node sent. */
     private final class ExchangeListener implements AntiEntropy.Listener, AdditionPusher.Listener {
         @Override
         public void onPulled(TallyPeer peer, TallySyncResponse response) {
-            onAnswered(peer, response.sender);
-            catchUp.onAnswered(peer);
+            onResponse(peer, response.sender);
+            catchUp.onResponse(peer);
             merge(response.additions);
             checkProgress();
         }
 
         @Override
         public void onPushed(TallyPeer peer, TallySyncResponse response) {
-            onAnswered(peer, response.sender);
+            onResponse(peer, response.sender);
             checkProgress();
         }
 
-        private void onAnswered(TallyPeer peer, TallyStateSummary sender) {
-            peer.learn(sender);
-            countChange(peer.onAnswered(scheduler.now()));
+        private void onResponse(TallyPeer peer, TallyStateSummary sender) {
+            peer.update(sender);
+            countReachabilityChange(peer.onResponse(scheduler.now()));
         }
 
         @Override
-        public void onUnanswered(TallyPeer peer, long sentAtMs) {
-            boolean hasChanged = peer.onUnanswered(sentAtMs, scheduler.now());
-            countChange(hasChanged);
+        public void onPullFailed(TallyPeer peer, long sentAtMs) {
+            boolean hasChanged = peer.onRequestFailed(sentAtMs, scheduler.now());
+            countReachabilityChange(hasChanged);
             if (hasChanged) {
                 checkProgress();
             }
@@ -294,10 +307,10 @@
 
         @Override
         public void onPushFailed(TallyPeer peer) {
-            pending.widen();
+            pending.pushAllToReachablePeers();
         }
 
-        private void countChange(boolean hasChanged) {
+        private void countReachabilityChange(boolean hasChanged) {
             if (hasChanged) {
                 reachabilityChangeCount++;
             }
--- a/src/main/java/myrtleladder/tally/TallyFigures.java
+++ b/src/main/java/myrtleladder/tally/TallyMetrics.java
@@ -12,18 +12,19 @@
  * @param failedAppends number of failed appends to the disk
  * @param pending number of requests that wait until their addition is durable
  * @param acknowledged number of requests acknowledged since the start
- * @param uncertain number of requests that completed as {@link AdditionResult#UNCERTAIN} since the start
+ * @param uncertain number of requests that completed as {@link AdditionResult#UNCERTAIN} since the
+ *     start
  * @param refused number of requests rejected since the start
  * @param reachabilityChanges how often a peer became reachable or unreachable since the start
  * @param peers the metrics of each peer, by address
  */
-public record TallyFigures(
+public record TallyMetrics(
         boolean isCaughtUp,
         int tallies,
         int additions,
         int unsynced,
         long failedAppends,
-        int waiting,
+        int pending,
         long acknowledged,
         long uncertain,
         long refused,
@@ -34,9 +35,13 @@
      *
      * @param reachability name of its reachability state
      * @param zone name of its zone
-     * @param additionsMissingAtPeer number of this node's additions that the peer lacked when it last reported
+     * @param additionsMissingAtPeer number of this node's additions that the peer lacked when it
+     *     last reported
      * @param additionsMissingHere number of additions that the peer reported and this node lacks
      */
     public record Peer(
-            String reachability, String zone, long additionsItLacks, long additionsLackedHere) {}
+            String reachability,
+            String zone,
+            long additionsMissingAtPeer,
+            long additionsMissingHere) {}
 }
--- a/src/main/java/myrtleladder/tally/TallyOptions.java
+++ b/src/main/java/myrtleladder/tally/TallyOptions.java
@@ -10,7 +10,8 @@
  * @param process identity of this process, generated at its start and never used before
  * @param toleratedMachines the number of machines that may lose their disks at the same time
  * @param toleratedZones the number of zones that may be lost at the same time
- * @param isDiskComplete whether the disk holds everything that this node ever saved, even if that is nothing: the disk was used before and not lost, or this is the first start of the system
+ * @param isDiskComplete whether the disk holds everything that this node ever saved, even if that
+ *     is nothing: the disk was used before and not lost, or this is the first start of the system
  * @param seeds internal addresses of the nodes to contact first; this node's own is ignored
  */
 public record TallyOptions(
--- a/src/main/java/myrtleladder/tally/TallyPeer.java
+++ b/src/main/java/myrtleladder/tally/TallyPeer.java
@@ -7,22 +7,25 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What this node knows about another node: whether it is reachable and which additions it has. Confined to the event loop.
+ * What this node knows about another node: whether it is reachable and which additions it has.
+ * Confined to the event loop.
  */
 final class TallyPeer {
     private static final Logger LOG = LogManager.getLogger(TallyPeer.class);
 
     /**
-     * Time without a response, in milliseconds, after which a peer is unreachable. It covers one request that times out or several that fail at once.
+     * Time without a response, in milliseconds, after which a peer is unreachable. It covers one
+     * request that times out or several that fail at once.
      */
-    static final long SILENCE_MS = 600;
+    static final long UNREACHABLE_TIMEOUT_MS = 600;
 
     /**
-     * The same for a peer that has never responded, in milliseconds. It is longer because the peer may be starting at the same time as this node.
+     * The same for a peer that has never responded, in milliseconds. It is longer because the peer
+     * may be starting at the same time as this node.
      */
-    static final long FIRST_SILENCE_MS = 1_800;
+    static final long INITIAL_UNREACHABLE_TIMEOUT_MS = 1_800;
 
-    private static final long NONE = -1;
+    private static final long NO_FAILURE = -1;
 
     /** Whether a peer responds to requests. */
     enum Reachability {
@@ -42,7 +45,7 @@
     private VersionVector known = new VersionVector();
     private VersionVector durable = new VersionVector();
     private Reachability reachability = Reachability.UNKNOWN;
-    private long silentSinceMs = NONE;
+    private long failingSinceMs = NO_FAILURE;
     private long lastContactMs;
 
     TallyPeer(String address, long nowMs) {
@@ -51,9 +54,11 @@
     }
 
     /**
-     * Applies the peer's summary of itself. A new process of the peer may have lost its disk, so the state reported by the previous process is discarded, and later summaries from that process are ignored.
+     * Applies the peer's summary of itself. A new process of the peer may have lost its disk, so
+     * the state reported by the previous process is discarded, and later summaries from that
+     * process are ignored.
      */
-    void learn(TallyStateSummary summary) {
+    void update(TallyStateSummary summary) {
         if (formerProcesses.contains(summary.process)) {
             return;
         }
@@ -71,44 +76,54 @@
 
     private static VersionVector durablePart(TallyStateSummary summary) {
         VersionVector behind = VersionVector.of(summary.durable);
-        Set<String> unsynced = new HashSet<>();
-        summary.durable.forEach(position -> unsynced.add(position.replica));
+        Set<String> behindReplicas = new HashSet<>();
+        summary.durable.forEach(position -> behindReplicas.add(position.replica));
         VersionVector part = new VersionVector();
         summary.known.forEach(
                 position -> {
                     String replica = position.replica;
-                    boolean isBehind = unsynced.contains(replica);
+                    boolean isBehind = behindReplicas.contains(replica);
                     part.raise(replica, isBehind ? behind.get(replica) : position.sequence);
                 });
         return part;
     }
 
     /** Records a response of the peer. Returns whether its reachability changed. */
-    boolean onAnswered(long nowMs) {
+    boolean onResponse(long nowMs) {
         lastContactMs = nowMs;
-        silentSinceMs = NONE;
+        failingSinceMs = NO_FAILURE;
         return transitionTo(Reachability.REACHABLE);
     }
 
-    /** Records a request that failed or timed out. Returns whether the peer's reachability changed. */
-    boolean onUnanswered(long sentAtMs, long nowMs) {
-        if (silentSinceMs == NONE) {
-            silentSinceMs = sentAtMs;
+    /**
+     * Records a request that failed or timed out. Returns whether the peer's reachability changed.
+     */
+    boolean onRequestFailed(long sentAtMs, long nowMs) {
+        if (failingSinceMs == NO_FAILURE) {
+            failingSinceMs = sentAtMs;
         }
-        long allowedMs = reachability == Reachability.UNKNOWN ? FIRST_SILENCE_MS : SILENCE_MS;
-        return nowMs - silentSinceMs >= allowedMs && transitionTo(Reachability.UNREACHABLE);
+        long unreachableTimeoutMs =
+                reachability == Reachability.UNKNOWN
+                        ? INITIAL_UNREACHABLE_TIMEOUT_MS
+                        : UNREACHABLE_TIMEOUT_MS;
+        return nowMs - failingSinceMs >= unreachableTimeoutMs
+                && transitionTo(Reachability.UNREACHABLE);
     }
 
-    /** Discards failed requests, because this process may have caused them by being suspended, or because the peer has sent a request since. */
-    void forgiveSilence() {
-        silentSinceMs = NONE;
+    /**
+     * Discards failed requests, because this process may have caused them by being suspended, or
+     * because the peer has sent a request since.
+     */
+    void resetFailures() {
+        failingSinceMs = NO_FAILURE;
     }
 
     private boolean transitionTo(Reachability next) {
         if (reachability == next) {
             return false;
         }
-        LOG.info("tallies: peer {} in zone {} is now {}, was {}", address, zone, next, reachability);
+        LOG.info(
+                "tallies: peer {} in zone {} is now {}, was {}", address, zone, next, reachability);
         reachability = next;
         return true;
     }
--- a/src/main/java/myrtleladder/tally/TallyPeers.java
+++ b/src/main/java/myrtleladder/tally/TallyPeers.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * The other nodes with which this node exchanges additions, by address. A node that returns with an empty disk keeps its entry. Confined to the event loop.
+ * The other nodes with which this node exchanges additions, by address. A node that returns with an
+ * empty disk keeps its entry. Confined to the event loop.
  */
 final class TallyPeers {
     /** Time without a response after which a peer that is no longer listed is removed. */
-    private static final long FORGET_AFTER_MS = 60_000;
+    private static final long REMOVE_AFTER_MS = 60_000;
 
     private final String ownAddress;
     private final Map<String, TallyPeer> peerByAddress = new LinkedHashMap<>();
@@ -21,7 +22,8 @@
     }
 
     /**
-     * Adds peers for these addresses and removes those that are not listed and have not responded for {@link #REMOVE_AFTER_MS}.
+     * Adds peers for these addresses and removes those that are not listed and have not responded
+     * for {@link #REMOVE_AFTER_MS}.
      *
      * @return the peers that were added
      */
@@ -31,10 +33,10 @@
                 .removeIf(
                         peer ->
                                 !addresses.contains(peer.address())
-                                        && nowMs - peer.lastContactMs() > FORGET_AFTER_MS);
+                                        && nowMs - peer.lastContactMs() > REMOVE_AFTER_MS);
         List<TallyPeer> added = new ArrayList<>();
         for (String address : addresses) {
-            if (isNew(address)) {
+            if (isUnknownPeer(address)) {
                 added.add(add(address, nowMs));
             }
         }
@@ -42,7 +44,7 @@
     }
 
     /** Returns whether an address is not this node's own and has no peer yet. */
-    boolean isNew(String address) {
+    boolean isUnknownPeer(String address) {
         return !address.equals(ownAddress) && !peerByAddress.containsKey(address);
     }
 
--- a/src/main/java/myrtleladder/tally/TallySet.java
+++ b/src/main/java/myrtleladder/tally/TallySet.java
@@ -8,7 +8,11 @@
 import myrtleladder.protocol.TallyAddition;
 
 /**
- * All additions that this node knows, and the resulting totals: a grow-only set that stores the gap-free prefix of each replica's additions. If several additions to a tally have the same id, the id counts once, with the greatest of their amounts. Two nodes with the same additions therefore have the same totals, in whatever order the additions arrived. Confined to the event loop.
+ * All additions that this node knows, and the resulting totals: a grow-only set that stores the
+ * gap-free prefix of each replica's additions. If several additions to a tally have the same id,
+ * the id counts once, with the greatest of their amounts. Two nodes with the same additions
+ * therefore have the same totals, in whatever order the additions arrived. Confined to the event
+ * loop.
  */
 final class TallySet {
     private final Map<String, List<TallyAddition>> additionsByReplica = new LinkedHashMap<>();
@@ -39,7 +43,8 @@
     }
 
     /**
-     * Adds those additions that continue the prefix of their replica. The others are already known, or follow a gap and will be received again later.
+     * Adds those additions that continue the prefix of their replica. The others are already known,
+     * or follow a gap and will be received again later.
      *
      * @return the additions that were added, in order
      */
@@ -59,14 +64,14 @@
                 additionsByReplica.computeIfAbsent(addition.replica, replica -> new ArrayList<>());
         // Additions of one replica, and of one tally, share the string instances that name them.
         String replica = prefix.isEmpty() ? addition.replica : prefix.get(0).replica;
-        TallyAddition kept =
+        TallyAddition stored =
                 TallyAddition.of(
                         replica, addition.sequence, tally.name, addition.id, addition.amount);
-        prefix.add(kept);
-        vector.raise(replica, kept.sequence);
-        tally.count(kept);
+        prefix.add(stored);
+        vector.raise(replica, stored.sequence);
+        tally.count(stored);
         size++;
-        return kept;
+        return stored;
     }
 
     /** Returns the addition that counts for an id of a tally, null if there is none. */
@@ -90,8 +95,8 @@
     List<TallyAddition> missingFrom(VersionVector other, int maxCount) {
         List<TallyAddition> missing = new ArrayList<>();
         for (String replica : additionsByReplica.keySet()) {
-            int left = maxCount - missing.size();
-            missing.addAll(after(replica, other.get(replica), left));
+            int remaining = maxCount - missing.size();
+            missing.addAll(after(replica, other.get(replica), remaining));
         }
         return missing;
     }
--- a/src/main/java/myrtleladder/tally/TallyStorage.java
+++ b/src/main/java/myrtleladder/tally/TallyStorage.java
@@ -14,7 +14,9 @@
     void append(List<TallyAddition> additions, Consumer<Boolean> done);
 
     /**
-     * Starts to record that the disk holds everything that this node needs after a restart, so that it is not mistaken for a lost disk, and returns without waiting. Does nothing where a disk cannot be lost.
+     * Starts to record that the disk holds everything that this node needs after a restart, so that
+     * it is not mistaken for a lost disk, and returns without waiting. Does nothing where a disk
+     * cannot be lost.
      */
     default void markComplete() {}
 }
--- a/src/main/java/myrtleladder/tally/VersionVector.java
+++ b/src/main/java/myrtleladder/tally/VersionVector.java
@@ -10,7 +10,8 @@
 import myrtleladder.protocol.TallyPosition;
 
 /**
- * A version vector: the number of additions of each replica that are known at some place. These are always the first ones, without gaps, and entries never decrease. Confined to the event loop.
+ * A version vector: the number of additions of each replica that are known at some place. These are
+ * always the first ones, without gaps, and entries never decrease. Confined to the event loop.
  */
 final class VersionVector {
     private final Map<String, Long> sequenceByReplica = new HashMap<>();
@@ -56,7 +57,7 @@
     }
 
     /** Returns a copy with only the entries of the given replicas. */
-    VersionVector only(Collection<String> replicas) {
+    VersionVector restrictedTo(Collection<String> replicas) {
         VersionVector part = new VersionVector();
         replicas.forEach(replica -> part.raise(replica, get(replica)));
         return part;
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -12,10 +12,10 @@
 import myrtleladder.protocol.MessageCodec;
 import myrtleladder.protocol.StoredState;
 import myrtleladder.protocol.TallyAddition;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.ReplicaOptions;
-import myrtleladder.replication.Storage;
+import myrtleladder.replication.StateStorage;
 import myrtleladder.scheduler.Scheduler;
 import myrtleladder.tally.Tallies;
 import myrtleladder.tally.TallyOptions;
@@ -25,7 +25,8 @@
  * One process of a control node: the code under test, connected to the simulated clock, disk and
  * network. Nothing of it runs once it has ended; while it is frozen all of it waits.
  */
-final class SimulatedProcess implements Scheduler, Storage, TallyStorage, Peers, Replica.Listener {
+final class SimulatedProcess
+        implements Scheduler, StateStorage, TallyStorage, PeerTransport, Replica.Listener {
     private static final long UPSTREAM_HEARTBEAT_MS = 1_200;
     private static final double QUOTA_OVERAGE_SHARE = 0.1;
     private static final double QUOTA_SLACK_UNITS = 1_000;
--- a/src/test/java/myrtleladder/replication/CoreQuotaTest.java
+++ b/src/test/java/myrtleladder/replication/CoreQuotaTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Processes under a CPU quota, which run for 10 ms and are then throttled for the rest of each 100 ms period. Throttling alone must not cause an election.
+ * Processes under a CPU quota, which run for 10 ms and are then throttled for the rest of each 100
+ * ms period. Throttling alone must not cause an election.
  */
 class CoreQuotaTest {
     private static final long PERIOD_MS = 100;
@@ -18,14 +19,14 @@
     /** The processes are throttled at the same time, or with a phase shift. */
     @ParameterizedTest
     @ValueSource(longs = {0, 30, 50})
-    void processesThatStandStillForNineTenthsOfEachPeriodKeepTheirPrimary(long phaseMs) {
+    void throttlingForNineTenthsOfEachPeriodCausesNoElection(long phaseMs) {
         VirtualCluster cluster = VirtualCluster.builder().nodes(5).toleratedFailures(2).start();
         cluster.clock.run(STARTUP_MS);
         VirtualNode primary = cluster.primary();
         assertNotNull(primary);
         long epoch = primary.replica.epoch();
         for (VirtualNode node : cluster.nodes.values()) {
-            standStillInEachPeriod(cluster, node);
+            throttleInEachPeriod(cluster, node);
             cluster.clock.run(phaseMs);
         }
         for (int i = 0; i < PERIODS; i++) {
@@ -40,8 +41,8 @@
                 cluster.acknowledged.size() + " changes were acknowledged");
     }
 
-    private void standStillInEachPeriod(VirtualCluster cluster, VirtualNode node) {
+    private void throttleInEachPeriod(VirtualCluster cluster, VirtualNode node) {
         node.pause(PERIOD_MS * 9 / 10);
-        cluster.clock.schedule(PERIOD_MS, () -> standStillInEachPeriod(cluster, node));
+        cluster.clock.schedule(PERIOD_MS, () -> throttleInEachPeriod(cluster, node));
     }
 }
--- a/src/test/java/myrtleladder/replication/ElectionTimerTest.java
+++ b/src/test/java/myrtleladder/replication/ElectionTimerTest.java
@@ -18,48 +18,48 @@
     }
 
     @Test
-    void initialTimeoutAppliesUntilAPrimaryWasHeard() {
+    void initialTimeoutAppliesUntilContactWithAPrimary() {
         timer.restart();
         assertTrue(expiresAfter(ReplicationTiming.INITIAL_ELECTION_TIMEOUT_MS));
     }
 
     @Test
-    void fullTimeoutAppliesAfterAPrimaryWasHeard() {
-        timer.onPrimaryHeard();
+    void fullTimeoutAppliesAfterContactWithAPrimary() {
+        timer.onPrimaryContact();
         assertTrue(expiresAfter(ReplicationTiming.ELECTION_TIMEOUT_MS));
     }
 
     @Test
     void retryTimeoutAppliesAfterAnAttemptThatMaySucceedIfRepeated() {
-        timer.onPrimaryHeard();
+        timer.onPrimaryContact();
         timer.useRetryTimeout();
         assertTrue(expiresAfter(ReplicationTiming.ELECTION_RETRY_TIMEOUT_MS));
     }
 
     @Test
     void delayOfTheRankIsAddedToTheTimeout() {
-        timer.onPrimaryHeard();
+        timer.onPrimaryContact();
         clock.run(ReplicationTiming.ELECTION_TIMEOUT_MS + 100);
         assertFalse(timer.hasExpired(clock.now(), 100));
         assertTrue(timer.hasExpired(clock.now(), 99));
     }
 
     @Test
-    void contactWithACandidateIsNoContactWithAPrimary() {
+    void contactWithACandidateDoesNotCountAsContactWithAPrimary() {
         timer.restart();
-        assertFalse(timer.hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS));
-        timer.onPrimaryHeard();
-        assertTrue(timer.hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS));
-        clock.run(ReplicationTiming.PRIMARY_CONTACT_MS);
-        assertFalse(timer.hasHeardPrimaryWithin(ReplicationTiming.PRIMARY_CONTACT_MS));
+        assertFalse(timer.hadPrimaryContactWithin(ReplicationTiming.PRIMARY_CONTACT_VALIDITY_MS));
+        timer.onPrimaryContact();
+        assertTrue(timer.hadPrimaryContactWithin(ReplicationTiming.PRIMARY_CONTACT_VALIDITY_MS));
+        clock.run(ReplicationTiming.PRIMARY_CONTACT_VALIDITY_MS);
+        assertFalse(timer.hadPrimaryContactWithin(ReplicationTiming.PRIMARY_CONTACT_VALIDITY_MS));
     }
 
     @Test
-    void suppressedCandidacyIsPermittedOnceItsTimeHasPassed() {
-        timer.suppress(1_000);
+    void candidacyIsPermittedOnceItsSuppressionHasEnded() {
+        timer.suppressCandidacy(1_000);
         clock.run(999);
-        assertTrue(timer.isSuppressed(clock.now()));
+        assertTrue(timer.isCandidacySuppressed(clock.now()));
         clock.run(1);
-        assertFalse(timer.isSuppressed(clock.now()));
+        assertFalse(timer.isCandidacySuppressed(clock.now()));
     }
 }
--- a/src/test/java/myrtleladder/replication/FullDiskTest.java
+++ b/src/test/java/myrtleladder/replication/FullDiskTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void nothingIsAcknowledgedWhileAllDisksAreFullAndServiceComesBackByItself() {
+    void nothingIsAcknowledgedWhileAllDisksAreFullAndServiceRecoversAfterwards() {
         cluster.clock.run(STARTUP_MS);
         submitFor(1_000);
         List<String> before = List.copyOf(cluster.acknowledged);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void otherNodesGoOnWhileOneDiskIsFull() {
+    void otherNodesCommitChangesWhileOneDiskIsFull() {
         cluster.clock.run(STARTUP_MS);
         VirtualNode primary = cluster.primary();
         assertNotNull(primary);
--- a/src/test/java/myrtleladder/replication/LeaveRequesterTest.java
+++ b/src/test/java/myrtleladder/replication/LeaveRequesterTest.java
@@ -25,10 +25,10 @@
     private final Member self = Member.of("self:1", "self:2", "self");
     private final Member other = Member.of("other:1", "other:2", "other");
     private final Member third = Member.of("third:1", "third:2", "third");
-    private final List<Boolean> ends = new ArrayList<>();
+    private final List<Boolean> outcomes = new ArrayList<>();
 
     /** These tests do not observe the role. */
-    private static final class SilentListener implements Replica.Listener {
+    private static final class NoOpListener implements Replica.Listener {
         @Override
         public void onPrimacyGained(Collection<InstanceRecord> instances) {
             // not of interest
@@ -49,8 +49,11 @@
         return View.of(epoch, other, List.of(other), List.of(group), List.of(group));
     }
 
-    /** Starts a member of a view with this epoch and lets it leave. The given function supplies the responses to its leave requests. */
-    private void leave(long epoch, Function<LeaveRequest, Message> answer) {
+    /**
+     * Starts a member of a view with this epoch and lets it leave. The given function supplies the
+     * responses to its leave requests.
+     */
+    private void leave(long epoch, Function<LeaveRequest, Message> responder) {
         StoredState stored = new StoredState();
         stored.storeId = self.storeId;
         stored.promisedEpoch = epoch;
@@ -65,51 +68,53 @@
                         (to, message, timeoutMs, response) ->
                                 response.accept(
                                         message instanceof LeaveRequest request
-                                                ? answer.apply(request)
+                                                ? responder.apply(request)
                                                 : null),
-                        new SilentListener(),
+                        new NoOpListener(),
                         List::of);
         replica.start();
-        replica.leave(LEAVE_TIMEOUT_MS, ends::add);
+        replica.leave(LEAVE_TIMEOUT_MS, outcomes::add);
     }
 
     @Test
-    void releaseByALaterViewEndsTheNode() {
+    void releaseUnderALaterViewCompletesTheLeave() {
         leave(5, request -> LeaveResponse.of(true, view(6, other, third)));
         clock.run(500);
-        assertEquals(List.of(true), ends);
+        assertEquals(List.of(true), outcomes);
     }
 
     @Test
-    void releaseByAnOlderViewThanTheKnownOneIsIgnored() {
+    void releaseUnderAnOlderViewThanTheKnownOneIsIgnored() {
         leave(5, request -> LeaveResponse.of(true, view(4, other, third)));
         clock.run(LEAVE_TIMEOUT_MS - 500);
-        assertEquals(List.of(), ends, "a deposed primary cannot release a node");
+        assertEquals(List.of(), outcomes, "a deposed primary cannot release a node");
         clock.run(1_000);
-        assertEquals(List.of(false), ends);
+        assertEquals(List.of(false), outcomes);
     }
 
     @Test
-    void primaryThatIsCutOffReleasesNobody() {
+    void isolatedPrimaryReleasesNoNode() {
         VirtualCluster cluster = VirtualCluster.builder().start();
         cluster.clock.run(3_000);
         VirtualNode primary = cluster.primary();
         cluster.isolate(primary.address);
         List<Boolean> released = new ArrayList<>();
         primary.replica.receive(
-                LeaveRequest.of(third), answer -> released.add(((LeaveResponse) answer).released));
+                LeaveRequest.of(third),
+                response -> released.add(((LeaveResponse) response).released));
         cluster.clock.run(2_000);
         assertEquals(List.of(false), released, "another node may be primary by now");
     }
 
     @Test
-    void primaryWithAMajorityReleasesWhoIsNoMember() {
+    void primaryWithAMajorityReleasesANodeThatIsNotAMember() {
         VirtualCluster cluster = VirtualCluster.builder().start();
         cluster.clock.run(3_000);
         VirtualNode primary = cluster.primary();
         List<Boolean> released = new ArrayList<>();
         primary.replica.receive(
-                LeaveRequest.of(third), answer -> released.add(((LeaveResponse) answer).released));
+                LeaveRequest.of(third),
+                response -> released.add(((LeaveResponse) response).released));
         cluster.clock.run(300);
         assertEquals(List.of(true), released);
         assertFalse(primary.replica.view().group.contains(third));
--- a/src/test/java/myrtleladder/replication/MemberContactsTest.java
+++ b/src/test/java/myrtleladder/replication/MemberContactsTest.java
@@ -12,8 +12,8 @@
     private final MemberContacts contacts = new MemberContacts();
 
     @Test
-    void acknowledgementThatIsReadLateIsAsOldAsItsRequest() {
-        contacts.watch(List.of(member), 1_000);
+    void lateAcknowledgementIsDatedByItsRequest() {
+        contacts.track(List.of(member), 1_000);
         contacts.onAcknowledged(member, 1_200);
         assertEquals(List.of(), contacts.acknowledgedSince(1_300));
         assertEquals(List.of(member), contacts.acknowledgedSince(1_200));
@@ -21,17 +21,17 @@
 
     @Test
     void timeWithoutContactCountsFromTheLastAcknowledgedRequest() {
-        contacts.watch(List.of(member), 1_000);
+        contacts.track(List.of(member), 1_000);
         assertEquals(500, contacts.millisSinceContact(member, 1_500));
         contacts.onAcknowledged(member, 1_400);
         assertEquals(100, contacts.millisSinceContact(member, 1_500));
-        contacts.watch(List.of(member), 1_500);
+        contacts.track(List.of(member), 1_500);
         assertEquals(600, contacts.millisSinceContact(member, 2_000));
     }
 
     @Test
     void afterProcessPauseNoMemberHasTimedOutAndNothingIsConfirmed() {
-        contacts.watch(List.of(member), 1_000);
+        contacts.track(List.of(member), 1_000);
         contacts.onAcknowledged(member, 1_400);
         contacts.clear(9_000);
         assertEquals(0, contacts.millisSinceContact(member, 9_000));
--- a/src/test/java/myrtleladder/replication/MembershipRequestsTest.java
+++ b/src/test/java/myrtleladder/replication/MembershipRequestsTest.java
@@ -18,10 +18,10 @@
     @Test
     void requestExpiresUnlessItIsRepeated() {
         long ttlMs = ReplicationTiming.MEMBERSHIP_REQUEST_TTL_MS;
-        requests.join(member, START_MS);
+        requests.recordJoin(member, START_MS);
         requests.expire(START_MS + ttlMs);
         assertEquals(Set.of(member), requests.joining());
-        requests.join(member, START_MS + ttlMs);
+        requests.recordJoin(member, START_MS + ttlMs);
         requests.expire(START_MS + ttlMs + 1);
         assertEquals(Set.of(member), requests.joining());
         requests.expire(START_MS + 2 * ttlMs + 1);
@@ -29,27 +29,27 @@
     }
 
     @Test
-    void memberThatJoinsAfterARestartIsNotLeavingAnyMore() {
-        requests.leave(member, START_MS);
-        requests.join(member, START_MS + 1);
+    void joinAfterARestartCancelsTheLeaveRequest() {
+        requests.recordLeave(member, START_MS);
+        requests.recordJoin(member, START_MS + 1);
         assertFalse(requests.isLeaving(member));
         assertEquals(Set.of(member), requests.joining());
     }
 
     @Test
-    void memberThatLeavesIsNotJoiningAnyMore() {
-        requests.join(member, START_MS);
-        requests.leave(member, START_MS + 1);
+    void leaveCancelsTheJoinRequest() {
+        requests.recordJoin(member, START_MS);
+        requests.recordLeave(member, START_MS + 1);
         assertTrue(requests.isLeaving(member));
         assertEquals(Set.of(), requests.joining());
     }
 
     @Test
-    void joinerThatDoesNotAnswerMayAskAgain() {
-        requests.join(member, START_MS);
+    void withdrawnJoinRequestMayBeRepeated() {
+        requests.recordJoin(member, START_MS);
         requests.withdrawJoin(member);
         assertEquals(Set.of(), requests.joining());
-        requests.join(member, START_MS + 1);
+        requests.recordJoin(member, START_MS + 1);
         assertEquals(Set.of(member), requests.joining());
     }
 }
--- a/src/test/java/myrtleladder/replication/PeerAddressRotationTest.java
+++ b/src/test/java/myrtleladder/replication/PeerAddressRotationTest.java
@@ -16,9 +16,9 @@
     private final Member voter = Member.of("voter:1", "voter:2", "voter");
     private final Member primary = Member.of("primary:1", "primary:2", "primary");
 
-    private View viewOf(Member leading) {
+    private View viewOf(Member viewPrimary) {
         List<Member> group = List.of(voter, self);
-        return View.of(1, leading, List.of(leading), group, group);
+        return View.of(1, viewPrimary, List.of(viewPrimary), group, group);
     }
 
     private static List<String> nextFour(PeerAddressRotation rotation, View view) {
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void primaryIsAskedByTurnsWithSeedsAndMembers() {
+    void primaryAlternatesWithSeedsAndMembers() {
         PeerAddressRotation rotation = new PeerAddressRotation(self, Set.of("seed:1", "self:1"));
         assertEquals(
                 List.of("primary:1", "seed:1", "primary:1", "voter:1"),
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void nodeThatLostItsDiskDoesNotAskItsFormerStore() {
+    void nodeThatLostItsDiskDoesNotContactItsFormerStore() {
         Member formerStore = Member.of(self.address, self.controlAddress, "former store");
         PeerAddressRotation rotation = new PeerAddressRotation(self, Set.of("seed:1", "self:1"));
         assertEquals(
@@ -47,14 +47,14 @@
     }
 
     @Test
-    void eachOtherNodeIsAskedTwiceInARowWithoutAPrimary() {
+    void withoutAPrimaryEachOtherNodeIsContactedTwiceInARow() {
         Set<String> seeds = new LinkedHashSet<>(List.of("seed:1", "seed:2"));
         PeerAddressRotation rotation = new PeerAddressRotation(self, seeds);
         assertEquals(List.of("seed:1", "seed:1", "seed:2", "seed:2"), nextFour(rotation, null));
     }
 
     @Test
-    void nodeThatKnowsOnlyItselfAsksNobody() {
+    void nodeThatKnowsOnlyItselfContactsNoNode() {
         PeerAddressRotation rotation = new PeerAddressRotation(self, Set.of("self:1"));
         assertEquals(List.of(), nextFour(rotation, null));
     }
--- a/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
+++ b/src/test/java/myrtleladder/replication/ReconfigurationPlanTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The members of the next group, for several group sizes and numbers of tolerated failures. A member is written as one letter, a group as a string of letters.
+ * The members of the next group, for several group sizes and numbers of tolerated failures. A
+ * member is written as one letter, a group as a string of letters.
  */
 class ReconfigurationPlanTest {
     private static Member member(String letter) {
@@ -70,44 +71,44 @@
                     minimumSize);
         }
 
-        void assertLeadsTo(String expected) {
+        void assertNextGroup(String expected) {
             ReconfigurationPlan plan = build();
             StringBuilder letters = new StringBuilder();
             plan.nextGroup().forEach(member -> letters.append(member.storeId));
             assertEquals(expected, letters.toString());
-            assertEquals(!expected.equals(group), plan.isChange());
+            assertEquals(!expected.equals(group), plan.changesGroup());
         }
     }
 
     @Test
     void joinerReplacesUnresponsiveMemberInTheSameChange() {
-        group("abc", 3).joining("d").unresponsive("c").assertLeadsTo("abd");
-        group("abcde", 5).joining("fg").unresponsive("de").assertLeadsTo("abcfg");
+        group("abc", 3).joining("d").unresponsive("c").assertNextGroup("abd");
+        group("abcde", 5).joining("fg").unresponsive("de").assertNextGroup("abcfg");
     }
 
     @Test
-    void joinerBesideLiveMembersEnlargesTheGroup() {
-        group("abc", 3).joining("d").assertLeadsTo("abcd");
+    void joinerEnlargesAGroupWithoutUnresponsiveMembers() {
+        group("abc", 3).joining("d").assertNextGroup("abcd");
     }
 
     @Test
     void unresponsiveMemberStaysInGroupOfMinimumSize() {
-        group("abc", 3).unresponsive("c").assertLeadsTo("abc");
-        group("abcde", 5).unresponsive("de").assertLeadsTo("abcde");
+        group("abc", 3).unresponsive("c").assertNextGroup("abc");
+        group("abcde", 5).unresponsive("de").assertNextGroup("abcde");
     }
 
     @Test
     void unresponsiveAndLeavingMembersAreRemovedDownToMinimumSize() {
-        group("abcd", 3).unresponsive("c").assertLeadsTo("abd");
-        group("abcdefgh", 5).unresponsive("fgh").assertLeadsTo("abcde");
-        group("abcd", 3).leaving("c").assertLeadsTo("abd");
-        group("abcd", 3).unresponsive("c").leaving("d").assertLeadsTo("abd");
+        group("abcd", 3).unresponsive("c").assertNextGroup("abd");
+        group("abcdefgh", 5).unresponsive("fgh").assertNextGroup("abcde");
+        group("abcd", 3).leaving("c").assertNextGroup("abd");
+        group("abcd", 3).unresponsive("c").leaving("d").assertNextGroup("abd");
     }
 
     @Test
     void leavingMemberStaysUntilItsSuccessorJoins() {
-        group("abc", 3).leaving("c").assertLeadsTo("abc");
-        group("abc", 3).joining("d").leaving("c").assertLeadsTo("abd");
+        group("abc", 3).leaving("c").assertNextGroup("abc");
+        group("abc", 3).joining("d").leaving("c").assertNextGroup("abd");
     }
 
     @Test
@@ -128,11 +129,12 @@
     }
 
     /**
-     * Members fail one after the other, and each is removed before the next one fails. The expected numbers are those of the table in docs/control-safety.md.
+     * Members fail one after the other, and each is removed before the next one fails. The expected
+     * numbers are those of the table in docs/control-safety.md.
      */
     @ParameterizedTest
     @CsvSource({"3, 1, 1", "4, 1, 2", "5, 2, 2", "6, 2, 3", "8, 2, 5"})
-    void successiveFailuresLeaveMajorityDownToMinimumSize(
+    void groupKeepsAMajorityThroughSuccessiveFailuresDownToMinimumSize(
             int size, int toleratedFailures, int expectedFailures) {
         int minimumSize = 2 * toleratedFailures + 1;
         List<Member> group = new ArrayList<>(members("abcdefgh".substring(0, size)));
--- a/src/test/java/myrtleladder/replication/ReplicaExplorationTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaExplorationTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random schedules of kills, lost disks, pauses, partitions and disk faults. No acknowledged change may be lost, each epoch may have only one primary, and there has to be a primary again after the faults end.
+ * Random schedules of kills, lost disks, pauses, partitions and disk faults. No acknowledged change
+ * may be lost, each epoch may have only one primary, and there has to be a primary again after the
+ * faults end.
  */
 class ReplicaExplorationTest {
     private static final int STEPS = 25;
@@ -17,7 +19,7 @@
     private static final long CATCH_UP_MS = 8_000;
     private static final long SLOW_SAVE_MS = 150;
     private static final long STALLED_SAVE_MS = 3_000;
-    private static final int MOST_REPORTED_SEEDS = 5;
+    private static final int MAX_REPORTED_SEEDS = 5;
 
     @Test
     void randomFaultsLoseNoAcknowledgedChange() {
@@ -31,14 +33,14 @@
     }
 
     private static void explore(long fromSeed, long toSeed) {
-        List<String> found = new ArrayList<>();
-        for (long seed = fromSeed; seed < toSeed && found.size() < MOST_REPORTED_SEEDS; seed++) {
+        List<String> failures = new ArrayList<>();
+        for (long seed = fromSeed; seed < toSeed && failures.size() < MAX_REPORTED_SEEDS; seed++) {
             List<String> violations = run(seed);
             if (!violations.isEmpty()) {
-                found.add(seed + ": " + violations);
+                failures.add(seed + ": " + violations);
             }
         }
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), failures);
     }
 
     private static List<String> run(long seed) {
--- a/src/test/java/myrtleladder/replication/ReplicaTest.java
+++ b/src/test/java/myrtleladder/replication/ReplicaTest.java
@@ -26,7 +26,7 @@
 class ReplicaTest {
     private static final long RANDOM_SEED = 7;
     private static final long STARTUP_MS = 3_000;
-    private static final int MOST_ATTEMPTS = 20;
+    private static final int MAX_ATTEMPTS = 20;
     private static final long ATTEMPT_INTERVAL_MS = 200;
 
     private static VirtualCluster clusterWithPrimary(int nodes, int toleratedFailures) {
@@ -44,7 +44,7 @@
     /** Submits changes until one is acknowledged. */
     private static void commitChange(VirtualCluster cluster) {
         int before = cluster.acknowledged.size();
-        for (int i = 0; i < MOST_ATTEMPTS && cluster.acknowledged.size() == before; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS && cluster.acknowledged.size() == before; i++) {
             cluster.submitChange();
             cluster.clock.run(ATTEMPT_INTERVAL_MS);
         }
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void firstSeedLeadsAndChangeIsSavedByTwoReplicas() {
+    void firstSeedBecomesPrimaryAndChangeIsSavedByTwoReplicas() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         assertEquals("n0:1", cluster.primary().address);
         commitChange(cluster);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void backupLeadsAfterPrimaryWasKilled() {
+    void backupBecomesPrimaryAfterPrimaryWasKilled() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         commitChange(cluster);
         VirtualNode formerPrimary = cluster.primary();
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void isolatedPrimaryIsNotConfirmedAndAnotherLeads() {
+    void isolatedPrimaryIsNotConfirmedAndIsReplaced() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         VirtualNode formerPrimary = cluster.primary();
         cluster.isolate(formerPrimary.address);
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void nodesThatAreNoSeedsAreAdmittedToTheGroup() {
+    void nodesThatAreNotSeedsAreAdmittedToTheGroup() {
         VirtualCluster cluster = clusterWithPrimary(8, 2);
         cluster.clock.run(4_000);
         assertEquals(8, cluster.primary().replica.view().group.size());
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void candidateExceedsHigherEpochThatWasPromisedToAnother() {
+    void candidateUsesAnEpochAboveTheOnePromisedToAnotherCandidate() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         commitChange(cluster);
         VirtualNode voter = cluster.node(2);
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void successorLeadsSoonAfterPrimaryResigned() {
+    void successorBecomesPrimarySoonAfterResignation() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         VirtualNode formerPrimary = cluster.primary();
         formerPrimary.replica.resign("shutting down");
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void memberThatPromisedAnEpochRejectsAllRequestsOfLowerOnes() {
+    void memberThatPromisedAnEpochRejectsAllRequestsOfLowerEpochs() {
         VirtualCluster cluster = clusterWithPrimary(3, 1);
         commitChange(cluster);
         View view = cluster.primary().replica.view();
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void nodeOutsideOfTheGroupStaysOutsideWhenItIsAskedToResign() {
+    void joiningNodeIgnoresResign() {
         VirtualCluster cluster = clusterWithPrimary(4, 1);
         VirtualNode outside = cluster.node(3);
         cluster.isolate(outside.address);
--- a/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
+++ b/src/test/java/myrtleladder/replication/RunCompatibilityTest.java
@@ -13,7 +13,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Compares digests of whole runs on the manual clock, with crashes, pauses and partitions, to recorded ones. A digest covers, for each millisecond, each node's role, epoch and stored bytes, and the acknowledged changes. The delays of all messages and saves are drawn from one generator, so its next number at the end of a run reveals a different number of messages or saves. A refactoring must keep the digests; a change of behaviour has to update them and state so.
+ * Compares digests of whole runs on the manual clock, with crashes, pauses and partitions, to
+ * recorded ones. A digest covers, for each millisecond, each node's role, epoch and stored bytes,
+ * and the acknowledged changes. The delays of all messages and saves are drawn from one generator,
+ * so its next number at the end of a run reveals a different number of messages or saves. A
+ * refactoring must keep the digests; a change of behaviour has to update them and state so.
  */
 class RunCompatibilityTest {
     private static final GoldenFile GOLDEN = new GoldenFile("replication-runs.txt");
@@ -22,23 +26,23 @@
     private static String run(long seed, int size, int tolerated) throws Exception {
         VirtualCluster cluster = new VirtualCluster(seed, size, 3, tolerated);
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
-        Map<String, String> last = new LinkedHashMap<>();
-        watch(cluster, 4_000, last, digest);
+        Map<String, String> lastValues = new LinkedHashMap<>();
+        runAndDigest(cluster, 4_000, lastValues, digest);
         cluster.submitChange();
-        watch(cluster, 1_000, last, digest);
+        runAndDigest(cluster, 1_000, lastValues, digest);
         cluster.node(0).kill();
-        watch(cluster, 3_000, last, digest);
+        runAndDigest(cluster, 3_000, lastValues, digest);
         cluster.submitChange();
-        watch(cluster, 1_000, last, digest);
+        runAndDigest(cluster, 1_000, lastValues, digest);
         cluster.node(0).start(false);
         cluster.node(1).pausedUntilMs = cluster.clock.now() + 3_000;
-        watch(cluster, 5_000, last, digest);
+        runAndDigest(cluster, 5_000, lastValues, digest);
         cluster.submitChange();
         cluster.isolate(cluster.node(2).address);
-        watch(cluster, 4_000, last, digest);
+        runAndDigest(cluster, 4_000, lastValues, digest);
         cluster.network.heal();
         cluster.submitChange();
-        watch(cluster, 4_000, last, digest);
+        runAndDigest(cluster, 4_000, lastValues, digest);
         return String.join(
                 " ",
                 "epoch " + cluster.primary().replica.epoch(),
@@ -49,9 +53,12 @@
     }
 
     /** Advances the clock and digests the changes at the end of each millisecond. */
-    private static void watch(
-            VirtualCluster cluster, int millis, Map<String, String> last, MessageDigest digest) {
-        for (int i = 0; i < millis; i++) {
+    private static void runAndDigest(
+            VirtualCluster cluster,
+            int durationMs,
+            Map<String, String> lastValues,
+            MessageDigest digest) {
+        for (int i = 0; i < durationMs; i++) {
             cluster.clock.run(1);
             for (VirtualNode node : cluster.nodes.values()) {
                 String state =
@@ -60,38 +67,38 @@
                                 : "down";
                 String disk =
                         node.disk.content() == null ? "empty" : HEX.formatHex(node.disk.content());
-                note(cluster, node.address, state + " " + disk, last, digest);
+                digestIfChanged(cluster, node.address, state + " " + disk, lastValues, digest);
             }
-            note(cluster, "client", cluster.acknowledged.toString(), last, digest);
+            digestIfChanged(cluster, "client", cluster.acknowledged.toString(), lastValues, digest);
         }
     }
 
-    private static void note(
+    private static void digestIfChanged(
             VirtualCluster cluster,
-            String who,
-            String what,
-            Map<String, String> last,
+            String source,
+            String value,
+            Map<String, String> lastValues,
             MessageDigest digest) {
-        if (!what.equals(last.put(who, what))) {
-            String line = cluster.clock.now() + " " + who + " " + what + "\n";
+        if (!value.equals(lastValues.put(source, value))) {
+            String line = cluster.clock.now() + " " + source + " " + value + "\n";
             digest.update(line.getBytes(StandardCharsets.UTF_8));
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void aRunOfThreeNodesIsTheSameRun(long seed) throws Exception {
+    void runOfThreeNodesMatchesTheRecordedDigest(long seed) throws Exception {
         GOLDEN.assertWritten("three nodes, seed " + seed, run(seed, 3, 1));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aRunOfSixNodesIsTheSameRun(long seed) throws Exception {
+    void runOfSixNodesMatchesTheRecordedDigest(long seed) throws Exception {
         GOLDEN.assertWritten("six nodes, seed " + seed, run(seed, 6, 2));
     }
 
     @Test
-    void twoRunsOfOneSeedAreTheSame() throws Exception {
+    void runsWithTheSameSeedAreIdentical() throws Exception {
         assertEquals(run(11, 4, 1), run(11, 4, 1));
     }
 }
--- a/src/test/java/myrtleladder/replication/StateChangeTest.java
+++ b/src/test/java/myrtleladder/replication/StateChangeTest.java
@@ -9,7 +9,10 @@
 import myrtleladder.protocol.StoredState;
 import org.junit.jupiter.api.Test;
 
-/** How replicas apply a change, including one from a primary of an earlier version, which does not send drained zones. */
+/**
+ * How replicas apply a change, including one from a primary of an earlier version, which does not
+ * send drained zones.
+ */
 class StateChangeTest {
     private static final byte[] DOCUMENT = {1, 2};
 
@@ -18,13 +21,14 @@
 
     private static Snapshot received(ReplicateRequest request, Snapshot before) {
         byte[] bytes = MessageCodec.encode(request);
-        return StateChange.of((ReplicateRequest) MessageCodec.decode(bytes)).applyTo(before);
+        return StateChange.fromRequest((ReplicateRequest) MessageCodec.decode(bytes))
+                .applyTo(before);
     }
 
     @Test
     void drainedZonesReachAReplicaAndItsDisk() {
         for (List<String> zones : List.of(List.of("x", "z"), List.<String>of())) {
-            StateChange change = StateChange.toDrainedZones(before, zones);
+            StateChange change = StateChange.ofDrainedZones(before, zones);
             Snapshot after = received(change.toRequest(7), before);
             byte[] stored = MessageCodec.encode(StoredState.of("s", 7, null, after));
             Snapshot loaded = ((StoredState) MessageCodec.decode(stored)).snapshot;
@@ -35,7 +39,7 @@
     }
 
     @Test
-    void changeOfAnEarlierPrimaryKeepsTheDrainedZones() {
+    void changeFromAPrimaryOfAnEarlierVersionKeepsTheDrainedZones() {
         Snapshot after = received(ReplicateRequest.of(7, DOCUMENT, 6, "b"), before);
         assertEquals(List.of("z"), after.drainedZones);
         assertEquals(List.of("a", "b"), after.changeDigests);
--- a/src/test/java/myrtleladder/replication/VirtualCluster.java
+++ b/src/test/java/myrtleladder/replication/VirtualCluster.java
@@ -9,7 +9,9 @@
 import myrtleladder.protocol.Member;
 
 /**
- * Control nodes with simulated disks and network on one manual clock, and a client that submits changes and checks the invariants: each epoch has only one primary, and no acknowledged change is lost. All delays are drawn from one generator, so the random seed determines the run.
+ * Control nodes with simulated disks and network on one manual clock, and a client that submits
+ * changes and checks the invariants: each epoch has only one primary, and no acknowledged change is
+ * lost. All delays are drawn from one generator, so the random seed determines the run.
  */
 final class VirtualCluster {
     private static final int DEFAULT_SEED_NODES = 3;
@@ -115,29 +117,32 @@
         nodes.values().forEach(VirtualNode::repair);
     }
 
-    /** Records the primary of an epoch, and a violation if the epoch already has another primary. */
+    /**
+     * Records the primary of an epoch, and a violation if the epoch already has another primary.
+     */
     void recordPrimary(VirtualNode node) {
         long epoch = node.replica.view().epoch;
-        String before = primaryOfEpoch.putIfAbsent(epoch, node.address);
-        if (before != null && !before.equals(node.address)) {
-            violations.add("epoch " + epoch + " has " + before + " and " + node.address);
+        String knownPrimary = primaryOfEpoch.putIfAbsent(epoch, node.address);
+        if (knownPrimary != null && !knownPrimary.equals(node.address)) {
+            violations.add("epoch " + epoch + " has " + knownPrimary + " and " + node.address);
         }
     }
 
     /** Returns the confirmed primary of the highest epoch, null if there is none. */
     VirtualNode primary() {
-        VirtualNode found = null;
+        VirtualNode primary = null;
         for (VirtualNode node : nodes.values()) {
-            boolean leads =
+            boolean isConfirmedPrimary =
                     node.isRunning()
                             && !node.isPaused()
                             && node.isPrimary()
                             && node.replica.isRecentlyConfirmed();
-            if (leads && (found == null || node.replica.epoch() > found.replica.epoch())) {
-                found = node;
+            if (isConfirmedPrimary
+                    && (primary == null || node.replica.epoch() > primary.replica.epoch())) {
+                primary = node;
             }
         }
-        return found;
+        return primary;
     }
 
     /** Submits a change to a random node that believes that it is primary and is not busy. */
@@ -155,13 +160,13 @@
         node.replica.confirm(
                 confirmed -> {
                     if (confirmed && !node.replica.isBusy()) {
-                        checkHasAll(node, acknowledgedBefore);
+                        checkIncludesAll(node, acknowledgedBefore);
                         submit(node, digest);
                     }
                 });
     }
 
-    private void checkHasAll(VirtualNode node, List<String> expected) {
+    private void checkIncludesAll(VirtualNode node, List<String> expected) {
         if (!node.replica.snapshot().changeDigests.containsAll(expected)) {
             violations.add(node.address + " confirmed without " + expected);
         }
@@ -170,7 +175,7 @@
     private void submit(VirtualNode node, String digest) {
         long generation = node.replica.snapshot().generation + 1;
         node.replica.submit(
-                StateChange.toDocument(new byte[] {(byte) generation}, generation, digest),
+                StateChange.ofDocument(new byte[] {(byte) generation}, generation, digest),
                 committed -> {
                     if (committed) {
                         acknowledged.add(digest);
--- a/src/test/java/myrtleladder/replication/VirtualDisk.java
+++ b/src/test/java/myrtleladder/replication/VirtualDisk.java
@@ -10,7 +10,7 @@
 /**
  * The disk of a virtual node. Saves run one after the other, as on the thread of the real storage.
  */
-final class VirtualDisk implements Storage {
+final class VirtualDisk implements StateStorage {
     private static final long DEFAULT_SAVE_DURATION_MS = 5;
     private static final int SAVE_JITTER_MS = 3;
 
--- a/src/test/java/myrtleladder/replication/VirtualNetwork.java
+++ b/src/test/java/myrtleladder/replication/VirtualNetwork.java
@@ -9,7 +9,10 @@
 import myrtleladder.protocol.Message;
 import myrtleladder.protocol.MessageCodec;
 
-/** The network between virtual nodes. Each message takes 1 to 4 ms and is lost on a partitioned link. */
+/**
+ * The network between virtual nodes. Each message takes 1 to 4 ms and is lost on a partitioned
+ * link.
+ */
 final class VirtualNetwork {
     private static final int MINIMUM_DELAY_MS = 1;
     private static final int DELAY_JITTER_MS = 4;
--- a/src/test/java/myrtleladder/replication/VirtualNode.java
+++ b/src/test/java/myrtleladder/replication/VirtualNode.java
@@ -9,7 +9,7 @@
 import myrtleladder.scheduler.Scheduler;
 
 /** A node with a disk and a process that runs a replica and can be killed, paused and restarted. */
-final class VirtualNode implements Peers, Replica.Listener {
+final class VirtualNode implements PeerTransport, Replica.Listener {
     private static final long CATCH_UP_MS = 4_000;
 
     final String address;
@@ -33,9 +33,11 @@
         this.disk = new VirtualDisk(cluster.random);
     }
 
-    /** Starts a process.
+    /**
+     * Starts a process.
      *
-     * @param bootstrap whether this is the first start of the system */
+     * @param bootstrap whether this is the first start of the system
+     */
     void start(boolean bootstrap) {
         incarnation++;
         running = true;
--- a/src/test/java/myrtleladder/tally/TalliesTest.java
+++ b/src/test/java/myrtleladder/tally/TalliesTest.java
@@ -14,7 +14,10 @@
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
-/** The tallies of nodes that call each other directly, on one clock, with disks that sync immediately. */
+/**
+ * The tallies of nodes that call each other directly, on one clock, with disks that sync
+ * immediately.
+ */
 class TalliesTest {
     private static final long ROUND_TRIP_MS = 2;
 
@@ -74,7 +77,7 @@
     }
 
     @Test
-    void bytesAfterACutGrowWithTheDifferenceAndNotWithTheState() {
+    void syncTrafficIsProportionalToTheDifferenceAndNotToTheState() {
         Tallies one = start(0, List.of());
         for (int i = 0; i < 20_000; i++) {
             one.add("t", "id-" + i, 1, result -> {});
@@ -101,7 +104,7 @@
     }
 
     @Test
-    void processThatWasSuspendedTakesNoPeerForLost() {
+    void suspendedProcessDoesNotMarkPeersUnreachable() {
         Tallies node = start(0, List.of("n1:1"));
         start(1, List.of("n0:1"));
         clock.run(1_000);
@@ -109,7 +112,7 @@
             clock.freeze(2_000 + i);
             clock.run(400);
         }
-        assertEquals("REACHABLE", node.figures().peers().get("n1:1").reachability());
-        assertEquals(1, node.figures().reachabilityChanges());
+        assertEquals("REACHABLE", node.metrics().peers().get("n1:1").reachability());
+        assertEquals(1, node.metrics().reachabilityChanges());
     }
 }
--- a/src/test/java/myrtleladder/tally/TallyPeerTest.java
+++ b/src/test/java/myrtleladder/tally/TallyPeerTest.java
@@ -12,8 +12,8 @@
 class TallyPeerTest {
     private final TallyPeer peer = new TallyPeer("n1:1", 0);
 
-    private void learn(String process, long known, long durable) {
-        peer.learn(
+    private void update(String process, long known, long durable) {
+        peer.update(
                 TallyStateSummary.of(
                         "n1:1",
                         "z1",
@@ -24,13 +24,13 @@
     }
 
     @Test
-    void processThatCameBackWithoutItsDiskIsNotTrustedWithWhatTheOneBeforeHad() {
-        learn("first", 5, 4);
+    void stateReportedByAFormerProcessIsDiscarded() {
+        update("first", 5, 4);
         assertTrue(peer.durable().includes("r", 4));
         assertFalse(peer.durable().includes("r", 5));
-        learn("second", 1, 1);
+        update("second", 1, 1);
         assertFalse(peer.durable().includes("r", 2));
-        learn("first", 5, 5);
+        update("first", 5, 5);
         assertFalse(peer.known().includes("r", 2));
     }
 }
