--- a/src/main/java/myrtleladder/replication/CandidateState.java
+++ b/src/main/java/myrtleladder/replication/CandidateState.java
@@ -199,7 +199,7 @@
         } else if (response.promisedEpoch >= epoch) {
             // The next attempt uses an epoch above the one that this member promised.
             quorum.onCandidacyFailed(
-                    "a member promised the higher epoch " + response.promisedEpoch, true);
+                    "a member has already promised epoch " + response.promisedEpoch, true);
             return;
         }
         if (preVote) {
--- a/src/main/java/myrtleladder/tally/Tallies.java
+++ b/src/main/java/myrtleladder/tally/Tallies.java
@@ -33,7 +33,7 @@
      */
     private static final int MAX_ADDITIONS = 200_000;
 
-    /** How long the response to a push waits for this node's disk at most. */
+    /** Longest wait for this node's disk before it responds to a push. */
     private static final long MAX_DURABILITY_WAIT_MS = 500;
 
     /**
