--- a/src/main/java/myrtleladder/tally/VersionVector.java
+++ b/src/main/java/myrtleladder/tally/VersionVector.java
@@ -10,8 +10,9 @@
 import myrtleladder.protocol.TallyPosition;
 
 /**
- * A version vector: the number of additions of each replica that are known on some node or disk. These are
- * always the first ones, without gaps, and entries never decrease. Confined to the event loop.
+ * A version vector: the number of additions of each replica that are known on some node or disk.
+ * These are always the first ones, without gaps, and entries never decrease. Confined to the event
+ * loop.
  */
 final class VersionVector {
     private final Map<String, Long> sequenceByReplica = new HashMap<>();
