--- a/src/main/java/myrtleladder/replication/InitialState.java
+++ b/src/main/java/myrtleladder/replication/InitialState.java
@@ -30,7 +30,7 @@
         return StoredState.of(seedStoreId(options.self()), 0, view, new Snapshot());
     }
 
-    private static String seedStoreId(Member isSeed) {
-        return "first-" + isSeed.address;
+    private static String seedStoreId(Member seed) {
+        return "first-" + seed.address;
     }
 }
