--- a/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
+++ b/src/main/java/myrtleladder/replication/PrimaryHeartbeats.java
@@ -13,11 +13,14 @@
 import myrtleladder.protocol.View;
 
 /**
- * The heartbeats of a primary to its group, and what a majority of acknowledgements confirms.
- * Confined to the event loop; used by {@link PrimaryState} alone.
+ * Sends a primary's heartbeats to its group and uses the acknowledgements to confirm that a
+ * majority still follows it. Confined to the event loop; used only by {@link PrimaryState}.
  */
 final class PrimaryHeartbeats {
-    /** Ends a confirmation only after the timeout of its requests was delivered. */
+    /**
+     * Timeout of a confirmation; longer than that of its requests, so that their timeouts are
+     * delivered first.
+     */
     private static final long CONFIRMATION_TIMEOUT_MS =
             ReplicationTiming.REQUEST_TIMEOUT_MS + ReplicationTiming.POLL_INTERVAL_MS;
 
@@ -26,7 +29,7 @@
     private final List<Confirmation> pendingConfirmations = new ArrayList<>();
     private long lastHeartbeatMs;
 
-    /** A caller that waits for the acknowledgement of a majority; compared by identity. */
+    /** A caller that waits for acknowledgements from a majority; compared by identity. */
     private static final class Confirmation {
         final Consumer<Boolean> onConfirmed;
 
@@ -40,11 +43,11 @@
         this.quorum = quorum;
     }
 
-    /** Sends heartbeats if they are due. */
+    /** Sends heartbeats if the heartbeat interval has passed. */
     void poll(long nowMs) {
         if (nowMs - lastHeartbeatMs >= ReplicationTiming.HEARTBEAT_INTERVAL_MS) {
             lastHeartbeatMs = nowMs;
-            send(acknowledged -> {});
+            sendHeartbeats(acknowledged -> {});
         }
     }
 
@@ -53,21 +56,30 @@
         lastHeartbeatMs = 0;
     }
 
-    /** Returns whether a majority acknowledged a request that was sent a short while ago. */
+    /**
+     * Returns whether a majority acknowledged requests sent within the last {@link
+     * ReplicationTiming#CONFIRMATION_VALIDITY_MS}.
+     */
     boolean isRecentlyConfirmed() {
         long sinceMs = context.nowMs() - ReplicationTiming.CONFIRMATION_VALIDITY_MS;
-        Set<Member> acknowledged = new HashSet<>(context.contacts().acknowledgedSince(sinceMs));
+        Set<Member> acknowledged =
+                new HashSet<>(context.memberContacts().acknowledgedSince(sinceMs));
         acknowledged.add(context.self());
         return context.view().hasMajority(acknowledged);
     }
 
-    /** Asks a majority whether this node is still primary; the callback runs once. */
+    /**
+     * Asks the group whether this node is still primary.
+     *
+     * @param onConfirmed receives true once a majority has acknowledged, false on a timeout or if
+     *     this node is no longer primary; called once
+     */
     void confirm(Consumer<Boolean> onConfirmed) {
         View view = context.view();
         Confirmation confirmation = new Confirmation(onConfirmed);
         pendingConfirmations.add(confirmation);
         context.scheduler().schedule(CONFIRMATION_TIMEOUT_MS, () -> complete(confirmation, false));
-        send(
+        sendHeartbeats(
                 acknowledged -> {
                     if (view.hasMajority(acknowledged)) {
                         complete(confirmation, quorum.isPrimary());
@@ -89,10 +101,10 @@
     /**
      * Sends a heartbeat to each other member.
      *
-     * @param onProgress takes the members that acknowledged so far, this node first, at once and
-     *     after each answer
+     * @param onProgress receives the members that have acknowledged so far, starting with this
+     *     node; called before the requests are sent and after each response
      */
-    private void send(Consumer<Set<Member>> onProgress) {
+    private void sendHeartbeats(Consumer<Set<Member>> onProgress) {
         Set<Member> acknowledged = new LinkedHashSet<>();
         acknowledged.add(context.self());
         View view = context.view();
@@ -100,7 +112,7 @@
         long sentAtMs = context.nowMs();
         for (Member member : view.group) {
             if (!context.isSelf(member)) {
-                context.peers()
+                context.transport()
                         .call(
                                 member.address,
                                 HeartbeatRequest.of(view),
@@ -126,7 +138,7 @@
         if (response.promisedEpoch > view.epoch) {
             quorum.onHigherEpochPromised(response.promisedEpoch);
         } else if (response.accepted) {
-            context.contacts().onAcknowledged(response.member, sentAtMs);
+            context.memberContacts().onAcknowledged(response.member, sentAtMs);
             acknowledged.add(response.member);
         }
         onProgress.accept(acknowledged);
--- a/src/main/java/myrtleladder/replication/VoterRequestHandler.java
+++ b/src/main/java/myrtleladder/replication/VoterRequestHandler.java
@@ -16,20 +16,20 @@
 import myrtleladder.protocol.View;
 
 /**
- * Answers the requests of candidates and primaries, whatever the role of this node (the acceptor of
+ * Handles the requests of candidates and primaries in every role of this node (the acceptor of
  * Paxos).
  *
- * <p>Invariants: once an epoch is promised, requests of lower epochs are rejected; a positive
- * answer is given only after what it says was saved; no answer (null) if the save failed. Confined
- * to the event loop; called by {@link Replica} alone.
+ * <p>Invariants: once an epoch is promised, requests with lower epochs are rejected. A positive
+ * response is sent only after the state that it confirms was saved; if the save failed, no response
+ * (null) is sent. Confined to the event loop; called only by {@link Replica}.
  */
 final class VoterRequestHandler {
     private final ReplicaContext context;
     private final QuorumState quorum;
     private final Replica.Listener listener;
 
-    /** The candidate to which this process promised an epoch last, null if none. */
-    private Member promisedTo;
+    /** The candidate to which this process last promised an epoch, null if none. */
+    private Member promisedCandidate;
 
     VoterRequestHandler(ReplicaContext context, QuorumState quorum, Replica.Listener listener) {
         this.context = context;
@@ -37,7 +37,7 @@
         this.listener = listener;
     }
 
-    /** Handles a request; returns whether it is one for a voter. */
+    /** Handles a request if it is one of a candidate or primary. Returns whether it is. */
     boolean handle(Message request, Consumer<Message> answer) {
         if (request instanceof PrepareRequest prepare) {
             handlePrepare(prepare, answer);
@@ -59,14 +59,15 @@
         long promised = stored().promisedEpoch;
         if (request.preVote) {
             boolean granted =
-                    request.epoch > promised && !quorum.hasContactToOtherPrimary(request.candidate);
+                    request.epoch > promised
+                            && !quorum.hasContactWithOtherPrimary(request.candidate);
             answer.accept(prepareResponse(granted));
         } else if (request.epoch > promised) {
-            promisedTo = request.candidate;
+            promisedCandidate = request.candidate;
             quorum.onEpochPrepared(request.epoch, request.candidate);
             savePromise(stored().withPromisedEpoch(request.epoch), answer);
-        } else if (request.epoch == promised && request.candidate.equals(promisedTo)) {
-            savePromise(stored(), answer); // a repeated request: the first answer was lost
+        } else if (request.epoch == promised && request.candidate.equals(promisedCandidate)) {
+            savePromise(stored(), answer); // a retry: the first response was lost
         } else {
             answer.accept(prepareResponse(false));
         }
@@ -90,7 +91,7 @@
             answer.accept(acknowledgement(false));
             return;
         }
-        quorum.onPrimaryHeard(view);
+        quorum.onPrimaryContact(view);
         saveAndAcknowledge(stored().withAcceptedView(view), answer);
     }
 
@@ -100,12 +101,13 @@
             return;
         }
         context.electionTimer().restart();
-        Snapshot next = StateChange.of(request).applyTo(stored().snapshot);
+        Snapshot next = StateChange.fromRequest(request).applyTo(stored().snapshot);
         saveAndAcknowledge(stored().withSnapshot(next), answer);
     }
 
     /**
-     * Returns whether this node accepted a view of this epoch as a replica and promised no later.
+     * Returns whether this node accepted a view of this epoch as a replica and has promised no
+     * later epoch.
      */
     private boolean isReplicaOfEpoch(long epoch) {
         View accepted = stored().acceptedView;
@@ -120,7 +122,7 @@
             answer.accept(acknowledgement(false));
             return;
         }
-        quorum.onPrimaryHeard(view);
+        quorum.onPrimaryContact(view);
         if (stored().acceptedView == null || view.epoch > stored().acceptedView.epoch) {
             saveAndAcknowledge(stored().withAcceptedView(view), answer);
             return;
@@ -159,7 +161,7 @@
         response.member = context.self();
         response.acceptedView = stored().acceptedView;
         response.instances =
-                granted ? new ArrayList<>(context.instances().get()) : new ArrayList<>();
+                granted ? new ArrayList<>(context.knownInstances().get()) : new ArrayList<>();
         return response;
     }
 }
