--- a/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
@@ -10,11 +10,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Saves states on a thread of its own, since a disk may take seconds. States that arrive while one
- * is written are written at once, as the newest one includes the others (group commit).
+ * Saves states on a dedicated thread, since a disk write may take seconds. Of the states that arrive during a write, only the newest is written next, because it includes the others (group commit).
  *
- * <p>{@link #save} may be called from any thread; callbacks run on the event loop. The writer
- * thread alone uses the {@link StateStore} once it is started.
+ * <p>{@link #save} may be called from any thread; callbacks run on the event loop. Once the writer thread is started, no other thread may use the {@link StateStore}.
  */
 public final class AsyncStateWriter implements Storage {
     private static final Logger LOG = LogManager.getLogger(AsyncStateWriter.class);
@@ -24,22 +22,22 @@
     private final StateStore store;
     private final Object lock = new Object();
 
-    /** The next state to write, null for none. Guarded by {@link #lock}. */
+    /** The next state to write, or null if there is none. Guarded by {@link #lock}. */
     private StoredState pending;
 
-    /** Wait for {@link #pending}. Guarded by {@link #lock}. */
+    /** The callbacks that receive the result of saving {@link #pending}. Guarded by {@link #lock}. */
     private List<Consumer<Boolean>> pendingCallbacks = new ArrayList<>();
 
-    /** What one write saves, and who is told of its result. */
+    /** A state to write and the callbacks that receive the result of the write. */
     private record Batch(StoredState state, List<Consumer<Boolean>> callbacks) {}
 
-    /** Creates a writer; it writes from {@link #start} on. */
+    /** Creates a writer that does nothing until {@link #start} is called. */
     public AsyncStateWriter(EventLoop loop, StateStore store) {
         this.loop = loop;
         this.store = store;
     }
 
-    /** Starts the thread; to be called once. */
+    /** Starts the writer thread. Must be called once. */
     public void start() {
         Thread thread = new Thread(this::run, THREAD_NAME);
         thread.setDaemon(true);
@@ -63,7 +61,7 @@
                 loop.execute(() -> batch.callbacks().forEach(done -> done.accept(isSaved)));
             }
         } catch (InterruptedException e) {
-            // the thread is asked to end
+            // the interrupt ends the thread
             Thread.currentThread().interrupt();
         }
     }
@@ -85,8 +83,8 @@
             store.save(state);
             return true;
         } catch (RuntimeException e) {
-            // whatever fails, the state is not on the disk, and the thread has to go on
-            LOG.error("the state is not saved: {}", e.toString());
+            // after any failure the state counts as not saved, and the thread must keep running
+            LOG.error("cannot save the replica state: {}", e.toString());
             return false;
         }
     }
--- a/src/main/java/myrtleladder/controlplane/AsyncTallyWriter.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncTallyWriter.java
@@ -10,12 +10,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Appends additions on a thread of its own, since a disk may take seconds. All that arrives during
- * a write is appended with the next write and its one sync (group commit); it is durable or fails
- * as a whole. A failed append is not repeated here.
+ * Appends additions on a dedicated thread, since a disk write may take seconds. Additions that arrive during a write are appended together by the next write with a single sync (group commit); they become durable or fail together. A failed append is not retried here.
  *
  * <p>{@link #append} may be called from any thread; callbacks run on the event loop in the order of
- * the appends. The writer thread alone uses the {@link TallyLog} once it is started.
+ * the appends. Once the writer thread is started, no other thread may use the {@link TallyLog}.
  */
 public final class AsyncTallyWriter implements TallyStorage {
     private static final Logger LOG = LogManager.getLogger(AsyncTallyWriter.class);
@@ -25,10 +23,10 @@
     private final TallyLog log;
     private final Object lock = new Object();
 
-    /** What the next write appends. Guarded by {@link #lock}. */
+    /** The additions of the next write. Guarded by {@link #lock}. */
     private Batch pending = new Batch();
 
-    /** What one write appends, and who is told of its result. */
+    /** The additions of one write and the callbacks that receive its result. */
     private static final class Batch {
         private final List<TallyAddition> additions = new ArrayList<>();
         private final List<Consumer<Boolean>> callbacks = new ArrayList<>();
@@ -36,16 +34,16 @@
     }
 
     /**
-     * Creates a writer; it writes from {@link #start} on.
+     * Creates a writer that does nothing until {@link #start} is called.
      *
-     * @param loop runs tasks in order on the event loop
+     * @param loop runs tasks on the event loop, in the order of submission
      */
     public AsyncTallyWriter(Executor loop, TallyLog log) {
         this.loop = loop;
         this.log = log;
     }
 
-    /** Starts the thread; to be called once. */
+    /** Starts the writer thread. Must be called once. */
     public void start() {
         Thread thread = new Thread(this::run, THREAD_NAME);
         thread.setDaemon(true);
@@ -78,7 +76,7 @@
                 loop.execute(() -> batch.callbacks.forEach(done -> done.accept(isDurable)));
             }
         } catch (InterruptedException e) {
-            // the thread is asked to end
+            // the interrupt ends the thread
             Thread.currentThread().interrupt();
         }
     }
@@ -102,8 +100,8 @@
             }
             return true;
         } catch (RuntimeException e) {
-            // whatever fails, the additions are not on the disk, and the thread has to go on
-            LOG.error("{} additions are not saved: {}", batch.additions.size(), e.toString());
+            // after any failure the additions count as not saved, and the thread must keep running
+            LOG.error("cannot save {} tally additions: {}", batch.additions.size(), e.toString());
             return false;
         }
     }
--- a/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
@@ -10,13 +10,12 @@
 import myrtleladder.protocol.PollRequest;
 
 /**
- * The live balancers: those that poll, and those whose heartbeats their monitors on the ring
- * receive.
+ * The live balancers: those that poll this node, and those that other balancers report as alive because they receive their heartbeats on the monitoring ring.
  *
  * <p>Confined to the event loop.
  */
 final class BalancerRegistry {
-    /** After this time without a sign of life a balancer is removed. */
+    /** A balancer that neither polls nor is reported as alive for this long is removed. */
     private static final long TIMEOUT_MS = 3_500;
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -33,7 +32,7 @@
         }
     }
 
-    /** Records a poll, with the balancers that the polling one monitors and found alive. */
+    /** Records a poll, including the live balancers that the polling balancer monitors. */
     void recordPoll(PollRequest poll, long nowMs) {
         for (String name : poll.liveBalancers) {
             Entry monitored = entries.get(name);
@@ -57,7 +56,7 @@
         }
     }
 
-    /** The entry of a balancer, a new one if it is unknown or moved to another address. */
+    /** Returns the entry of a balancer; creates it if the balancer is unknown or its address has changed. */
     private Entry entryAt(String balancer, String address) {
         Entry known = entries.get(balancer);
         if (known != null && known.address.equals(address)) {
@@ -69,7 +68,7 @@
         return created;
     }
 
-    /** The requests of all balancers in flight at draining upstreams, by upstream incarnation. */
+    /** Returns the number of requests in flight from all balancers at draining upstreams, by upstream incarnation. */
     Map<String, Integer> inFlightRequests() {
         Map<String, Integer> sums = new HashMap<>();
         for (Entry entry : entries.values()) {
@@ -79,19 +78,19 @@
         return sums;
     }
 
-    /** Removes balancers without a sign of life. */
+    /** Removes the balancers that have timed out. */
     void expire(long nowMs) {
         if (entries.values().removeIf(entry -> nowMs - entry.lastSeenMs > TIMEOUT_MS)) {
             revision++;
         }
     }
 
-    /** Advances whenever a balancer comes, moves or goes. */
+    /** Returns the revision of the balancer list, which increases whenever a balancer joins, changes its address or leaves. */
     long revision() {
         return revision;
     }
 
-    /** The live balancers with their addresses. */
+    /** Returns the live balancers with their addresses. */
     List<BalancerAddress> addresses() {
         List<BalancerAddress> addresses = new ArrayList<>();
         entries.forEach((name, entry) -> addresses.add(BalancerAddress.of(name, entry.address)));
@@ -99,10 +98,9 @@
     }
 
     /**
-     * The number of balancers, at least 1.
+     * Returns the number of balancers, at least 1.
      *
-     * @param isNewPrimary whether this node may not have heard of all yet; then what the balancers
-     *     themselves report counts if it is more
+     * @param isNewPrimary whether this node became primary so recently that some balancers may not have polled it yet; the largest count that a balancer reports then applies if it is higher
      */
     int count(boolean isNewPrimary) {
         int count = Math.max(1, entries.size());
--- a/src/main/java/myrtleladder/controlplane/ChangeValidation.java
+++ b/src/main/java/myrtleladder/controlplane/ChangeValidation.java
@@ -5,21 +5,19 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * The outcome of checking a configuration change against the committed configuration. The check has
- * no side effects; its outcome is final only if a majority confirmed this node as primary after the
- * request had arrived.
+ * The result of validating a configuration change against the committed configuration. Validation has no side effects. Its result is final only if a majority has confirmed this node as primary since the request arrived.
  */
 sealed interface ChangeValidation {
-    /** The change applies; {@code next} is the configuration that it leads to. */
+    /** The change is valid; {@code next} is the resulting configuration. */
     record Valid(ConfigurationDocument next) implements ChangeValidation {}
 
-    /** The same request was committed before, so that it is acknowledged once more. */
+    /** The same request is already committed, so it is acknowledged again (idempotent retry). */
     record AlreadyCommitted() implements ChangeValidation {}
 
-    /** The change is refused for good, with the HTTP status and the reason. */
+    /** The change is invalid and a retry would fail too; has the HTTP status and the reason. */
     record Rejected(int status, String reason) implements ChangeValidation {}
 
-    /** Checks a {@code PUT} or {@code PATCH}. */
+    /** Validates a {@code PUT} or {@code PATCH} request. */
     static ChangeValidation of(ConfigurationRequest request, CommittedConfiguration committed) {
         if (committed.includesChange(request.digest())) {
             return new AlreadyCommitted();
--- a/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
+++ b/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
@@ -7,35 +7,33 @@
 import myrtleladder.protocol.Snapshot;
 
 /**
- * The configuration and the drained zones that are committed as far as this node knows: all
- * replicas of the view have them on their disks. Generation 0 stands for no configuration.
+ * The latest configuration and drained zones that this node knows to be committed, that is, stored on the disks of all replicas of the view. Generation 0 means that there is no configuration.
  *
- * <p>Confined to the event loop. {@link ConfigurationRequestHandler} and {@link
- * DrainRequestHandler} update it, one request at a time.
+ * <p>Confined to the event loop. {@link ConfigurationRequestHandler} and {@link DrainRequestHandler} update the state, one request at a time.
  */
 final class CommittedConfiguration {
     private final Listener listener;
     private final Runnable onUpdated;
     private Snapshot snapshot = new Snapshot();
 
-    /** Is notified of configurations that are committed. */
+    /** Is notified of committed configurations. */
     interface Listener {
-        /** A configuration is committed; {@code isFirst} says that none was before. */
+        /** Called when a configuration is committed; {@code isFirst} is true if there was none before. */
         void configurationCommitted(Configuration configuration, boolean isFirst);
     }
 
-    /** Creates an empty one; {@code onUpdated} runs after each update, whatever it changed. */
+    /** Creates an empty configuration; {@code onUpdated} runs after every update, whether or not the content changed. */
     CommittedConfiguration(Listener listener, Runnable onUpdated) {
         this.listener = listener;
         this.onUpdated = onUpdated;
     }
 
-    /** Takes over what the replica of a new primary has. */
+    /** Initializes the state from the snapshot of the replica when this node becomes primary. */
     void recover(Snapshot latest) {
         update(latest, false);
     }
 
-    /** Goes on to the state that a change led to. */
+    /** Applies the snapshot that results from a committed change. */
     void commit(Snapshot latest) {
         update(latest, snapshot.generation == 0);
     }
@@ -48,37 +46,37 @@
         onUpdated.run();
     }
 
-    /** Whether no configuration was ever committed. */
+    /** Returns whether no configuration has been committed yet. */
     boolean isEmpty() {
         return snapshot.generation == 0;
     }
 
-    /** The number of the committed configuration, 0 for none. */
+    /** Returns the generation of the committed configuration, 0 if there is none. */
     long generation() {
         return snapshot.generation;
     }
 
-    /** The names of the drained zones, in ascending order. */
+    /** Returns the names of the drained zones, in ascending order. */
     List<String> drainedZones() {
         return snapshot.drainedZones;
     }
 
-    /** Whether the change with this digest is among those that are remembered as committed. */
+    /** Returns whether the change with this digest is among the recently committed changes that the snapshot records. */
     boolean includesChange(String digest) {
         return snapshot.changeDigests.contains(digest);
     }
 
-    /** The document as it is stored and distributed: deflated. */
+    /** Returns the compressed (deflated) document, as it is stored and distributed. */
     byte[] compressedDocument() {
         return snapshot.document;
     }
 
-    /** The document as the operator sent it. */
+    /** Returns the uncompressed bytes of the document, as the operator sent them. */
     byte[] documentBytes() {
         return Compression.inflate(snapshot.document);
     }
 
-    /** The document, ready to be changed. */
+    /** Returns the parsed document, to which a change can be applied. */
     ConfigurationDocument document() {
         return ConfigurationDocument.stored(documentBytes(), snapshot.generation);
     }
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequest.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequest.java
@@ -7,17 +7,16 @@
 import myrtleladder.http.ServerExchange;
 
 /**
- * A request of an operator at {@code /config}.
+ * An operator's request to {@code /config}.
  *
- * @param exchange the request, which is owed one response
- * @param digest identifies the request: two arrivals with the same method, {@code If-Match} and
- *     body have the same digest and are the same change
+ * @param exchange the HTTP exchange, which must be answered exactly once
+ * @param digest identifies the change: requests with the same method, {@code If-Match} and body have the same digest, so that a retry is recognized
  */
 record ConfigurationRequest(ServerExchange exchange, String digest) {
-    /** Bytes of the SHA-256 hash that are kept; stored digests have this length. */
+    /** Length to which the SHA-256 hash is truncated; stored digests have this length. */
     private static final int DIGEST_BYTES = 16;
 
-    /** Creates the request that an exchange carries. */
+    /** Creates the request of an exchange. */
     static ConfigurationRequest of(ServerExchange exchange) {
         return new ConfigurationRequest(exchange, digestOf(exchange));
     }
@@ -30,7 +29,7 @@
             byte[] hash = sha256.digest(exchange.body());
             return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each platform has SHA-256", e);
+            throw new IllegalStateException("every Java platform must support SHA-256", e);
         }
     }
 
@@ -38,17 +37,17 @@
         return exchange.head().headers().get("If-Match");
     }
 
-    /** Whether the request only reads the configuration. */
+    /** Returns whether the request only reads the configuration. */
     boolean isRead() {
         return method().equals("GET");
     }
 
-    /** Whether the body is a whole configuration that replaces the committed one. */
+    /** Returns whether the body is a complete configuration that replaces the committed one. */
     boolean isReplacement() {
         return method().equals("PUT");
     }
 
-    /** Whether the body changes parts of the committed configuration. */
+    /** Returns whether the body changes parts of the committed configuration. */
     boolean isPatch() {
         return method().equals("PATCH");
     }
@@ -57,7 +56,7 @@
         return exchange.head().method();
     }
 
-    /** Whether {@code If-Match} is absent or names this generation, quoted or not. */
+    /** Returns whether {@code If-Match} is absent or equals this generation, quoted or not. */
     boolean matches(long generation) {
         String expected = ifMatch(exchange);
         return expected == null
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -11,20 +11,17 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Handles {@code GET}, {@code PUT} and {@code PATCH /config} on the primary. The way of a change:
+ * Handles {@code GET}, {@code PUT} and {@code PATCH /config} on the primary. A change is processed in these steps:
  *
  * <ol>
- *   <li>it waits for its turn and for the confirmation that this node is still primary ({@link
- *       OperatorRequestQueue});
- *   <li>it is checked against the committed configuration ({@link ChangeValidation});
+ *   <li>it waits for the requests before it and for the confirmation that this node is still primary ({@link OperatorRequestQueue});
+ *   <li>it is validated against the committed configuration ({@link ChangeValidation});
  *   <li>all replicas of the view store it ({@link Replica#submit});
- *   <li>it becomes the {@link CommittedConfiguration}, whose listener hands it to the balancers
- *       that wait in a {@link LongPoll};
+ *   <li>it becomes the {@link CommittedConfiguration}, whose listener sends it to the balancers with a waiting {@link LongPoll};
  *   <li>it is acknowledged.
  * </ol>
  *
- * <p>Where the outcome is not known the answer is 503, and the operator sends the same request
- * again. Confined to the event loop.
+ * <p>If the outcome is unknown, the response is 503 and the operator retries the same request. Confined to the event loop.
  */
 final class ConfigurationRequestHandler {
     private static final Logger LOG = LogManager.getLogger(ConfigurationRequestHandler.class);
@@ -38,18 +35,18 @@
         this.committed = committed;
     }
 
-    /** Sets the replica that stores the configuration; has to precede all else. */
+    /** Sets the replica that stores the configuration. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Accepts a request. */
+    /** Queues a request. */
     void handle(ServerExchange exchange) {
         ConfigurationRequest request = ConfigurationRequest.of(exchange);
         queue.add(exchange, onProcessed -> process(request, onProcessed));
     }
 
-    /** Processes a request; a majority has confirmed since it arrived that this node is primary. */
+    /** Processes a request, after a majority has confirmed since its arrival that this node is primary. */
     private void process(ConfigurationRequest request, Runnable onProcessed) {
         if (request.isRead()) {
             respondWithDocument(request.exchange());
@@ -100,7 +97,7 @@
 
     private void commit(ConfigurationRequest request) {
         committed.commit(replica.snapshot());
-        LOG.info("generation {} is committed in epoch {}", committed.generation(), replica.epoch());
+        LOG.info("committed configuration generation {} in epoch {}", committed.generation(), replica.epoch());
         acknowledge(request);
     }
 
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -46,7 +46,7 @@
         return Warmup.run();
     }
 
-    /** Prints what each stored generation holds; fails if none can be read. */
+    /** Prints the content of each state file; fails if none is readable. */
     private static int verifyStore(List<String> words) {
         if (words.size() < 2) {
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
--- a/src/main/java/myrtleladder/controlplane/ControlNode.java
+++ b/src/main/java/myrtleladder/controlplane/ControlNode.java
@@ -19,21 +19,20 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Puts the parts of a control node together and starts them. */
+/** Creates the components of a control node and starts them. */
 final class ControlNode {
     private static final Logger LOG = LogManager.getLogger(ControlNode.class);
 
-    /** The store of a member is unknown until it answers. */
+    /** Stands for the store identifier of a member that has not answered yet. */
     private static final String UNKNOWN_STORE = "";
 
     private ControlNode() {}
 
     /**
-     * Starts a node: reads its state, starts the disk's threads and the event loop, and then, on
-     * the loop, the servers and the replica.
+     * Starts a node: loads its stored state, starts the disk threads and the event loop, and then, on the loop, the servers and the replica.
      *
-     * @param loop a loop that is not started yet
-     * @return the replica, which may be used on the loop only
+     * @param loop an event loop that has not been started
+     * @return the replica, which may only be used on the loop
      */
     static Replica start(
             NodeSettings settings, EventLoop loop, StateStore store, TallyLog tallyLog) {
@@ -69,7 +68,7 @@
         return replica;
     }
 
-    /** A disk that an earlier program used has no log of tallies, one that was lost has nothing. */
+    /** Returns whether the disk has all data that this node stored before, which also holds for a node that bootstraps a new group. A disk that was used by a release without tallies has a state but no tally log and counts as complete; a replaced disk has neither. */
     private static boolean isDiskComplete(
             NodeSettings settings, StoredState stored, TallyLog tallyLog) {
         return tallyLog.isComplete()
@@ -77,7 +76,7 @@
                 || (stored != null && !tallyLog.exists());
     }
 
-    /** Lets the next start know whether the disk was lost; before anything else is saved. */
+    /** Records in the tally log whether the disk is complete, so that the next start can tell. Must run before anything else is saved. */
     private static void prepare(TallyLog tallyLog, boolean isDiskComplete) {
         try {
             if (isDiskComplete) {
@@ -86,7 +85,7 @@
                 tallyLog.create();
             }
         } catch (StorageException e) {
-            LOG.warn("the log of tallies can't be prepared: {}", e.getMessage());
+            LOG.warn("cannot prepare the tally log: {}", e.getMessage());
         }
     }
 
@@ -115,14 +114,14 @@
                         .toList());
     }
 
-    /** A random 64-bit number as a short text: each addition to a tally carries it. */
+    /** Returns a random 64-bit number in base 36. It is short because each addition to a tally contains it. */
     private static String newProcessIdentity() {
         UUID random = UUID.randomUUID();
         long bits = random.getMostSignificantBits() ^ random.getLeastSignificantBits();
         return Long.toUnsignedString(bits, Character.MAX_RADIX);
     }
 
-    /** The address of the internal protocol, whose port is the same on all machines. */
+    /** Returns the address of the internal protocol on a host; its port is the same on all machines. */
     private static String internalAddress(NodeSettings settings, String host) {
         return host + ":" + settings.firstPort();
     }
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -22,23 +22,19 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control plane on one node. It puts the parts together, gives each request to the handler of
- * its path or type, passes on changes of the role, and runs the periodic tasks. Only the primary
- * decides; other nodes name the primary. {@link Tallies} alone are served by every node.
+ * The control plane on one node. Wires the components together, dispatches each request to the handler of its path or message type, notifies the components when the node gains or loses the primary role, and runs the periodic tasks. Only the primary makes decisions; other nodes refer requests to it. {@link Tallies} are the exception: every node serves them.
  *
- * <p>The state is owned by {@link CommittedConfiguration}, {@link InstanceRegistry}, {@link
- * BalancerRegistry}, {@link FleetLoadExchange} and {@link QuotaAllocator}; the {@link Replica} owns
- * the role. All calls come from the event loop.
+ * <p>{@link CommittedConfiguration}, {@link InstanceRegistry}, {@link BalancerRegistry}, {@link FleetLoadExchange} and {@link QuotaAllocator} own the state; the {@link Replica} decides which node is primary. Confined to the event loop.
  */
 public final class ControlPlane implements Replica.Listener {
     private static final Logger LOG = LogManager.getLogger(ControlPlane.class);
     private static final String INSTANCES_PATH = "/instances/";
     private static final String DRAIN_PATH = "/drain/";
 
-    /** Timeout of a poll that is passed on: a little less than the balancer's own. */
+    /** Timeout of a relayed poll, slightly shorter than the timeout of the balancer that sent it. */
     private static final long POLL_RELAY_TIMEOUT_MS = 700;
 
-    /** Timeout of a request for quota that is passed on: a little less than the balancer's own. */
+    /** Timeout of a relayed quota request, slightly shorter than the timeout of the balancer that sent it. */
     private static final long QUOTA_RELAY_TIMEOUT_MS = 200;
 
     private static final String TALLIES_PATH = "/tallies/";
@@ -46,16 +42,16 @@
     /** The interval of the periodic tasks. */
     private static final long TICK_INTERVAL_MS = 100;
 
-    /** A longer time between two ticks means that the process was suspended. */
+    /** If more time passes between two ticks, the process is assumed to have been suspended. */
     private static final long SUSPENSION_THRESHOLD_MS = 400;
 
-    /** An instance that misses more heartbeats than this is lost. */
+    /** An instance that misses more heartbeats than this is marked as lost. */
     private static final int MAX_MISSED_HEARTBEATS = 3;
 
-    /** A silence of more intervals than this may mean that the instance comes back cold. */
+    /** Heartbeat intervals without a heartbeat after which an instance is assumed to be cold, since it may have restarted. */
     private static final double MAX_SILENT_INTERVALS = 2.5;
 
-    /** Heartbeat intervals for which an instance is assumed to be cold unless it says otherwise. */
+    /** Heartbeat intervals for which an instance is assumed to be cold unless a heartbeat states otherwise. */
     private static final int ASSUMED_WARMUP_INTERVALS = 2;
 
     private final Scheduler scheduler;
@@ -80,7 +76,7 @@
     private final ShareInstancesRequestHandler shareInstancesRequests;
     private Replica replica;
 
-    /** Null if this node serves no tallies. */
+    /** The tallies, or null if this node serves none. */
     private Tallies tallies;
 
     private TallyRequestHandler tallyRequests;
@@ -89,12 +85,12 @@
     private long lastTickMs;
 
     /**
-     * Creates a control plane; {@link #attach} has to follow.
+     * Creates a control plane. {@link #attach} must be called before it is used.
      *
-     * @param heartbeatIntervalMs the interval at which upstreams send heartbeats
-     * @param quotaOverageShare by which share more than a tenant's rate may be granted
-     * @param quotaSlackUnits how many units beyond that may be granted at once
-     * @param regionByZone the regions of zones, as far as they are known
+     * @param heartbeatIntervalMs the interval at which upstreams send heartbeats, in milliseconds
+     * @param quotaOverageShare the fraction by which grants may exceed a tenant's rate
+     * @param quotaSlackUnits the units that may be granted at once beyond that
+     * @param regionByZone the region of each zone whose region is known
      */
     public ControlPlane(
             Scheduler scheduler,
@@ -133,14 +129,14 @@
         shareInstancesRequests = new ShareInstancesRequestHandler(scheduler, instances, saves);
     }
 
-    /** Sets the tallies that this node serves; has to precede {@link #attach}. */
+    /** Sets the tallies that this node serves. Must be called before {@link #attach}. */
     public void serveTallies(Tallies served) {
         tallies = served;
         tallyRequests = new TallyRequestHandler(served);
         statusRequests.serveTallies(served);
     }
 
-    /** Sets the replica that decides who is primary, and starts the periodic tasks. */
+    /** Sets the replica that determines which node is primary, and starts the periodic tasks. */
     public void attach(Replica attached) {
         replica = attached;
         replicator.attach(attached);
@@ -173,12 +169,12 @@
                 .toList();
     }
 
-    /** The upstream instances that are known here. */
+    /** Returns the upstream instances that this node knows. */
     public List<InstanceRecord> instances() {
         return instances.all(scheduler.now());
     }
 
-    /** Handles an HTTP request at the control address. */
+    /** Handles an HTTP request to the control address. */
     public void handle(ServerExchange exchange) {
         String path = exchange.head().path();
         if (path.equals("/config")) {
@@ -199,8 +195,7 @@
     }
 
     /**
-     * Handles a message of another process of the fleet; {@code responder} gets the response, null
-     * if the message has none.
+     * Handles a message from another process of the fleet. {@code responder} receives the response, or null if there is none.
      */
     public void receive(Message message, Consumer<Message> responder) {
         if (message instanceof PollRequest request) {
@@ -251,7 +246,7 @@
         operatorRequests.onPrimacyGained();
         configuration.recover(replica.snapshot());
         LOG.info(
-                "primary of epoch {} with generation {} and {} upstreams",
+                "became primary in epoch {} with configuration generation {} and {} upstreams",
                 replica.epoch(),
                 configuration.generation(),
                 instances.all().size());
@@ -284,7 +279,7 @@
         return isPrimary && replica.isRecentlyConfirmed();
     }
 
-    /** Whether each live instance has had the time to send this primary a heartbeat. */
+    /** Returns whether every live instance has had time to send a heartbeat to this primary. */
     private boolean hasHeardAllInstances(long nowMs) {
         return nowMs - primarySinceMs > MAX_MISSED_HEARTBEATS * heartbeatIntervalMs;
     }
@@ -331,8 +326,7 @@
     }
 
     /**
-     * Takes the ready upstreams of a zone for cold until their next heartbeat: its evacuation was
-     * withdrawn, and they may have become cold unnoticed.
+     * Assumes that the ready upstreams of a zone are cold until their next heartbeat. Called when the drain of the zone is cancelled, since they may have become cold in the meantime.
      */
     private void assumeCold(String zone) {
         List<InstanceRecord> assumed =
@@ -340,7 +334,7 @@
         if (assumed.isEmpty()) {
             return;
         }
-        LOG.info("{} upstreams of {} are taken for cold", assumed.size(), zone);
+        LOG.info("assuming that {} upstreams in zone {} are cold", assumed.size(), zone);
         assumed.forEach(replicator::replicate);
         polls.sendUpdates();
         saves.schedule();
@@ -352,7 +346,7 @@
             return;
         }
         for (InstanceRecord record : assigned) {
-            LOG.info("{} in {} has ordinal {}", record.id, record.zone, record.ordinal);
+            LOG.info("assigned to upstream {} in zone {} the ordinal {}", record.id, record.zone, record.ordinal);
             replicator.replicate(record);
         }
         polls.sendUpdates();
--- a/src/main/java/myrtleladder/controlplane/DrainRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/DrainRequestHandler.java
@@ -12,10 +12,7 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Handles {@code /drain/ZONE}: {@code POST} drains a zone, so that balancers send nothing new to
- * its upstreams, and {@code DELETE} takes it back into service. An order is acknowledged once all
- * replicas of the view have stored the drained zones; one that changes nothing is acknowledged
- * without that. Where the outcome is not known the answer is 503.
+ * Handles {@code /drain/ZONE}: {@code POST} drains a zone, so that balancers send no new requests to its upstreams, and {@code DELETE} cancels the drain. A request is acknowledged once all replicas of the view have stored the drained zones; a request that changes nothing is acknowledged at once. If the outcome is unknown, the response is 503.
  *
  * <p>Confined to the event loop.
  */
@@ -33,8 +30,7 @@
     /**
      * Creates a handler.
      *
-     * @param beforeTakeBack takes the name of a zone before balancers may learn that it is taken
-     *     back; also if that was ordered before, since the outcome may have been unknown then
+     * @param beforeTakeBack is called with the name of a zone before balancers can learn that its drain is cancelled; also for a repeated request, since the outcome of the first one may have been unknown
      */
     DrainRequestHandler(
             OperatorRequestQueue queue,
@@ -45,12 +41,12 @@
         this.beforeTakeBack = beforeTakeBack;
     }
 
-    /** Sets the replica that stores the drained zones; has to precede all else. */
+    /** Sets the replica that stores the drained zones. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Accepts a request about a zone. */
+    /** Handles a request to drain a zone or to cancel the drain. */
     void handle(ServerExchange exchange, String zone) {
         String method = exchange.head().method();
         if (!ZONE_NAME.matcher(zone).matches()) {
@@ -88,7 +84,7 @@
                     if (isCommitted) {
                         beforeCommit.run();
                         committed.commit(replica.snapshot());
-                        LOG.info("drained zones are {} in epoch {}", zones, replica.epoch());
+                        LOG.info("committed drained zones {} in epoch {}", zones, replica.epoch());
                         HttpResponses.acknowledge(exchange);
                     } else {
                         HttpResponses.unavailable(exchange);
--- a/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
+++ b/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
@@ -4,8 +4,7 @@
 import myrtleladder.protocol.LoadReport;
 
 /**
- * What balancers learn of each other by way of the primary: the requests in flight at upstreams and
- * the prompt prefixes that upstreams have cached. All of it is a hint that rests on no quorum.
+ * Collects the load reports of all balancers on the primary and distributes them: the requests in flight at upstreams and the prompt prefixes that upstreams have cached. These are hints that are not replicated to a quorum.
  *
  * <p>Confined to the event loop.
  */
@@ -13,13 +12,13 @@
     private final LoadTable loads = new LoadTable();
     private final PromptDirectory prompts = new PromptDirectory();
 
-    /** Starts anew: this node became primary. */
+    /** Clears all reports, when this node becomes primary. */
     void reset(long nowMs) {
         loads.reset(nowMs);
         prompts.clear();
     }
 
-    /** Records a balancer's report; null if it sent none. */
+    /** Records a balancer's report; {@code report} is null if it sent none. */
     void record(LoadReport report, long nowMs) {
         if (report != null) {
             loads.record(report, nowMs);
@@ -27,12 +26,12 @@
         }
     }
 
-    /** Forgets the load of a balancer that has left. */
+    /** Removes the load of a balancer that has left. */
     void remove(String balancer) {
         loads.remove(balancer);
     }
 
-    /** The response to a balancer's report; null if it sent none. */
+    /** Returns the response to a balancer's report, or null if {@code report} is null. */
     FleetLoads responseTo(LoadReport report, long epoch, long nowMs) {
         if (report == null) {
             return null;
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -14,20 +14,18 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Keeps records of upstream instances for members that did not take them, and hands them over once
- * the member answers (hinted handoff, as in Dynamo). So each node has all departures before it
- * could become primary.
+ * Stores records of upstream instances for members that did not acknowledge them, and retries until they do (hinted handoff, as in Dynamo). Thus each node has all departures before it can become primary.
  *
- * <p>Invariant: while there are hints, an attempt is scheduled. Confined to the event loop.
+ * <p>Invariant: while there are hints, a retry is scheduled. Confined to the event loop.
  */
 final class HintedHandoff {
-    /** How long a member has to answer. */
+    /** Timeout of a request to a member. */
     private static final long REQUEST_TIMEOUT_MS = 500;
 
-    /** The time between two attempts. */
+    /** Time between two attempts to send the hints. */
     private static final long RETRY_INTERVAL_MS = 400;
 
-    /** The most hints for a member; further instances are dropped. Bounds the memory. */
+    /** Maximum number of hints for a member; records of further instances are dropped. Bounds the memory. */
     private static final int MAX_HINTS_PER_MEMBER = 2_000;
 
     private final Scheduler scheduler;
@@ -41,7 +39,7 @@
         this.peers = peers;
     }
 
-    /** Keeps a record for a member; of several for an instance the latest. */
+    /** Adds a hint for a member; keeps only the latest record of each instance. */
     void addHint(Member member, InstanceRecord record, long epochOfRecord) {
         epoch = Math.max(epoch, epochOfRecord);
         Map<String, InstanceRecord> ofMember =
@@ -52,17 +50,17 @@
         scheduleAttempt();
     }
 
-    /** Drops the hints for all but these members: a new view has others. */
+    /** Drops the hints for all other members, when a new view has a different group. */
     void retainMembers(Collection<Member> members) {
         hints.keySet().retainAll(members);
     }
 
-    /** Drops all hints: this node is no longer primary. */
+    /** Drops all hints, when this node is no longer primary. */
     void clear() {
         hints.clear();
     }
 
-    /** The number of records that wait. */
+    /** Returns the number of stored hints, over all members. */
     int hintCount() {
         return hints.values().stream().mapToInt(Map::size).sum();
     }
@@ -91,14 +89,14 @@
         scheduleAttempt();
     }
 
-    /** A node that lost its disk answers at the same address as another member. */
+    /** Returns whether the member itself acknowledged the records. A node that lost its disk responds from the same address but as a different member. */
     private static boolean isAcknowledgedBy(Member member, Message response) {
         return response instanceof AcknowledgeResponse acknowledgement
                 && acknowledgement.accepted
                 && member.equals(acknowledgement.member);
     }
 
-    /** Removes the records that a member took, unless a later one came meanwhile. */
+    /** Removes the hints that a member acknowledged, except those that a later record has replaced in the meantime. */
     private void removeHints(Member member, List<InstanceRecord> records) {
         Map<String, InstanceRecord> ofMember = hints.get(member);
         if (ofMember != null) {
--- a/src/main/java/myrtleladder/controlplane/HttpResponses.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -8,8 +8,7 @@
 import myrtleladder.replication.Replica;
 
 /**
- * The responses that all handlers of the control address share. Each method sends the one response
- * that the exchange is owed.
+ * HTTP responses that all handlers of the control address share. Each method sends the only response of the exchange.
  */
 final class HttpResponses {
     static final int OK = 200;
@@ -23,12 +22,12 @@
 
     private static final byte[] NO_BODY = {};
 
-    /** Seconds after which a caller may ask again, as the header has it. */
+    /** Value of the Retry-After header in seconds. */
     private static final String RETRY_AFTER_S = "0.2";
 
     private HttpResponses() {}
 
-    /** Redirects to the primary; 503 if none is known but this node itself. */
+    /** Redirects to the primary, or responds with 503 if no other node is known to be primary. */
     static void redirectToPrimary(ServerExchange exchange, Replica replica) {
         Member primary = replica.primary();
         if (primary == null || primary.equals(replica.self())) {
@@ -39,13 +38,13 @@
         exchange.respond(TEMPORARY_REDIRECT, new Headers().add("Location", location), NO_BODY);
     }
 
-    /** Leaves open whether the request took effect; the caller asks again. */
+    /** Responds with 503: it is unknown whether the request took effect, and the client should retry. */
     static void unavailable(ServerExchange exchange) {
         exchange.respond(
                 SERVICE_UNAVAILABLE, new Headers().add("Retry-After", RETRY_AFTER_S), NO_BODY);
     }
 
-    /** Refuses the request with a reason, as JSON. */
+    /** Responds with an error status and a JSON object that contains the reason. */
     static void error(ServerExchange exchange, int status, String reason) {
         json(exchange, status, Json.write(Map.of("error", reason)));
     }
--- a/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -17,11 +17,10 @@
     private InstanceHeartbeatParser() {}
 
     /**
-     * The record that a heartbeat describes.
+     * Returns the instance record that a heartbeat describes.
      *
-     * @param id the incarnation, from the path of the request
-     * @throws ConfigurationException if a field that is required is missing or no string, or the
-     *     address has no port
+     * @param id the incarnation of the instance, from the path of the request
+     * @throws ConfigurationException if a required field is missing or not a string, or the address has no port
      */
     static InstanceRecord parse(String id, Map<String, Object> json) {
         String state = requiredString(json, "state");
@@ -38,7 +37,7 @@
                 .withWarmupLeftMs(integer(json, "warmup_left_ms", DEFAULT_WARMUP_LEFT_MS));
     }
 
-    /** The version of the weights of the first model: an upstream serves one here. */
+    /** Returns the version of the first model's weights; upstreams serve a single model. */
     private static long weightsVersion(Map<String, Object> json) {
         if (json.get("models") instanceof List<?> models
                 && !models.isEmpty()
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -9,15 +9,12 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 
 /**
- * The upstream instances that this node knows of, by heartbeats and from other nodes.
+ * The upstream instances that this node knows from heartbeats and from other nodes.
  *
- * <p>Invariants: a record only ever advances ({@link InstanceRecord#latest}), so that a departure
- * holds against any late heartbeat; each change that balancers have to learn of has a revision of
- * its own. A record is kept as it was reported; what is left of its warm-up is told as of the time
- * that a caller names. Confined to the event loop.
+ * <p>Invariants: a record only moves forward ({@link InstanceRecord#latest}), so that a late heartbeat cannot undo a departure; each change that balancers must receive has its own revision. Records are stored as reported; the remaining warm-up time is calculated for the time that the caller passes. Confined to the event loop.
  */
 final class InstanceRegistry {
-    /** How long the record of an instance that is not ready outlasts its last sign. */
+    /** How long the record of an instance that is not ready is retained after it was last seen. */
     private static final long RETENTION_MS = 60_000;
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -34,7 +31,7 @@
             this.firstSeenMs = firstSeenMs;
         }
 
-        /** Takes the warm-up of a record unless a later heartbeat is known; whether it is news. */
+        /** Merges the remaining warm-up of a record unless a later heartbeat is known. Returns whether balancers must receive the change. */
         boolean mergeWarmup(InstanceRecord reported, long nowMs) {
             long knownSequence = record == null ? Long.MIN_VALUE : record.heartbeatSequence;
             if (reported.heartbeatSequence > knownSequence) {
@@ -49,12 +46,12 @@
         }
     }
 
-    /** The revision of the latest change; 0 before the first. */
+    /** Returns the revision of the latest change, 0 if there was none. */
     long revision() {
         return revision;
     }
 
-    /** Merges a record into the one that is known; whether that changed anything. */
+    /** Merges a record into the known one. Returns whether balancers must receive the change. */
     boolean merge(InstanceRecord record, long nowMs) {
         Entry entry = entries.computeIfAbsent(record.id, id -> new Entry(nowMs));
         InstanceRecord before = entry.record;
@@ -69,10 +66,9 @@
     }
 
     /**
-     * Takes all instances of a zone that are ready for cold until their next heartbeat, for a time
-     * at the longest; the records of those that were not known to be.
+     * Assumes that all ready instances of a zone are cold until their next heartbeat, but for no longer than the duration. Returns the records of the instances for which this is a change.
      *
-     * @param zone a zone whose evacuation was withdrawn: its instances may have become cold
+     * @param zone a zone whose drain was cancelled; its instances may have become cold in the meantime
      */
     List<InstanceRecord> assumeCold(String zone, long durationMs, long nowMs) {
         List<InstanceRecord> assumed = new ArrayList<>();
@@ -87,8 +83,7 @@
     }
 
     /**
-     * Takes ready instances that were silent for a time for cold until their next heartbeat, for a
-     * time at the longest: they may be down and come back cold. Whether there was any.
+     * Assumes that ready instances without a recent heartbeat are cold until their next heartbeat, but for no longer than the duration, since they may have crashed and restart cold. Returns whether any instance changed.
      */
     boolean assumeSilentAreCold(long silenceMs, long durationMs, long nowMs) {
         boolean hasChanged = false;
@@ -113,8 +108,7 @@
     }
 
     /**
-     * Merges the records of other nodes on becoming primary. Each instance counts as seen now and
-     * none as lost: the node that took it for lost may have been partitioned.
+     * Merges the records of other nodes when this node becomes primary. Each instance counts as seen now, and lost instances become ready again, since the node that marked them as lost may have been partitioned.
      */
     void recover(Collection<InstanceRecord> records, long nowMs) {
         for (InstanceRecord record : records) {
@@ -130,38 +124,38 @@
         }
     }
 
-    /** Takes all instances for seen now: this process was suspended and could not hear them. */
+    /** Marks all instances as seen now, after this process was suspended and could not receive heartbeats. */
     void resetLastSeen(long nowMs) {
         entries.values().forEach(entry -> entry.lastSeenMs = nowMs);
     }
 
-    /** The record of an instance, null if it is unknown. */
+    /** Returns the record of an instance as it was reported, or null if the instance is unknown. */
     InstanceRecord get(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.record;
     }
 
-    /** The record of a known instance, with what is left of its warm-up now. */
+    /** Returns the record of a known instance with its remaining warm-up time at {@code nowMs}. */
     InstanceRecord get(String id, long nowMs) {
         return entries.get(id).recordAsOf(nowMs);
     }
 
-    /** All records, as they were reported. */
+    /** Returns all records as they were reported. */
     List<InstanceRecord> all() {
         return changedSince(0);
     }
 
-    /** All records, with what is left of their warm-ups now. */
+    /** Returns all records with their remaining warm-up times at {@code nowMs}. */
     List<InstanceRecord> all(long nowMs) {
         return changedSince(0, nowMs);
     }
 
-    /** The records that changed after a revision, as they were reported. */
+    /** Returns the records that changed after a revision, as they were reported. */
     List<InstanceRecord> changedSince(long knownRevision) {
         return entriesSince(knownRevision).stream().map(entry -> entry.record).toList();
     }
 
-    /** The records that changed after a revision, with what is left of their warm-ups now. */
+    /** Returns the records that changed after a revision, with their remaining warm-up times at {@code nowMs}. */
     List<InstanceRecord> changedSince(long knownRevision, long nowMs) {
         return entriesSince(knownRevision).stream().map(entry -> entry.recordAsOf(nowMs)).toList();
     }
@@ -170,7 +164,7 @@
         return entries.values().stream().filter(entry -> entry.revision > knownRevision).toList();
     }
 
-    /** Assigns the ordinals that are due; the records of the instances that got one. */
+    /** Assigns the ordinals that are due. Returns the records of the instances that received one. */
     List<InstanceRecord> assignOrdinals(long nowMs) {
         List<OrdinalAssigner.KnownInstance> known = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -186,8 +180,7 @@
     }
 
     /**
-     * Marks instances as lost, and draining ones as gone, that were not seen for the timeout;
-     * whether there was any. Forgets those that have been away for long.
+     * Marks instances that were not seen for longer than the timeout as lost, or as gone if they were draining, and removes the records whose retention time is over. Returns whether any instance was marked.
      */
     boolean expire(long nowMs, long timeoutMs) {
         entries.values().removeIf(entry -> isForgettable(entry, nowMs));
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -13,15 +13,13 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Sends records of upstream instances from the primary to the other control nodes. Heartbeats are
- * kept in their memory only. A departure that is acknowledged has to survive what an acknowledged
- * configuration change survives, so each replica of the view stores it on its disk first.
+ * Sends records of upstream instances from the primary to the other control nodes. The nodes keep heartbeats in memory only. An acknowledged departure must survive the same failures as an acknowledged configuration change, so each replica of the view stores it on disk first.
  *
- * <p>Members that do not take a record get it later by {@link HintedHandoff}. Confined to the event
+ * <p>Members that do not acknowledge a record receive it later through {@link HintedHandoff}. Confined to the event
  * loop.
  */
 final class InstanceReplicator {
-    /** How long a member has to answer. */
+    /** Timeout of a request to a member. */
     private static final long REQUEST_TIMEOUT_MS = 500;
 
     private final Peers peers;
@@ -34,24 +32,24 @@
         this.handoff = new HintedHandoff(scheduler, peers);
     }
 
-    /** Sets the replica that knows the view; has to precede all else. */
+    /** Sets the replica that knows the view. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** This node is primary of a new view, whose members alone get hints. */
+    /** Called when this node becomes primary of a new view; only members of its group keep their hints. */
     void onPrimacyGained() {
         isPrimary = true;
         handoff.retainMembers(replica.view().group);
     }
 
-    /** This node is no longer primary: the next one sends the records. */
+    /** Called when this node is no longer primary; the next primary sends the records. */
     void onPrimacyLost() {
         isPrimary = false;
         handoff.clear();
     }
 
-    /** Sends a record to the other nodes. */
+    /** Sends a record to the other nodes without waiting for them. */
     void replicate(InstanceRecord record) {
         View view = replica.view();
         ShareInstancesRequest request =
@@ -64,10 +62,9 @@
     }
 
     /**
-     * Sends a record to the other nodes and waits for the disks of the replicas.
+     * Sends a record to the other nodes and waits until all replicas have stored it on disk.
      *
-     * @param done called once: with true as soon as all replicas of the view have synced the
-     *     record, with false if one of them failed or did not answer
+     * @param done called once: with true when all replicas of the view have synced the record, with false if one of them failed or timed out
      */
     void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
@@ -103,7 +100,7 @@
         request.instances.forEach(record -> handoff.addHint(member, record, epoch));
     }
 
-    /** Another node may answer at the address by now: its answer does not count. */
+    /** Returns whether the member itself accepted the records; a response from another node that now has the address does not count. */
     private static boolean isTakenBy(Member member, Message response) {
         return response instanceof AcknowledgeResponse acknowledgement
                 && acknowledgement.accepted
--- a/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
@@ -11,8 +11,7 @@
 
 /**
  * Handles {@code /instances/ID} on the primary: heartbeats of upstreams ({@code PUT}) and their
- * departure ({@code DELETE}). A heartbeat is acknowledged at once; draining and departure are
- * acknowledged once all replicas of the view have them on their disks, and else answered with 503.
+ * departure ({@code DELETE}). A heartbeat is acknowledged at once. Draining and departure are acknowledged once all replicas of the view have stored them on disk; otherwise the response is 503.
  *
  * <p>Confined to the event loop.
  */
@@ -28,7 +27,7 @@
     /**
      * Creates a handler.
      *
-     * @param isConfirmedPrimary whether a majority confirmed of late that this node is primary
+     * @param isConfirmedPrimary whether a majority has recently confirmed that this node is primary
      */
     InstanceRequestHandler(
             Scheduler scheduler,
@@ -45,12 +44,12 @@
         this.isConfirmedPrimary = isConfirmedPrimary;
     }
 
-    /** Sets the replica that knows who is primary; has to precede all else. */
+    /** Sets the replica that knows the primary. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Accepts a request about the instance with this identifier. */
+    /** Handles a request for the instance with this identifier. */
     void handle(ServerExchange exchange, String id) {
         if (!isConfirmedPrimary.getAsBoolean()) {
             HttpResponses.redirectToPrimary(exchange, replica);
@@ -61,7 +60,7 @@
         }
     }
 
-    /** The departure of an instance, known or not: other nodes may know what this one does not. */
+    /** Returns the departure record of an instance, also of an unknown one, since other nodes may know it. */
     private InstanceRecord departureOf(String id) {
         InstanceRecord known = instances.get(id);
         return known == null ? InstanceRecord.departed(id) : known.withStage(Stage.GONE);
--- a/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
@@ -4,13 +4,12 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Saves the upstream instances a while after they changed, many changes at once: only a restart of
- * all nodes needs them from the disk.
+ * Saves the upstream instances to disk with a delay, so that one save covers many changes. The delay is acceptable because the saved instances are only needed after a restart of all nodes.
  *
  * <p>Confined to the event loop.
  */
 final class InstanceSaveScheduler {
-    /** The time from a change to its save. */
+    /** Delay from the first unsaved change to the save. */
     private static final long DELAY_MS = 700;
 
     private final Scheduler scheduler;
@@ -21,12 +20,12 @@
         this.scheduler = scheduler;
     }
 
-    /** Sets the replica that saves; has to precede all else. */
+    /** Sets the replica that saves the instances. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Schedules a save unless one is scheduled. */
+    /** Schedules a save unless one is already scheduled. */
     void schedule() {
         if (!isScheduled) {
             isScheduled = true;
--- a/src/main/java/myrtleladder/controlplane/LoadTable.java
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -8,24 +8,22 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * The requests and tokens that all balancers have in flight at each upstream, summed from the
- * newest report of each balancer.
+ * The total requests and prompt tokens that all balancers have in flight at each upstream, calculated from the latest report of each balancer.
  *
- * <p>Invariant: the sums are those of the reports in the table. A report replaces the one before
- * and expires, so that nothing counts twice and nothing remains of a balancer that died. Confined
+ * <p>Invariant: the totals are the sums over the reports in the table. A report replaces the previous one of its balancer and expires, so that no request counts twice and a crashed balancer leaves no load behind. Confined
  * to the event loop.
  */
 final class LoadTable {
-    /** How long a report counts. A poll's timeout and two waits of a poll. */
+    /** How long a report counts: the timeout of a poll plus two poll waits. */
     static final long REPORT_LIFETIME_MS = 1_500;
 
-    /** How long a new primary reports no sums. Each live balancer has polled by then. */
+    /** How long a new primary collects reports before it sends totals. Each live balancer has polled by then. */
     static final long WARM_UP_MS = 900;
 
-    /** The most upstreams in a response: bounds its bytes in large fleets. */
+    /** Maximum number of upstreams in a response. Bounds its size in large fleets. */
     private static final int MAX_LOADS_IN_RESPONSE = 200;
 
-    /** Reports by balancer, in the order in which they arrived. */
+    /** Latest report of each balancer, in the order of arrival. */
     private final LinkedHashMap<String, ReceivedReport> reports = new LinkedHashMap<>();
 
     private final Map<Integer, Sum> sums = new HashMap<>();
@@ -33,7 +31,7 @@
 
     private record ReceivedReport(LoadReport report, long receivedAtMs) {}
 
-    /** What all balancers together have in flight at an upstream. */
+    /** The load of all balancers at an upstream. */
     private static final class Sum {
         private int requests;
         private int tokens;
@@ -43,14 +41,14 @@
         }
     }
 
-    /** Starts anew: until now other nodes summed up. */
+    /** Clears the table, when this node becomes primary. */
     void reset(long nowMs) {
         reports.clear();
         sums.clear();
         resetAtMs = nowMs;
     }
 
-    /** Records a report unless a newer one of the same process is known. */
+    /** Records a report unless a newer one from the same process is known. */
     void record(LoadReport report, long nowMs) {
         ReceivedReport previous = reports.get(report.balancer);
         if (previous != null && !replaces(report, previous.report())) {
@@ -65,7 +63,7 @@
         return report.processId != previous.processId || report.sequence > previous.sequence;
     }
 
-    /** Takes a balancer's report, if there is one, out of the sums. */
+    /** Removes a balancer's report, if there is one, from the table and the totals. */
     void remove(String balancer) {
         ReceivedReport removed = reports.remove(balancer);
         if (removed != null) {
@@ -83,8 +81,7 @@
     }
 
     /**
-     * Adds to a response what the other balancers have in flight, unless this node is primary for
-     * too short a time to know it.
+     * Adds to a response the load of the other balancers, unless this node became primary so recently that some of them may not have reported yet.
      */
     void addLoadsOfOthers(FleetLoads response, String balancer, long nowMs) {
         if (nowMs - resetAtMs < WARM_UP_MS) {
@@ -110,7 +107,7 @@
         return loads;
     }
 
-    /** Adds a sum less the part of the balancer that is answered; {@code own} may be null. */
+    /** Adds the total at an upstream minus the requesting balancer's own load; {@code own} may be null. */
     private static void addDifference(
             FleetLoads response, int upstream, Sum sum, UpstreamLoad own) {
         int requests = sum.requests - (own == null ? 0 : own.inFlightRequests);
--- a/src/main/java/myrtleladder/controlplane/LogFileAccess.java
+++ b/src/main/java/myrtleladder/controlplane/LogFileAccess.java
@@ -4,9 +4,9 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 
-/** The operations of a log that change its file; tests override some of them to fail. */
+/** File operations of the tally log. Tests override them to inject failures. */
 class LogFileAccess {
-    /** Writes all of the bytes from a position on. */
+    /** Writes all bytes, starting at a position of the file. */
     void write(FileChannel channel, ByteBuffer bytes, long position) throws IOException {
         long next = position;
         while (bytes.hasRemaining()) {
@@ -14,12 +14,12 @@
         }
     }
 
-    /** Syncs what was written, and the length of the file. */
+    /** Syncs the written bytes and the length of the file to disk. */
     void force(FileChannel channel) throws IOException {
         channel.force(false);
     }
 
-    /** Cuts off what lies beyond a length. */
+    /** Truncates the file to a length in bytes. */
     void truncate(FileChannel channel, long length) throws IOException {
         channel.truncate(length);
     }
--- a/src/main/java/myrtleladder/controlplane/LongPoll.java
+++ b/src/main/java/myrtleladder/controlplane/LongPoll.java
@@ -7,8 +7,8 @@
 /**
  * A balancer's poll that waits for an update.
  *
- * @param request what the balancer has
- * @param responder takes the one response
- * @param receivedAtMs when the poll arrived, by the clock of the scheduler
+ * @param request the poll, with the versions that the balancer already has
+ * @param responder receives the only response
+ * @param receivedAtMs arrival time of the poll on the scheduler's clock, in milliseconds
  */
 record LongPoll(PollRequest request, Consumer<Message> responder, long receivedAtMs) {}
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -9,27 +9,27 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The control plane's program: starts a node and lets it leave its group on SIGTERM. */
+/** Entry point of the control plane: starts a node, which leaves its group on SIGTERM. */
 public final class Main {
     private static final Logger LOG = LogManager.getLogger(Main.class);
 
-    /** How long the process outlasts its end, so that the last responses are sent. */
+    /** Delay between the end of the leave protocol and the end of the process, so that the last responses are sent. */
     private static final long LINGER_MS = 150;
 
-    /** What is left of the grace period for the end after the node has left. */
+    /** Part of the grace period that is reserved for the shutdown after the node has left. */
     private static final long GRACE_MARGIN_MS = 1_000;
 
     private Main() {}
 
-    /** Runs the program; see {@link ControlCommand} for its verbs. */
+    /** Runs the program; see {@link ControlCommand} for its subcommands. */
     public static void main(String[] arguments) {
         System.exit(ControlCommand.run(arguments));
     }
 
     /**
-     * Serves until SIGTERM and ends the process.
+     * Serves until SIGTERM, then ends the process.
      *
-     * @throws ReflectiveOperationException if the platform has no signals
+     * @throws ReflectiveOperationException if the platform does not support signals
      */
     static void serve(NodeSettings settings)
             throws InterruptedException, ReflectiveOperationException {
@@ -41,13 +41,13 @@
         Signals.on(
                 "TERM", () -> loop.execute(() -> leave(settings.bounds(), loop, replica, ended)));
         Signals.on(
-                "HUP", () -> loop.execute(() -> LOG.info("settings are read at each start only")));
-        LOG.info("control node {} at {}", settings.nodeName(), settings.control());
+                "HUP", () -> loop.execute(() -> LOG.info("ignoring SIGHUP: settings are only read at startup")));
+        LOG.info("control node {} listens on {}", settings.nodeName(), settings.control());
         ended.await();
         Runtime.getRuntime().halt(0);
     }
 
-    /** Ends once the group goes on without this node; asked a second time, at once. */
+    /** Leaves the group and then ends the process; a second signal ends it at once. */
     private static void leave(
             NodeSettings.Bounds bounds, EventLoop loop, Replica replica, CountDownLatch ended) {
         if (replica.isLeaving()) {
--- a/src/main/java/myrtleladder/controlplane/OperatorRequestQueue.java
+++ b/src/main/java/myrtleladder/controlplane/OperatorRequestQueue.java
@@ -6,15 +6,12 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The requests of operators that read or change the replicated state, processed on the primary one
- * at a time, each after a majority has confirmed since it arrived that this node is still primary
- * ({@link Replica#confirm}). A request that waits too long or is not confirmed is answered with
- * 503, and the operator sends it again.
+ * Queue of operators' requests that read or change the replicated state. The primary processes them one at a time, each after a majority has confirmed since its arrival that this node is still primary ({@link Replica#confirm}). If a request waits too long or the primary is not confirmed, the response is 503 and the operator retries.
  *
  * <p>Confined to the event loop.
  */
 final class OperatorRequestQueue {
-    /** The longest that a request waits for its turn before it is answered with 503. */
+    /** Maximum time that a request waits in the queue before it is answered with 503. */
     private static final long QUEUE_TIMEOUT_MS = 900;
 
     private final Scheduler scheduler;
@@ -23,16 +20,16 @@
     private boolean isPrimary;
     private boolean isProcessing;
 
-    /** Processes a confirmed request. */
+    /** Processes a request after this node has been confirmed as primary. */
     interface Processor {
-        /** Answers the request and runs {@code onProcessed} once, now or later. */
+        /** Responds to the request and runs {@code onProcessed} exactly once, possibly later. */
         void process(Runnable onProcessed);
     }
 
     /**
-     * A request that waits for its turn.
+     * A queued request.
      *
-     * @param receivedAtMs when it arrived, by the clock of the scheduler
+     * @param receivedAtMs arrival time on the scheduler's clock, in milliseconds
      */
     private record WaitingRequest(
             ServerExchange exchange, long receivedAtMs, Processor processor) {}
@@ -41,18 +38,18 @@
         this.scheduler = scheduler;
     }
 
-    /** Sets the replica that knows who is primary; has to precede all else. */
+    /** Sets the replica that confirms the primary. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** This node became primary. */
+    /** Called when this node becomes primary. */
     void onPrimacyGained() {
         isPrimary = true;
         isProcessing = false;
     }
 
-    /** This node is no longer primary: queued requests are sent to the next one. */
+    /** Called when this node is no longer primary; redirects queued requests to the next primary. */
     void onPrimacyLost() {
         isPrimary = false;
         isProcessing = false;
@@ -61,7 +58,7 @@
         }
     }
 
-    /** Answers requests that have waited too long and processes the next one. */
+    /** Responds to the requests that have waited too long and processes the next one. */
     void tick(long nowMs) {
         while (!queue.isEmpty() && nowMs - queue.peek().receivedAtMs() > QUEUE_TIMEOUT_MS) {
             HttpResponses.unavailable(queue.poll().exchange());
@@ -69,7 +66,7 @@
         processNext();
     }
 
-    /** Accepts a request; one that can't be confirmed is answered without its processor. */
+    /** Queues a request. If this node cannot be confirmed as primary, the request is answered without calling the processor. */
     void add(ServerExchange exchange, Processor processor) {
         if (!isPrimary) {
             HttpResponses.redirectToPrimary(exchange, replica);
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -11,15 +11,12 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * Decides which ordinals instances get. A new instance waits a moment for one of its service and
- * zone to leave and takes over that one's ordinal, so that what was placed there has one successor;
- * if none leaves, it gets the least ordinal that is free. An ordinal once assigned is kept until
- * the instance has left.
+ * Assigns ordinals to instances. A new instance first waits for an instance of the same service and zone to leave and inherits its ordinal, so that the requests that are routed by this ordinal move to a single new instance. If none leaves, the new instance gets the lowest free ordinal. An instance keeps its ordinal until it has left.
  *
- * <p>A function of its arguments, without state.
+ * <p>Stateless.
  */
 final class OrdinalAssigner {
-    /** How long a new instance waits for one of its zone to leave. */
+    /** How long a new instance waits for an instance of its service and zone to leave. */
     private static final long PREDECESSOR_WAIT_MS = 5_000;
 
     private static final int FIRST_ORDINAL = InstanceRecord.UNASSIGNED_ORDINAL + 1;
@@ -27,9 +24,9 @@
     private OrdinalAssigner() {}
 
     /**
-     * An instance that the registry knows.
+     * An instance of the registry.
      *
-     * @param firstSeenMs when it was first heard of
+     * @param firstSeenMs when the registry first received a record of the instance, in milliseconds
      */
     record KnownInstance(InstanceRecord record, long firstSeenMs) {
         private boolean needsOrdinal() {
@@ -41,14 +38,14 @@
         }
     }
 
-    /** The instances among which ordinals are handed on. */
+    /** Identifies the group of instances within which ordinals are inherited. */
     private record ServiceInZone(String service, String zone) {
         static ServiceInZone of(InstanceRecord record) {
             return new ServiceInZone(record.service, record.zone);
         }
     }
 
-    /** The records that get an ordinal now, each with it. */
+    /** Returns the records of the instances that receive an ordinal now, with the ordinal set. */
     static List<InstanceRecord> assign(List<KnownInstance> instances, long nowMs) {
         if (instances.stream().noneMatch(KnownInstance::needsOrdinal)) {
             return List.of();
@@ -91,7 +88,7 @@
         return held;
     }
 
-    /** Ordinals of instances that leave or have left, as far as nobody has taken them over. */
+    /** Returns the ordinals of leaving and departed instances that no other instance has inherited. */
     private static Map<ServiceInZone, NavigableSet<Integer>> vacantByZone(
             List<KnownInstance> instances, Map<String, Set<Integer>> held) {
         Map<ServiceInZone, NavigableSet<Integer>> vacant = new HashMap<>();
@@ -118,7 +115,7 @@
         return vacant;
     }
 
-    /** The least ordinal of a service that nobody holds and that waits for no successor. */
+    /** Returns the lowest ordinal of a service that is neither in use nor vacant. */
     private static int leastFree(Set<Integer> held, Set<Integer> vacant) {
         int ordinal = FIRST_ORDINAL;
         while (held.contains(ordinal) || vacant.contains(ordinal)) {
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -9,20 +9,18 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the long polls by which balancers learn of the configuration, the upstreams, the other
- * balancers and their loads. A poll is answered at once if there is an update for the balancer,
- * else as soon as there is one or its time is over.
+ * Handles the long polls with which balancers fetch the configuration, the upstreams, the other balancers and their loads. A poll is answered at once if there is an update for the balancer, otherwise as soon as there is one or the maximum wait is over.
  *
  * <p>Invariant: polls wait only while this node is primary. Confined to the event loop.
  */
 final class PollRequestHandler {
-    /** The shortest that a poll without update waits. */
+    /** Minimum wait of a poll without an update. */
     private static final long MIN_WAIT_MS = 150;
 
-    /** The longest that a poll without update waits. */
+    /** Maximum wait of a poll without an update. */
     private static final long MAX_WAIT_MS = 450;
 
-    /** What each balancer adds to the wait: bounds the polls of all to 250 a second. */
+    /** Wait per balancer. Limits the total rate of polls to 250 per second. */
     private static final long WAIT_PER_BALANCER_MS = 4;
 
     private final Scheduler scheduler;
@@ -44,19 +42,19 @@
         this.responses = responses;
     }
 
-    /** Sets the replica that knows who is primary; has to precede all else. */
+    /** Sets the replica that knows the primary. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
         responses.attach(attached);
     }
 
-    /** This node became primary. */
+    /** Called when this node becomes primary. */
     void onPrimacyGained() {
         isPrimary = true;
         sendUpdates();
     }
 
-    /** This node is no longer primary: balancers that wait are told who is. */
+    /** Called when this node is no longer primary; answers the waiting polls with the address of the primary, if known. */
     void onPrimacyLost() {
         isPrimary = false;
         List<LongPoll> abandoned = new ArrayList<>(waiting);
@@ -64,19 +62,19 @@
         abandoned.forEach(poll -> poll.responder().accept(responses.notPrimary()));
     }
 
-    /** Answers the polls that have waited long enough. */
+    /** Answers the polls whose wait is over. */
     void tick(long nowMs) {
         long waitMs = waitMs();
         answer(waiting.stream().filter(poll -> nowMs - poll.receivedAtMs() >= waitMs).toList());
     }
 
-    /** Short waits keep the loads fresh; the more balancers, the less often each polls. */
+    /** Returns the wait of a poll. Short waits keep the loads current; with more balancers, each polls less often. */
     private long waitMs() {
         long sharedMs = WAIT_PER_BALANCER_MS * balancers.count(false);
         return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, sharedMs));
     }
 
-    /** Accepts a poll. */
+    /** Handles a poll; {@code responder} receives the response, possibly later. */
     void handle(PollRequest request, Consumer<Message> responder) {
         if (!isPrimary || !replica.isRecentlyConfirmed()) {
             responder.accept(responses.notPrimary());
@@ -96,7 +94,7 @@
         }
     }
 
-    /** Answers the waiting polls of all balancers for which there is an update. */
+    /** Answers the waiting polls for which there is an update. */
     void sendUpdates() {
         if (!isPrimary || replica.state() != Replica.State.PRIMARY) {
             return;
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -13,11 +13,9 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Builds responses to polls: each holds what is newer than what the balancer has. Configuration,
- * upstreams, balancers and prompts have a version of their own each; those of upstreams, balancers
- * and prompts count within an epoch.
+ * Builds responses to polls. A response contains only what is newer than the versions that the balancer has. Configuration, upstreams, balancers and cached prompts are versioned separately; the versions of upstreams, balancers and prompts are only comparable within an epoch.
  *
- * <p>Reads the state that others own. Confined to the event loop.
+ * <p>Only reads the state, which other classes own. Confined to the event loop.
  */
 final class PollResponseBuilder {
     private static final byte[] NO_DOCUMENT = {};
@@ -33,8 +31,7 @@
     /**
      * Creates a builder.
      *
-     * @param hasHeardAllInstances whether each live upstream has had the time to send this primary
-     *     a heartbeat
+     * @param hasHeardAllInstances whether every live upstream has had time to send a heartbeat to this primary
      */
     PollResponseBuilder(
             Scheduler scheduler,
@@ -51,12 +48,12 @@
         this.hasHeardAllInstances = hasHeardAllInstances;
     }
 
-    /** Sets the replica that knows the view; has to precede all else. */
+    /** Sets the replica that knows the view. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Whether this node has something that the balancer does not have yet. */
+    /** Returns whether this node has an update for the balancer. */
     boolean hasUpdate(PollRequest request) {
         return request.epoch != replica.view().epoch
                 || request.generation < committed.generation()
@@ -65,13 +62,13 @@
                 || (!request.hasAuthoritativeList && hasHeardAllInstances.getAsBoolean());
     }
 
-    /** A balancer that does not heed drained zones is not told of them time and again. */
+    /** Returns whether the balancer has outdated drained zones. A balancer that does not support drained zones sends none and gets no update for them, since each poll would be answered at once. */
     private boolean hasOtherDrainedZones(PollRequest request) {
         return request.drainedZones != null
                 && !request.drainedZones.names.equals(committed.drainedZones());
     }
 
-    /** The response to a poll; that of another node than the primary if that is in doubt. */
+    /** Returns the response to a poll. If this node is not recently confirmed as primary, the response is {@link #notPrimary}. */
     PollResponse build(PollRequest request) {
         if (!replica.isRecentlyConfirmed()) {
             return notPrimary();
@@ -115,7 +112,7 @@
         }
     }
 
-    /** The response of a node that is not the primary: it names the one that it knows, if any. */
+    /** Returns the response of a node that is not primary, with the address of the primary if it is known. */
     PollResponse notPrimary() {
         PollResponse response = new PollResponse();
         Member primary = replica.primary();
--- a/src/main/java/myrtleladder/controlplane/PrimaryRelay.java
+++ b/src/main/java/myrtleladder/controlplane/PrimaryRelay.java
@@ -7,8 +7,7 @@
 import myrtleladder.replication.Replica;
 
 /**
- * Passes requests of balancers that don't reach the primary on to it, where this node hears it: a
- * broken link between two zones cuts nobody off whom a third zone connects. Confined to the event
+ * Relays requests to the primary for balancers that cannot reach it, provided that this node can. If the link between two zones fails, balancers can still reach the primary through a third zone. Confined to the event
  * loop.
  */
 final class PrimaryRelay {
@@ -19,21 +18,21 @@
         this.peers = peers;
     }
 
-    /** Sets the replica that knows who is primary; has to precede all else. */
+    /** Sets the replica that knows the primary. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Whether another node is primary and was heard of late. */
+    /** Returns whether another node is primary and has recently been heard from. */
     boolean isAvailable() {
         Member primary = replica.primary();
         return primary != null && !primary.equals(replica.self());
     }
 
     /**
-     * Passes a request on; only if {@link #isAvailable()}.
+     * Relays a request. May only be called if {@link #isAvailable()}.
      *
-     * @param onFailure runs instead of the responder if the primary does not answer in time
+     * @param onFailure runs instead of the responder if the primary does not respond in time
      */
     void relay(Message request, long timeoutMs, Consumer<Message> responder, Runnable onFailure) {
         peers.call(
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -9,38 +9,36 @@
 import myrtleladder.protocol.FleetLoads;
 
 /**
- * Which upstream has cached which shared prompt prefix, as the balancers announced it: a compacted
- * log in which each announcement has a revision, so that each balancer gets what is new to it. What
- * is announced again moves to the end of the log and counts once.
+ * The shared prompt prefixes that upstreams have cached, as announced by the balancers. It is a compacted log in which each announcement has a revision, so that each balancer only receives new announcements. A repeated announcement moves to the end of the log instead of being stored twice.
  *
- * <p>Invariant: both maps hold the same announcements. Confined to the event loop.
+ * <p>Invariant: both maps contain the same announcements. Confined to the event loop.
  */
 final class PromptDirectory {
-    /** The most announcements in the log; the oldest are dropped. Bounds the memory. */
+    /** Maximum number of announcements in the log; the oldest are dropped. Bounds the memory. */
     private static final int MAX_ANNOUNCEMENTS = 8_192;
 
-    /** The most announcements in a response: bounds its bytes. */
+    /** Maximum number of announcements in a response. Bounds its size. */
     private static final int MAX_PROMPTS_IN_RESPONSE = 128;
 
     private final TreeMap<Long, CachedPrompt> promptByRevision = new TreeMap<>();
     private final Map<Location, Long> revisionByLocation = new HashMap<>();
     private long revision;
 
-    /** A prompt prefix at an upstream. */
+    /** A prompt prefix cached at an upstream. */
     private record Location(long prompt, int upstream) {
         static Location of(CachedPrompt cached) {
             return new Location(cached.prefixHash, cached.upstreamKey);
         }
     }
 
-    /** Starts anew: the balancers keep what they learned from another primary. */
+    /** Clears the log, when this node becomes primary. Balancers keep the announcements that they received from earlier primaries. */
     void clear() {
         promptByRevision.clear();
         revisionByLocation.clear();
         revision = 0;
     }
 
-    /** Records announcements. */
+    /** Adds announcements to the log. */
     void record(List<CachedPrompt> announced) {
         for (CachedPrompt cached : announced) {
             revision++;
@@ -57,8 +55,7 @@
     }
 
     /**
-     * Adds to a response the announcements after a revision, the oldest first, and the revision up
-     * to which the balancer has all with this response.
+     * Adds to a response the announcements after a revision, oldest first, and the revision up to which the balancer has all announcements once it has received the response.
      */
     void addChangesSince(FleetLoads response, long knownRevision) {
         response.promptRevision = Math.min(knownRevision, revision);
--- a/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
@@ -8,26 +8,24 @@
 import myrtleladder.protocol.QuotaResponse;
 
 /**
- * The quotas of all tenants, kept by the primary: balancers take from a tenant's {@link
- * TokenBucket} what their requests count.
+ * Rate limits of all tenants on the primary. Balancers request units, which are consumed from the tenant's {@link TokenBucket}.
  *
- * <p>Invariant: each tenant with a rate in the configuration in force has a bucket, all others are
- * not limited. Confined to the event loop.
+ * <p>Invariant: each tenant with a rate in the current configuration has a bucket; all other tenants are not limited. Confined to the event loop.
  */
 final class QuotaAllocator {
-    /** The part of the allowed overage by which a bucket's rate is raised. */
+    /** Fraction of the allowed overage that is added to a bucket's rate. */
     private static final double USED_SHARE_OF_OVERAGE = 0.5;
 
-    /** The part of the allowed slack that is added to a bucket's capacity. */
+    /** Fraction of the allowed slack that is added to a bucket's capacity. */
     private static final double USED_SHARE_OF_SLACK = 0.25;
 
-    /** How full a bucket starts if another primary may have granted from it before. */
+    /** Initial fill level of a bucket, as a fraction of its capacity, if an earlier primary may have granted units to the tenant. */
     private static final double INITIAL_LEVEL_OF_NEW_PRIMARY = 0.1;
 
-    /** How full a bucket has to be for grants in advance. */
+    /** Fill level, as a fraction of the capacity, above which units are granted in advance. */
     private static final double MIN_LEVEL_FOR_ADVANCE = 0.5;
 
-    /** The part of the slack that all balancers together may hold in advance. */
+    /** Fraction of the slack that all balancers together may have been granted in advance. */
     private static final double SHARE_OF_SLACK_IN_ADVANCE = 0.25;
 
     private final double overageShare;
@@ -38,23 +36,23 @@
     /**
      * Creates an allocator without tenants.
      *
-     * @param overageShare by which share more than the rate may be granted over any window
-     * @param slackUnits how many units beyond that may be granted at once
+     * @param overageShare the fraction by which grants may exceed the rate over any window
+     * @param slackUnits the units that may be granted at once beyond that
      */
     QuotaAllocator(double overageShare, double slackUnits) {
         this.overageShare = overageShare;
         this.slackUnits = slackUnits;
     }
 
-    /** Forgets all levels: another node granted until now. */
+    /** Removes all buckets, since their levels are outdated when another node has been primary. */
     void clear() {
         bucketByTenant.clear();
     }
 
     /**
-     * Goes over to the quotas of a configuration; tenants that it keeps keep their levels.
+     * Applies the quotas of a configuration. Tenants that already have a bucket keep its level.
      *
-     * @param isFirst whether nothing was granted before, so that buckets start full
+     * @param isFirst whether this is the first configuration, so that nothing was granted before and buckets start full
      */
     void configure(Configuration configuration, boolean isFirst, long nowMs) {
         Map<String, TokenBucket> previous = new HashMap<>(bucketByTenant);
@@ -67,7 +65,7 @@
         }
     }
 
-    /** The bucket of a tenant; {@code known} is the one before, null if there was none. */
+    /** Creates the bucket of a tenant; {@code known} is its previous bucket, or null. */
     private TokenBucket bucketFor(Tenant tenant, TokenBucket known, boolean isFirst, long nowMs) {
         double ratePerS = tenant.ratePerSecond() * (1 + overageShare * USED_SHARE_OF_OVERAGE);
         double capacity = Math.max(tenant.burst(), 1) + slackUnits * USED_SHARE_OF_SLACK;
@@ -79,14 +77,13 @@
         return new TokenBucket(ratePerS, capacity, known.level(), nowMs);
     }
 
-    /** Sets how many balancers share what is granted in advance. */
+    /** Sets the number of balancers among which the advance grants are divided. */
     void setBalancerCount(int count) {
         balancerCount = Math.max(1, count);
     }
 
     /**
-     * Grants the units that a balancer requests, or responds with the time after which there may be
-     * some. A negative number of units is put back.
+     * Grants the units that a balancer requests, or responds with the time after which it should retry. A negative number of units returns unused units to the bucket.
      */
     QuotaResponse grant(QuotaRequest request, long nowMs) {
         TokenBucket bucket = bucketByTenant.get(request.tenant);
@@ -106,7 +103,7 @@
         return QuotaResponse.of(true, request.units + advance, 0);
     }
 
-    /** The units that one balancer may hold of a tenant in advance. */
+    /** Returns the maximum number of a tenant's units that one balancer may have been granted in advance. */
     private double maxAdvance() {
         return SHARE_OF_SLACK_IN_ADVANCE * slackUnits / balancerCount;
     }
--- a/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
@@ -7,8 +7,7 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the quota requests of balancers on the primary, and with them the load reports that they
- * carry.
+ * Handles the quota requests of balancers on the primary, including the load reports that they contain.
  *
  * <p>Confined to the event loop.
  */
@@ -22,7 +21,7 @@
     /**
      * Creates a handler.
      *
-     * @param isConfirmedPrimary whether a majority confirmed of late that this node is primary
+     * @param isConfirmedPrimary whether a majority has recently confirmed that this node is primary
      */
     QuotaRequestHandler(
             Scheduler scheduler,
@@ -35,12 +34,12 @@
         this.isConfirmedPrimary = isConfirmedPrimary;
     }
 
-    /** Sets the replica that knows the epoch; has to precede all else. */
+    /** Sets the replica that knows the epoch. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** The response to a request; it is marked as invalid unless this node is the primary. */
+    /** Returns the response to a request. It is marked as invalid unless this node is the confirmed primary. */
     QuotaResponse handle(QuotaRequest request) {
         if (!isConfirmedPrimary.getAsBoolean()) {
             return QuotaResponse.of(false, 0, 0);
--- a/src/main/java/myrtleladder/controlplane/ReplicaAcknowledgements.java
+++ b/src/main/java/myrtleladder/controlplane/ReplicaAcknowledgements.java
@@ -16,13 +16,13 @@
     private final Consumer<Boolean> done;
     private boolean isDone;
 
-    /** Creates a wait; {@code done} is called with true once all replicas acknowledged. */
+    /** Creates an instance; {@code done} is called with true once all replicas have acknowledged, or with false on the first failure. */
     ReplicaAcknowledgements(Collection<Member> replicas, Consumer<Boolean> done) {
         this.pending = new HashSet<>(replicas);
         this.done = done;
     }
 
-    /** Records a member's answer; that of a member that is no replica does not count. */
+    /** Records a member's response; ignored if the member is not one of the replicas. */
     void record(Member member, boolean isAcknowledged) {
         if (isDone || !pending.contains(member)) {
             return;
--- a/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -8,9 +8,7 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A
- * record that has to be durable is acknowledged once it is on the disk; a primary of a lower epoch
- * is refused.
+ * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A record that must be durable is acknowledged once it is on disk. A request from a primary of a lower epoch is rejected.
  *
  * <p>Confined to the event loop.
  */
@@ -27,12 +25,12 @@
         this.saves = saves;
     }
 
-    /** Sets the replica that knows the epoch; has to precede all else. */
+    /** Sets the replica that knows the epoch. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Accepts a request. */
+    /** Handles a request; {@code responder} receives the acknowledgement, possibly later. */
     void handle(ShareInstancesRequest request, Consumer<Message> responder) {
         if (request.epoch < replica.epoch()) {
             responder.accept(acknowledgement(false));
--- a/src/main/java/myrtleladder/controlplane/StateFileFormat.java
+++ b/src/main/java/myrtleladder/controlplane/StateFileFormat.java
@@ -11,14 +11,12 @@
 import org.mapdb.volume.Volume;
 
 /**
- * The bytes of a state file: a MapDB sorted table without the zeros at its end, followed by its
- * CRC-32C as a big-endian long. Entry 0 of the table is the header (format version and length of
- * the content, an int each), the entries after it are the content in chunks.
+ * Encodes and decodes state files. A file is a MapDB sorted table without its trailing zeros, followed by the CRC-32C of these bytes as a big-endian long. Entry 0 of the table is the header (format version and content length, an int each); the entries after it are the chunks of the content.
  *
- * <p>A function of its arguments, without state. The format is stored data: it stays readable.
+ * <p>Stateless. The format must stay compatible with files on existing disks.
  */
 final class StateFileFormat {
-    /** The version that is written, and the only one that is read. */
+    /** The format version that is written, and the only one that can be read. */
     private static final int VERSION = 1;
 
     private static final int HEADER_KEY = 0;
@@ -26,20 +24,20 @@
     private static final int VERSION_OFFSET = 0;
     private static final int LENGTH_OFFSET = 4;
 
-    /** The content of an entry. Part of the format. */
+    /** Content bytes per entry. Part of the format. */
     private static final int CHUNK_BYTES = 8 * 1_024;
 
-    /** The page size of the table. Part of the format. */
+    /** Page size of the table. Part of the format. */
     private static final int PAGE_BYTES = 64 * 1_024;
 
-    /** The entries of a node of the table. Part of the format. */
+    /** Entries per node of the table. Part of the format. */
     private static final int ENTRIES_PER_NODE = 4;
 
     private static final int CHECKSUM_BYTES = Long.BYTES;
 
     private StateFileFormat() {}
 
-    /** The bytes of a file with this content. */
+    /** Returns the bytes of a file with this content. */
     static byte[] encode(byte[] content) {
         byte[] table = withoutTrailingZeros(encodeTable(content));
         byte[] file = Arrays.copyOf(table, table.length + CHECKSUM_BYTES);
@@ -77,13 +75,13 @@
     private static byte[] bytesOf(Volume volume) {
         byte[] bytes = new byte[(int) volume.length()];
         for (int offset = 0; offset < bytes.length; offset += PAGE_BYTES) {
-            // a read must not cross the volume's slices, which whole pages never do
+            // a read must not cross a slice boundary of the volume; reads of entire pages never do
             volume.getData(offset, bytes, offset, PAGE_BYTES);
         }
         return bytes;
     }
 
-    /** The library's volume grows by a megabyte, of which most is unused. */
+    /** MapDB grows a volume in steps of a megabyte, most of which is unused zeros. */
     private static byte[] withoutTrailingZeros(byte[] table) {
         int length = table.length;
         while (length > 1 && table[length - 1] == 0) {
@@ -93,9 +91,9 @@
     }
 
     /**
-     * The content of a file.
+     * Returns the content of a file.
      *
-     * @throws StorageException if the file is damaged or has another version
+     * @throws StorageException if the file is damaged or has a different format version
      */
     static byte[] decode(byte[] file) {
         byte[] table = withTrailingZeros(withoutChecksum(file));
@@ -104,11 +102,11 @@
                         new SingleByteArrayVol(table), Serializer.INTEGER, Serializer.BYTE_ARRAY));
     }
 
-    /** The library trusts what it reads; so the table is checked before it is opened. */
+    /** Verifies and removes the checksum. MapDB does not validate its input, so this must precede opening the table. */
     private static byte[] withoutChecksum(byte[] file) {
         int length = file.length - CHECKSUM_BYTES;
         if (length <= 0) {
-            throw StorageException.damaged("the file is cut short");
+            throw StorageException.damaged("the file is truncated");
         }
         byte[] table = Arrays.copyOf(file, length);
         if (checksum(table) != ByteBuffer.wrap(file).getLong(length)) {
@@ -117,7 +115,7 @@
         return table;
     }
 
-    /** The table with whole pages, as the library made it; more zeros do no harm. */
+    /** Pads the table with zeros to a multiple of the page size, which MapDB requires; extra zeros are harmless. */
     private static byte[] withTrailingZeros(byte[] table) {
         int pages = table.length / PAGE_BYTES + 2;
         return Arrays.copyOf(table, pages * PAGE_BYTES);
@@ -129,7 +127,7 @@
             byte[] chunk = table.get(chunkKey(i));
             int expectedLength = Math.min(CHUNK_BYTES, content.length - i * CHUNK_BYTES);
             if (chunk == null || chunk.length != expectedLength) {
-                throw StorageException.damaged("part " + i + " is missing");
+                throw StorageException.damaged("chunk " + i + " is missing or has the wrong length");
             }
             System.arraycopy(chunk, 0, content, i * CHUNK_BYTES, expectedLength);
         }
@@ -139,16 +137,16 @@
     private static int contentLength(SortedTableMap<Integer, byte[]> table) {
         byte[] bytes = table.get(HEADER_KEY);
         if (bytes == null || bytes.length != HEADER_BYTES) {
-            throw StorageException.damaged("there is no header");
+            throw StorageException.damaged("the header is missing or has the wrong length");
         }
         ByteBuffer header = ByteBuffer.wrap(bytes);
         int version = header.getInt(VERSION_OFFSET);
         if (version != VERSION) {
-            throw new StorageException(ResultCode.DISK_FORMAT, "format " + version, null);
+            throw new StorageException(ResultCode.DISK_FORMAT, "unsupported format version " + version, null);
         }
         int length = header.getInt(LENGTH_OFFSET);
         if (length < 0 || length > table.size() * (long) CHUNK_BYTES) {
-            throw StorageException.damaged("a length of " + length);
+            throw StorageException.damaged("invalid content length " + length);
         }
         return length;
     }
--- a/src/main/java/myrtleladder/controlplane/StateStore.java
+++ b/src/main/java/myrtleladder/controlplane/StateStore.java
@@ -18,15 +18,11 @@
 import org.mapdb.DBException;
 
 /**
- * The state of a node on its disk. Each save writes the whole state as a new {@link
- * StateFileFormat} file, syncs it, and only then removes the files that are older than the one
- * before.
+ * Stores the replica state of a node on disk. Each save writes the complete state as a new {@link StateFileFormat} file and syncs it; only then does it remove old files, keeping the new file and the previous one.
  *
- * <p>Invariants: no file is changed once it is written; the newest file that can be read holds at
- * least what was last acknowledged. A file that was written in part is set aside when the state is
- * loaded; what it held was never acknowledged.
+ * <p>Invariants: a file is never modified after it is written; the newest readable file contains at least the last acknowledged state. Loading quarantines partially written files by renaming them; their state was never acknowledged.
  *
- * <p>Not thread-safe: one thread at a time may use a store.
+ * <p>Not thread-safe.
  */
 public final class StateStore {
     private static final Logger LOG = LogManager.getLogger(StateStore.class);
@@ -39,23 +35,23 @@
     private long newestNumber;
 
     /**
-     * Creates a store in a folder, which is made if it is missing.
+     * Creates a store in a folder, which is created if it does not exist.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if it can't be made
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if the folder cannot be created
      */
     public StateStore(Path folder) {
         this.folder = folder;
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
-            throw new StorageException(ResultCode.DISK_WRITE, "can't make " + folder, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "cannot create " + folder, e);
         }
     }
 
     /**
-     * A file of the folder, readable or not.
+     * A state file in the folder, readable or not.
      *
-     * @param number counts the saves; 0 if the name has none
+     * @param number the sequence number in the file name, 0 if the name has none
      */
     public record StateFile(long number, Path path) {
         private boolean isSetAside() {
@@ -64,9 +60,9 @@
     }
 
     /**
-     * The files in the folder, the newest first, with those that were set aside.
+     * Returns the state files in the folder, newest first, including quarantined ones.
      *
-     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the folder can't be listed
+     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the folder cannot be listed
      */
     public List<StateFile> files() {
         List<StateFile> found = new ArrayList<>();
@@ -79,7 +75,7 @@
                         }
                     });
         } catch (IOException e) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "can't list " + folder, e);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "cannot list " + folder, e);
         }
         found.sort(Comparator.comparingLong(StateFile::number).reversed());
         return found;
@@ -94,7 +90,7 @@
         }
     }
 
-    /** The newest complete state, null if there is none; newer, damaged files are set aside. */
+    /** Returns the newest readable state, or null if there is none. Newer files, which are damaged, are quarantined. */
     public StoredState load() {
         StoredState newest = null;
         for (StateFile file : files()) {
@@ -106,12 +102,12 @@
         return newest;
     }
 
-    /** The state in a file, null if it is damaged. */
+    /** Returns the state in a file; if the file is damaged, quarantines it and returns null. */
     private static StoredState readOrSetAside(Path path) {
         try {
             return read(path);
         } catch (StorageException e) {
-            LOG.warn("{} is set aside: {}", path, e.getMessage());
+            LOG.warn("quarantining unreadable state file {}: {}", path, e.getMessage());
             setAside(path);
             return null;
         }
@@ -121,33 +117,33 @@
         try {
             Files.move(path, path.resolveSibling(path.getFileName() + DAMAGED_SUFFIX));
         } catch (IOException e) {
-            LOG.warn("{} can't be renamed: {}", path, e.toString());
+            LOG.warn("cannot rename {}: {}", path, e.toString());
         }
     }
 
     /**
-     * Reads and checks one file.
+     * Reads and verifies a file.
      *
      * @throws StorageException with {@link ResultCode#DISK_DAMAGED} or {@link
-     *     ResultCode#DISK_FORMAT} if it can't be read
+     *     ResultCode#DISK_FORMAT} if it cannot be read
      */
     public static StoredState read(Path path) {
         byte[] encoded;
         try {
             encoded = StateFileFormat.decode(Files.readAllBytes(path));
         } catch (IOException | DBException e) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, path + " can't be read: " + e, e);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "cannot read " + path + ": " + e, e);
         }
         if (MessageCodec.decode(encoded) instanceof StoredState state) {
             return state;
         }
-        throw StorageException.damaged(path + " holds something else");
+        throw StorageException.damaged(path + " does not contain a replica state");
     }
 
     /**
-     * Writes and syncs a state as the next file.
+     * Writes a state as the next file and syncs it.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if it is not on the disk
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if the state could not be stored
      */
     public void save(StoredState state) {
         newestNumber++;
@@ -161,12 +157,12 @@
             channel.force(true);
         } catch (DBException | IOException e) {
             remove(path);
-            throw new StorageException(ResultCode.DISK_WRITE, "can't write " + path + ": " + e, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "cannot write " + path + ": " + e, e);
         }
         removeOldFiles();
     }
 
-    /** Keeps the newest file and the one before it. */
+    /** Removes all files except the newest and the previous one. */
     private void removeOldFiles() {
         for (StateFile file : files()) {
             if (file.number() < newestNumber - 1) {
@@ -179,7 +175,7 @@
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
-            LOG.warn("{} can't be removed: {}", path, e.toString());
+            LOG.warn("cannot remove {}: {}", path, e.toString());
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
@@ -10,7 +10,7 @@
 import myrtleladder.tally.TallyFigures;
 
 /**
- * Handles {@code GET /status}: what this node, primary or not, knows of itself and the fleet.
+ * Handles {@code GET /status}: the state of this node and its view of the fleet. Served by every node, primary or not.
  *
  * <p>Confined to the event loop.
  */
@@ -20,7 +20,7 @@
     private final BalancerRegistry balancers;
     private Replica replica;
 
-    /** Null if this node serves no tallies. */
+    /** The tallies, or null if this node serves none. */
     private Tallies tallies;
 
     StatusRequestHandler(
@@ -32,17 +32,17 @@
         this.balancers = balancers;
     }
 
-    /** Sets the replica whose state is shown; has to precede all else. */
+    /** Sets the replica whose state is reported. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Sets the tallies whose figures are shown. */
+    /** Sets the tallies whose statistics are reported. */
     void serveTallies(Tallies served) {
         tallies = served;
     }
 
-    /** Accepts a request. */
+    /** Handles a request. */
     void handle(ServerExchange exchange) {
         Map<String, Object> status =
                 new HashMap<>(
--- a/src/main/java/myrtleladder/controlplane/StorageException.java
+++ b/src/main/java/myrtleladder/controlplane/StorageException.java
@@ -3,7 +3,7 @@
 import myrtleladder.result.ResultCode;
 import myrtleladder.result.ResultException;
 
-/** The state cannot be written to the disk or read from it. */
+/** Thrown when stored data cannot be written to disk or read from it. */
 public final class StorageException extends ResultException {
     private static final long serialVersionUID = 1;
 
@@ -12,7 +12,7 @@
         super(code, message, cause);
     }
 
-    /** A file that cannot be read back as it was written. */
+    /** Creates an exception for a damaged file. */
     static StorageException damaged(String message) {
         return new StorageException(ResultCode.DISK_DAMAGED, message, null);
     }
--- a/src/main/java/myrtleladder/controlplane/TallyLog.java
+++ b/src/main/java/myrtleladder/controlplane/TallyLog.java
@@ -16,13 +16,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The additions to tallies that a node keeps on its disk: a file of {@link TallyLogFormat} frames
- * that only grows. Each append is synced before it returns.
+ * Append-only log of tally additions on a node's disk, a file of {@link TallyLogFormat} frames. Each append is synced before it returns.
  *
- * <p>Invariants: the first {@link #durableLength} bytes are synced, intact and never written again;
- * what follows them was not acknowledged and is cut off before the next append.
+ * <p>Invariants: the first {@link #durableLength} bytes are synced, intact and never overwritten; the bytes after them were not acknowledged and are truncated before the next append.
  *
- * <p>Not thread-safe: one thread at a time may use a log.
+ * <p>Not thread-safe.
  */
 public final class TallyLog {
     private static final Logger LOG = LogManager.getLogger(TallyLog.class);
@@ -32,19 +30,19 @@
     private final Path path;
     private final LogFileAccess access;
 
-    /** Null before the first use and after a failure. */
+    /** The open file, or null before the first use and after a failure. */
     private FileChannel channel;
 
-    /** In bytes from the start of the file. */
+    /** Length of the synced, intact part of the file, in bytes. */
     private long durableLength;
 
-    /** Whether the file has a frame without additions, which is the mark. */
+    /** Whether the file contains the completion marker, a frame without additions. */
     private boolean isComplete;
 
     /**
-     * Creates a log in a folder, which is made if it is missing.
+     * Creates a log in a folder, which is created if it does not exist.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if it can't be made
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if the folder cannot be created
      */
     public TallyLog(Path folder) {
         this(folder, new LogFileAccess());
@@ -57,18 +55,14 @@
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
-            throw new StorageException(ResultCode.DISK_WRITE, "can't make " + folder, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "cannot create " + folder, e);
         }
     }
 
     /**
-     * Reads all additions in the order of their appends, to be called once before the first append.
-     * The file ends before the first frame that is torn or damaged: the rest is cut off. What is
-     * returned is synced.
+     * Reads all additions in the order in which they were appended. Must be called once, before the first append. Truncates the file at the first torn or damaged frame and syncs the additions that it returns.
      *
-     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the file can't be read,
-     *     {@link ResultCode#DISK_FORMAT} if it is of another program, {@link ResultCode#DISK_WRITE}
-     *     if it can't be synced; the file is unchanged then
+     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the file cannot be read, {@link ResultCode#DISK_FORMAT} if an intact frame has unknown content, {@link ResultCode#DISK_WRITE} if the file cannot be synced; no intact frame is removed then
      */
     public List<TallyAddition> load() {
         List<TallyAddition> additions = new ArrayList<>();
@@ -79,13 +73,13 @@
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(path)))) {
             durableLength = readFrames(in, additions);
         } catch (IOException e) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, path + " can't be read: " + e, e);
+            throw new StorageException(ResultCode.DISK_DAMAGED, "cannot read " + path + ": " + e, e);
         }
         syncLoaded();
         return additions;
     }
 
-    /** Adds the additions of all readable frames; returns the length of these frames in bytes. */
+    /** Adds the additions of all frames up to the first unreadable one to the list. Returns the length of these frames in bytes. */
     private long readFrames(DataInputStream in, List<TallyAddition> additions) throws IOException {
         long length = 0;
         TallyLogFormat.Frame frame = TallyLogFormat.read(in);
@@ -98,22 +92,21 @@
         return length;
     }
 
-    /** A process that was killed may have left frames that it had not synced. */
+    /** Syncs the loaded frames, since a killed process may have written frames without syncing them. */
     private void syncLoaded() {
         try {
             open();
             access.force(channel);
         } catch (IOException e) {
             closeAfterFailure();
-            throw new StorageException(ResultCode.DISK_WRITE, path + " can't be synced: " + e, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "cannot sync " + path + ": " + e, e);
         }
     }
 
     /**
-     * Writes additions with one sync; they are durable when this returns. After a failure none of
-     * them is.
+     * Appends additions with a single sync. They are durable when the method returns; after a failure none of them is.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if they are not on the disk
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if they could not be stored
      */
     public void append(List<TallyAddition> additions) {
         if (!additions.isEmpty()) {
@@ -121,20 +114,20 @@
         }
     }
 
-    /** Returns whether the disk has this log; a disk that was lost has not. */
+    /** Returns whether the log file exists. It does not exist on a disk that was replaced. */
     public boolean exists() {
         return Files.exists(path);
     }
 
-    /** Returns whether the log was marked as complete. */
+    /** Returns whether the log is marked as complete. */
     public boolean isComplete() {
         return isComplete;
     }
 
     /**
-     * Marks, once, that the log holds what the node needs to serve after a restart.
+     * Marks the log as complete: the node can serve from it after a restart. Does nothing if it is already marked.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if the mark is not on the disk
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if the marker could not be stored
      */
     public void markComplete() {
         if (!isComplete) {
@@ -144,9 +137,9 @@
     }
 
     /**
-     * Makes the file without a mark, so that the next start knows that the disk was lost.
+     * Creates the file without a completion marker, which tells the next start that the disk was lost.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if it is not on the disk
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if the file could not be created
      */
     public void create() {
         write(ByteBuffer.allocate(0));
@@ -160,12 +153,12 @@
             access.force(channel);
         } catch (IOException e) {
             closeAfterFailure();
-            throw new StorageException(ResultCode.DISK_WRITE, "can't write " + path + ": " + e, e);
+            throw new StorageException(ResultCode.DISK_WRITE, "cannot write " + path + ": " + e, e);
         }
         durableLength += length;
     }
 
-    /** Opens the file unless it is open, and cuts off what a failed append has left. */
+    /** Opens the file unless it is open, and truncates the bytes that a failed append left behind. */
     private void open() throws IOException {
         if (channel != null) {
             return;
@@ -177,20 +170,20 @@
         }
         long length = channel.size();
         if (length < durableLength) {
-            throw new IOException("the file has " + length + " bytes of " + durableLength);
+            throw new IOException("the file has only " + length + " of " + durableLength + " bytes");
         }
         if (length > durableLength) {
-            LOG.warn("{} bytes at the end of {} are cut off", length - durableLength, path);
+            LOG.warn("truncating {} bytes at the end of {}", length - durableLength, path);
             access.truncate(channel, durableLength);
         }
     }
 
-    /** Not all platforms allow it; a new file then survives from its own sync on. */
+    /** Syncs the folder, so that a new file survives a crash. Not all platforms support this; there, the sync of the file itself has to suffice. */
     private void syncFolder() {
         try (FileChannel opened = FileChannel.open(folder, StandardOpenOption.READ)) {
             opened.force(true);
         } catch (IOException e) {
-            LOG.debug("{} can't be synced: {}", folder, e.toString());
+            LOG.debug("cannot sync folder {}: {}", folder, e.toString());
         }
     }
 
@@ -201,7 +194,7 @@
         try (FileChannel failed = channel) {
             access.truncate(failed, durableLength);
         } catch (IOException e) {
-            LOG.debug("{} is cut before the next append: {}", path, e.toString());
+            LOG.debug("cannot truncate {} now, retrying before the next append: {}", path, e.toString());
         }
         channel = null;
     }
--- a/src/main/java/myrtleladder/controlplane/TallyLogFormat.java
+++ b/src/main/java/myrtleladder/controlplane/TallyLogFormat.java
@@ -14,27 +14,25 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * The bytes of the tallies' log: frames, one after the other. A frame is the length of its content,
- * the CRC-32C of length and content (big-endian ints), and the content: a {@link TallyBatch} as
- * {@link MessageCodec} encodes it.
+ * Encodes and decodes the tally log, a sequence of frames. A frame consists of the content length, the CRC-32C of length and content (both big-endian ints), and the content, a {@link TallyBatch} encoded by {@link MessageCodec}.
  *
- * <p>Functions of their arguments, without state. The format is stored data: it stays readable.
+ * <p>Stateless. The format must stay compatible with files on existing disks.
  */
 final class TallyLogFormat {
-    /** The longest content of a frame in bytes; part of the format. */
+    /** Maximum content of a frame. Part of the format. */
     static final int MAX_CONTENT_BYTES = 256 * 1_024;
 
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
 
     private TallyLogFormat() {}
 
-    /** A frame that was read, with its length in the file. */
+    /** A frame read from the log; {@code lengthBytes} is its length in the file, including the header. */
     record Frame(List<TallyAddition> additions, int lengthBytes) {}
 
     /**
-     * Encodes additions as frames, as many as their bounded length takes.
+     * Encodes additions as one frame, or as several if the content exceeds {@link #MAX_CONTENT_BYTES}.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if one addition exceeds a frame
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if a single addition does not fit into a frame
      */
     static ByteBuffer encode(List<TallyAddition> additions) {
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
@@ -51,7 +49,7 @@
         }
         if (additions.size() == 1) {
             throw new StorageException(
-                    ResultCode.DISK_WRITE, "an addition of " + content.length + " bytes", null);
+                    ResultCode.DISK_WRITE, "an addition of " + content.length + " bytes is too long for a frame", null);
         }
         int middle = additions.size() / 2;
         encodeTo(frames, additions.subList(0, middle));
@@ -66,11 +64,10 @@
     }
 
     /**
-     * Reads the next frame; null if there is none that is complete and intact.
+     * Reads the next frame. Returns null at the end of the file and for an incomplete or damaged frame.
      *
-     * @throws IOException if the file can't be read
-     * @throws StorageException with {@link ResultCode#DISK_FORMAT} if the frame is intact and its
-     *     content is not known to this program
+     * @throws IOException if the file cannot be read
+     * @throws StorageException with {@link ResultCode#DISK_FORMAT} if the frame is intact but its content is unknown to this version
      */
     static Frame read(DataInputStream in) throws IOException {
         byte[] content = readIntactContent(in);
@@ -98,9 +95,9 @@
                 return batch.additions;
             }
         } catch (MessageFormatException e) {
-            throw new StorageException(ResultCode.DISK_FORMAT, "an unknown batch: " + e, e);
+            throw new StorageException(ResultCode.DISK_FORMAT, "cannot decode a frame: " + e, e);
         }
-        throw new StorageException(ResultCode.DISK_FORMAT, "a frame holds something else", null);
+        throw new StorageException(ResultCode.DISK_FORMAT, "a frame does not contain a tally batch", null);
     }
 
     private static int checksum(byte[] content) {
--- a/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
@@ -9,18 +9,17 @@
 import myrtleladder.tally.Tallies;
 
 /**
- * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. 503 promises
- * that nothing was done; 504 leaves open whether an addition counts, and it may be sent again.
+ * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. With 503 the request had no effect. With 504 it is unknown whether the addition counts; it may be retried with the same id.
  *
  * <p>Confined to the event loop.
  */
 final class TallyRequestHandler {
     private static final String ID_FIELD = "id";
 
-    /** The field of an application's request that has the number to add. */
+    /** The request field with the amount to add. Applications depend on its name. */
     private static final String AMOUNT_FIELD = "owner";
 
-    /** Longest name of a tally and longest id, in characters. */
+    /** Maximum length of a tally name and of an id, in characters. */
     private static final int MAX_NAME_LENGTH = 128;
 
     private final Tallies tallies;
@@ -29,7 +28,7 @@
         this.tallies = tallies;
     }
 
-    /** Accepts a request about the tally of this name. */
+    /** Handles a request for the tally with this name. */
     void handle(ServerExchange exchange, String name) {
         String method = exchange.head().method();
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
--- a/src/main/java/myrtleladder/controlplane/TokenBucket.java
+++ b/src/main/java/myrtleladder/controlplane/TokenBucket.java
@@ -1,8 +1,7 @@
 package myrtleladder.controlplane;
 
 /**
- * The token bucket of a tenant. Its level may fall below zero: a request leaves a debt, so that
- * large requests are not passed over for small ones.
+ * The token bucket of a tenant. Its level may become negative (a debt): a request is granted in full while the level is positive, so that small requests cannot starve large ones.
  *
  * <p>Invariant: the level is at most the capacity. Confined to the event loop; {@link
  * QuotaAllocator} owns it.
@@ -16,10 +15,10 @@
     private long refilledAtMs;
 
     /**
-     * Creates a bucket that holds {@code level} units now, at most its capacity.
+     * Creates a bucket with {@code level} units, limited to its capacity.
      *
-     * @param ratePerS units a second by which the level rises
-     * @param capacity the highest level, in units
+     * @param ratePerS refill rate in units per second
+     * @param capacity maximum level, in units
      */
     TokenBucket(double ratePerS, double capacity, double level, long nowMs) {
         this.ratePerS = ratePerS;
@@ -28,33 +27,33 @@
         this.refilledAtMs = nowMs;
     }
 
-    /** Adds what has accrued since the last refill. */
+    /** Adds the units that have accrued since the last refill. */
     void refill(long nowMs) {
         level = Math.min(capacity, level + ratePerS * (nowMs - refilledAtMs) / MS_PER_S);
         refilledAtMs = nowMs;
     }
 
-    /** The units that are left; negative for a debt. */
+    /** Returns the available units; negative for a debt. */
     double level() {
         return level;
     }
 
-    /** Whether more than a share of the capacity is left. */
+    /** Returns whether the level exceeds a fraction of the capacity. */
     boolean isAbove(double share) {
         return level > share * capacity;
     }
 
-    /** Takes units out, also more than are left. */
+    /** Consumes units, possibly more than are available. */
     void take(double units) {
         level -= units;
     }
 
-    /** Puts unused units back. */
+    /** Returns unused units to the bucket. */
     void putBack(double units) {
         level = Math.min(capacity, level + units);
     }
 
-    /** Milliseconds until a debt is paid, at least 1. */
+    /** Returns the time until the level is positive again, in milliseconds, at least 1. */
     long msUntilPositive() {
         return Math.max(1, Math.round(-level / ratePerS * MS_PER_S));
     }
--- a/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
@@ -7,8 +7,7 @@
 import myrtleladder.replication.Replica;
 
 /**
- * Handles {@code GET /upgrade}: how far an upgrade has come. Only the primary hears the balancers,
- * so it alone knows what is in flight.
+ * Handles {@code GET /upgrade}: the progress of an upgrade of the upstreams. Only the primary answers, since balancers report their requests in flight only to it.
  *
  * <p>Confined to the event loop.
  */
@@ -22,7 +21,7 @@
     /**
      * Creates a handler.
      *
-     * @param isConfirmedPrimary whether a majority confirmed of late that this node is primary
+     * @param isConfirmedPrimary whether a majority has recently confirmed that this node is primary
      */
     UpgradeRequestHandler(
             InstanceRegistry instances,
@@ -35,12 +34,12 @@
         this.isConfirmedPrimary = isConfirmedPrimary;
     }
 
-    /** Sets the replica that knows who is primary; has to precede all else. */
+    /** Sets the replica that knows the primary. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Accepts a request. */
+    /** Handles a request. */
     void handle(ServerExchange exchange) {
         if (!isConfirmedPrimary.getAsBoolean()) {
             HttpResponses.redirectToPrimary(exchange, replica);
--- a/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
@@ -10,8 +10,7 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * How far an upgrade has come in each zone, for the operator who replaces the upstreams: the next
- * zone may be begun once the ones before it are settled.
+ * The progress of an upgrade in each zone, for the operator who replaces the upstreams. The next zone may be started once the previous ones are settled.
  *
  * @param zones the status of each service in each zone, by service, then by zone
  */
@@ -22,7 +21,7 @@
     private record ServiceInZone(String service, String zone) {}
 
     /**
-     * Derives the status from what the primary knows.
+     * Derives the status from the state of the primary.
      *
      * @param records the upstream instances
      * @param inFlight the requests in flight at draining instances, by incarnation
@@ -35,7 +34,7 @@
         Map<ServiceInZone, ZoneUpgradeStatus> zones = new TreeMap<>(BY_SERVICE_AND_ZONE);
         for (InstanceRecord record : records) {
             if (record.service.isEmpty()) {
-                continue; // nothing but its departure is known
+                continue; // only the departure of this instance is known
             }
             String region = regionByZone.getOrDefault(record.zone, "");
             zones.computeIfAbsent(
@@ -46,7 +45,7 @@
         return new UpgradeStatus(new ArrayList<>(zones.values()));
     }
 
-    /** The JSON object that operators read. */
+    /** Returns the JSON object of the response. */
     Map<String, Object> toJson() {
         List<Object> list = new ArrayList<>();
         zones.forEach(zone -> list.add(zone.toJson()));
--- a/src/main/java/myrtleladder/controlplane/Warmup.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -31,24 +31,22 @@
 import myrtleladder.rpc.PeerClient;
 
 /**
- * A warm-up run: a control node on the loopback that sends itself one request of each kind and
- * ends. The build runs it to record the classes that a start needs in an archive, from which they
- * load at a fraction of the processor time.
+ * Training run for class-data sharing: starts a control node on the loopback interface, sends it one request of each kind and ends. The build uses it to archive the classes that a start needs, because loading them from the archive takes a fraction of the processor time.
  *
- * <p>The verb of the command line is {@code rehearse}.
+ * <p>The subcommand is {@code rehearse}.
  */
 final class Warmup {
-    /** After this time the run has failed. */
+    /** Time after which the run counts as failed. */
     private static final long TIMEOUT_MS = 10_000;
 
-    /** The time from one step to the next, and of a call. */
+    /** Delay between two steps, and timeout of a call. */
     private static final long STEP_MS = 700;
 
     private static final String HOST = "127.0.0.1";
     private static final String NO_IF_MATCH = "";
     private static final String NO_BODY = "";
 
-    /** The first configuration: of each kind of object one, with many of its fields. */
+    /** The first configuration, with one object of each kind and most of its fields. */
     private static final String DOCUMENT =
             """
             {"generation":3,
@@ -69,7 +67,7 @@
                "type":"idempotent","timeout_ms":800,"backend":"s"}]},
              "delete":{"routes":["x"]}}""";
 
-    /** A configuration that is refused: its number is too low. */
+    /** A configuration that is rejected because its generation is too low. */
     private static final String OUTDATED_DOCUMENT = "{\"generation\":2}";
 
     private static final String HEARTBEAT =
@@ -95,11 +93,11 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new StorageException(ResultCode.NO_SOCKET, "no port is free", e);
+            throw new StorageException(ResultCode.NO_SOCKET, "no free port", e);
         }
     }
 
-    /** Runs once; whether it came to its end in time. */
+    /** Performs the run. Returns whether it finished in time. */
     static boolean run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rehearsal");
         Warmup warmup = new Warmup(new StateStore(folder), new TallyLog(folder));
@@ -112,7 +110,7 @@
         loop.execute(() -> loop.schedule(STEP_MS, this::sendFirstRequests));
     }
 
-    /** Settings of a group of one member, in the order of the record's components. */
+    /** Returns the settings of a group with a single member. */
     private NodeSettings settings() {
         Address self = new Address(HOST, controlPort);
         return new NodeSettings(
--- a/src/main/java/myrtleladder/controlplane/WarmupDeadline.java
+++ b/src/main/java/myrtleladder/controlplane/WarmupDeadline.java
@@ -1,23 +1,21 @@
 package myrtleladder.controlplane;
 
 /**
- * When the warm-up of an instance ends, on the clock of this node. Heartbeats state the remaining
- * time; a delay on their way only makes the end later. Confined to the event loop.
+ * The time at which the warm-up of an instance ends, on the clock of this node. Heartbeats contain the remaining time, so a network delay can only postpone the end. Confined to the event loop.
  */
 final class WarmupDeadline {
-    /** Ends that differ by no more are those of one warm-up, told by heartbeats of other delays. */
+    /** Ends that differ by at most this much belong to the same warm-up, reported by heartbeats with different network delays. */
     static final long TOLERANCE_MS = 200;
 
-    /** The end of a warm-up that never was, far enough from both ends of the range. */
+    /** Stands for no warm-up; far enough from the limits of the range that differences do not overflow. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private long endsAtMs = NEVER;
 
     /**
-     * Takes the remaining time that a newer heartbeat states, 0 for none.
+     * Applies the remaining time from a newer heartbeat, 0 for none.
      *
-     * @return whether balancers have to learn of it: the instance became cold or warm, or it is
-     *     another warm-up
+     * @return whether balancers must receive the change: the instance became cold or warm, or this is a different warm-up
      */
     boolean replace(long leftMs, long nowMs) {
         boolean hasChanged =
@@ -30,12 +28,12 @@
         return hasChanged;
     }
 
-    /** Extends the warm-up to a time from now if it would end earlier; whether that is news. */
+    /** Extends the warm-up to at least the remaining time. Returns whether balancers must receive the change. */
     boolean extend(long leftMs, long nowMs) {
         return leftMs > remainingMs(nowMs) && replace(leftMs, nowMs);
     }
 
-    /** The time for which the instance may still be cold, in milliseconds; 0 if it is warm. */
+    /** Returns the time for which the instance may still be cold, in milliseconds, 0 if it is warm. */
     long remainingMs(long nowMs) {
         return Math.max(0, endsAtMs + TOLERANCE_MS - nowMs);
     }
--- a/src/main/java/myrtleladder/controlplane/ZoneUpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/ZoneUpgradeStatus.java
@@ -6,7 +6,7 @@
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 
-/** Counts the instances of a service in a zone by what an upgrade still waits for. */
+/** The progress of an upgrade of one service in one zone: counts of instances by stage. */
 final class ZoneUpgradeStatus {
     private final String service;
     private final String zone;
@@ -23,7 +23,7 @@
         this.region = region;
     }
 
-    /** Adds an instance and the requests in flight at it, which count only if it is leaving. */
+    /** Counts an instance. Its requests in flight only count if it is leaving. */
     void add(InstanceRecord record, int requestsInFlight) {
         if (record.stage == Stage.READY) {
             readyByVersion.merge(record.version, 1, Integer::sum);
@@ -34,12 +34,12 @@
         inFlight += record.isLeaving() ? requestsInFlight : 0;
     }
 
-    /** Whether the upgrade has nothing to wait for: no instance leaves, each has its ordinal. */
+    /** Returns whether the upgrade of this zone is finished: no instance is lost or draining, no requests are in flight at leaving instances, and each ready instance has an ordinal. */
     boolean isSettled() {
         return draining == 0 && inFlight == 0 && withoutOrdinal == 0 && lost == 0;
     }
 
-    /** The JSON object that operators read. */
+    /** Returns the JSON object of the response. */
     Map<String, Object> toJson() {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("service", service);
