--- a/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
@@ -21,6 +21,7 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private long revision;
 
+    /** A live balancer with the content of its latest poll. */
     private static final class Entry {
         final String address;
         long lastSeenMs;
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -326,7 +326,7 @@
     }
 
     /**
-     * Assumes that the ready upstreams of a zone are cold until their next heartbeat. Called when the drain of the zone is cancelled, since they may have become cold in the meantime.
+     * Assumes that the ready upstreams of a zone are cold until their next heartbeat. Called when the drain of the zone is cancelled, since they may have become cold without a heartbeat that said so.
      */
     private void assumeCold(String zone) {
         List<InstanceRecord> assumed =
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -20,6 +20,7 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private long revision;
 
+    /** The latest record of an instance, its warm-up, and when it was first and last seen. */
     private static final class Entry {
         final long firstSeenMs;
         final WarmupDeadline warmup = new WarmupDeadline();
@@ -41,6 +42,7 @@
                     && warmup.extend(reported.warmupLeftMs(), nowMs);
         }
 
+        /** Returns the record with the remaining warm-up time at {@code nowMs}. */
         InstanceRecord recordAsOf(long nowMs) {
             return record.withWarmupLeftMs(warmup.remainingMs(nowMs));
         }
--- a/src/main/java/myrtleladder/controlplane/LoadTable.java
+++ b/src/main/java/myrtleladder/controlplane/LoadTable.java
@@ -29,6 +29,7 @@
     private final Map<Integer, Sum> sums = new HashMap<>();
     private long resetAtMs;
 
+    /** A load report and its arrival time. */
     private record ReceivedReport(LoadReport report, long receivedAtMs) {}
 
     /** The load of all balancers at an upstream. */
--- a/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
@@ -18,6 +18,7 @@
     private static final Comparator<ServiceInZone> BY_SERVICE_AND_ZONE =
             Comparator.comparing(ServiceInZone::service).thenComparing(ServiceInZone::zone);
 
+    /** Identifies the part of the fleet that a {@link ZoneUpgradeStatus} covers. */
     private record ServiceInZone(String service, String zone) {}
 
     /**
