--- a/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncStateWriter.java
@@ -10,9 +10,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Saves states on a dedicated thread, since a disk write may take seconds. Of the states that arrive during a write, only the newest is written next, because it includes the others (group commit).
+ * Saves states on a dedicated thread, since a disk write may take seconds. Of the states that
+ * arrive during a write, only the newest is written next, because it includes the others (group
+ * commit).
  *
- * <p>{@link #save} may be called from any thread; callbacks run on the event loop. Once the writer thread is started, no other thread may use the {@link StateStore}.
+ * <p>{@link #save} may be called from any thread; callbacks run on the event loop. Once the writer
+ * thread is started, no other thread may use the {@link StateStore}.
  */
 public final class AsyncStateWriter implements Storage {
     private static final Logger LOG = LogManager.getLogger(AsyncStateWriter.class);
@@ -25,7 +28,9 @@
     /** The next state to write, or null if there is none. Guarded by {@link #lock}. */
     private StoredState pending;
 
-    /** The callbacks that receive the result of saving {@link #pending}. Guarded by {@link #lock}. */
+    /**
+     * The callbacks that receive the result of saving {@link #pending}. Guarded by {@link #lock}.
+     */
     private List<Consumer<Boolean>> pendingCallbacks = new ArrayList<>();
 
     /** A state to write and the callbacks that receive the result of the write. */
--- a/src/main/java/myrtleladder/controlplane/AsyncTallyWriter.java
+++ b/src/main/java/myrtleladder/controlplane/AsyncTallyWriter.java
@@ -10,7 +10,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Appends additions on a dedicated thread, since a disk write may take seconds. Additions that arrive during a write are appended together by the next write with a single sync (group commit); they become durable or fail together. A failed append is not retried here.
+ * Appends additions on a dedicated thread, since a disk write may take seconds. Additions that
+ * arrive during a write are appended together by the next write with a single sync (group commit);
+ * they become durable or fail together. A failed append is not retried here.
  *
  * <p>{@link #append} may be called from any thread; callbacks run on the event loop in the order of
  * the appends. Once the writer thread is started, no other thread may use the {@link TallyLog}.
--- a/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/BalancerRegistry.java
@@ -10,7 +10,8 @@
 import myrtleladder.protocol.PollRequest;
 
 /**
- * The live balancers: those that poll this node, and those that other balancers report as alive because they receive their heartbeats on the monitoring ring.
+ * The live balancers: those that poll this node, and those that other balancers report as alive
+ * because they receive their heartbeats on the monitoring ring.
  *
  * <p>Confined to the event loop.
  */
@@ -45,7 +46,7 @@
             remove(poll.balancer);
             return;
         }
-        Entry entry = entryAt(poll.balancer, poll.address);
+        Entry entry = getOrCreateEntry(poll.balancer, poll.address);
         entry.lastSeenMs = nowMs;
         entry.reportedCount = poll.balancerCount;
         entry.inFlight = poll.inFlightAtDraining;
@@ -57,8 +58,11 @@
         }
     }
 
-    /** Returns the entry of a balancer; creates it if the balancer is unknown or its address has changed. */
-    private Entry entryAt(String balancer, String address) {
+    /**
+     * Returns the entry of a balancer; creates it if the balancer is unknown or its address has
+     * changed.
+     */
+    private Entry getOrCreateEntry(String balancer, String address) {
         Entry known = entries.get(balancer);
         if (known != null && known.address.equals(address)) {
             return known;
@@ -69,14 +73,19 @@
         return created;
     }
 
-    /** Returns the number of requests in flight from all balancers at draining upstreams, by upstream incarnation. */
-    Map<String, Integer> inFlightRequests() {
-        Map<String, Integer> sums = new HashMap<>();
+    /**
+     * Returns the number of requests in flight from all balancers at draining upstreams, by
+     * upstream incarnation.
+     */
+    Map<String, Integer> inFlightByInstance() {
+        Map<String, Integer> requestsByInstance = new HashMap<>();
         for (Entry entry : entries.values()) {
             entry.inFlight.forEach(
-                    inFlight -> sums.merge(inFlight.instanceId, inFlight.requests, Integer::sum));
+                    inFlight ->
+                            requestsByInstance.merge(
+                                    inFlight.instanceId, inFlight.requests, Integer::sum));
         }
-        return sums;
+        return requestsByInstance;
     }
 
     /** Removes the balancers that have timed out. */
@@ -86,7 +95,10 @@
         }
     }
 
-    /** Returns the revision of the balancer list, which increases whenever a balancer joins, changes its address or leaves. */
+    /**
+     * Returns the revision of the balancer list, which increases whenever a balancer joins, changes
+     * its address or leaves.
+     */
     long revision() {
         return revision;
     }
@@ -101,7 +113,9 @@
     /**
      * Returns the number of balancers, at least 1.
      *
-     * @param isNewPrimary whether this node became primary so recently that some balancers may not have polled it yet; the largest count that a balancer reports then applies if it is higher
+     * @param isNewPrimary whether this node became primary so recently that some balancers may not
+     *     have polled it yet; the largest count that a balancer reports then applies if it is
+     *     higher
      */
     int count(boolean isNewPrimary) {
         int count = Math.max(1, entries.size());
--- a/src/main/java/myrtleladder/controlplane/ChangeValidation.java
+++ b/src/main/java/myrtleladder/controlplane/ChangeValidation.java
@@ -5,7 +5,9 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * The result of validating a configuration change against the committed configuration. Validation has no side effects. Its result is final only if a majority has confirmed this node as primary since the request arrived.
+ * The result of validating a configuration change against the committed configuration. Validation
+ * has no side effects. Its result is final only if a majority has confirmed this node as primary
+ * since the request arrived.
  */
 sealed interface ChangeValidation {
     /** The change is valid; {@code next} is the resulting configuration. */
@@ -18,11 +20,12 @@
     record Rejected(int status, String reason) implements ChangeValidation {}
 
     /** Validates a {@code PUT} or {@code PATCH} request. */
-    static ChangeValidation of(ConfigurationRequest request, CommittedConfiguration committed) {
-        if (committed.includesChange(request.digest())) {
+    static ChangeValidation validate(
+            ConfigurationRequest request, CommittedConfiguration committed) {
+        if (committed.isChangeCommitted(request.digest())) {
             return new AlreadyCommitted();
         }
-        if (!request.matches(committed.generation())) {
+        if (!request.matchesGeneration(committed.generation())) {
             return new Rejected(
                     HttpResponses.PRECONDITION_FAILED,
                     ResultCode.STALE_MATCH.label()
--- a/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
+++ b/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
@@ -7,9 +7,11 @@
 import myrtleladder.protocol.Snapshot;
 
 /**
- * The latest configuration and drained zones that this node knows to be committed, that is, stored on the disks of all replicas of the view. Generation 0 means that there is no configuration.
+ * The latest configuration and drained zones that this node knows to be committed, that is, stored
+ * on the disks of all replicas of the view. Generation 0 means that there is no configuration.
  *
- * <p>Confined to the event loop. {@link ConfigurationRequestHandler} and {@link DrainRequestHandler} update the state, one request at a time.
+ * <p>Confined to the event loop. {@link ConfigurationRequestHandler} and {@link
+ * DrainRequestHandler} update the state, one request at a time.
  */
 final class CommittedConfiguration {
     private final Listener listener;
@@ -18,11 +20,17 @@
 
     /** Is notified of committed configurations. */
     interface Listener {
-        /** Called when a configuration is committed; {@code isFirst} is true if there was none before. */
+        /**
+         * Called when a configuration is committed; {@code isFirst} is true if there was none
+         * before.
+         */
         void configurationCommitted(Configuration configuration, boolean isFirst);
     }
 
-    /** Creates an empty configuration; {@code onUpdated} runs after every update, whether or not the content changed. */
+    /**
+     * Creates an empty configuration; {@code onUpdated} runs after every update, whether or not the
+     * content changed.
+     */
     CommittedConfiguration(Listener listener, Runnable onUpdated) {
         this.listener = listener;
         this.onUpdated = onUpdated;
@@ -61,8 +69,11 @@
         return snapshot.drainedZones;
     }
 
-    /** Returns whether the change with this digest is among the recently committed changes that the snapshot records. */
-    boolean includesChange(String digest) {
+    /**
+     * Returns whether the change with this digest is among the recently committed changes that the
+     * snapshot records.
+     */
+    boolean isChangeCommitted(String digest) {
         return snapshot.changeDigests.contains(digest);
     }
 
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequest.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequest.java
@@ -10,7 +10,8 @@
  * An operator's request to {@code /config}.
  *
  * @param exchange the HTTP exchange, which must be answered exactly once
- * @param digest identifies the change: requests with the same method, {@code If-Match} and body have the same digest, so that a retry is recognized
+ * @param digest identifies the change: requests with the same method, {@code If-Match} and body
+ *     have the same digest, so that a retry is recognized
  */
 record ConfigurationRequest(ServerExchange exchange, String digest) {
     /** Length to which the SHA-256 hash is truncated; stored digests have this length. */
@@ -57,7 +58,7 @@
     }
 
     /** Returns whether {@code If-Match} is absent or equals this generation, quoted or not. */
-    boolean matches(long generation) {
+    boolean matchesGeneration(long generation) {
         String expected = ifMatch(exchange);
         return expected == null
                 || expected.replace("\"", "").trim().equals(Long.toString(generation));
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -11,17 +11,21 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Handles {@code GET}, {@code PUT} and {@code PATCH /config} on the primary. A change is processed in these steps:
+ * Handles {@code GET}, {@code PUT} and {@code PATCH /config} on the primary. A change is processed
+ * in these steps:
  *
  * <ol>
- *   <li>it waits for the requests before it and for the confirmation that this node is still primary ({@link OperatorRequestQueue});
+ *   <li>it waits for the requests before it and for the confirmation that this node is still
+ *       primary ({@link OperatorRequestQueue});
  *   <li>it is validated against the committed configuration ({@link ChangeValidation});
  *   <li>all replicas of the view store it ({@link Replica#submit});
- *   <li>it becomes the {@link CommittedConfiguration}, whose listener sends it to the balancers with a waiting {@link LongPoll};
+ *   <li>it becomes the {@link CommittedConfiguration}, whose listener sends it to the balancers
+ *       with a waiting {@link LongPoll};
  *   <li>it is acknowledged.
  * </ol>
  *
- * <p>If the outcome is unknown, the response is 503 and the operator retries the same request. Confined to the event loop.
+ * <p>If the outcome is unknown, the response is 503 and the operator retries the same request.
+ * Confined to the event loop.
  */
 final class ConfigurationRequestHandler {
     private static final Logger LOG = LogManager.getLogger(ConfigurationRequestHandler.class);
@@ -46,7 +50,10 @@
         queue.add(exchange, onProcessed -> process(request, onProcessed));
     }
 
-    /** Processes a request, after a majority has confirmed since its arrival that this node is primary. */
+    /**
+     * Processes a request, after a majority has confirmed since its arrival that this node is
+     * primary.
+     */
     private void process(ConfigurationRequest request, Runnable onProcessed) {
         if (request.isRead()) {
             respondWithDocument(request.exchange());
@@ -54,25 +61,25 @@
         } else if (request.isReplacement() || request.isPatch()) {
             processChange(request, onProcessed);
         } else {
-            HttpResponses.empty(request.exchange(), HttpResponses.METHOD_NOT_ALLOWED);
+            HttpResponses.sendEmpty(request.exchange(), HttpResponses.METHOD_NOT_ALLOWED);
             onProcessed.run();
         }
     }
 
     private void respondWithDocument(ServerExchange exchange) {
         if (committed.isEmpty()) {
-            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+            HttpResponses.sendEmpty(exchange, HttpResponses.NOT_FOUND);
         } else {
-            HttpResponses.json(exchange, HttpResponses.OK, committed.documentBytes());
+            HttpResponses.sendJson(exchange, HttpResponses.OK, committed.documentBytes());
         }
     }
 
     private void processChange(ConfigurationRequest request, Runnable onProcessed) {
-        ChangeValidation validation = ChangeValidation.of(request, committed);
+        ChangeValidation validation = ChangeValidation.validate(request, committed);
         if (validation instanceof ChangeValidation.Valid valid) {
             replicate(request, valid.next(), onProcessed);
         } else if (validation instanceof ChangeValidation.Rejected rejected) {
-            HttpResponses.error(request.exchange(), rejected.status(), rejected.reason());
+            HttpResponses.sendError(request.exchange(), rejected.status(), rejected.reason());
             onProcessed.run();
         } else {
             acknowledge(request);
@@ -89,7 +96,7 @@
                     if (isCommitted) {
                         commit(request);
                     } else {
-                        HttpResponses.unavailable(request.exchange());
+                        HttpResponses.sendUnavailable(request.exchange());
                     }
                     onProcessed.run();
                 });
@@ -97,12 +104,15 @@
 
     private void commit(ConfigurationRequest request) {
         committed.commit(replica.snapshot());
-        LOG.info("committed configuration generation {} in epoch {}", committed.generation(), replica.epoch());
+        LOG.info(
+                "committed configuration generation {} in epoch {}",
+                committed.generation(),
+                replica.epoch());
         acknowledge(request);
     }
 
     private void acknowledge(ConfigurationRequest request) {
         byte[] body = Json.write(Map.of("generation", committed.generation()));
-        HttpResponses.json(request.exchange(), HttpResponses.OK, body);
+        HttpResponses.sendJson(request.exchange(), HttpResponses.OK, body);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ControlCommand.java
+++ b/src/main/java/myrtleladder/controlplane/ControlCommand.java
@@ -47,12 +47,12 @@
     }
 
     /** Prints the content of each state file; fails if none is readable. */
-    private static int verifyStore(List<String> words) {
-        if (words.size() < 2) {
+    private static int verifyStore(List<String> arguments) {
+        if (arguments.size() < 2) {
             throw new SettingsException(ResultCode.USAGE, "store wants a folder");
         }
         int readable = 0;
-        for (StateStore.StateFile file : new StateStore(Path.of(words.get(1))).files()) {
+        for (StateStore.StateFile file : new StateStore(Path.of(arguments.get(1))).files()) {
             try {
                 StoredState state = StateStore.read(file.path());
                 readable++;
--- a/src/main/java/myrtleladder/controlplane/ControlNode.java
+++ b/src/main/java/myrtleladder/controlplane/ControlNode.java
@@ -24,12 +24,13 @@
     private static final Logger LOG = LogManager.getLogger(ControlNode.class);
 
     /** Stands for the store identifier of a member that has not answered yet. */
-    private static final String UNKNOWN_STORE = "";
+    private static final String UNKNOWN_STORE_ID = "";
 
     private ControlNode() {}
 
     /**
-     * Starts a node: loads its stored state, starts the disk threads and the event loop, and then, on the loop, the servers and the replica.
+     * Starts a node: loads its stored state, starts the disk threads and the event loop, and then,
+     * on the loop, the servers and the replica.
      *
      * @param loop an event loop that has not been started
      * @return the replica, which may only be used on the loop
@@ -39,7 +40,7 @@
         StoredState stored = store.load();
         List<TallyAddition> additions = tallyLog.load();
         boolean isDiskComplete = isDiskComplete(settings, stored, tallyLog);
-        prepare(tallyLog, isDiskComplete);
+        prepareTallyLog(tallyLog, isDiskComplete);
         AsyncStateWriter writer = new AsyncStateWriter(loop, store);
         writer.start();
         AsyncTallyWriter tallyWriter = new AsyncTallyWriter(loop::execute, tallyLog);
@@ -47,7 +48,7 @@
         loop.start();
         PeerClient peers = new PeerClient(loop, settings.internal()::callAddress);
         ControlPlane plane = controlPlane(settings, loop, peers);
-        plane.serveTallies(
+        plane.setTallies(
                 new Tallies(
                         tallyOptions(settings, isDiskComplete),
                         loop,
@@ -64,11 +65,15 @@
                         peers,
                         plane,
                         plane::instances);
-        loop.execute(() -> serve(settings, loop, plane, replica));
+        loop.execute(() -> startServers(settings, loop, plane, replica));
         return replica;
     }
 
-    /** Returns whether the disk has all data that this node stored before, which also holds for a node that bootstraps a new group. A disk that was used by a release without tallies has a state but no tally log and counts as complete; a replaced disk has neither. */
+    /**
+     * Returns whether the disk has all data that this node stored before, which also holds for a
+     * node that bootstraps a new group. A disk that was used by a release without tallies has a
+     * state but no tally log and counts as complete; a replaced disk has neither.
+     */
     private static boolean isDiskComplete(
             NodeSettings settings, StoredState stored, TallyLog tallyLog) {
         return tallyLog.isComplete()
@@ -76,8 +81,11 @@
                 || (stored != null && !tallyLog.exists());
     }
 
-    /** Records in the tally log whether the disk is complete, so that the next start can tell. Must run before anything else is saved. */
-    private static void prepare(TallyLog tallyLog, boolean isDiskComplete) {
+    /**
+     * Records in the tally log whether the disk is complete, so that the next start can tell. Must
+     * run before anything else is saved.
+     */
+    private static void prepareTallyLog(TallyLog tallyLog, boolean isDiskComplete) {
         try {
             if (isDiskComplete) {
                 tallyLog.markComplete();
@@ -114,14 +122,19 @@
                         .toList());
     }
 
-    /** Returns a random 64-bit number in base 36. It is short because each addition to a tally contains it. */
+    /**
+     * Returns a random 64-bit number in base 36. It is short because each addition to a tally
+     * contains it.
+     */
     private static String newProcessIdentity() {
         UUID random = UUID.randomUUID();
         long bits = random.getMostSignificantBits() ^ random.getLeastSignificantBits();
         return Long.toUnsignedString(bits, Character.MAX_RADIX);
     }
 
-    /** Returns the address of the internal protocol on a host; its port is the same on all machines. */
+    /**
+     * Returns the address of the internal protocol on a host; its port is the same on all machines.
+     */
     private static String internalAddress(NodeSettings settings, String host) {
         return host + ":" + settings.firstPort();
     }
@@ -130,10 +143,10 @@
         List<Member> seeds = new ArrayList<>();
         for (Address seed : settings.seeds()) {
             String internal = internalAddress(settings, seed.host());
-            seeds.add(Member.of(internal, seed.toString(), UNKNOWN_STORE));
+            seeds.add(Member.of(internal, seed.toString(), UNKNOWN_STORE_ID));
         }
         String ownInternal = internalAddress(settings, settings.ip());
-        Member self = Member.of(ownInternal, settings.control().toString(), UNKNOWN_STORE);
+        Member self = Member.of(ownInternal, settings.control().toString(), UNKNOWN_STORE_ID);
         return new ReplicaOptions(
                 self,
                 settings.toleratedMachines(),
@@ -142,7 +155,7 @@
                 settings.bounds().catchUpMs());
     }
 
-    private static void serve(
+    private static void startServers(
             NodeSettings settings, EventLoop loop, ControlPlane plane, Replica replica) {
         plane.attach(replica);
         Address internal = settings.internal().listen();
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -22,19 +22,29 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control plane on one node. Wires the components together, dispatches each request to the handler of its path or message type, notifies the components when the node gains or loses the primary role, and runs the periodic tasks. Only the primary makes decisions; other nodes refer requests to it. {@link Tallies} are the exception: every node serves them.
+ * The control plane on one node. Wires the components together, dispatches each request to the
+ * handler of its path or message type, notifies the components when the node gains or loses the
+ * primary role, and runs the periodic tasks. Only the primary makes decisions; other nodes refer
+ * requests to it. {@link Tallies} are the exception: every node serves them.
  *
- * <p>{@link CommittedConfiguration}, {@link InstanceRegistry}, {@link BalancerRegistry}, {@link FleetLoadExchange} and {@link QuotaAllocator} own the state; the {@link Replica} decides which node is primary. Confined to the event loop.
+ * <p>{@link CommittedConfiguration}, {@link InstanceRegistry}, {@link BalancerRegistry}, {@link
+ * FleetLoadExchange} and {@link QuotaAllocator} own the state; the {@link Replica} decides which
+ * node is primary. Confined to the event loop.
  */
 public final class ControlPlane implements Replica.Listener {
     private static final Logger LOG = LogManager.getLogger(ControlPlane.class);
     private static final String INSTANCES_PATH = "/instances/";
     private static final String DRAIN_PATH = "/drain/";
 
-    /** Timeout of a relayed poll, slightly shorter than the timeout of the balancer that sent it. */
+    /**
+     * Timeout of a relayed poll, slightly shorter than the timeout of the balancer that sent it.
+     */
     private static final long POLL_RELAY_TIMEOUT_MS = 700;
 
-    /** Timeout of a relayed quota request, slightly shorter than the timeout of the balancer that sent it. */
+    /**
+     * Timeout of a relayed quota request, slightly shorter than the timeout of the balancer that
+     * sent it.
+     */
     private static final long QUOTA_RELAY_TIMEOUT_MS = 200;
 
     private static final String TALLIES_PATH = "/tallies/";
@@ -48,10 +58,16 @@
     /** An instance that misses more heartbeats than this is marked as lost. */
     private static final int MAX_MISSED_HEARTBEATS = 3;
 
-    /** Heartbeat intervals without a heartbeat after which an instance is assumed to be cold, since it may have restarted. */
-    private static final double MAX_SILENT_INTERVALS = 2.5;
+    /**
+     * Heartbeat intervals without a heartbeat after which an instance is assumed to be cold, since
+     * it may have restarted.
+     */
+    private static final double MAX_HEARTBEAT_GAP_INTERVALS = 2.5;
 
-    /** Heartbeat intervals for which an instance is assumed to be cold unless a heartbeat states otherwise. */
+    /**
+     * Heartbeat intervals for which an instance is assumed to be cold unless a heartbeat states
+     * otherwise.
+     */
     private static final int ASSUMED_WARMUP_INTERVALS = 2;
 
     private final Scheduler scheduler;
@@ -63,14 +79,14 @@
             new CommittedConfiguration(this::configurationCommitted, this::committedStateUpdated);
     private final QuotaAllocator quotas;
     private final InstanceReplicator replicator;
-    private final InstanceSaveScheduler saves;
+    private final InstanceSaveScheduler saveScheduler;
     private final OperatorRequestQueue operatorRequests;
     private final ConfigurationRequestHandler configurationRequests;
     private final DrainRequestHandler drainRequests;
     private final InstanceRequestHandler instanceRequests;
     private final UpgradeRequestHandler upgradeRequests;
     private final StatusRequestHandler statusRequests;
-    private final PollRequestHandler polls;
+    private final PollRequestHandler pollRequests;
     private final PrimaryRelay relay;
     private final QuotaRequestHandler quotaRequests;
     private final ShareInstancesRequestHandler shareInstancesRequests;
@@ -88,7 +104,7 @@
      * Creates a control plane. {@link #attach} must be called before it is used.
      *
      * @param heartbeatIntervalMs the interval at which upstreams send heartbeats, in milliseconds
-     * @param quotaOverageShare the fraction by which grants may exceed a tenant's rate
+     * @param quotaOverageRatio the fraction by which grants may exceed a tenant's rate
      * @param quotaSlackUnits the units that may be granted at once beyond that
      * @param regionByZone the region of each zone whose region is known
      */
@@ -96,15 +112,15 @@
             Scheduler scheduler,
             Peers peers,
             long heartbeatIntervalMs,
-            double quotaOverageShare,
+            double quotaOverageRatio,
             double quotaSlackUnits,
             Map<String, String> regionByZone) {
         this.scheduler = scheduler;
         this.heartbeatIntervalMs = heartbeatIntervalMs;
-        quotas = new QuotaAllocator(quotaOverageShare, quotaSlackUnits);
+        quotas = new QuotaAllocator(quotaOverageRatio, quotaSlackUnits);
         replicator = new InstanceReplicator(scheduler, peers);
         relay = new PrimaryRelay(peers);
-        saves = new InstanceSaveScheduler(scheduler);
+        saveScheduler = new InstanceSaveScheduler(scheduler);
         PollResponseBuilder pollResponses =
                 new PollResponseBuilder(
                         scheduler,
@@ -112,28 +128,34 @@
                         balancers,
                         fleetLoads,
                         configuration,
-                        () -> hasHeardAllInstances(scheduler.now()));
-        polls = new PollRequestHandler(scheduler, balancers, fleetLoads, pollResponses);
+                        () -> isInstanceListAuthoritative(scheduler.now()));
+        pollRequests = new PollRequestHandler(scheduler, balancers, fleetLoads, pollResponses);
         operatorRequests = new OperatorRequestQueue(scheduler);
         configurationRequests = new ConfigurationRequestHandler(operatorRequests, configuration);
         drainRequests = new DrainRequestHandler(operatorRequests, configuration, this::assumeCold);
         instanceRequests =
                 new InstanceRequestHandler(
-                        scheduler, instances, replicator, saves, polls, this::isConfirmedPrimary);
+                        scheduler,
+                        instances,
+                        replicator,
+                        saveScheduler,
+                        pollRequests,
+                        this::isConfirmedPrimary);
         upgradeRequests =
                 new UpgradeRequestHandler(
                         instances, balancers, regionByZone, this::isConfirmedPrimary);
         statusRequests = new StatusRequestHandler(configuration, instances, balancers);
         quotaRequests =
                 new QuotaRequestHandler(scheduler, quotas, fleetLoads, this::isConfirmedPrimary);
-        shareInstancesRequests = new ShareInstancesRequestHandler(scheduler, instances, saves);
+        shareInstancesRequests =
+                new ShareInstancesRequestHandler(scheduler, instances, saveScheduler);
     }
 
     /** Sets the tallies that this node serves. Must be called before {@link #attach}. */
-    public void serveTallies(Tallies served) {
+    public void setTallies(Tallies served) {
         tallies = served;
         tallyRequests = new TallyRequestHandler(served);
-        statusRequests.serveTallies(served);
+        statusRequests.setTallies(served);
     }
 
     /** Sets the replica that determines which node is primary, and starts the periodic tasks. */
@@ -141,14 +163,14 @@
         replica = attached;
         replicator.attach(attached);
         relay.attach(attached);
-        saves.attach(attached);
+        saveScheduler.attach(attached);
         operatorRequests.attach(attached);
         configurationRequests.attach(attached);
         drainRequests.attach(attached);
         instanceRequests.attach(attached);
         upgradeRequests.attach(attached);
         statusRequests.attach(attached);
-        polls.attach(attached);
+        pollRequests.attach(attached);
         quotaRequests.attach(attached);
         shareInstancesRequests.attach(attached);
         instances.recover(attached.instancesAtStart(), scheduler.now());
@@ -171,7 +193,7 @@
 
     /** Returns the upstream instances that this node knows. */
     public List<InstanceRecord> instances() {
-        return instances.all(scheduler.now());
+        return instances.recordsAsOf(scheduler.now());
     }
 
     /** Handles an HTTP request to the control address. */
@@ -190,12 +212,13 @@
         } else if (path.equals("/status")) {
             statusRequests.handle(exchange);
         } else {
-            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+            HttpResponses.sendEmpty(exchange, HttpResponses.NOT_FOUND);
         }
     }
 
     /**
-     * Handles a message from another process of the fleet. {@code responder} receives the response, or null if there is none.
+     * Handles a message from another process of the fleet. {@code responder} receives the response,
+     * or null if there is none.
      */
     public void receive(Message message, Consumer<Message> responder) {
         if (message instanceof PollRequest request) {
@@ -215,10 +238,10 @@
         boolean isRelayWanted = request.relayWanted != null && request.relayWanted;
         request.relayWanted = null;
         if (isRelayWanted && relay.isAvailable()) {
-            Runnable onFailure = () -> polls.handle(request, responder);
+            Runnable onFailure = () -> pollRequests.handle(request, responder);
             relay.relay(request, POLL_RELAY_TIMEOUT_MS, responder, onFailure);
         } else {
-            polls.handle(request, responder);
+            pollRequests.handle(request, responder);
         }
     }
 
@@ -249,8 +272,8 @@
                 "became primary in epoch {} with configuration generation {} and {} upstreams",
                 replica.epoch(),
                 configuration.generation(),
-                instances.all().size());
-        polls.onPrimacyGained();
+                instances.reportedRecords().size());
+        pollRequests.onPrimacyGained();
         operatorRequests.tick(scheduler.now());
     }
 
@@ -259,7 +282,7 @@
         isPrimary = false;
         replicator.onPrimacyLost();
         operatorRequests.onPrimacyLost();
-        polls.onPrimacyLost();
+        pollRequests.onPrimacyLost();
     }
 
     @Override
@@ -272,7 +295,7 @@
     }
 
     private void committedStateUpdated() {
-        polls.sendUpdates();
+        pollRequests.sendUpdates();
     }
 
     private boolean isConfirmedPrimary() {
@@ -280,7 +303,7 @@
     }
 
     /** Returns whether every live instance has had time to send a heartbeat to this primary. */
-    private boolean hasHeardAllInstances(long nowMs) {
+    private boolean isInstanceListAuthoritative(long nowMs) {
         return nowMs - primarySinceMs > MAX_MISSED_HEARTBEATS * heartbeatIntervalMs;
     }
 
@@ -293,7 +316,7 @@
             instances.resetLastSeen(nowMs);
         }
         balancers.expire(nowMs);
-        quotas.setBalancerCount(balancers.count(!hasHeardAllInstances(nowMs)));
+        quotas.setBalancerCount(balancers.count(!isInstanceListAuthoritative(nowMs)));
         if (isPrimary) {
             tickAsPrimary(nowMs);
         }
@@ -304,20 +327,21 @@
             expireInstances(nowMs);
             assignOrdinals(nowMs);
         }
-        polls.tick(nowMs);
+        pollRequests.tick(nowMs);
         operatorRequests.tick(nowMs);
     }
 
     private void expireInstances(long nowMs) {
         long timeoutMs = MAX_MISSED_HEARTBEATS * heartbeatIntervalMs + heartbeatIntervalMs / 2;
-        if (!hasHeardAllInstances(nowMs)) {
+        if (!isInstanceListAuthoritative(nowMs)) {
             return;
         }
-        boolean hasLost = instances.expire(nowMs, timeoutMs);
-        long silenceMs = (long) (MAX_SILENT_INTERVALS * heartbeatIntervalMs);
-        boolean hasSilent = instances.assumeSilentAreCold(silenceMs, assumedWarmupMs(), nowMs);
-        if (hasLost || hasSilent) {
-            polls.sendUpdates();
+        boolean isAnyLost = instances.expire(nowMs, timeoutMs);
+        long maxHeartbeatGapMs = (long) (MAX_HEARTBEAT_GAP_INTERVALS * heartbeatIntervalMs);
+        boolean isAnyAssumedCold =
+                instances.assumeColdWithoutHeartbeat(maxHeartbeatGapMs, assumedWarmupMs(), nowMs);
+        if (isAnyLost || isAnyAssumedCold) {
+            pollRequests.sendUpdates();
         }
     }
 
@@ -326,7 +350,9 @@
     }
 
     /**
-     * Assumes that the ready upstreams of a zone are cold until their next heartbeat. Called when the drain of the zone is cancelled, since they may have become cold without a heartbeat that said so.
+     * Assumes that the ready upstreams of a zone are cold until their next heartbeat. Called when
+     * the drain of the zone is cancelled, since they may have become cold without a heartbeat that
+     * said so.
      */
     private void assumeCold(String zone) {
         List<InstanceRecord> assumed =
@@ -336,8 +362,8 @@
         }
         LOG.info("assuming that {} upstreams in zone {} are cold", assumed.size(), zone);
         assumed.forEach(replicator::replicate);
-        polls.sendUpdates();
-        saves.schedule();
+        pollRequests.sendUpdates();
+        saveScheduler.schedule();
     }
 
     private void assignOrdinals(long nowMs) {
@@ -346,10 +372,14 @@
             return;
         }
         for (InstanceRecord record : assigned) {
-            LOG.info("assigned to upstream {} in zone {} the ordinal {}", record.id, record.zone, record.ordinal);
+            LOG.info(
+                    "assigned to upstream {} in zone {} the ordinal {}",
+                    record.id,
+                    record.zone,
+                    record.ordinal);
             replicator.replicate(record);
         }
-        polls.sendUpdates();
-        saves.schedule();
+        pollRequests.sendUpdates();
+        saveScheduler.schedule();
     }
 }
--- a/src/main/java/myrtleladder/controlplane/DrainRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/DrainRequestHandler.java
@@ -12,7 +12,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Handles {@code /drain/ZONE}: {@code POST} drains a zone, so that balancers send no new requests to its upstreams, and {@code DELETE} cancels the drain. A request is acknowledged once all replicas of the view have stored the drained zones; a request that changes nothing is acknowledged at once. If the outcome is unknown, the response is 503.
+ * Handles {@code /drain/ZONE}: {@code POST} drains a zone, so that balancers send no new requests
+ * to its upstreams, and {@code DELETE} cancels the drain. A request is acknowledged once all
+ * replicas of the view have stored the drained zones; a request that changes nothing is
+ * acknowledged at once. If the outcome is unknown, the response is 503.
  *
  * <p>Confined to the event loop.
  */
@@ -20,25 +23,27 @@
     private static final Logger LOG = LogManager.getLogger(DrainRequestHandler.class);
     private static final Pattern ZONE_NAME = Pattern.compile("[A-Za-z0-9_.-]{1,100}");
     private static final String DRAIN = "POST";
-    private static final String TAKE_BACK = "DELETE";
+    private static final String CANCEL_DRAIN = "DELETE";
 
     private final OperatorRequestQueue queue;
     private final CommittedConfiguration committed;
-    private final Consumer<String> beforeTakeBack;
+    private final Consumer<String> beforeCancelDrain;
     private Replica replica;
 
     /**
      * Creates a handler.
      *
-     * @param beforeTakeBack is called with the name of a zone before balancers can learn that its drain is cancelled; also for a repeated request, since the outcome of the first one may have been unknown
+     * @param beforeCancelDrain is called with the name of a zone before balancers can learn that
+     *     its drain is cancelled; also for a repeated request, since the outcome of the first one
+     *     may have been unknown
      */
     DrainRequestHandler(
             OperatorRequestQueue queue,
             CommittedConfiguration committed,
-            Consumer<String> beforeTakeBack) {
+            Consumer<String> beforeCancelDrain) {
         this.queue = queue;
         this.committed = committed;
-        this.beforeTakeBack = beforeTakeBack;
+        this.beforeCancelDrain = beforeCancelDrain;
     }
 
     /** Sets the replica that stores the drained zones. Must be called before any other method. */
@@ -50,25 +55,25 @@
     void handle(ServerExchange exchange, String zone) {
         String method = exchange.head().method();
         if (!ZONE_NAME.matcher(zone).matches()) {
-            HttpResponses.error(
+            HttpResponses.sendError(
                     exchange, HttpResponses.BAD_REQUEST, "the zone's name is not a valid one");
-        } else if (method.equals(DRAIN) || method.equals(TAKE_BACK)) {
+        } else if (method.equals(DRAIN) || method.equals(CANCEL_DRAIN)) {
             queue.add(exchange, onProcessed -> process(exchange, zone, onProcessed));
         } else {
-            HttpResponses.empty(exchange, HttpResponses.METHOD_NOT_ALLOWED);
+            HttpResponses.sendEmpty(exchange, HttpResponses.METHOD_NOT_ALLOWED);
         }
     }
 
     private void process(ServerExchange exchange, String zone, Runnable onProcessed) {
         SortedSet<String> zones = new TreeSet<>(committed.drainedZones());
-        boolean isTakeBack = exchange.head().method().equals(TAKE_BACK);
-        boolean isChange = isTakeBack ? zones.remove(zone) : zones.add(zone);
-        Runnable beforeCommit = isTakeBack ? () -> beforeTakeBack.accept(zone) : () -> {};
+        boolean isCancellation = exchange.head().method().equals(CANCEL_DRAIN);
+        boolean isChange = isCancellation ? zones.remove(zone) : zones.add(zone);
+        Runnable beforeCommit = isCancellation ? () -> beforeCancelDrain.accept(zone) : () -> {};
         beforeCommit.run();
         if (isChange) {
             replicate(exchange, List.copyOf(zones), beforeCommit, onProcessed);
         } else {
-            HttpResponses.acknowledge(exchange);
+            HttpResponses.sendAcknowledgement(exchange);
             onProcessed.run();
         }
     }
@@ -85,9 +90,9 @@
                         beforeCommit.run();
                         committed.commit(replica.snapshot());
                         LOG.info("committed drained zones {} in epoch {}", zones, replica.epoch());
-                        HttpResponses.acknowledge(exchange);
+                        HttpResponses.sendAcknowledgement(exchange);
                     } else {
-                        HttpResponses.unavailable(exchange);
+                        HttpResponses.sendUnavailable(exchange);
                     }
                     onProcessed.run();
                 });
--- a/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
+++ b/src/main/java/myrtleladder/controlplane/FleetLoadExchange.java
@@ -4,7 +4,9 @@
 import myrtleladder.protocol.LoadReport;
 
 /**
- * Collects the load reports of all balancers on the primary and distributes them: the requests in flight at upstreams and the prompt prefixes that upstreams have cached. These are hints that are not replicated to a quorum.
+ * Collects the load reports of all balancers on the primary and distributes them: the requests in
+ * flight at upstreams and the prompt prefixes that upstreams have cached. These are hints that are
+ * not replicated to a quorum.
  *
  * <p>Confined to the event loop.
  */
--- a/src/main/java/myrtleladder/controlplane/HintedHandoff.java
+++ b/src/main/java/myrtleladder/controlplane/HintedHandoff.java
@@ -14,7 +14,9 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Stores records of upstream instances for members that did not acknowledge them, and retries until they do (hinted handoff, as in Dynamo). Thus each node has all departures before it can become primary.
+ * Stores records of upstream instances for members that did not acknowledge them, and retries until
+ * they do (hinted handoff, as in Dynamo). Thus each node has all departures before it can become
+ * primary.
  *
  * <p>Invariant: while there are hints, a retry is scheduled. Confined to the event loop.
  */
@@ -25,12 +27,15 @@
     /** Time between two attempts to send the hints. */
     private static final long RETRY_INTERVAL_MS = 400;
 
-    /** Maximum number of hints for a member; records of further instances are dropped. Bounds the memory. */
+    /**
+     * Maximum number of hints for a member; records of further instances are dropped. Bounds the
+     * memory.
+     */
     private static final int MAX_HINTS_PER_MEMBER = 2_000;
 
     private final Scheduler scheduler;
     private final Peers peers;
-    private final Map<Member, Map<String, InstanceRecord>> hints = new LinkedHashMap<>();
+    private final Map<Member, Map<String, InstanceRecord>> hintsByMember = new LinkedHashMap<>();
     private long epoch;
     private boolean isScheduled;
 
@@ -42,40 +47,40 @@
     /** Adds a hint for a member; keeps only the latest record of each instance. */
     void addHint(Member member, InstanceRecord record, long epochOfRecord) {
         epoch = Math.max(epoch, epochOfRecord);
-        Map<String, InstanceRecord> ofMember =
-                hints.computeIfAbsent(member, key -> new LinkedHashMap<>());
-        if (ofMember.size() < MAX_HINTS_PER_MEMBER || ofMember.containsKey(record.id)) {
-            ofMember.merge(record.id, record, InstanceRecord::latest);
+        Map<String, InstanceRecord> memberHints =
+                hintsByMember.computeIfAbsent(member, key -> new LinkedHashMap<>());
+        if (memberHints.size() < MAX_HINTS_PER_MEMBER || memberHints.containsKey(record.id)) {
+            memberHints.merge(record.id, record, InstanceRecord::latest);
         }
-        scheduleAttempt();
+        scheduleRetry();
     }
 
     /** Drops the hints for all other members, when a new view has a different group. */
     void retainMembers(Collection<Member> members) {
-        hints.keySet().retainAll(members);
+        hintsByMember.keySet().retainAll(members);
     }
 
     /** Drops all hints, when this node is no longer primary. */
     void clear() {
-        hints.clear();
+        hintsByMember.clear();
     }
 
     /** Returns the number of stored hints, over all members. */
     int hintCount() {
-        return hints.values().stream().mapToInt(Map::size).sum();
+        return hintsByMember.values().stream().mapToInt(Map::size).sum();
     }
 
-    private void scheduleAttempt() {
-        if (!isScheduled && !hints.isEmpty()) {
+    private void scheduleRetry() {
+        if (!isScheduled && !hintsByMember.isEmpty()) {
             isScheduled = true;
-            scheduler.schedule(RETRY_INTERVAL_MS, this::attempt);
+            scheduler.schedule(RETRY_INTERVAL_MS, this::sendHints);
         }
     }
 
-    private void attempt() {
+    private void sendHints() {
         isScheduled = false;
-        for (Member member : new ArrayList<>(hints.keySet())) {
-            List<InstanceRecord> records = new ArrayList<>(hints.get(member).values());
+        for (Member member : new ArrayList<>(hintsByMember.keySet())) {
+            List<InstanceRecord> records = new ArrayList<>(hintsByMember.get(member).values());
             peers.call(
                     member.address,
                     ShareInstancesRequest.of(epoch, records, false),
@@ -86,22 +91,28 @@
                         }
                     });
         }
-        scheduleAttempt();
+        scheduleRetry();
     }
 
-    /** Returns whether the member itself acknowledged the records. A node that lost its disk responds from the same address but as a different member. */
+    /**
+     * Returns whether the member itself acknowledged the records. A node that lost its disk
+     * responds from the same address but as a different member.
+     */
     private static boolean isAcknowledgedBy(Member member, Message response) {
         return response instanceof AcknowledgeResponse acknowledgement
                 && acknowledgement.accepted
                 && member.equals(acknowledgement.member);
     }
 
-    /** Removes the hints that a member acknowledged, except those that a later record has replaced in the meantime. */
+    /**
+     * Removes the hints that a member acknowledged, except those that a later record has replaced
+     * in the meantime.
+     */
     private void removeHints(Member member, List<InstanceRecord> records) {
-        Map<String, InstanceRecord> ofMember = hints.get(member);
-        if (ofMember != null) {
-            records.forEach(record -> ofMember.remove(record.id, record));
-            hints.values().removeIf(Map::isEmpty);
+        Map<String, InstanceRecord> memberHints = hintsByMember.get(member);
+        if (memberHints != null) {
+            records.forEach(record -> memberHints.remove(record.id, record));
+            hintsByMember.values().removeIf(Map::isEmpty);
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/HttpResponses.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -8,7 +8,8 @@
 import myrtleladder.replication.Replica;
 
 /**
- * HTTP responses that all handlers of the control address share. Each method sends the only response of the exchange.
+ * HTTP responses that all handlers of the control address share. Each method sends the only
+ * response of the exchange.
  */
 final class HttpResponses {
     static final int OK = 200;
@@ -31,36 +32,39 @@
     static void redirectToPrimary(ServerExchange exchange, Replica replica) {
         Member primary = replica.primary();
         if (primary == null || primary.equals(replica.self())) {
-            unavailable(exchange);
+            sendUnavailable(exchange);
             return;
         }
         String location = "http://" + primary.controlAddress + exchange.head().target();
         exchange.respond(TEMPORARY_REDIRECT, new Headers().add("Location", location), NO_BODY);
     }
 
-    /** Responds with 503: it is unknown whether the request took effect, and the client should retry. */
-    static void unavailable(ServerExchange exchange) {
+    /**
+     * Responds with 503: it is unknown whether the request took effect, and the client should
+     * retry.
+     */
+    static void sendUnavailable(ServerExchange exchange) {
         exchange.respond(
                 SERVICE_UNAVAILABLE, new Headers().add("Retry-After", RETRY_AFTER_S), NO_BODY);
     }
 
     /** Responds with an error status and a JSON object that contains the reason. */
-    static void error(ServerExchange exchange, int status, String reason) {
-        json(exchange, status, Json.write(Map.of("error", reason)));
+    static void sendError(ServerExchange exchange, int status, String reason) {
+        sendJson(exchange, status, Json.write(Map.of("error", reason)));
     }
 
     /** Acknowledges the request with an empty JSON object. */
-    static void acknowledge(ServerExchange exchange) {
-        json(exchange, OK, Json.write(Map.of()));
+    static void sendAcknowledgement(ServerExchange exchange) {
+        sendJson(exchange, OK, Json.write(Map.of()));
     }
 
     /** Responds with a JSON document. */
-    static void json(ServerExchange exchange, int status, byte[] document) {
+    static void sendJson(ServerExchange exchange, int status, byte[] document) {
         exchange.respond(status, new Headers().add("Content-Type", "application/json"), document);
     }
 
     /** Responds without a body. */
-    static void empty(ServerExchange exchange, int status) {
+    static void sendEmpty(ServerExchange exchange, int status) {
         exchange.respond(status, new Headers(), NO_BODY);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceHeartbeatParser.java
@@ -12,7 +12,7 @@
 final class InstanceHeartbeatParser {
     private static final long DEFAULT_CAPACITY = 1;
     private static final long DEFAULT_SEQUENCE = 0;
-    private static final long DEFAULT_WARMUP_LEFT_MS = 0;
+    private static final long DEFAULT_REMAINING_WARMUP_MS = 0;
 
     private InstanceHeartbeatParser() {}
 
@@ -20,7 +20,8 @@
      * Returns the instance record that a heartbeat describes.
      *
      * @param id the incarnation of the instance, from the path of the request
-     * @throws ConfigurationException if a required field is missing or not a string, or the address has no port
+     * @throws ConfigurationException if a required field is missing or not a string, or the address
+     *     has no port
      */
     static InstanceRecord parse(String id, Map<String, Object> json) {
         String state = requiredString(json, "state");
@@ -34,7 +35,7 @@
                         state.equals("draining") ? Stage.DRAINING : Stage.READY,
                         integer(json, "sequence", DEFAULT_SEQUENCE))
                 .withWeightsVersion(weightsVersion(json))
-                .withWarmupLeftMs(integer(json, "warmup_left_ms", DEFAULT_WARMUP_LEFT_MS));
+                .withWarmupLeftMs(integer(json, "warmup_left_ms", DEFAULT_REMAINING_WARMUP_MS));
     }
 
     /** Returns the version of the first model's weights; upstreams serve a single model. */
--- a/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRegistry.java
@@ -11,7 +11,10 @@
 /**
  * The upstream instances that this node knows from heartbeats and from other nodes.
  *
- * <p>Invariants: a record only moves forward ({@link InstanceRecord#latest}), so that a late heartbeat cannot undo a departure; each change that balancers must receive has its own revision. Records are stored as reported; the remaining warm-up time is calculated for the time that the caller passes. Confined to the event loop.
+ * <p>Invariants: a record only moves forward ({@link InstanceRecord#latest}), so that a late
+ * heartbeat cannot undo a departure; each change that balancers must receive has its own revision.
+ * Records are stored as reported; the remaining warm-up time is calculated for the time that the
+ * caller passes. Confined to the event loop.
  */
 final class InstanceRegistry {
     /** How long the record of an instance that is not ready is retained after it was last seen. */
@@ -32,11 +35,14 @@
             this.firstSeenMs = firstSeenMs;
         }
 
-        /** Merges the remaining warm-up of a record unless a later heartbeat is known. Returns whether balancers must receive the change. */
+        /**
+         * Merges the remaining warm-up of a record unless a later heartbeat is known. Returns
+         * whether balancers must receive the change.
+         */
         boolean mergeWarmup(InstanceRecord reported, long nowMs) {
             long knownSequence = record == null ? Long.MIN_VALUE : record.heartbeatSequence;
             if (reported.heartbeatSequence > knownSequence) {
-                return warmup.replace(reported.warmupLeftMs(), nowMs);
+                return warmup.update(reported.warmupLeftMs(), nowMs);
             }
             return reported.heartbeatSequence == knownSequence
                     && warmup.extend(reported.warmupLeftMs(), nowMs);
@@ -56,11 +62,11 @@
     /** Merges a record into the known one. Returns whether balancers must receive the change. */
     boolean merge(InstanceRecord record, long nowMs) {
         Entry entry = entries.computeIfAbsent(record.id, id -> new Entry(nowMs));
-        InstanceRecord before = entry.record;
+        InstanceRecord previous = entry.record;
         boolean hasNewWarmup = entry.mergeWarmup(record, nowMs);
         entry.lastSeenMs = nowMs;
-        entry.record = before == null ? record : InstanceRecord.latest(before, record);
-        if (!hasNewWarmup && !entry.record.differsFrom(before)) {
+        entry.record = previous == null ? record : InstanceRecord.latest(previous, record);
+        if (!hasNewWarmup && !entry.record.differsFrom(previous)) {
             return false;
         }
         markChanged(entry);
@@ -68,9 +74,11 @@
     }
 
     /**
-     * Assumes that all ready instances of a zone are cold until their next heartbeat, but for no longer than the duration. Returns the records of the instances for which this is a change.
+     * Assumes that all ready instances of a zone are cold until their next heartbeat, but for no
+     * longer than the duration. Returns the records of the instances for which this is a change.
      *
-     * @param zone a zone whose drain was cancelled; its instances may have become cold in the meantime
+     * @param zone a zone whose drain was cancelled; its instances may have become cold in the
+     *     meantime
      */
     List<InstanceRecord> assumeCold(String zone, long durationMs, long nowMs) {
         List<InstanceRecord> assumed = new ArrayList<>();
@@ -85,14 +93,17 @@
     }
 
     /**
-     * Assumes that ready instances without a recent heartbeat are cold until their next heartbeat, but for no longer than the duration, since they may have crashed and restart cold. Returns whether any instance changed.
+     * Assumes that ready instances without a recent heartbeat are cold until their next heartbeat,
+     * but for no longer than the duration, since they may have crashed and restart cold. Returns
+     * whether any instance changed.
      */
-    boolean assumeSilentAreCold(long silenceMs, long durationMs, long nowMs) {
+    boolean assumeColdWithoutHeartbeat(long maxHeartbeatGapMs, long durationMs, long nowMs) {
         boolean hasChanged = false;
         for (Entry entry : entries.values()) {
-            boolean isSilent = nowMs - entry.lastSeenMs > silenceMs && isReady(entry.record);
+            boolean isHeartbeatMissing =
+                    nowMs - entry.lastSeenMs > maxHeartbeatGapMs && isReady(entry.record);
             boolean isWarm = entry.warmup.remainingMs(nowMs) == 0;
-            if (isSilent && isWarm && entry.warmup.extend(durationMs, nowMs)) {
+            if (isHeartbeatMissing && isWarm && entry.warmup.extend(durationMs, nowMs)) {
                 markChanged(entry);
                 hasChanged = true;
             }
@@ -110,7 +121,9 @@
     }
 
     /**
-     * Merges the records of other nodes when this node becomes primary. Each instance counts as seen now, and lost instances become ready again, since the node that marked them as lost may have been partitioned.
+     * Merges the records of other nodes when this node becomes primary. Each instance counts as
+     * seen now, and lost instances become ready again, since the node that marked them as lost may
+     * have been partitioned.
      */
     void recover(Collection<InstanceRecord> records, long nowMs) {
         for (InstanceRecord record : records) {
@@ -126,47 +139,57 @@
         }
     }
 
-    /** Marks all instances as seen now, after this process was suspended and could not receive heartbeats. */
+    /**
+     * Marks all instances as seen now, after this process was suspended and could not receive
+     * heartbeats.
+     */
     void resetLastSeen(long nowMs) {
         entries.values().forEach(entry -> entry.lastSeenMs = nowMs);
     }
 
     /** Returns the record of an instance as it was reported, or null if the instance is unknown. */
-    InstanceRecord get(String id) {
+    InstanceRecord reportedRecord(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.record;
     }
 
     /** Returns the record of a known instance with its remaining warm-up time at {@code nowMs}. */
-    InstanceRecord get(String id, long nowMs) {
+    InstanceRecord recordAsOf(String id, long nowMs) {
         return entries.get(id).recordAsOf(nowMs);
     }
 
     /** Returns all records as they were reported. */
-    List<InstanceRecord> all() {
+    List<InstanceRecord> reportedRecords() {
         return changedSince(0);
     }
 
     /** Returns all records with their remaining warm-up times at {@code nowMs}. */
-    List<InstanceRecord> all(long nowMs) {
+    List<InstanceRecord> recordsAsOf(long nowMs) {
         return changedSince(0, nowMs);
     }
 
     /** Returns the records that changed after a revision, as they were reported. */
     List<InstanceRecord> changedSince(long knownRevision) {
-        return entriesSince(knownRevision).stream().map(entry -> entry.record).toList();
+        return entriesChangedSince(knownRevision).stream().map(entry -> entry.record).toList();
     }
 
-    /** Returns the records that changed after a revision, with their remaining warm-up times at {@code nowMs}. */
+    /**
+     * Returns the records that changed after a revision, with their remaining warm-up times at
+     * {@code nowMs}.
+     */
     List<InstanceRecord> changedSince(long knownRevision, long nowMs) {
-        return entriesSince(knownRevision).stream().map(entry -> entry.recordAsOf(nowMs)).toList();
+        return entriesChangedSince(knownRevision).stream()
+                .map(entry -> entry.recordAsOf(nowMs))
+                .toList();
     }
 
-    private List<Entry> entriesSince(long knownRevision) {
+    private List<Entry> entriesChangedSince(long knownRevision) {
         return entries.values().stream().filter(entry -> entry.revision > knownRevision).toList();
     }
 
-    /** Assigns the ordinals that are due. Returns the records of the instances that received one. */
+    /**
+     * Assigns the ordinals that are due. Returns the records of the instances that received one.
+     */
     List<InstanceRecord> assignOrdinals(long nowMs) {
         List<OrdinalAssigner.KnownInstance> known = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -182,10 +205,12 @@
     }
 
     /**
-     * Marks instances that were not seen for longer than the timeout as lost, or as gone if they were draining, and removes the records whose retention time is over. Returns whether any instance was marked.
+     * Marks instances that were not seen for longer than the timeout as lost, or as gone if they
+     * were draining, and removes the records whose retention time is over. Returns whether any
+     * instance was marked.
      */
     boolean expire(long nowMs, long timeoutMs) {
-        entries.values().removeIf(entry -> isForgettable(entry, nowMs));
+        entries.values().removeIf(entry -> isRetentionOver(entry, nowMs));
         boolean hasChanged = false;
         for (Entry entry : entries.values()) {
             if (nowMs - entry.lastSeenMs > timeoutMs && isAlive(entry.record)) {
@@ -198,7 +223,7 @@
         return hasChanged;
     }
 
-    private static boolean isForgettable(Entry entry, long nowMs) {
+    private static boolean isRetentionOver(Entry entry, long nowMs) {
         return entry.record.stage != Stage.READY && nowMs - entry.lastSeenMs > RETENTION_MS;
     }
 
--- a/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceReplicator.java
@@ -13,10 +13,12 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Sends records of upstream instances from the primary to the other control nodes. The nodes keep heartbeats in memory only. An acknowledged departure must survive the same failures as an acknowledged configuration change, so each replica of the view stores it on disk first.
+ * Sends records of upstream instances from the primary to the other control nodes. The nodes keep
+ * heartbeats in memory only. An acknowledged departure must survive the same failures as an
+ * acknowledged configuration change, so each replica of the view stores it on disk first.
  *
- * <p>Members that do not acknowledge a record receive it later through {@link HintedHandoff}. Confined to the event
- * loop.
+ * <p>Members that do not acknowledge a record receive it later through {@link HintedHandoff}.
+ * Confined to the event loop.
  */
 final class InstanceReplicator {
     /** Timeout of a request to a member. */
@@ -37,7 +39,10 @@
         replica = attached;
     }
 
-    /** Called when this node becomes primary of a new view; only members of its group keep their hints. */
+    /**
+     * Called when this node becomes primary of a new view; only members of its group keep their
+     * hints.
+     */
     void onPrimacyGained() {
         isPrimary = true;
         handoff.retainMembers(replica.view().group);
@@ -56,7 +61,7 @@
                 ShareInstancesRequest.of(view.epoch, List.of(record), false);
         for (Member member : view.group) {
             if (!member.equals(replica.self())) {
-                send(member, request, isTaken -> {});
+                send(member, request, isAcknowledged -> {});
             }
         }
     }
@@ -64,7 +69,8 @@
     /**
      * Sends a record to the other nodes and waits until all replicas have stored it on disk.
      *
-     * @param done called once: with true when all replicas of the view have synced the record, with false if one of them failed or timed out
+     * @param done called once: with true when all replicas of the view have synced the record, with
+     *     false if one of them failed or timed out
      */
     void replicateDurably(InstanceRecord record, Consumer<Boolean> done) {
         View view = replica.view();
@@ -76,7 +82,7 @@
                 send(
                         member,
                         ShareInstancesRequest.of(view.epoch, List.of(record), isReplica),
-                        isTaken -> pending.record(member, isTaken));
+                        isAcknowledged -> pending.record(member, isAcknowledged));
             }
         }
     }
@@ -87,11 +93,11 @@
                 request,
                 REQUEST_TIMEOUT_MS,
                 response -> {
-                    boolean isTaken = isTakenBy(member, response);
-                    if (!isTaken && isPrimary) {
+                    boolean isAcknowledged = isAcknowledgedBy(member, response);
+                    if (!isAcknowledged && isPrimary) {
                         addHints(member, request);
                     }
-                    done.accept(isTaken);
+                    done.accept(isAcknowledged);
                 });
     }
 
@@ -100,8 +106,11 @@
         request.instances.forEach(record -> handoff.addHint(member, record, epoch));
     }
 
-    /** Returns whether the member itself accepted the records; a response from another node that now has the address does not count. */
-    private static boolean isTakenBy(Member member, Message response) {
+    /**
+     * Returns whether the member itself accepted the records; a response from another node that now
+     * has the address does not count.
+     */
+    private static boolean isAcknowledgedBy(Member member, Message response) {
         return response instanceof AcknowledgeResponse acknowledgement
                 && acknowledgement.accepted
                 && member.equals(acknowledgement.member);
--- a/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
@@ -11,7 +11,9 @@
 
 /**
  * Handles {@code /instances/ID} on the primary: heartbeats of upstreams ({@code PUT}) and their
- * departure ({@code DELETE}). A heartbeat is acknowledged at once. Draining and departure are acknowledged once all replicas of the view have stored them on disk; otherwise the response is 503.
+ * departure ({@code DELETE}). A heartbeat is acknowledged at once. Draining and departure are
+ * acknowledged once all replicas of the view have stored them on disk; otherwise the response is
+ * 503.
  *
  * <p>Confined to the event loop.
  */
@@ -19,8 +21,8 @@
     private final Scheduler scheduler;
     private final InstanceRegistry instances;
     private final InstanceReplicator replicator;
-    private final InstanceSaveScheduler saves;
-    private final PollRequestHandler polls;
+    private final InstanceSaveScheduler saveScheduler;
+    private final PollRequestHandler pollRequests;
     private final BooleanSupplier isConfirmedPrimary;
     private Replica replica;
 
@@ -33,14 +35,14 @@
             Scheduler scheduler,
             InstanceRegistry instances,
             InstanceReplicator replicator,
-            InstanceSaveScheduler saves,
-            PollRequestHandler polls,
+            InstanceSaveScheduler saveScheduler,
+            PollRequestHandler pollRequests,
             BooleanSupplier isConfirmedPrimary) {
         this.scheduler = scheduler;
         this.instances = instances;
         this.replicator = replicator;
-        this.saves = saves;
-        this.polls = polls;
+        this.saveScheduler = saveScheduler;
+        this.pollRequests = pollRequests;
         this.isConfirmedPrimary = isConfirmedPrimary;
     }
 
@@ -60,9 +62,12 @@
         }
     }
 
-    /** Returns the departure record of an instance, also of an unknown one, since other nodes may know it. */
+    /**
+     * Returns the departure record of an instance, also of an unknown one, since other nodes may
+     * know it.
+     */
     private InstanceRecord departureOf(String id) {
-        InstanceRecord known = instances.get(id);
+        InstanceRecord known = instances.reportedRecord(id);
         return known == null ? InstanceRecord.departed(id) : known.withStage(Stage.GONE);
     }
 
@@ -71,7 +76,7 @@
         try {
             record = InstanceHeartbeatParser.parse(id, Json.readObject(exchange.body()));
         } catch (ResultException e) {
-            HttpResponses.error(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
+            HttpResponses.sendError(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
             return;
         }
         update(exchange, record);
@@ -80,25 +85,25 @@
     private void update(ServerExchange exchange, InstanceRecord record) {
         boolean hasChanged = instances.merge(record, scheduler.now());
         if (hasChanged) {
-            polls.sendUpdates();
-            saves.schedule();
+            pollRequests.sendUpdates();
+            saveScheduler.schedule();
         }
-        InstanceRecord merged = instances.get(record.id, scheduler.now());
+        InstanceRecord merged = instances.recordAsOf(record.id, scheduler.now());
         if (merged.isLeaving()) {
-            replicator.replicateDurably(merged, isDurable -> answer(exchange, isDurable));
+            replicator.replicateDurably(merged, isDurable -> respond(exchange, isDurable));
             return;
         }
         if (hasChanged) {
             replicator.replicate(merged);
         }
-        HttpResponses.acknowledge(exchange);
+        HttpResponses.sendAcknowledgement(exchange);
     }
 
-    private static void answer(ServerExchange exchange, boolean isDurable) {
+    private static void respond(ServerExchange exchange, boolean isDurable) {
         if (isDurable) {
-            HttpResponses.acknowledge(exchange);
+            HttpResponses.sendAcknowledgement(exchange);
         } else {
-            HttpResponses.unavailable(exchange);
+            HttpResponses.sendUnavailable(exchange);
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceSaveScheduler.java
@@ -4,7 +4,8 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Saves the upstream instances to disk with a delay, so that one save covers many changes. The delay is acceptable because the saved instances are only needed after a restart of all nodes.
+ * Saves the upstream instances to disk with a delay, so that one save covers many changes. The
+ * delay is acceptable because the saved instances are only needed after a restart of all nodes.
  *
  * <p>Confined to the event loop.
  */
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -13,11 +13,14 @@
 public final class Main {
     private static final Logger LOG = LogManager.getLogger(Main.class);
 
-    /** Delay between the end of the leave protocol and the end of the process, so that the last responses are sent. */
+    /**
+     * Delay between the end of the leave protocol and the end of the process, so that the last
+     * responses are sent.
+     */
     private static final long LINGER_MS = 150;
 
     /** Part of the grace period that is reserved for the shutdown after the node has left. */
-    private static final long GRACE_MARGIN_MS = 1_000;
+    private static final long SHUTDOWN_RESERVE_MS = 1_000;
 
     private Main() {}
 
@@ -37,24 +40,34 @@
         StateStore store = new StateStore(Path.of(settings.dataFolder()));
         TallyLog tallyLog = new TallyLog(Path.of(settings.dataFolder()));
         Replica replica = ControlNode.start(settings, loop, store, tallyLog);
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch shutdownLatch = new CountDownLatch(1);
         Signals.on(
-                "TERM", () -> loop.execute(() -> leave(settings.bounds(), loop, replica, ended)));
+                "TERM",
+                () -> loop.execute(() -> leave(settings.bounds(), loop, replica, shutdownLatch)));
         Signals.on(
-                "HUP", () -> loop.execute(() -> LOG.info("ignoring SIGHUP: settings are only read at startup")));
+                "HUP",
+                () ->
+                        loop.execute(
+                                () ->
+                                        LOG.info(
+                                                "ignoring SIGHUP: settings are only read at"
+                                                        + " startup")));
         LOG.info("control node {} listens on {}", settings.nodeName(), settings.control());
-        ended.await();
+        shutdownLatch.await();
         Runtime.getRuntime().halt(0);
     }
 
     /** Leaves the group and then ends the process; a second signal ends it at once. */
     private static void leave(
-            NodeSettings.Bounds bounds, EventLoop loop, Replica replica, CountDownLatch ended) {
+            NodeSettings.Bounds bounds,
+            EventLoop loop,
+            Replica replica,
+            CountDownLatch shutdownLatch) {
         if (replica.isLeaving()) {
-            ended.countDown();
+            shutdownLatch.countDown();
             return;
         }
-        long timeoutMs = Math.min(bounds.catchUpMs(), bounds.graceMs() - GRACE_MARGIN_MS);
-        replica.leave(timeoutMs, isReleased -> loop.schedule(LINGER_MS, ended::countDown));
+        long timeoutMs = Math.min(bounds.catchUpMs(), bounds.graceMs() - SHUTDOWN_RESERVE_MS);
+        replica.leave(timeoutMs, isReleased -> loop.schedule(LINGER_MS, shutdownLatch::countDown));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/OperatorRequestQueue.java
+++ b/src/main/java/myrtleladder/controlplane/OperatorRequestQueue.java
@@ -6,7 +6,10 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Queue of operators' requests that read or change the replicated state. The primary processes them one at a time, each after a majority has confirmed since its arrival that this node is still primary ({@link Replica#confirm}). If a request waits too long or the primary is not confirmed, the response is 503 and the operator retries.
+ * Queue of operators' requests that read or change the replicated state. The primary processes them
+ * one at a time, each after a majority has confirmed since its arrival that this node is still
+ * primary ({@link Replica#confirm}). If a request waits too long or the primary is not confirmed,
+ * the response is 503 and the operator retries.
  *
  * <p>Confined to the event loop.
  */
@@ -49,7 +52,9 @@
         isProcessing = false;
     }
 
-    /** Called when this node is no longer primary; redirects queued requests to the next primary. */
+    /**
+     * Called when this node is no longer primary; redirects queued requests to the next primary.
+     */
     void onPrimacyLost() {
         isPrimary = false;
         isProcessing = false;
@@ -61,12 +66,15 @@
     /** Responds to the requests that have waited too long and processes the next one. */
     void tick(long nowMs) {
         while (!queue.isEmpty() && nowMs - queue.peek().receivedAtMs() > QUEUE_TIMEOUT_MS) {
-            HttpResponses.unavailable(queue.poll().exchange());
+            HttpResponses.sendUnavailable(queue.poll().exchange());
         }
         processNext();
     }
 
-    /** Queues a request. If this node cannot be confirmed as primary, the request is answered without calling the processor. */
+    /**
+     * Queues a request. If this node cannot be confirmed as primary, the request is answered
+     * without calling the processor.
+     */
     void add(ServerExchange exchange, Processor processor) {
         if (!isPrimary) {
             HttpResponses.redirectToPrimary(exchange, replica);
@@ -87,7 +95,7 @@
                     if (isConfirmed) {
                         request.processor().process(this::finish);
                     } else {
-                        HttpResponses.unavailable(request.exchange());
+                        HttpResponses.sendUnavailable(request.exchange());
                         finish();
                     }
                 });
--- a/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
+++ b/src/main/java/myrtleladder/controlplane/OrdinalAssigner.java
@@ -11,7 +11,10 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * Assigns ordinals to instances. A new instance first waits for an instance of the same service and zone to leave and inherits its ordinal, so that the requests that are routed by this ordinal move to a single new instance. If none leaves, the new instance gets the lowest free ordinal. An instance keeps its ordinal until it has left.
+ * Assigns ordinals to instances. A new instance first waits for an instance of the same service and
+ * zone to leave and inherits its ordinal, so that the requests that are routed by this ordinal move
+ * to a single new instance. If none leaves, the new instance gets the lowest free ordinal. An
+ * instance keeps its ordinal until it has left.
  *
  * <p>Stateless.
  */
@@ -50,8 +53,8 @@
         if (instances.stream().noneMatch(KnownInstance::needsOrdinal)) {
             return List.of();
         }
-        Map<String, Set<Integer>> held = heldByService(instances);
-        Map<ServiceInZone, NavigableSet<Integer>> vacant = vacantByZone(instances, held);
+        Map<String, Set<Integer>> used = usedByService(instances);
+        Map<ServiceInZone, NavigableSet<Integer>> vacant = vacantByZone(instances, used);
         List<InstanceRecord> assigned = new ArrayList<>();
         for (KnownInstance instance : instances) {
             if (!instance.needsOrdinal()) {
@@ -64,38 +67,40 @@
             if (inherited == null && !hasWaited) {
                 continue;
             }
-            Set<Integer> heldInService =
-                    held.computeIfAbsent(record.service, service -> new HashSet<>());
+            Set<Integer> usedInService =
+                    used.computeIfAbsent(record.service, service -> new HashSet<>());
             int ordinal =
                     inherited == null
-                            ? leastFree(heldInService, vacantIn(record.service, vacant))
+                            ? lowestFreeOrdinal(usedInService, vacantIn(record.service, vacant))
                             : inherited;
-            heldInService.add(ordinal);
+            usedInService.add(ordinal);
             assigned.add(record.withOrdinal(ordinal));
         }
         return assigned;
     }
 
-    private static Map<String, Set<Integer>> heldByService(List<KnownInstance> instances) {
-        Map<String, Set<Integer>> held = new HashMap<>();
+    private static Map<String, Set<Integer>> usedByService(List<KnownInstance> instances) {
+        Map<String, Set<Integer>> used = new HashMap<>();
         for (KnownInstance instance : instances) {
             InstanceRecord record = instance.record();
             if (!record.isLeaving() && instance.hasOrdinal()) {
-                held.computeIfAbsent(record.service, service -> new HashSet<>())
+                used.computeIfAbsent(record.service, service -> new HashSet<>())
                         .add(record.ordinal);
             }
         }
-        return held;
+        return used;
     }
 
-    /** Returns the ordinals of leaving and departed instances that no other instance has inherited. */
+    /**
+     * Returns the ordinals of leaving and departed instances that no other instance has inherited.
+     */
     private static Map<ServiceInZone, NavigableSet<Integer>> vacantByZone(
-            List<KnownInstance> instances, Map<String, Set<Integer>> held) {
+            List<KnownInstance> instances, Map<String, Set<Integer>> used) {
         Map<ServiceInZone, NavigableSet<Integer>> vacant = new HashMap<>();
         for (KnownInstance instance : instances) {
             InstanceRecord record = instance.record();
-            boolean isHeld = held.getOrDefault(record.service, Set.of()).contains(record.ordinal);
-            if (record.isLeaving() && instance.hasOrdinal() && !isHeld) {
+            boolean isUsed = used.getOrDefault(record.service, Set.of()).contains(record.ordinal);
+            if (record.isLeaving() && instance.hasOrdinal() && !isUsed) {
                 vacant.computeIfAbsent(ServiceInZone.of(record), zone -> new TreeSet<>())
                         .add(record.ordinal);
             }
@@ -116,9 +121,9 @@
     }
 
     /** Returns the lowest ordinal of a service that is neither in use nor vacant. */
-    private static int leastFree(Set<Integer> held, Set<Integer> vacant) {
+    private static int lowestFreeOrdinal(Set<Integer> used, Set<Integer> vacant) {
         int ordinal = FIRST_ORDINAL;
-        while (held.contains(ordinal) || vacant.contains(ordinal)) {
+        while (used.contains(ordinal) || vacant.contains(ordinal)) {
             ordinal++;
         }
         return ordinal;
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -9,7 +9,9 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the long polls with which balancers fetch the configuration, the upstreams, the other balancers and their loads. A poll is answered at once if there is an update for the balancer, otherwise as soon as there is one or the maximum wait is over.
+ * Handles the long polls with which balancers fetch the configuration, the upstreams, the other
+ * balancers and their loads. A poll is answered at once if there is an update for the balancer,
+ * otherwise as soon as there is one or the maximum wait is over.
  *
  * <p>Invariant: polls wait only while this node is primary. Confined to the event loop.
  */
@@ -27,7 +29,7 @@
     private final BalancerRegistry balancers;
     private final FleetLoadExchange fleetLoads;
     private final PollResponseBuilder responses;
-    private final List<LongPoll> waiting = new ArrayList<>();
+    private final List<LongPoll> waitingPolls = new ArrayList<>();
     private Replica replica;
     private boolean isPrimary;
 
@@ -54,24 +56,33 @@
         sendUpdates();
     }
 
-    /** Called when this node is no longer primary; answers the waiting polls with the address of the primary, if known. */
+    /**
+     * Called when this node is no longer primary; answers the waiting polls with the address of the
+     * primary, if known.
+     */
     void onPrimacyLost() {
         isPrimary = false;
-        List<LongPoll> abandoned = new ArrayList<>(waiting);
-        waiting.clear();
+        List<LongPoll> abandoned = new ArrayList<>(waitingPolls);
+        waitingPolls.clear();
         abandoned.forEach(poll -> poll.responder().accept(responses.notPrimary()));
     }
 
     /** Answers the polls whose wait is over. */
     void tick(long nowMs) {
         long waitMs = waitMs();
-        answer(waiting.stream().filter(poll -> nowMs - poll.receivedAtMs() >= waitMs).toList());
+        respondTo(
+                waitingPolls.stream()
+                        .filter(poll -> nowMs - poll.receivedAtMs() >= waitMs)
+                        .toList());
     }
 
-    /** Returns the wait of a poll. Short waits keep the loads current; with more balancers, each polls less often. */
+    /**
+     * Returns the wait of a poll. Short waits keep the loads current; with more balancers, each
+     * polls less often.
+     */
     private long waitMs() {
-        long sharedMs = WAIT_PER_BALANCER_MS * balancers.count(false);
-        return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, sharedMs));
+        long scaledWaitMs = WAIT_PER_BALANCER_MS * balancers.count(false);
+        return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, scaledWaitMs));
     }
 
     /** Handles a poll; {@code responder} receives the response, possibly later. */
@@ -90,7 +101,7 @@
         if (request.immediate || request.leaving || responses.hasUpdate(request)) {
             responder.accept(responses.build(request));
         } else {
-            waiting.add(new LongPoll(request, responder, nowMs));
+            waitingPolls.add(new LongPoll(request, responder, nowMs));
         }
     }
 
@@ -99,11 +110,12 @@
         if (!isPrimary || replica.state() != Replica.State.PRIMARY) {
             return;
         }
-        answer(waiting.stream().filter(poll -> responses.hasUpdate(poll.request())).toList());
+        respondTo(
+                waitingPolls.stream().filter(poll -> responses.hasUpdate(poll.request())).toList());
     }
 
-    private void answer(List<LongPoll> due) {
-        waiting.removeAll(due);
-        due.forEach(poll -> poll.responder().accept(responses.build(poll.request())));
+    private void respondTo(List<LongPoll> duePolls) {
+        waitingPolls.removeAll(duePolls);
+        duePolls.forEach(poll -> poll.responder().accept(responses.build(poll.request())));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -13,7 +13,9 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Builds responses to polls. A response contains only what is newer than the versions that the balancer has. Configuration, upstreams, balancers and cached prompts are versioned separately; the versions of upstreams, balancers and prompts are only comparable within an epoch.
+ * Builds responses to polls. A response contains only what is newer than the versions that the
+ * balancer has. Configuration, upstreams, balancers and cached prompts are versioned separately;
+ * the versions of upstreams, balancers and prompts are only comparable within an epoch.
  *
  * <p>Only reads the state, which other classes own. Confined to the event loop.
  */
@@ -25,13 +27,14 @@
     private final BalancerRegistry balancers;
     private final FleetLoadExchange fleetLoads;
     private final CommittedConfiguration committed;
-    private final BooleanSupplier hasHeardAllInstances;
+    private final BooleanSupplier isInstanceListAuthoritative;
     private Replica replica;
 
     /**
      * Creates a builder.
      *
-     * @param hasHeardAllInstances whether every live upstream has had time to send a heartbeat to this primary
+     * @param isInstanceListAuthoritative whether every live upstream has had time to send a
+     *     heartbeat to this primary
      */
     PollResponseBuilder(
             Scheduler scheduler,
@@ -39,13 +42,13 @@
             BalancerRegistry balancers,
             FleetLoadExchange fleetLoads,
             CommittedConfiguration committed,
-            BooleanSupplier hasHeardAllInstances) {
+            BooleanSupplier isInstanceListAuthoritative) {
         this.scheduler = scheduler;
         this.instances = instances;
         this.balancers = balancers;
         this.fleetLoads = fleetLoads;
         this.committed = committed;
-        this.hasHeardAllInstances = hasHeardAllInstances;
+        this.isInstanceListAuthoritative = isInstanceListAuthoritative;
     }
 
     /** Sets the replica that knows the view. Must be called before any other method. */
@@ -59,16 +62,23 @@
                 || request.generation < committed.generation()
                 || hasOtherDrainedZones(request)
                 || request.instanceRevision < instances.revision()
-                || (!request.hasAuthoritativeList && hasHeardAllInstances.getAsBoolean());
+                || (!request.hasAuthoritativeList && isInstanceListAuthoritative.getAsBoolean());
     }
 
-    /** Returns whether the balancer has outdated drained zones. A balancer that does not support drained zones sends none and gets no update for them, since each poll would be answered at once. */
+    /**
+     * Returns whether the balancer has outdated drained zones. A balancer that does not support
+     * drained zones sends none and gets no update for them, since each poll would be answered at
+     * once.
+     */
     private boolean hasOtherDrainedZones(PollRequest request) {
         return request.drainedZones != null
                 && !request.drainedZones.names.equals(committed.drainedZones());
     }
 
-    /** Returns the response to a poll. If this node is not recently confirmed as primary, the response is {@link #notPrimary}. */
+    /**
+     * Returns the response to a poll. If this node is not recently confirmed as primary, the
+     * response is {@link #notPrimary}.
+     */
     PollResponse build(PollRequest request) {
         if (!replica.isRecentlyConfirmed()) {
             return notPrimary();
@@ -95,7 +105,7 @@
 
     private void addInstances(PollResponse response, PollRequest request) {
         response.instanceRevision = instances.revision();
-        response.authoritative = hasHeardAllInstances.getAsBoolean();
+        response.authoritative = isInstanceListAuthoritative.getAsBoolean();
         response.fullInstanceList =
                 request.epoch != response.epoch || !request.hasAuthoritativeList;
         response.instances =
@@ -112,7 +122,10 @@
         }
     }
 
-    /** Returns the response of a node that is not primary, with the address of the primary if it is known. */
+    /**
+     * Returns the response of a node that is not primary, with the address of the primary if it is
+     * known.
+     */
     PollResponse notPrimary() {
         PollResponse response = new PollResponse();
         Member primary = replica.primary();
--- a/src/main/java/myrtleladder/controlplane/PrimaryRelay.java
+++ b/src/main/java/myrtleladder/controlplane/PrimaryRelay.java
@@ -7,8 +7,9 @@
 import myrtleladder.replication.Replica;
 
 /**
- * Relays requests to the primary for balancers that cannot reach it, provided that this node can. If the link between two zones fails, balancers can still reach the primary through a third zone. Confined to the event
- * loop.
+ * Relays requests to the primary for balancers that cannot reach it, provided that this node can.
+ * If the link between two zones fails, balancers can still reach the primary through a third zone.
+ * Confined to the event loop.
  */
 final class PrimaryRelay {
     private final Peers peers;
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -9,7 +9,9 @@
 import myrtleladder.protocol.FleetLoads;
 
 /**
- * The shared prompt prefixes that upstreams have cached, as announced by the balancers. It is a compacted log in which each announcement has a revision, so that each balancer only receives new announcements. A repeated announcement moves to the end of the log instead of being stored twice.
+ * The shared prompt prefixes that upstreams have cached, as announced by the balancers. It is a
+ * compacted log in which each announcement has a revision, so that each balancer only receives new
+ * announcements. A repeated announcement moves to the end of the log instead of being stored twice.
  *
  * <p>Invariant: both maps contain the same announcements. Confined to the event loop.
  */
@@ -21,20 +23,23 @@
     private static final int MAX_PROMPTS_IN_RESPONSE = 128;
 
     private final TreeMap<Long, CachedPrompt> promptByRevision = new TreeMap<>();
-    private final Map<Location, Long> revisionByLocation = new HashMap<>();
+    private final Map<CachedPrefix, Long> revisionByCachedPrefix = new HashMap<>();
     private long revision;
 
     /** A prompt prefix cached at an upstream. */
-    private record Location(long prompt, int upstream) {
-        static Location of(CachedPrompt cached) {
-            return new Location(cached.prefixHash, cached.upstreamKey);
+    private record CachedPrefix(long prefixHash, int upstreamKey) {
+        static CachedPrefix of(CachedPrompt cached) {
+            return new CachedPrefix(cached.prefixHash, cached.upstreamKey);
         }
     }
 
-    /** Clears the log, when this node becomes primary. Balancers keep the announcements that they received from earlier primaries. */
+    /**
+     * Clears the log, when this node becomes primary. Balancers keep the announcements that they
+     * received from earlier primaries.
+     */
     void clear() {
         promptByRevision.clear();
-        revisionByLocation.clear();
+        revisionByCachedPrefix.clear();
         revision = 0;
     }
 
@@ -42,7 +47,7 @@
     void record(List<CachedPrompt> announced) {
         for (CachedPrompt cached : announced) {
             revision++;
-            Long previous = revisionByLocation.put(Location.of(cached), revision);
+            Long previous = revisionByCachedPrefix.put(CachedPrefix.of(cached), revision);
             if (previous != null) {
                 promptByRevision.remove(previous);
             }
@@ -50,12 +55,13 @@
         }
         while (promptByRevision.size() > MAX_ANNOUNCEMENTS) {
             CachedPrompt oldest = promptByRevision.pollFirstEntry().getValue();
-            revisionByLocation.remove(Location.of(oldest));
+            revisionByCachedPrefix.remove(CachedPrefix.of(oldest));
         }
     }
 
     /**
-     * Adds to a response the announcements after a revision, oldest first, and the revision up to which the balancer has all announcements once it has received the response.
+     * Adds to a response the announcements after a revision, oldest first, and the revision up to
+     * which the balancer has all announcements once it has received the response.
      */
     void addChangesSince(FleetLoads response, long knownRevision) {
         response.promptRevision = Math.min(knownRevision, revision);
--- a/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaAllocator.java
@@ -8,27 +8,32 @@
 import myrtleladder.protocol.QuotaResponse;
 
 /**
- * Rate limits of all tenants on the primary. Balancers request units, which are consumed from the tenant's {@link TokenBucket}.
+ * Rate limits of all tenants on the primary. Balancers request units, which are consumed from the
+ * tenant's {@link TokenBucket}.
  *
- * <p>Invariant: each tenant with a rate in the current configuration has a bucket; all other tenants are not limited. Confined to the event loop.
+ * <p>Invariant: each tenant with a rate in the current configuration has a bucket; all other
+ * tenants are not limited. Confined to the event loop.
  */
 final class QuotaAllocator {
     /** Fraction of the allowed overage that is added to a bucket's rate. */
-    private static final double USED_SHARE_OF_OVERAGE = 0.5;
+    private static final double USED_FRACTION_OF_OVERAGE = 0.5;
 
     /** Fraction of the allowed slack that is added to a bucket's capacity. */
-    private static final double USED_SHARE_OF_SLACK = 0.25;
+    private static final double USED_FRACTION_OF_SLACK = 0.25;
 
-    /** Initial fill level of a bucket, as a fraction of its capacity, if an earlier primary may have granted units to the tenant. */
-    private static final double INITIAL_LEVEL_OF_NEW_PRIMARY = 0.1;
+    /**
+     * Initial fill level of a bucket, as a fraction of its capacity, if an earlier primary may have
+     * granted units to the tenant.
+     */
+    private static final double INITIAL_FILL_AFTER_FAILOVER = 0.1;
 
     /** Fill level, as a fraction of the capacity, above which units are granted in advance. */
-    private static final double MIN_LEVEL_FOR_ADVANCE = 0.5;
+    private static final double MIN_FILL_FOR_ADVANCE = 0.5;
 
     /** Fraction of the slack that all balancers together may have been granted in advance. */
-    private static final double SHARE_OF_SLACK_IN_ADVANCE = 0.25;
+    private static final double ADVANCE_FRACTION_OF_SLACK = 0.25;
 
-    private final double overageShare;
+    private final double overageRatio;
     private final double slackUnits;
     private final Map<String, TokenBucket> bucketByTenant = new HashMap<>();
     private int balancerCount = 1;
@@ -36,11 +41,11 @@
     /**
      * Creates an allocator without tenants.
      *
-     * @param overageShare the fraction by which grants may exceed the rate over any window
+     * @param overageRatio the fraction by which grants may exceed the rate over any window
      * @param slackUnits the units that may be granted at once beyond that
      */
-    QuotaAllocator(double overageShare, double slackUnits) {
-        this.overageShare = overageShare;
+    QuotaAllocator(double overageRatio, double slackUnits) {
+        this.overageRatio = overageRatio;
         this.slackUnits = slackUnits;
     }
 
@@ -52,29 +57,32 @@
     /**
      * Applies the quotas of a configuration. Tenants that already have a bucket keep its level.
      *
-     * @param isFirst whether this is the first configuration, so that nothing was granted before and buckets start full
+     * @param isFirst whether this is the first configuration, so that nothing was granted before
+     *     and buckets start full
      */
     void configure(Configuration configuration, boolean isFirst, long nowMs) {
-        Map<String, TokenBucket> previous = new HashMap<>(bucketByTenant);
+        Map<String, TokenBucket> previousBuckets = new HashMap<>(bucketByTenant);
         bucketByTenant.clear();
         for (Tenant tenant : configuration.tenants()) {
             if (tenant.ratePerSecond() > 0) {
-                TokenBucket known = previous.get(tenant.name());
-                bucketByTenant.put(tenant.name(), bucketFor(tenant, known, isFirst, nowMs));
+                TokenBucket previousBucket = previousBuckets.get(tenant.name());
+                bucketByTenant.put(
+                        tenant.name(), createBucket(tenant, previousBucket, isFirst, nowMs));
             }
         }
     }
 
-    /** Creates the bucket of a tenant; {@code known} is its previous bucket, or null. */
-    private TokenBucket bucketFor(Tenant tenant, TokenBucket known, boolean isFirst, long nowMs) {
-        double ratePerS = tenant.ratePerSecond() * (1 + overageShare * USED_SHARE_OF_OVERAGE);
-        double capacity = Math.max(tenant.burst(), 1) + slackUnits * USED_SHARE_OF_SLACK;
-        if (known == null) {
-            double level = capacity * (isFirst ? 1 : INITIAL_LEVEL_OF_NEW_PRIMARY);
+    /** Creates the bucket of a tenant; {@code previousBucket} is its previous bucket, or null. */
+    private TokenBucket createBucket(
+            Tenant tenant, TokenBucket previousBucket, boolean isFirst, long nowMs) {
+        double ratePerS = tenant.ratePerSecond() * (1 + overageRatio * USED_FRACTION_OF_OVERAGE);
+        double capacity = Math.max(tenant.burst(), 1) + slackUnits * USED_FRACTION_OF_SLACK;
+        if (previousBucket == null) {
+            double level = capacity * (isFirst ? 1 : INITIAL_FILL_AFTER_FAILOVER);
             return new TokenBucket(ratePerS, capacity, level, nowMs);
         }
-        known.refill(nowMs);
-        return new TokenBucket(ratePerS, capacity, known.level(), nowMs);
+        previousBucket.refill(nowMs);
+        return new TokenBucket(ratePerS, capacity, previousBucket.level(), nowMs);
     }
 
     /** Sets the number of balancers among which the advance grants are divided. */
@@ -83,7 +91,8 @@
     }
 
     /**
-     * Grants the units that a balancer requests, or responds with the time after which it should retry. A negative number of units returns unused units to the bucket.
+     * Grants the units that a balancer requests, or responds with the time after which it should
+     * retry. A negative number of units returns unused units to the bucket.
      */
     QuotaResponse grant(QuotaRequest request, long nowMs) {
         TokenBucket bucket = bucketByTenant.get(request.tenant);
@@ -92,19 +101,22 @@
         }
         bucket.refill(nowMs);
         if (request.units < 0) {
-            bucket.putBack(-request.units);
+            bucket.refund(-request.units);
             return QuotaResponse.of(true, 0, 0);
         }
         if (bucket.level() <= 0) {
-            return QuotaResponse.of(true, 0, bucket.msUntilPositive());
+            return QuotaResponse.of(true, 0, bucket.timeUntilPositiveMs());
         }
-        double advance = bucket.isAbove(MIN_LEVEL_FOR_ADVANCE) ? maxAdvance() : 0;
-        bucket.take(request.units + advance);
-        return QuotaResponse.of(true, request.units + advance, 0);
+        double advanceUnits = bucket.isFilledAbove(MIN_FILL_FOR_ADVANCE) ? maxAdvanceUnits() : 0;
+        bucket.consume(request.units + advanceUnits);
+        return QuotaResponse.of(true, request.units + advanceUnits, 0);
     }
 
-    /** Returns the maximum number of a tenant's units that one balancer may have been granted in advance. */
-    private double maxAdvance() {
-        return SHARE_OF_SLACK_IN_ADVANCE * slackUnits / balancerCount;
+    /**
+     * Returns the maximum number of a tenant's units that one balancer may have been granted in
+     * advance.
+     */
+    private double maxAdvanceUnits() {
+        return ADVANCE_FRACTION_OF_SLACK * slackUnits / balancerCount;
     }
 }
--- a/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/QuotaRequestHandler.java
@@ -7,7 +7,8 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the quota requests of balancers on the primary, including the load reports that they contain.
+ * Handles the quota requests of balancers on the primary, including the load reports that they
+ * contain.
  *
  * <p>Confined to the event loop.
  */
@@ -39,7 +40,10 @@
         replica = attached;
     }
 
-    /** Returns the response to a request. It is marked as invalid unless this node is the confirmed primary. */
+    /**
+     * Returns the response to a request. It is marked as invalid unless this node is the confirmed
+     * primary.
+     */
     QuotaResponse handle(QuotaRequest request) {
         if (!isConfirmedPrimary.getAsBoolean()) {
             return QuotaResponse.of(false, 0, 0);
--- a/src/main/java/myrtleladder/controlplane/ReplicaAcknowledgements.java
+++ b/src/main/java/myrtleladder/controlplane/ReplicaAcknowledgements.java
@@ -16,7 +16,10 @@
     private final Consumer<Boolean> done;
     private boolean isDone;
 
-    /** Creates an instance; {@code done} is called with true once all replicas have acknowledged, or with false on the first failure. */
+    /**
+     * Creates an instance; {@code done} is called with true once all replicas have acknowledged, or
+     * with false on the first failure.
+     */
     ReplicaAcknowledgements(Collection<Member> replicas, Consumer<Boolean> done) {
         this.pending = new HashSet<>(replicas);
         this.done = done;
--- a/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ShareInstancesRequestHandler.java
@@ -8,21 +8,23 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A record that must be durable is acknowledged once it is on disk. A request from a primary of a lower epoch is rejected.
+ * Handles the records of upstream instances that the primary sends ({@link InstanceReplicator}). A
+ * record that must be durable is acknowledged once it is on disk. A request from a primary of a
+ * lower epoch is rejected.
  *
  * <p>Confined to the event loop.
  */
 final class ShareInstancesRequestHandler {
     private final Scheduler scheduler;
     private final InstanceRegistry instances;
-    private final InstanceSaveScheduler saves;
+    private final InstanceSaveScheduler saveScheduler;
     private Replica replica;
 
     ShareInstancesRequestHandler(
-            Scheduler scheduler, InstanceRegistry instances, InstanceSaveScheduler saves) {
+            Scheduler scheduler, InstanceRegistry instances, InstanceSaveScheduler saveScheduler) {
         this.scheduler = scheduler;
         this.instances = instances;
-        this.saves = saves;
+        this.saveScheduler = saveScheduler;
     }
 
     /** Sets the replica that knows the epoch. Must be called before any other method. */
@@ -40,12 +42,12 @@
         if (request.syncRequired) {
             replica.saveInstances(isSaved -> responder.accept(acknowledgement(isSaved)));
         } else {
-            saves.schedule();
+            saveScheduler.schedule();
             responder.accept(acknowledgement(true));
         }
     }
 
-    private AcknowledgeResponse acknowledgement(boolean isTaken) {
-        return AcknowledgeResponse.of(isTaken, replica.epoch(), replica.self());
+    private AcknowledgeResponse acknowledgement(boolean isAccepted) {
+        return AcknowledgeResponse.of(isAccepted, replica.epoch(), replica.self());
     }
 }
--- a/src/main/java/myrtleladder/controlplane/StateFileFormat.java
+++ b/src/main/java/myrtleladder/controlplane/StateFileFormat.java
@@ -11,7 +11,10 @@
 import org.mapdb.volume.Volume;
 
 /**
- * Encodes and decodes state files. A file is a MapDB sorted table without its trailing zeros, followed by the CRC-32C of these bytes as a big-endian long. Entry 0 of the table is the header (format version and content length, an int each); the entries after it are the chunks of the content.
+ * Encodes and decodes state files. A file is a MapDB sorted table without its trailing zeros,
+ * followed by the CRC-32C of these bytes as a big-endian long. Entry 0 of the table is the header
+ * (format version and content length, an int each); the entries after it are the chunks of the
+ * content.
  *
  * <p>Stateless. The format must stay compatible with files on existing disks.
  */
@@ -102,7 +105,10 @@
                         new SingleByteArrayVol(table), Serializer.INTEGER, Serializer.BYTE_ARRAY));
     }
 
-    /** Verifies and removes the checksum. MapDB does not validate its input, so this must precede opening the table. */
+    /**
+     * Verifies and removes the checksum. MapDB does not validate its input, so this must precede
+     * opening the table.
+     */
     private static byte[] withoutChecksum(byte[] file) {
         int length = file.length - CHECKSUM_BYTES;
         if (length <= 0) {
@@ -115,7 +121,10 @@
         return table;
     }
 
-    /** Pads the table with zeros to a multiple of the page size, which MapDB requires; extra zeros are harmless. */
+    /**
+     * Pads the table with zeros to a multiple of the page size, which MapDB requires; extra zeros
+     * are harmless.
+     */
     private static byte[] withTrailingZeros(byte[] table) {
         int pages = table.length / PAGE_BYTES + 2;
         return Arrays.copyOf(table, pages * PAGE_BYTES);
@@ -127,7 +136,8 @@
             byte[] chunk = table.get(chunkKey(i));
             int expectedLength = Math.min(CHUNK_BYTES, content.length - i * CHUNK_BYTES);
             if (chunk == null || chunk.length != expectedLength) {
-                throw StorageException.damaged("chunk " + i + " is missing or has the wrong length");
+                throw StorageException.damaged(
+                        "chunk " + i + " is missing or has the wrong length");
             }
             System.arraycopy(chunk, 0, content, i * CHUNK_BYTES, expectedLength);
         }
@@ -142,7 +152,8 @@
         ByteBuffer header = ByteBuffer.wrap(bytes);
         int version = header.getInt(VERSION_OFFSET);
         if (version != VERSION) {
-            throw new StorageException(ResultCode.DISK_FORMAT, "unsupported format version " + version, null);
+            throw new StorageException(
+                    ResultCode.DISK_FORMAT, "unsupported format version " + version, null);
         }
         int length = header.getInt(LENGTH_OFFSET);
         if (length < 0 || length > table.size() * (long) CHUNK_BYTES) {
--- a/src/main/java/myrtleladder/controlplane/StateStore.java
+++ b/src/main/java/myrtleladder/controlplane/StateStore.java
@@ -18,9 +18,13 @@
 import org.mapdb.DBException;
 
 /**
- * Stores the replica state of a node on disk. Each save writes the complete state as a new {@link StateFileFormat} file and syncs it; only then does it remove old files, keeping the new file and the previous one.
+ * Stores the replica state of a node on disk. Each save writes the complete state as a new {@link
+ * StateFileFormat} file and syncs it; only then does it remove old files, keeping the new file and
+ * the previous one.
  *
- * <p>Invariants: a file is never modified after it is written; the newest readable file contains at least the last acknowledged state. Loading quarantines partially written files by renaming them; their state was never acknowledged.
+ * <p>Invariants: a file is never modified after it is written; the newest readable file contains at
+ * least the last acknowledged state. Loading quarantines partially written files by renaming them;
+ * their state was never acknowledged.
  *
  * <p>Not thread-safe.
  */
@@ -32,7 +36,7 @@
     private static final String NAME_FORMAT = PREFIX + "%016d" + SUFFIX;
 
     private final Path folder;
-    private long newestNumber;
+    private long newestSequenceNumber;
 
     /**
      * Creates a store in a folder, which is created if it does not exist.
@@ -51,10 +55,10 @@
     /**
      * A state file in the folder, readable or not.
      *
-     * @param number the sequence number in the file name, 0 if the name has none
+     * @param sequenceNumber the sequence number in the file name, 0 if the name has none
      */
-    public record StateFile(long number, Path path) {
-        private boolean isSetAside() {
+    public record StateFile(long sequenceNumber, Path path) {
+        private boolean isQuarantined() {
             return !path.toString().endsWith(SUFFIX);
         }
     }
@@ -71,17 +75,17 @@
                     path -> {
                         String name = path.getFileName().toString();
                         if (name.startsWith(PREFIX)) {
-                            found.add(new StateFile(numberIn(name), path));
+                            found.add(new StateFile(parseSequenceNumber(name), path));
                         }
                     });
         } catch (IOException e) {
             throw new StorageException(ResultCode.DISK_DAMAGED, "cannot list " + folder, e);
         }
-        found.sort(Comparator.comparingLong(StateFile::number).reversed());
+        found.sort(Comparator.comparingLong(StateFile::sequenceNumber).reversed());
         return found;
     }
 
-    private static long numberIn(String name) {
+    private static long parseSequenceNumber(String name) {
         int end = name.indexOf('.');
         try {
             return Long.parseLong(name.substring(PREFIX.length(), end < 0 ? name.length() : end));
@@ -90,30 +94,33 @@
         }
     }
 
-    /** Returns the newest readable state, or null if there is none. Newer files, which are damaged, are quarantined. */
+    /**
+     * Returns the newest readable state, or null if there is none. Newer files, which are damaged,
+     * are quarantined.
+     */
     public StoredState load() {
         StoredState newest = null;
         for (StateFile file : files()) {
-            newestNumber = Math.max(newestNumber, file.number());
-            if (newest == null && !file.isSetAside()) {
-                newest = readOrSetAside(file.path());
+            newestSequenceNumber = Math.max(newestSequenceNumber, file.sequenceNumber());
+            if (newest == null && !file.isQuarantined()) {
+                newest = readOrQuarantine(file.path());
             }
         }
         return newest;
     }
 
     /** Returns the state in a file; if the file is damaged, quarantines it and returns null. */
-    private static StoredState readOrSetAside(Path path) {
+    private static StoredState readOrQuarantine(Path path) {
         try {
             return read(path);
         } catch (StorageException e) {
             LOG.warn("quarantining unreadable state file {}: {}", path, e.getMessage());
-            setAside(path);
+            quarantine(path);
             return null;
         }
     }
 
-    private static void setAside(Path path) {
+    private static void quarantine(Path path) {
         try {
             Files.move(path, path.resolveSibling(path.getFileName() + DAMAGED_SUFFIX));
         } catch (IOException e) {
@@ -132,7 +139,8 @@
         try {
             encoded = StateFileFormat.decode(Files.readAllBytes(path));
         } catch (IOException | DBException e) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "cannot read " + path + ": " + e, e);
+            throw new StorageException(
+                    ResultCode.DISK_DAMAGED, "cannot read " + path + ": " + e, e);
         }
         if (MessageCodec.decode(encoded) instanceof StoredState state) {
             return state;
@@ -146,8 +154,8 @@
      * @throws StorageException with {@link ResultCode#DISK_WRITE} if the state could not be stored
      */
     public void save(StoredState state) {
-        newestNumber++;
-        Path path = folder.resolve(String.format(NAME_FORMAT, newestNumber));
+        newestSequenceNumber++;
+        Path path = folder.resolve(String.format(NAME_FORMAT, newestSequenceNumber));
         try (FileChannel channel =
                 FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.wrap(StateFileFormat.encode(MessageCodec.encode(state)));
@@ -165,7 +173,7 @@
     /** Removes all files except the newest and the previous one. */
     private void removeOldFiles() {
         for (StateFile file : files()) {
-            if (file.number() < newestNumber - 1) {
+            if (file.sequenceNumber() < newestSequenceNumber - 1) {
                 remove(file.path());
             }
         }
--- a/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
@@ -10,7 +10,8 @@
 import myrtleladder.tally.TallyFigures;
 
 /**
- * Handles {@code GET /status}: the state of this node and its view of the fleet. Served by every node, primary or not.
+ * Handles {@code GET /status}: the state of this node and its view of the fleet. Served by every
+ * node, primary or not.
  *
  * <p>Confined to the event loop.
  */
@@ -38,7 +39,7 @@
     }
 
     /** Sets the tallies whose statistics are reported. */
-    void serveTallies(Tallies served) {
+    void setTallies(Tallies served) {
         tallies = served;
     }
 
@@ -50,13 +51,13 @@
                                 "state", replica.state().name(),
                                 "epoch", replica.epoch(),
                                 "generation", configuration.generation(),
-                                "upstreams", instances.all().size(),
+                                "upstreams", instances.reportedRecords().size(),
                                 "balancers", balancers.addresses().size(),
                                 "view", String.valueOf(replica.view())));
         if (tallies != null) {
             status.put("tallies", toJson(tallies.figures()));
         }
-        HttpResponses.json(exchange, HttpResponses.OK, Json.write(status));
+        HttpResponses.sendJson(exchange, HttpResponses.OK, Json.write(status));
     }
 
     private static Map<String, Object> toJson(TallyFigures figures) {
--- a/src/main/java/myrtleladder/controlplane/TallyLog.java
+++ b/src/main/java/myrtleladder/controlplane/TallyLog.java
@@ -16,9 +16,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Append-only log of tally additions on a node's disk, a file of {@link TallyLogFormat} frames. Each append is synced before it returns.
+ * Append-only log of tally additions on a node's disk, a file of {@link TallyLogFormat} frames.
+ * Each append is synced before it returns.
  *
- * <p>Invariants: the first {@link #durableLength} bytes are synced, intact and never overwritten; the bytes after them were not acknowledged and are truncated before the next append.
+ * <p>Invariants: the first {@link #durableLength} bytes are synced, intact and never overwritten;
+ * the bytes after them were not acknowledged and are truncated before the next append.
  *
  * <p>Not thread-safe.
  */
@@ -28,7 +30,7 @@
 
     private final Path folder;
     private final Path path;
-    private final LogFileAccess access;
+    private final LogFileAccess fileAccess;
 
     /** The open file, or null before the first use and after a failure. */
     private FileChannel channel;
@@ -48,10 +50,10 @@
         this(folder, new LogFileAccess());
     }
 
-    TallyLog(Path folder, LogFileAccess access) {
+    TallyLog(Path folder, LogFileAccess fileAccess) {
         this.folder = folder;
         this.path = folder.resolve(FILE_NAME);
-        this.access = access;
+        this.fileAccess = fileAccess;
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
@@ -60,9 +62,13 @@
     }
 
     /**
-     * Reads all additions in the order in which they were appended. Must be called once, before the first append. Truncates the file at the first torn or damaged frame and syncs the additions that it returns.
+     * Reads all additions in the order in which they were appended. Must be called once, before the
+     * first append. Truncates the file at the first torn or damaged frame and syncs the additions
+     * that it returns.
      *
-     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the file cannot be read, {@link ResultCode#DISK_FORMAT} if an intact frame has unknown content, {@link ResultCode#DISK_WRITE} if the file cannot be synced; no intact frame is removed then
+     * @throws StorageException with {@link ResultCode#DISK_DAMAGED} if the file cannot be read,
+     *     {@link ResultCode#DISK_FORMAT} if an intact frame has unknown content, {@link
+     *     ResultCode#DISK_WRITE} if the file cannot be synced; no intact frame is removed then
      */
     public List<TallyAddition> load() {
         List<TallyAddition> additions = new ArrayList<>();
@@ -73,13 +79,17 @@
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(path)))) {
             durableLength = readFrames(in, additions);
         } catch (IOException e) {
-            throw new StorageException(ResultCode.DISK_DAMAGED, "cannot read " + path + ": " + e, e);
+            throw new StorageException(
+                    ResultCode.DISK_DAMAGED, "cannot read " + path + ": " + e, e);
         }
         syncLoaded();
         return additions;
     }
 
-    /** Adds the additions of all frames up to the first unreadable one to the list. Returns the length of these frames in bytes. */
+    /**
+     * Adds the additions of all frames up to the first unreadable one to the list. Returns the
+     * length of these frames in bytes.
+     */
     private long readFrames(DataInputStream in, List<TallyAddition> additions) throws IOException {
         long length = 0;
         TallyLogFormat.Frame frame = TallyLogFormat.read(in);
@@ -92,11 +102,13 @@
         return length;
     }
 
-    /** Syncs the loaded frames, since a killed process may have written frames without syncing them. */
+    /**
+     * Syncs the loaded frames, since a killed process may have written frames without syncing them.
+     */
     private void syncLoaded() {
         try {
             open();
-            access.force(channel);
+            fileAccess.force(channel);
         } catch (IOException e) {
             closeAfterFailure();
             throw new StorageException(ResultCode.DISK_WRITE, "cannot sync " + path + ": " + e, e);
@@ -104,7 +116,8 @@
     }
 
     /**
-     * Appends additions with a single sync. They are durable when the method returns; after a failure none of them is.
+     * Appends additions with a single sync. They are durable when the method returns; after a
+     * failure none of them is.
      *
      * @throws StorageException with {@link ResultCode#DISK_WRITE} if they could not be stored
      */
@@ -125,7 +138,8 @@
     }
 
     /**
-     * Marks the log as complete: the node can serve from it after a restart. Does nothing if it is already marked.
+     * Marks the log as complete: the node can serve from it after a restart. Does nothing if it is
+     * already marked.
      *
      * @throws StorageException with {@link ResultCode#DISK_WRITE} if the marker could not be stored
      */
@@ -137,7 +151,8 @@
     }
 
     /**
-     * Creates the file without a completion marker, which tells the next start that the disk was lost.
+     * Creates the file without a completion marker, which tells the next start that the disk was
+     * lost.
      *
      * @throws StorageException with {@link ResultCode#DISK_WRITE} if the file could not be created
      */
@@ -149,8 +164,8 @@
         int length = frames.remaining();
         try {
             open();
-            access.write(channel, frames, durableLength);
-            access.force(channel);
+            fileAccess.write(channel, frames, durableLength);
+            fileAccess.force(channel);
         } catch (IOException e) {
             closeAfterFailure();
             throw new StorageException(ResultCode.DISK_WRITE, "cannot write " + path + ": " + e, e);
@@ -158,7 +173,9 @@
         durableLength += length;
     }
 
-    /** Opens the file unless it is open, and truncates the bytes that a failed append left behind. */
+    /**
+     * Opens the file unless it is open, and truncates the bytes that a failed append left behind.
+     */
     private void open() throws IOException {
         if (channel != null) {
             return;
@@ -170,15 +187,19 @@
         }
         long length = channel.size();
         if (length < durableLength) {
-            throw new IOException("the file has only " + length + " of " + durableLength + " bytes");
+            throw new IOException(
+                    "the file has only " + length + " of " + durableLength + " bytes");
         }
         if (length > durableLength) {
             LOG.warn("truncating {} bytes at the end of {}", length - durableLength, path);
-            access.truncate(channel, durableLength);
+            fileAccess.truncate(channel, durableLength);
         }
     }
 
-    /** Syncs the folder, so that a new file survives a crash. Not all platforms support this; there, the sync of the file itself has to suffice. */
+    /**
+     * Syncs the folder, so that a new file survives a crash. Not all platforms support this; there,
+     * the sync of the file itself has to suffice.
+     */
     private void syncFolder() {
         try (FileChannel opened = FileChannel.open(folder, StandardOpenOption.READ)) {
             opened.force(true);
@@ -192,9 +213,12 @@
             return;
         }
         try (FileChannel failed = channel) {
-            access.truncate(failed, durableLength);
+            fileAccess.truncate(failed, durableLength);
         } catch (IOException e) {
-            LOG.debug("cannot truncate {} now, retrying before the next append: {}", path, e.toString());
+            LOG.debug(
+                    "cannot truncate {} now, retrying before the next append: {}",
+                    path,
+                    e.toString());
         }
         channel = null;
     }
--- a/src/main/java/myrtleladder/controlplane/TallyLogFormat.java
+++ b/src/main/java/myrtleladder/controlplane/TallyLogFormat.java
@@ -14,7 +14,9 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * Encodes and decodes the tally log, a sequence of frames. A frame consists of the content length, the CRC-32C of length and content (both big-endian ints), and the content, a {@link TallyBatch} encoded by {@link MessageCodec}.
+ * Encodes and decodes the tally log, a sequence of frames. A frame consists of the content length,
+ * the CRC-32C of length and content (both big-endian ints), and the content, a {@link TallyBatch}
+ * encoded by {@link MessageCodec}.
  *
  * <p>Stateless. The format must stay compatible with files on existing disks.
  */
@@ -26,13 +28,18 @@
 
     private TallyLogFormat() {}
 
-    /** A frame read from the log; {@code lengthBytes} is its length in the file, including the header. */
+    /**
+     * A frame read from the log; {@code lengthBytes} is its length in the file, including the
+     * header.
+     */
     record Frame(List<TallyAddition> additions, int lengthBytes) {}
 
     /**
-     * Encodes additions as one frame, or as several if the content exceeds {@link #MAX_CONTENT_BYTES}.
+     * Encodes additions as one frame, or as several if the content exceeds {@link
+     * #MAX_CONTENT_BYTES}.
      *
-     * @throws StorageException with {@link ResultCode#DISK_WRITE} if a single addition does not fit into a frame
+     * @throws StorageException with {@link ResultCode#DISK_WRITE} if a single addition does not fit
+     *     into a frame
      */
     static ByteBuffer encode(List<TallyAddition> additions) {
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
@@ -49,7 +56,9 @@
         }
         if (additions.size() == 1) {
             throw new StorageException(
-                    ResultCode.DISK_WRITE, "an addition of " + content.length + " bytes is too long for a frame", null);
+                    ResultCode.DISK_WRITE,
+                    "an addition of " + content.length + " bytes is too long for a frame",
+                    null);
         }
         int middle = additions.size() / 2;
         encodeTo(frames, additions.subList(0, middle));
@@ -64,10 +73,12 @@
     }
 
     /**
-     * Reads the next frame. Returns null at the end of the file and for an incomplete or damaged frame.
+     * Reads the next frame. Returns null at the end of the file and for an incomplete or damaged
+     * frame.
      *
      * @throws IOException if the file cannot be read
-     * @throws StorageException with {@link ResultCode#DISK_FORMAT} if the frame is intact but its content is unknown to this version
+     * @throws StorageException with {@link ResultCode#DISK_FORMAT} if the frame is intact but its
+     *     content is unknown to this version
      */
     static Frame read(DataInputStream in) throws IOException {
         byte[] content = readIntactContent(in);
@@ -97,7 +108,8 @@
         } catch (MessageFormatException e) {
             throw new StorageException(ResultCode.DISK_FORMAT, "cannot decode a frame: " + e, e);
         }
-        throw new StorageException(ResultCode.DISK_FORMAT, "a frame does not contain a tally batch", null);
+        throw new StorageException(
+                ResultCode.DISK_FORMAT, "a frame does not contain a tally batch", null);
     }
 
     private static int checksum(byte[] content) {
--- a/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
@@ -9,7 +9,9 @@
 import myrtleladder.tally.Tallies;
 
 /**
- * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. With 503 the request had no effect. With 504 it is unknown whether the addition counts; it may be retried with the same id.
+ * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. With 503 the
+ * request had no effect. With 504 it is unknown whether the addition counts; it may be retried with
+ * the same id.
  *
  * <p>Confined to the event loop.
  */
@@ -32,13 +34,13 @@
     void handle(ServerExchange exchange, String name) {
         String method = exchange.head().method();
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
-            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+            HttpResponses.sendEmpty(exchange, HttpResponses.NOT_FOUND);
         } else if (method.equals("GET")) {
             respondWithTotal(exchange, name);
         } else if (method.equals("POST")) {
             add(exchange, name);
         } else {
-            HttpResponses.empty(exchange, HttpResponses.METHOD_NOT_ALLOWED);
+            HttpResponses.sendEmpty(exchange, HttpResponses.METHOD_NOT_ALLOWED);
         }
     }
 
@@ -46,9 +48,9 @@
         OptionalLong total = tallies.total(name);
         if (total.isPresent()) {
             byte[] body = Json.write(Map.of("total", total.getAsLong()));
-            HttpResponses.json(exchange, HttpResponses.OK, body);
+            HttpResponses.sendJson(exchange, HttpResponses.OK, body);
         } else {
-            HttpResponses.unavailable(exchange);
+            HttpResponses.sendUnavailable(exchange);
         }
     }
 
@@ -57,7 +59,7 @@
         try {
             json = Json.readObject(exchange.body());
         } catch (ResultException e) {
-            HttpResponses.error(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
+            HttpResponses.sendError(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
             return;
         }
         boolean isIdValid =
@@ -70,18 +72,18 @@
             long amount = (Long) json.get(AMOUNT_FIELD);
             tallies.add(name, id, amount, result -> respond(exchange, result));
         } else {
-            HttpResponses.error(
+            HttpResponses.sendError(
                     exchange, HttpResponses.BAD_REQUEST, "an id and a whole number are expected");
         }
     }
 
     private static void respond(ServerExchange exchange, AdditionResult result) {
         if (result == AdditionResult.ACKNOWLEDGED) {
-            HttpResponses.acknowledge(exchange);
+            HttpResponses.sendAcknowledgement(exchange);
         } else if (result == AdditionResult.REFUSED) {
-            HttpResponses.unavailable(exchange);
+            HttpResponses.sendUnavailable(exchange);
         } else {
-            HttpResponses.empty(exchange, HttpResponses.GATEWAY_TIMEOUT);
+            HttpResponses.sendEmpty(exchange, HttpResponses.GATEWAY_TIMEOUT);
         }
     }
 }
--- a/src/main/java/myrtleladder/controlplane/TokenBucket.java
+++ b/src/main/java/myrtleladder/controlplane/TokenBucket.java
@@ -1,7 +1,8 @@
 package myrtleladder.controlplane;
 
 /**
- * The token bucket of a tenant. Its level may become negative (a debt): a request is granted in full while the level is positive, so that small requests cannot starve large ones.
+ * The token bucket of a tenant. Its level may become negative (a debt): a request is granted in
+ * full while the level is positive, so that small requests cannot starve large ones.
  *
  * <p>Invariant: the level is at most the capacity. Confined to the event loop; {@link
  * QuotaAllocator} owns it.
@@ -39,22 +40,22 @@
     }
 
     /** Returns whether the level exceeds a fraction of the capacity. */
-    boolean isAbove(double share) {
-        return level > share * capacity;
+    boolean isFilledAbove(double fraction) {
+        return level > fraction * capacity;
     }
 
     /** Consumes units, possibly more than are available. */
-    void take(double units) {
+    void consume(double units) {
         level -= units;
     }
 
     /** Returns unused units to the bucket. */
-    void putBack(double units) {
+    void refund(double units) {
         level = Math.min(capacity, level + units);
     }
 
     /** Returns the time until the level is positive again, in milliseconds, at least 1. */
-    long msUntilPositive() {
+    long timeUntilPositiveMs() {
         return Math.max(1, Math.round(-level / ratePerS * MS_PER_S));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
@@ -7,7 +7,8 @@
 import myrtleladder.replication.Replica;
 
 /**
- * Handles {@code GET /upgrade}: the progress of an upgrade of the upstreams. Only the primary answers, since balancers report their requests in flight only to it.
+ * Handles {@code GET /upgrade}: the progress of an upgrade of the upstreams. Only the primary
+ * answers, since balancers report their requests in flight only to it.
  *
  * <p>Confined to the event loop.
  */
@@ -46,7 +47,8 @@
             return;
         }
         UpgradeStatus status =
-                UpgradeStatus.of(instances.all(), balancers.inFlightRequests(), regionByZone);
-        HttpResponses.json(exchange, HttpResponses.OK, Json.write(status.toJson()));
+                UpgradeStatus.of(
+                        instances.reportedRecords(), balancers.inFlightByInstance(), regionByZone);
+        HttpResponses.sendJson(exchange, HttpResponses.OK, Json.write(status.toJson()));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeStatus.java
@@ -10,7 +10,8 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * The progress of an upgrade in each zone, for the operator who replaces the upstreams. The next zone may be started once the previous ones are settled.
+ * The progress of an upgrade in each zone, for the operator who replaces the upstreams. The next
+ * zone may be started once the previous ones are settled.
  *
  * @param zones the status of each service in each zone, by service, then by zone
  */
--- a/src/main/java/myrtleladder/controlplane/Warmup.java
+++ b/src/main/java/myrtleladder/controlplane/Warmup.java
@@ -31,7 +31,9 @@
 import myrtleladder.rpc.PeerClient;
 
 /**
- * Training run for class-data sharing: starts a control node on the loopback interface, sends it one request of each kind and ends. The build uses it to archive the classes that a start needs, because loading them from the archive takes a fraction of the processor time.
+ * Training run for class-data sharing: starts a control node on the loopback interface, sends it
+ * one request of each kind and ends. The build uses it to archive the classes that a start needs,
+ * because loading them from the archive takes a fraction of the processor time.
  *
  * <p>The subcommand is {@code rehearse}.
  */
@@ -47,7 +49,7 @@
     private static final String NO_BODY = "";
 
     /** The first configuration, with one object of each kind and most of its fields. */
-    private static final String DOCUMENT =
+    private static final String FIRST_CONFIGURATION =
             """
             {"generation":3,
              "routes":[{"name":"r","hostname":"h","path_prefix":"/a/","type":"streaming",
@@ -68,7 +70,7 @@
              "delete":{"routes":["x"]}}""";
 
     /** A configuration that is rejected because its generation is too low. */
-    private static final String OUTDATED_DOCUMENT = "{\"generation\":2}";
+    private static final String OUTDATED_CONFIGURATION = "{\"generation\":2}";
 
     private static final String HEARTBEAT =
             """
@@ -137,14 +139,14 @@
     }
 
     private void sendFirstRequests() {
-        send("PUT", "/config", "0", DOCUMENT);
+        send("PUT", "/config", "0", FIRST_CONFIGURATION);
         send("PUT", "/instances/i", NO_IF_MATCH, HEARTBEAT);
         loop.schedule(STEP_MS, this::sendLaterRequests);
     }
 
     private void sendLaterRequests() {
         send("PATCH", "/config", "3", PATCH);
-        send("PUT", "/config", "3", OUTDATED_DOCUMENT);
+        send("PUT", "/config", "3", OUTDATED_CONFIGURATION);
         send("GET", "/config", NO_IF_MATCH, NO_BODY);
         send("POST", "/tallies/t", NO_IF_MATCH, ADDITION);
         send("GET", "/tallies/t", NO_IF_MATCH, NO_BODY);
--- a/src/main/java/myrtleladder/controlplane/ZoneUpgradeStatus.java
+++ b/src/main/java/myrtleladder/controlplane/ZoneUpgradeStatus.java
@@ -34,7 +34,10 @@
         inFlight += record.isLeaving() ? requestsInFlight : 0;
     }
 
-    /** Returns whether the upgrade of this zone is finished: no instance is lost or draining, no requests are in flight at leaving instances, and each ready instance has an ordinal. */
+    /**
+     * Returns whether the upgrade of this zone is finished: no instance is lost or draining, no
+     * requests are in flight at leaving instances, and each ready instance has an ordinal.
+     */
     boolean isSettled() {
         return draining == 0 && inFlight == 0 && withoutOrdinal == 0 && lost == 0;
     }
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
@@ -74,7 +74,7 @@
                         this::call,
                         plane,
                         plane::instances);
-        plane.serveTallies(
+        plane.setTallies(
                 new Tallies(
                         new TallyOptions("a:1", "z", "p", 1, 0, true, List.of("b:1", "c:1")),
                         clock,
--- a/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
@@ -20,10 +20,10 @@
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.READY, 3), 0);
         registry.recover(List.of(record(Stage.LOST, 20)), 1_000);
-        assertEquals(Stage.READY, registry.get("i").stage);
+        assertEquals(Stage.READY, registry.reportedRecord("i").stage);
         assertFalse(registry.expire(4_000, 4_000));
         assertTrue(registry.expire(6_000, 4_000));
-        assertEquals(Stage.LOST, registry.get("i").stage);
+        assertEquals(Stage.LOST, registry.reportedRecord("i").stage);
     }
 
     @Test
@@ -33,7 +33,7 @@
         assertFalse(registry.merge(record(Stage.READY, 9), 1));
         registry.recover(List.of(record(Stage.GONE, 2)), 2);
         registry.merge(record(Stage.DRAINING, 12), 3);
-        assertEquals(Stage.GONE, registry.get("i").stage);
+        assertEquals(Stage.GONE, registry.reportedRecord("i").stage);
     }
 
     @Test
@@ -52,7 +52,7 @@
     }
 
     private static long leftMs(InstanceRegistry registry, long nowMs) {
-        return registry.get("i", nowMs).warmupLeftMs();
+        return registry.recordAsOf("i", nowMs).warmupLeftMs();
     }
 
     @Test
@@ -94,9 +94,9 @@
     void silentInstanceIsTakenForColdBeforeItIsLost() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(cold(1, 0), 10_000);
-        assertFalse(registry.assumeSilentAreCold(3_000, 2_400, 13_000));
-        assertTrue(registry.assumeSilentAreCold(3_000, 2_400, 13_001));
-        assertFalse(registry.assumeSilentAreCold(3_000, 2_400, 13_100));
+        assertFalse(registry.assumeColdWithoutHeartbeat(3_000, 2_400, 13_000));
+        assertTrue(registry.assumeColdWithoutHeartbeat(3_000, 2_400, 13_001));
+        assertFalse(registry.assumeColdWithoutHeartbeat(3_000, 2_400, 13_100));
         assertTrue(leftMs(registry, 13_100) > 0);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/LoadTableTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadTableTest.java
@@ -20,7 +20,7 @@
 
     @BeforeEach
     void resetBeforeWarmUp() {
-        table.reset(START_MS - LoadTable.WARM_UP_MS);
+        table.reset(START_MS - LoadTable.COLLECTION_PERIOD_MS);
     }
 
     private static LoadReport report(String balancer, long process, long sequence, int requests) {
@@ -102,8 +102,8 @@
         table.record(report("a", 1, 1, 2), START_MS);
         table.reset(START_MS);
         table.record(report("b", 1, 1, 3), START_MS + 10);
-        assertFalse(loadsFor("c", START_MS + LoadTable.WARM_UP_MS - 1).loadsKnown);
-        assertLoads(3, "c", START_MS + LoadTable.WARM_UP_MS);
+        assertFalse(loadsFor("c", START_MS + LoadTable.COLLECTION_PERIOD_MS - 1).loadsKnown);
+        assertLoads(3, "c", START_MS + LoadTable.COLLECTION_PERIOD_MS);
     }
 
     @Test
--- a/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
+++ b/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
@@ -28,7 +28,7 @@
     }
 
     private int ordinal(String id) {
-        return registry.get(id).ordinal;
+        return registry.reportedRecord(id).ordinal;
     }
 
     private void assignFirstOrdinals(String... ids) {
@@ -78,10 +78,10 @@
         assertEquals(1, ordinal("a1"));
         InstanceRegistry next = new InstanceRegistry();
         next.merge(record("a1", "a", Stage.READY, 7_000), 7_000);
-        next.recover(registry.all(), 7_100);
-        assertEquals(1, next.get("a1").ordinal);
+        next.recover(registry.reportedRecords(), 7_100);
+        assertEquals(1, next.reportedRecord("a1").ordinal);
         next.expire(30_000, 4_000);
-        assertEquals(1, next.get("a1").ordinal);
+        assertEquals(1, next.reportedRecord("a1").ordinal);
     }
 
     /** Random upgrades, zone by zone: no two instances share an ordinal, and each has one. */
@@ -111,10 +111,11 @@
         }
         runTicks(registry, nowMs, PREDECESSOR_WAIT_MS);
         Set<Integer> ordinals = new HashSet<>();
-        for (InstanceRecord record : registry.all()) {
+        for (InstanceRecord record : registry.reportedRecords()) {
             if (record.stage == Stage.READY) {
                 assertTrue(ordinals.add(record.ordinal), "shared: " + record.ordinal);
-                assertEquals(registry.get(record.id.replace("new", "old")).zone, record.zone);
+                assertEquals(
+                        registry.reportedRecord(record.id.replace("new", "old")).zone, record.zone);
             }
         }
         assertEquals(Set.of(1, 2, 3, 4, 5, 6, 7, 8, 9), ordinals);
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -56,7 +56,7 @@
                         QUOTA_SLACK_UNITS,
                         REGION_BY_ZONE);
         if (cluster.hasTallies()) {
-            plane.serveTallies(tallies(isBootstrap, newStore));
+            plane.setTallies(tallies(isBootstrap, newStore));
         }
         this.replica =
                 new Replica(
