--- a/src/main/java/myrtleladder/controlplane/WarmupDeadline.java
+++ b/src/main/java/myrtleladder/controlplane/WarmupDeadline.java
@@ -20,29 +20,29 @@
     private long endsAtMs = NO_WARMUP;
 
     /**
-     * Applies the remaining time from a newer heartbeat, 0 for none.
+     * Applies the remaining warm-up from a newer heartbeat, 0 for none.
      *
      * @return whether balancers must receive the change: the instance became cold or warm, or this
      *     is a different warm-up
      */
-    boolean update(long remainingMs, long nowMs) {
+    boolean update(long durationMs, long nowMs) {
         boolean hasChanged =
-                remainingMs > 0
+                durationMs > 0
                         ? endsAtMs <= nowMs
-                                || Math.abs(nowMs + remainingMs - endsAtMs) > TOLERANCE_MS
+                                || Math.abs(nowMs + durationMs - endsAtMs) > TOLERANCE_MS
                         : endsAtMs - nowMs > TOLERANCE_MS;
         if (hasChanged) {
-            endsAtMs = remainingMs > 0 ? nowMs + remainingMs : NO_WARMUP;
+            endsAtMs = durationMs > 0 ? nowMs + durationMs : NO_WARMUP;
         }
         return hasChanged;
     }
 
     /**
-     * Extends the warm-up to at least the remaining time. Returns whether balancers must receive
-     * the change.
+     * Extends the warm-up to end no earlier than {@code durationMs} from now. Returns whether
+     * balancers must receive the change.
      */
-    boolean extend(long remainingMs, long nowMs) {
-        return remainingMs > remainingMs(nowMs) && update(remainingMs, nowMs);
+    boolean extend(long durationMs, long nowMs) {
+        return durationMs > remainingMs(nowMs) && update(durationMs, nowMs);
     }
 
     /**
