--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -45,7 +45,8 @@
                 "TERM",
                 () -> loop.execute(() -> leave(settings.bounds(), loop, replica, shutdownLatch)));
         Signals.on(
-                "HUP", () -> loop.execute(() -> LOG.info("ignoring SIGHUP: restart to reload settings")));
+                "HUP",
+                () -> loop.execute(() -> LOG.info("ignoring SIGHUP: restart to reload settings")));
         LOG.info("control node {} listens on {}", settings.nodeName(), settings.control());
         shutdownLatch.await();
         Runtime.getRuntime().halt(0);
