--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -22,23 +22,29 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control plane on one node. It puts the parts together, gives each request to the handler of
- * its path or type, passes on changes of the role, and runs the periodic tasks. Only the primary
- * decides; other nodes name the primary. {@link Tallies} alone are served by every node.
+ * The control plane on one node. Wires the components together, dispatches each request to the
+ * handler of its path or message type, notifies the components when the node gains or loses the
+ * primary role, and runs the periodic tasks. Only the primary makes decisions; other nodes refer
+ * requests to it. {@link Tallies} are the exception: every node serves them.
  *
- * <p>The state is owned by {@link CommittedConfiguration}, {@link InstanceRegistry}, {@link
- * BalancerRegistry}, {@link FleetLoadExchange} and {@link QuotaAllocator}; the {@link Replica} owns
- * the role. All calls come from the event loop.
+ * <p>{@link CommittedConfiguration}, {@link InstanceRegistry}, {@link BalancerRegistry}, {@link
+ * FleetLoadExchange} and {@link QuotaAllocator} own the state; the {@link Replica} decides which
+ * node is primary. Confined to the event loop.
  */
 public final class ControlPlane implements Replica.Listener {
     private static final Logger LOG = LogManager.getLogger(ControlPlane.class);
     private static final String INSTANCES_PATH = "/instances/";
     private static final String DRAIN_PATH = "/drain/";
 
-    /** Timeout of a poll that is passed on: a little less than the balancer's own. */
+    /**
+     * Timeout of a relayed poll, slightly shorter than the timeout of the balancer that sent it.
+     */
     private static final long POLL_RELAY_TIMEOUT_MS = 700;
 
-    /** Timeout of a request for quota that is passed on: a little less than the balancer's own. */
+    /**
+     * Timeout of a relayed quota request, slightly shorter than the timeout of the balancer that
+     * sent it.
+     */
     private static final long QUOTA_RELAY_TIMEOUT_MS = 200;
 
     private static final String TALLIES_PATH = "/tallies/";
@@ -46,16 +52,22 @@
     /** The interval of the periodic tasks. */
     private static final long TICK_INTERVAL_MS = 100;
 
-    /** A longer time between two ticks means that the process was suspended. */
+    /** If more time passes between two ticks, the process is assumed to have been suspended. */
     private static final long SUSPENSION_THRESHOLD_MS = 400;
 
-    /** An instance that misses more heartbeats than this is lost. */
+    /** An instance that misses more heartbeats than this is marked as lost. */
     private static final int MAX_MISSED_HEARTBEATS = 3;
 
-    /** A silence of more intervals than this may mean that the instance comes back cold. */
-    private static final double MAX_SILENT_INTERVALS = 2.5;
+    /**
+     * Heartbeat intervals without a heartbeat after which an instance is assumed to be cold, since
+     * it may have restarted.
+     */
+    private static final double MAX_HEARTBEAT_GAP_INTERVALS = 2.5;
 
-    /** Heartbeat intervals for which an instance is assumed to be cold unless it says otherwise. */
+    /**
+     * Heartbeat intervals for which an instance is assumed to be cold unless a heartbeat states
+     * otherwise.
+     */
     private static final int ASSUMED_WARMUP_INTERVALS = 2;
 
     private final Scheduler scheduler;
@@ -67,20 +79,20 @@
             new CommittedConfiguration(this::configurationCommitted, this::committedStateUpdated);
     private final QuotaAllocator quotas;
     private final InstanceReplicator replicator;
-    private final InstanceSaveScheduler saves;
+    private final InstanceSaveScheduler saveScheduler;
     private final OperatorRequestQueue operatorRequests;
     private final ConfigurationRequestHandler configurationRequests;
     private final DrainRequestHandler drainRequests;
     private final InstanceRequestHandler instanceRequests;
     private final UpgradeRequestHandler upgradeRequests;
     private final StatusRequestHandler statusRequests;
-    private final PollRequestHandler polls;
+    private final PollRequestHandler pollRequests;
     private final PrimaryRelay relay;
     private final QuotaRequestHandler quotaRequests;
     private final ShareInstancesRequestHandler shareInstancesRequests;
     private Replica replica;
 
-    /** Null if this node serves no tallies. */
+    /** The tallies, or null if this node serves none. */
     private Tallies tallies;
 
     private TallyRequestHandler tallyRequests;
@@ -89,26 +101,26 @@
     private long lastTickMs;
 
     /**
-     * Creates a control plane; {@link #attach} has to follow.
+     * Creates a control plane. {@link #attach} must be called before it is used.
      *
-     * @param heartbeatIntervalMs the interval at which upstreams send heartbeats
-     * @param quotaOverageShare by which share more than a tenant's rate may be granted
-     * @param quotaSlackUnits how many units beyond that may be granted at once
-     * @param regionByZone the regions of zones, as far as they are known
+     * @param heartbeatIntervalMs the interval at which upstreams send heartbeats, in milliseconds
+     * @param quotaOverageRatio the fraction by which grants may exceed a tenant's rate
+     * @param quotaSlackUnits the units that may be granted at once beyond that
+     * @param regionByZone the region of each zone whose region is known
      */
     public ControlPlane(
             Scheduler scheduler,
             PeerTransport peers,
             long heartbeatIntervalMs,
-            double quotaOverageShare,
+            double quotaOverageRatio,
             double quotaSlackUnits,
             Map<String, String> regionByZone) {
         this.scheduler = scheduler;
         this.heartbeatIntervalMs = heartbeatIntervalMs;
-        quotas = new QuotaAllocator(quotaOverageShare, quotaSlackUnits);
+        quotas = new QuotaAllocator(quotaOverageRatio, quotaSlackUnits);
         replicator = new InstanceReplicator(scheduler, peers);
         relay = new PrimaryRelay(peers);
-        saves = new InstanceSaveScheduler(scheduler);
+        saveScheduler = new InstanceSaveScheduler(scheduler);
         PollResponseBuilder pollResponses =
                 new PollResponseBuilder(
                         scheduler,
@@ -116,43 +128,49 @@
                         balancers,
                         fleetLoads,
                         configuration,
-                        () -> hasHeardAllInstances(scheduler.now()));
-        polls = new PollRequestHandler(scheduler, balancers, fleetLoads, pollResponses);
+                        () -> isInstanceListAuthoritative(scheduler.now()));
+        pollRequests = new PollRequestHandler(scheduler, balancers, fleetLoads, pollResponses);
         operatorRequests = new OperatorRequestQueue(scheduler);
         configurationRequests = new ConfigurationRequestHandler(operatorRequests, configuration);
         drainRequests = new DrainRequestHandler(operatorRequests, configuration, this::assumeCold);
         instanceRequests =
                 new InstanceRequestHandler(
-                        scheduler, instances, replicator, saves, polls, this::isConfirmedPrimary);
+                        scheduler,
+                        instances,
+                        replicator,
+                        saveScheduler,
+                        pollRequests,
+                        this::isConfirmedPrimary);
         upgradeRequests =
                 new UpgradeRequestHandler(
                         instances, balancers, regionByZone, this::isConfirmedPrimary);
         statusRequests = new StatusRequestHandler(configuration, instances, balancers);
         quotaRequests =
                 new QuotaRequestHandler(scheduler, quotas, fleetLoads, this::isConfirmedPrimary);
-        shareInstancesRequests = new ShareInstancesRequestHandler(scheduler, instances, saves);
+        shareInstancesRequests =
+                new ShareInstancesRequestHandler(scheduler, instances, saveScheduler);
     }
 
-    /** Sets the tallies that this node serves; has to precede {@link #attach}. */
-    public void serveTallies(Tallies served) {
+    /** Sets the tallies that this node serves. Must be called before {@link #attach}. */
+    public void setTallies(Tallies served) {
         tallies = served;
         tallyRequests = new TallyRequestHandler(served);
-        statusRequests.serveTallies(served);
+        statusRequests.setTallies(served);
     }
 
-    /** Sets the replica that decides who is primary, and starts the periodic tasks. */
+    /** Sets the replica that determines which node is primary, and starts the periodic tasks. */
     public void attach(Replica attached) {
         replica = attached;
         replicator.attach(attached);
         relay.attach(attached);
-        saves.attach(attached);
+        saveScheduler.attach(attached);
         operatorRequests.attach(attached);
         configurationRequests.attach(attached);
         drainRequests.attach(attached);
         instanceRequests.attach(attached);
         upgradeRequests.attach(attached);
         statusRequests.attach(attached);
-        polls.attach(attached);
+        pollRequests.attach(attached);
         quotaRequests.attach(attached);
         shareInstancesRequests.attach(attached);
         instances.recover(attached.instancesAtStart(), scheduler.now());
@@ -173,12 +191,12 @@
                 .toList();
     }
 
-    /** The upstream instances that are known here. */
+    /** Returns the upstream instances that this node knows. */
     public List<InstanceRecord> instances() {
-        return instances.all(scheduler.now());
+        return instances.recordsAsOf(scheduler.now());
     }
 
-    /** Handles an HTTP request at the control address. */
+    /** Handles an HTTP request to the control address. */
     public void handle(ServerExchange exchange) {
         String path = exchange.head().path();
         if (path.equals("/config")) {
@@ -194,13 +212,13 @@
         } else if (path.equals("/status")) {
             statusRequests.handle(exchange);
         } else {
-            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+            HttpResponses.sendEmpty(exchange, HttpResponses.NOT_FOUND);
         }
     }
 
     /**
-     * Handles a message of another process of the fleet; {@code responder} gets the response, null
-     * if the message has none.
+     * Handles a message from another process of the fleet. {@code responder} receives the response,
+     * or null if there is none.
      */
     public void receive(Message message, Consumer<Message> responder) {
         if (message instanceof PollRequest request) {
@@ -220,10 +238,10 @@
         boolean isRelayWanted = request.relayWanted != null && request.relayWanted;
         request.relayWanted = null;
         if (isRelayWanted && relay.isAvailable()) {
-            Runnable onFailure = () -> polls.handle(request, responder);
+            Runnable onFailure = () -> pollRequests.handle(request, responder);
             relay.relay(request, POLL_RELAY_TIMEOUT_MS, responder, onFailure);
         } else {
-            polls.handle(request, responder);
+            pollRequests.handle(request, responder);
         }
     }
 
@@ -251,11 +269,11 @@
         operatorRequests.onPrimacyGained();
         configuration.recover(replica.snapshot());
         LOG.info(
-                "primary of epoch {} with generation {} and {} upstreams",
+                "became primary in epoch {} with configuration generation {} and {} upstreams",
                 replica.epoch(),
                 configuration.generation(),
-                instances.all().size());
-        polls.onPrimacyGained();
+                instances.reportedRecords().size());
+        pollRequests.onPrimacyGained();
         operatorRequests.tick(scheduler.now());
     }
 
@@ -264,7 +282,7 @@
         isPrimary = false;
         replicator.onPrimacyLost();
         operatorRequests.onPrimacyLost();
-        polls.onPrimacyLost();
+        pollRequests.onPrimacyLost();
     }
 
     @Override
@@ -277,15 +295,15 @@
     }
 
     private void committedStateUpdated() {
-        polls.sendUpdates();
+        pollRequests.sendUpdates();
     }
 
     private boolean isConfirmedPrimary() {
         return isPrimary && replica.isRecentlyConfirmed();
     }
 
-    /** Whether each live instance has had the time to send this primary a heartbeat. */
-    private boolean hasHeardAllInstances(long nowMs) {
+    /** Returns whether every live instance has had time to send a heartbeat to this primary. */
+    private boolean isInstanceListAuthoritative(long nowMs) {
         return nowMs - primarySinceMs > MAX_MISSED_HEARTBEATS * heartbeatIntervalMs;
     }
 
@@ -298,7 +316,7 @@
             instances.resetLastSeen(nowMs);
         }
         balancers.expire(nowMs);
-        quotas.setBalancerCount(balancers.count(!hasHeardAllInstances(nowMs)));
+        quotas.setBalancerCount(balancers.count(!isInstanceListAuthoritative(nowMs)));
         if (isPrimary) {
             tickAsPrimary(nowMs);
         }
@@ -309,20 +327,21 @@
             expireInstances(nowMs);
             assignOrdinals(nowMs);
         }
-        polls.tick(nowMs);
+        pollRequests.tick(nowMs);
         operatorRequests.tick(nowMs);
     }
 
     private void expireInstances(long nowMs) {
         long timeoutMs = MAX_MISSED_HEARTBEATS * heartbeatIntervalMs + heartbeatIntervalMs / 2;
-        if (!hasHeardAllInstances(nowMs)) {
+        if (!isInstanceListAuthoritative(nowMs)) {
             return;
         }
-        boolean hasLost = instances.expire(nowMs, timeoutMs);
-        long silenceMs = (long) (MAX_SILENT_INTERVALS * heartbeatIntervalMs);
-        boolean hasSilent = instances.assumeSilentAreCold(silenceMs, assumedWarmupMs(), nowMs);
-        if (hasLost || hasSilent) {
-            polls.sendUpdates();
+        boolean isAnyLost = instances.expire(nowMs, timeoutMs);
+        long maxHeartbeatGapMs = (long) (MAX_HEARTBEAT_GAP_INTERVALS * heartbeatIntervalMs);
+        boolean isAnyAssumedCold =
+                instances.assumeColdWithoutHeartbeat(maxHeartbeatGapMs, assumedWarmupMs(), nowMs);
+        if (isAnyLost || isAnyAssumedCold) {
+            pollRequests.sendUpdates();
         }
     }
 
@@ -331,8 +350,9 @@
     }
 
     /**
-     * Takes the ready upstreams of a zone for cold until their next heartbeat: its evacuation was
-     * withdrawn, and they may have become cold unnoticed.
+     * Assumes that the ready upstreams of a zone are cold until their next heartbeat. Called when
+     * the drain of the zone is cancelled, since they may have become cold without a heartbeat that
+     * said so.
      */
     private void assumeCold(String zone) {
         List<InstanceRecord> assumed =
@@ -340,10 +360,10 @@
         if (assumed.isEmpty()) {
             return;
         }
-        LOG.info("{} upstreams of {} are taken for cold", assumed.size(), zone);
+        LOG.info("assuming that {} upstreams in zone {} are cold", assumed.size(), zone);
         assumed.forEach(replicator::replicate);
-        polls.sendUpdates();
-        saves.schedule();
+        pollRequests.sendUpdates();
+        saveScheduler.schedule();
     }
 
     private void assignOrdinals(long nowMs) {
@@ -352,10 +372,14 @@
             return;
         }
         for (InstanceRecord record : assigned) {
-            LOG.info("{} in {} has ordinal {}", record.id, record.zone, record.ordinal);
+            LOG.info(
+                    "assigned to upstream {} in zone {} the ordinal {}",
+                    record.id,
+                    record.zone,
+                    record.ordinal);
             replicator.replicate(record);
         }
-        polls.sendUpdates();
-        saves.schedule();
+        pollRequests.sendUpdates();
+        saveScheduler.schedule();
     }
 }
--- a/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/PollRequestHandler.java
@@ -9,27 +9,27 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Handles the long polls by which balancers learn of the configuration, the upstreams, the other
+ * Handles the long polls with which balancers fetch the configuration, the upstreams, the other
  * balancers and their loads. A poll is answered at once if there is an update for the balancer,
- * else as soon as there is one or its time is over.
+ * otherwise as soon as there is one or the maximum wait is over.
  *
  * <p>Invariant: polls wait only while this node is primary. Confined to the event loop.
  */
 final class PollRequestHandler {
-    /** The shortest that a poll without update waits. */
+    /** Minimum wait of a poll without an update. */
     private static final long MIN_WAIT_MS = 150;
 
-    /** The longest that a poll without update waits. */
+    /** Maximum wait of a poll without an update. */
     private static final long MAX_WAIT_MS = 450;
 
-    /** What each balancer adds to the wait: bounds the polls of all to 250 a second. */
+    /** Wait per balancer. Limits the total rate of polls to 250 per second. */
     private static final long WAIT_PER_BALANCER_MS = 4;
 
     private final Scheduler scheduler;
     private final BalancerRegistry balancers;
     private final FleetLoadExchange fleetLoads;
     private final PollResponseBuilder responses;
-    private final List<LongPoll> waiting = new ArrayList<>();
+    private final List<LongPoll> waitingPolls = new ArrayList<>();
     private Replica replica;
     private boolean isPrimary;
 
@@ -44,39 +44,48 @@
         this.responses = responses;
     }
 
-    /** Sets the replica that knows who is primary; has to precede all else. */
+    /** Sets the replica that knows the primary. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
         responses.attach(attached);
     }
 
-    /** This node became primary. */
+    /** Called when this node becomes primary. */
     void onPrimacyGained() {
         isPrimary = true;
         sendUpdates();
     }
 
-    /** This node is no longer primary: balancers that wait are told who is. */
+    /**
+     * Called when this node is no longer primary; answers the waiting polls with the address of the
+     * primary, if known.
+     */
     void onPrimacyLost() {
         isPrimary = false;
-        List<LongPoll> abandoned = new ArrayList<>(waiting);
-        waiting.clear();
+        List<LongPoll> abandoned = new ArrayList<>(waitingPolls);
+        waitingPolls.clear();
         abandoned.forEach(poll -> poll.responder().accept(responses.notPrimary()));
     }
 
-    /** Answers the polls that have waited long enough. */
+    /** Answers the polls whose wait is over. */
     void tick(long nowMs) {
         long waitMs = waitMs();
-        answer(waiting.stream().filter(poll -> nowMs - poll.receivedAtMs() >= waitMs).toList());
+        respondTo(
+                waitingPolls.stream()
+                        .filter(poll -> nowMs - poll.receivedAtMs() >= waitMs)
+                        .toList());
     }
 
-    /** Short waits keep the loads fresh; the more balancers, the less often each polls. */
+    /**
+     * Returns the wait of a poll. Short waits keep the loads current; with more balancers, each
+     * polls less often.
+     */
     private long waitMs() {
-        long sharedMs = WAIT_PER_BALANCER_MS * balancers.count(false);
-        return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, sharedMs));
+        long scaledWaitMs = WAIT_PER_BALANCER_MS * balancers.count(false);
+        return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, scaledWaitMs));
     }
 
-    /** Accepts a poll. */
+    /** Handles a poll; {@code responder} receives the response, possibly later. */
     void handle(PollRequest request, Consumer<Message> responder) {
         if (!isPrimary || !replica.isRecentlyConfirmed()) {
             responder.accept(responses.notPrimary());
@@ -92,20 +101,21 @@
         if (request.immediate || request.leaving || responses.hasUpdate(request)) {
             responder.accept(responses.build(request));
         } else {
-            waiting.add(new LongPoll(request, responder, nowMs));
+            waitingPolls.add(new LongPoll(request, responder, nowMs));
         }
     }
 
-    /** Answers the waiting polls of all balancers for which there is an update. */
+    /** Answers the waiting polls for which there is an update. */
     void sendUpdates() {
         if (!isPrimary || replica.state() != Replica.State.PRIMARY) {
             return;
         }
-        answer(waiting.stream().filter(poll -> responses.hasUpdate(poll.request())).toList());
+        respondTo(
+                waitingPolls.stream().filter(poll -> responses.hasUpdate(poll.request())).toList());
     }
 
-    private void answer(List<LongPoll> due) {
-        waiting.removeAll(due);
-        due.forEach(poll -> poll.responder().accept(responses.build(poll.request())));
+    private void respondTo(List<LongPoll> duePolls) {
+        waitingPolls.removeAll(duePolls);
+        duePolls.forEach(poll -> poll.responder().accept(responses.build(poll.request())));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
+++ b/src/main/java/myrtleladder/controlplane/PollResponseBuilder.java
@@ -13,11 +13,11 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * Builds responses to polls: each holds what is newer than what the balancer has. Configuration,
- * upstreams, balancers and prompts have a version of their own each; those of upstreams, balancers
- * and prompts count within an epoch.
+ * Builds responses to polls. A response contains only what is newer than the versions that the
+ * balancer has. Configuration, upstreams, balancers and cached prompts are versioned separately;
+ * the versions of upstreams, balancers and prompts are only comparable within an epoch.
  *
- * <p>Reads the state that others own. Confined to the event loop.
+ * <p>Only reads the state, which other classes own. Confined to the event loop.
  */
 final class PollResponseBuilder {
     private static final byte[] NO_DOCUMENT = {};
@@ -27,14 +27,14 @@
     private final BalancerRegistry balancers;
     private final FleetLoadExchange fleetLoads;
     private final CommittedConfiguration committed;
-    private final BooleanSupplier hasHeardAllInstances;
+    private final BooleanSupplier isInstanceListAuthoritative;
     private Replica replica;
 
     /**
      * Creates a builder.
      *
-     * @param hasHeardAllInstances whether each live upstream has had the time to send this primary
-     *     a heartbeat
+     * @param isInstanceListAuthoritative whether every live upstream has had time to send a
+     *     heartbeat to this primary
      */
     PollResponseBuilder(
             Scheduler scheduler,
@@ -42,36 +42,43 @@
             BalancerRegistry balancers,
             FleetLoadExchange fleetLoads,
             CommittedConfiguration committed,
-            BooleanSupplier hasHeardAllInstances) {
+            BooleanSupplier isInstanceListAuthoritative) {
         this.scheduler = scheduler;
         this.instances = instances;
         this.balancers = balancers;
         this.fleetLoads = fleetLoads;
         this.committed = committed;
-        this.hasHeardAllInstances = hasHeardAllInstances;
+        this.isInstanceListAuthoritative = isInstanceListAuthoritative;
     }
 
-    /** Sets the replica that knows the view; has to precede all else. */
+    /** Sets the replica that knows the view. Must be called before any other method. */
     void attach(Replica attached) {
         replica = attached;
     }
 
-    /** Whether this node has something that the balancer does not have yet. */
+    /** Returns whether this node has an update for the balancer. */
     boolean hasUpdate(PollRequest request) {
         return request.epoch != replica.view().epoch
                 || request.generation < committed.generation()
                 || hasOtherDrainedZones(request)
                 || request.instanceRevision < instances.revision()
-                || (!request.hasAuthoritativeList && hasHeardAllInstances.getAsBoolean());
+                || (!request.hasAuthoritativeList && isInstanceListAuthoritative.getAsBoolean());
     }
 
-    /** A balancer that does not heed drained zones is not told of them time and again. */
+    /**
+     * Returns whether the balancer has outdated drained zones. A balancer that does not support
+     * drained zones sends none and gets no update for them, since each poll would be answered at
+     * once.
+     */
     private boolean hasOtherDrainedZones(PollRequest request) {
         return request.drainedZones != null
                 && !request.drainedZones.names.equals(committed.drainedZones());
     }
 
-    /** The response to a poll; that of another node than the primary if that is in doubt. */
+    /**
+     * Returns the response to a poll. If this node is not recently confirmed as primary, the
+     * response is {@link #notPrimary}.
+     */
     PollResponse build(PollRequest request) {
         if (!replica.isRecentlyConfirmed()) {
             return notPrimary();
@@ -98,7 +105,7 @@
 
     private void addInstances(PollResponse response, PollRequest request) {
         response.instanceRevision = instances.revision();
-        response.authoritative = hasHeardAllInstances.getAsBoolean();
+        response.authoritative = isInstanceListAuthoritative.getAsBoolean();
         response.fullInstanceList =
                 request.epoch != response.epoch || !request.hasAuthoritativeList;
         response.instances =
@@ -115,7 +122,10 @@
         }
     }
 
-    /** The response of a node that is not the primary: it names the one that it knows, if any. */
+    /**
+     * Returns the response of a node that is not primary, with the address of the primary if it is
+     * known.
+     */
     PollResponse notPrimary() {
         PollResponse response = new PollResponse();
         Member primary = replica.primary();
--- a/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
@@ -9,18 +9,19 @@
 import myrtleladder.tally.Tallies;
 
 /**
- * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. 503 promises
- * that nothing was done; 504 leaves open whether an addition counts, and it may be sent again.
+ * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. With 503 the
+ * request had no effect. With 504 it is unknown whether the addition counts; it may be retried with
+ * the same id.
  *
  * <p>Confined to the event loop.
  */
 final class TallyRequestHandler {
     private static final String ID_FIELD = "id";
 
-    /** The field of an application's request that has the number to add. */
+    /** The request field with the amount to add. Applications depend on its name. */
     private static final String AMOUNT_FIELD = "owner";
 
-    /** Longest name of a tally and longest id, in characters. */
+    /** Maximum length of a tally name and of an id, in characters. */
     private static final int MAX_NAME_LENGTH = 128;
 
     private final Tallies tallies;
@@ -29,17 +30,17 @@
         this.tallies = tallies;
     }
 
-    /** Accepts a request about the tally of this name. */
+    /** Handles a request for the tally with this name. */
     void handle(ServerExchange exchange, String name) {
         String method = exchange.head().method();
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
-            HttpResponses.empty(exchange, HttpResponses.NOT_FOUND);
+            HttpResponses.sendEmpty(exchange, HttpResponses.NOT_FOUND);
         } else if (method.equals("GET")) {
             respondWithTotal(exchange, name);
         } else if (method.equals("POST")) {
             add(exchange, name);
         } else {
-            HttpResponses.empty(exchange, HttpResponses.METHOD_NOT_ALLOWED);
+            HttpResponses.sendEmpty(exchange, HttpResponses.METHOD_NOT_ALLOWED);
         }
     }
 
@@ -47,9 +48,9 @@
         OptionalLong total = tallies.total(name);
         if (total.isPresent()) {
             byte[] body = Json.write(Map.of("total", total.getAsLong()));
-            HttpResponses.json(exchange, HttpResponses.OK, body);
+            HttpResponses.sendJson(exchange, HttpResponses.OK, body);
         } else {
-            HttpResponses.unavailable(exchange);
+            HttpResponses.sendUnavailable(exchange);
         }
     }
 
@@ -58,7 +59,7 @@
         try {
             json = Json.readObject(exchange.body());
         } catch (ResultException e) {
-            HttpResponses.error(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
+            HttpResponses.sendError(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
             return;
         }
         boolean isIdValid =
@@ -71,18 +72,18 @@
             long amount = (Long) json.get(AMOUNT_FIELD);
             tallies.add(name, id, amount, result -> respond(exchange, result));
         } else {
-            HttpResponses.error(
+            HttpResponses.sendError(
                     exchange, HttpResponses.BAD_REQUEST, "an id and a whole number are expected");
         }
     }
 
     private static void respond(ServerExchange exchange, AdditionResult result) {
         if (result == AdditionResult.ACKNOWLEDGED) {
-            HttpResponses.acknowledge(exchange);
+            HttpResponses.sendAcknowledgement(exchange);
         } else if (result == AdditionResult.REFUSED) {
-            HttpResponses.unavailable(exchange);
+            HttpResponses.sendUnavailable(exchange);
         } else {
-            HttpResponses.empty(exchange, HttpResponses.GATEWAY_TIMEOUT);
+            HttpResponses.sendEmpty(exchange, HttpResponses.GATEWAY_TIMEOUT);
         }
     }
 }
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedProcess.java
@@ -57,7 +57,7 @@
                         QUOTA_SLACK_UNITS,
                         REGION_BY_ZONE);
         if (cluster.hasTallies()) {
-            plane.serveTallies(tallies(isBootstrap, newStore));
+            plane.setTallies(tallies(isBootstrap, newStore));
         }
         this.replica =
                 new Replica(
