--- a/src/main/java/myrtleladder/configuration/ClientLimits.java
+++ b/src/main/java/myrtleladder/configuration/ClientLimits.java
@@ -1,12 +1,14 @@
 package myrtleladder.configuration;
 
 /**
- * Limits on clients.
+ * Limits on the requests and connections of clients.
  *
- * @param maxHeaderBytes {@code max_header_bytes} of a request; default 16 KiB
- * @param maxBodyBytes {@code max_body_bytes} of a request; default 4 MiB
- * @param headerTimeoutMs {@code header_timeout_ms} for a request to arrive; default 3000
- * @param idleTimeoutMs {@code idle_timeout_ms} of a connection without a request; default 15000
+ * @param maxHeaderBytes {@code max_header_bytes}: maximum size of a request head; default 16 KiB
+ * @param maxBodyBytes {@code max_body_bytes}: maximum size of a request body; default 4 MiB
+ * @param headerTimeoutMs {@code header_timeout_ms}: time in which a request must arrive, from its
+ *     first byte to its last; default 3000
+ * @param idleTimeoutMs {@code idle_timeout_ms}: how long a connection may be open without a
+ *     request; default 15000
  */
 public record ClientLimits(
         long maxHeaderBytes, long maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
@@ -15,6 +17,7 @@
     private static final long DEFAULT_HEADER_TIMEOUT_MS = 3_000;
     private static final long DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
+    /** Parses the optional {@code limits} object of a configuration. */
     static ClientLimits read(Fields root) {
         if (!root.has("limits")) {
             return new ClientLimits(
--- a/src/main/java/myrtleladder/configuration/Compression.java
+++ b/src/main/java/myrtleladder/configuration/Compression.java
@@ -7,18 +7,19 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * Compresses documents for the store and the protocol (zlib, RFC 1950); their JSON repeats the same
- * field names. Thread-safe; arrays that are passed in are not changed.
+ * Compresses configuration documents for storage and transmission (zlib, RFC 1950). The documents
+ * compress well, since their JSON repeats the same field names. Thread-safe; does not modify the
+ * arrays that are passed in.
  */
 public final class Compression {
     private static final int BUFFER_BYTES = 8 * 1_024;
 
-    /** Longest document that is decompressed, against damaged or forged input. */
+    /** Maximum size of a decompressed document; guards against damaged or forged input. */
     static final int MAX_DOCUMENT_BYTES = 64 * 1_024 * 1_024;
 
     private Compression() {}
 
-    /** Compresses bytes; an empty array stays empty. */
+    /** Compresses a document; an empty array is returned as is. */
     public static byte[] deflate(byte[] bytes) {
         if (bytes.length == 0) {
             return bytes;
@@ -39,9 +40,9 @@
     }
 
     /**
-     * Decompresses bytes; an empty array stays empty.
+     * Decompresses a document; an empty array is returned as is.
      *
-     * @throws ConfigurationException if the bytes are damaged or the document is too long
+     * @throws ConfigurationException if the bytes are damaged or the document exceeds the size limit
      */
     public static byte[] inflate(byte[] bytes) {
         if (bytes.length == 0) {
--- a/src/main/java/myrtleladder/configuration/Configuration.java
+++ b/src/main/java/myrtleladder/configuration/Configuration.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import myrtleladder.result.ResultCode;
 
-/** A checked configuration with its routing table. Immutable once read. */
+/** A validated configuration with its routing table. Immutable after construction. */
 public final class Configuration {
     private final long generation;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
@@ -33,9 +33,10 @@
     }
 
     /**
-     * Reads and checks a complete document.
+     * Builds a configuration from a complete document and validates it.
      *
-     * @throws ConfigurationException if it is invalid
+     * @param tree the JSON document, as {@link JsonCodec#parseObject} returns it
+     * @throws ConfigurationException if the document is invalid
      */
     public static Configuration read(Map<String, Object> tree) {
         return new Configuration(Fields.of("configuration", tree));
@@ -100,12 +101,17 @@
         }
     }
 
-    /** Returns the number that the operator gave this configuration. */
+    /** Returns the generation number that the operator assigned to this configuration. */
     public long generation() {
         return generation;
     }
 
-    /** Returns the route with the longest matching path prefix, null if there is none. */
+    /**
+     * Returns the route of a host with the longest path prefix that matches.
+     *
+     * @param host the value of the Host header field, with or without a port; null matches no route
+     * @return null if no route matches
+     */
     public Route route(String host, String path) {
         if (host == null) {
             return null;
@@ -120,7 +126,7 @@
         return null;
     }
 
-    /** Returns a service by its name, null if there is none. */
+    /** Returns the service with a name, null if there is none. */
     public Service service(String name) {
         return services.get(name);
     }
@@ -130,7 +136,7 @@
         return services.values();
     }
 
-    /** Returns the tenant with an API key, null if there is none. */
+    /** Returns the tenant that an API key belongs to; null if the key is null or unknown. */
     public Tenant tenant(String key) {
         return key == null ? null : tenantsByKey.get(key);
     }
@@ -140,7 +146,7 @@
         return tenants;
     }
 
-    /** Returns the limits on clients. */
+    /** Returns the limits on the requests and connections of clients. */
     public ClientLimits limits() {
         return limits;
     }
--- a/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
+++ b/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import myrtleladder.result.ResultCode;
 
-/** A configuration as the operator wrote it, with the changes that orders make to it. */
+/**
+ * A configuration as the JSON document that the operator wrote, and the changes that an operator can
+ * make to it. Immutable.
+ */
 public final class ConfigurationDocument {
     private static final String GENERATION = "generation";
     private static final String UPSERT = "upsert";
@@ -21,38 +24,50 @@
         this.generation = generation;
     }
 
-    /** The document before the first one: generation 0 with nothing in it. */
+    /** Returns the document in use before the operator's first one: empty, generation 0. */
     public static ConfigurationDocument empty() {
         return new ConfigurationDocument(new byte[0], 0);
     }
 
-    /** A document that was checked when it was taken. */
+    /** Restores a document that was validated before it was stored; does not validate it again. */
     public static ConfigurationDocument stored(byte[] bytes, long generation) {
         return new ConfigurationDocument(bytes, generation);
     }
 
-    /** The whole as JSON. */
+    /** Returns the complete document as UTF-8 JSON, not a copy; empty before the first one. */
     public byte[] bytes() {
         return bytes;
     }
 
-    /** The operator's number, 0 before the first. */
+    /** Returns the generation number that the operator assigned, 0 before the first document. */
     public long generation() {
         return generation;
     }
 
-    /** The typed form. */
+    /** Parses the document into its typed form. */
     public Configuration configuration() {
         return Configuration.read(Json.readObject(bytes));
     }
 
-    /** The document that a whole new one makes of this; refused if it is invalid. */
+    /**
+     * Replaces the complete document.
+     *
+     * @param replacement the new document as JSON
+     * @return the new document
+     * @throws ConfigurationException if it is invalid or its generation is not higher
+     */
     public ConfigurationDocument replacedBy(byte[] whole) {
         return checked(Json.readObject(whole));
     }
 
     /**
-     * The document that a change of named items makes of this; refused if the result is invalid.
+     * Applies a patch that deletes, replaces or adds named items; other top-level fields of the
+     * patch replace those of the document.
+     *
+     * @param patchBytes JSON with {@code generation}, and optionally {@code upsert} and {@code
+     *     delete}
+     * @return the patched document
+     * @throws ConfigurationException if the result is invalid or its generation is not higher
      */
     public ConfigurationDocument changedBy(byte[] change) {
         Map<String, Object> patch = Json.readObject(change);
@@ -106,6 +121,7 @@
                 });
     }
 
+    /** Replaces the item with the same name, or appends the item if there is none. */
     private static void put(List<Object> items, Object item) {
         String name = nameOf(item);
         if (name == null) {
@@ -120,10 +136,12 @@
         items.add(item);
     }
 
+    /** Returns the name of an item, null if it is not an object with a name. */
     private static String nameOf(Object item) {
         return item instanceof Map<?, ?> map && map.get(NAME) instanceof String name ? name : null;
     }
 
+    /** Replaces a list of items in the tree by a mutable copy and returns the copy. */
     private static List<Object> items(Map<String, Object> tree, String kind) {
         Object present = tree.get(kind);
         List<Object> items =
--- a/src/main/java/myrtleladder/configuration/Fields.java
+++ b/src/main/java/myrtleladder/configuration/Fields.java
@@ -6,8 +6,9 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * Typed access to the fields of a JSON object. Methods throw {@link ConfigurationException} with
- * the path of the field if it is missing, has no default, or has the wrong type.
+ * Typed access to the fields of a JSON object of the configuration. Getters throw {@link
+ * ConfigurationException} with the path of the field if it has the wrong type, or if it is missing
+ * and has no default. A field that is null counts as missing.
  */
 final class Fields {
     private final String path;
@@ -18,6 +19,12 @@
         this.values = values;
     }
 
+    /**
+     * Wraps a parsed JSON value.
+     *
+     * @param path the path of the value in the document, for error messages
+     * @throws ConfigurationException if the value is not an object
+     */
     static Fields of(String path, Object value) {
         if (!(value instanceof Map<?, ?> map)) {
             throw wrong(path, "an object");
@@ -25,19 +32,23 @@
         return new Fields(path, map);
     }
 
+    /** Creates the exception for a field that is not what was expected. */
     static ConfigurationException wrong(String path, String expected) {
         return new ConfigurationException(
                 ResultCode.CONFIGURATION_FIELD, path + " is not " + expected);
     }
 
+    /** Returns the path of this object in the document. */
     String path() {
         return path;
     }
 
+    /** Returns whether the field is present and not null. */
     boolean has(String name) {
         return values.get(name) != null;
     }
 
+    /** Returns a required string, which must not be empty. */
     String text(String name) {
         if (values.get(name) instanceof String text && !text.isEmpty()) {
             return text;
@@ -49,6 +60,7 @@
         return has(name) ? text(name) : defaultValue;
     }
 
+    /** Returns a number rounded to the nearest integer. */
     long number(String name, long defaultValue) {
         return Math.round(decimal(name, defaultValue));
     }
@@ -64,6 +76,7 @@
         throw wrong(path + "." + name, "a number");
     }
 
+    /** Returns a boolean, false if the field is missing. */
     boolean flag(String name) {
         Object value = values.get(name);
         if (value == null) {
@@ -75,10 +88,12 @@
         throw wrong(path + "." + name, "true or false");
     }
 
+    /** Returns a required nested object. */
     Fields object(String name) {
         return of(path + "." + name, values.get(name));
     }
 
+    /** Returns a copy of a list, empty if the field is missing. */
     List<Object> list(String name) {
         Object value = values.get(name);
         if (value == null) {
@@ -90,6 +105,7 @@
         throw wrong(path + "." + name, "a list");
     }
 
+    /** Returns a list of objects, empty if the field is missing. */
     List<Fields> objects(String name) {
         List<Fields> objects = new ArrayList<>();
         for (Object item : list(name)) {
@@ -98,6 +114,7 @@
         return objects;
     }
 
+    /** Returns a list of strings, empty if the field is missing. */
     List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
         for (Object item : list(name)) {
--- a/src/main/java/myrtleladder/configuration/Json.java
+++ b/src/main/java/myrtleladder/configuration/Json.java
@@ -10,8 +10,8 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * Reads and writes JSON objects as trees of maps and lists that keep the order of their fields.
- * Thread-safe.
+ * Parses and serializes JSON objects as trees of maps and lists. The maps preserve the order of the
+ * fields. Thread-safe.
  */
 public final class Json {
     private static final DslJson<Object> LIBRARY = new DslJson<>(new DslJson.Settings<>());
@@ -19,9 +19,9 @@
     private Json() {}
 
     /**
-     * Reads a document, which has to be one object with nothing behind it.
+     * Parses a document, which must be a single JSON object; only white space may follow it.
      *
-     * @throws ConfigurationException with {@code CONFIGURATION_SYNTAX} if it is none
+     * @throws ConfigurationException with {@code CONFIGURATION_SYNTAX} if it is anything else
      */
     public static Map<String, Object> readObject(byte[] bytes) {
         try {
@@ -47,13 +47,13 @@
         }
     }
 
-    /** Writes a tree as UTF-8 without white space. */
+    /** Serializes a tree to UTF-8 without white space. */
     public static byte[] write(Map<String, Object> tree) {
         JsonWriter writer = LIBRARY.newWriter();
         try {
             LIBRARY.serialize(writer, tree);
         } catch (IOException e) {
-            throw new IllegalStateException("a tree in memory can't fail to be written", e);
+            throw new IllegalStateException("failed to serialize JSON to memory", e);
         }
         return writer.toByteArray();
     }
--- a/src/main/java/myrtleladder/configuration/Route.java
+++ b/src/main/java/myrtleladder/configuration/Route.java
@@ -3,22 +3,25 @@
 import java.util.List;
 
 /**
- * A route: which requests go to which services, and how.
+ * A route: matches requests by host and path prefix, and defines the services that handle them,
+ * timeouts, priority and retries.
  *
  * @param name {@code name}
  * @param hostname {@code hostname}, compared without regard to case
- * @param pathPrefix {@code path_prefix}; the longest that matches wins
+ * @param pathPrefix {@code path_prefix}; of several routes that match, the longest prefix wins
  * @param type {@code type}; default non_idempotent
- * @param timeoutMs {@code timeout_ms}, above 0
+ * @param timeoutMs {@code timeout_ms}: maximum duration of a request; greater than 0
  * @param targetLatencyMs {@code target_latency_ms}; default 1000
- * @param priority {@code priority}; default 0
- * @param retries {@code retries}: most upstreams that one attempt may be sent to; default 1
- * @param open {@code public}: whether requests need no key; default false
+ * @param priority {@code priority}: 0 is the highest and the default
+ * @param retries {@code retries}: maximum number of upstreams that a request may be sent to,
+ *     including the first; default 1
+ * @param isPublic {@code public}: whether requests need no API key; default false
  * @param sessionAffinity {@code session_affinity}; default false
- * @param resumable {@code resumable}: whether a broken stream may be resumed; default false
- * @param gapAimMs {@code gap_aim_ms}: longest pause between events that counts as in time; default
- *     0
- * @param shares {@code traffic_split}, or {@code backend} with all of the traffic
+ * @param resumable {@code resumable}: whether another upstream may resume an interrupted stream;
+ *     default false
+ * @param targetEventGapMs {@code gap_aim_ms}: target for the longest gap between two events of a
+ *     stream; default 0
+ * @param trafficSplit {@code traffic_split}, or {@code backend} as the only service
  */
 public record Route(
         String name,
@@ -35,7 +38,7 @@
         long gapAimMs,
         List<Share> shares) {
 
-    /** Whether requests are idempotent, and whether answers are streamed. */
+    /** Whether requests are idempotent, or their responses are streams of events. */
     public enum Type {
         IDEMPOTENT,
         NON_IDEMPOTENT,
@@ -43,23 +46,28 @@
     }
 
     /**
-     * The part of a route's requests that goes to one service.
+     * A service with its weight in the traffic split of a route.
      *
-     * @param service {@code backend}, the name of the service
-     * @param weight {@code weight}, relative to the sum of all; 0 and more
+     * @param serviceName {@code backend}
+     * @param weight {@code weight}: the service receives requests in proportion to its part of the
+     *     sum of all weights; not negative
      */
     public record Share(String service, double weight) {}
 
-    /** Whether a request may run more than once. */
+    /**
+     * Returns whether a request may be executed more than once: on idempotent routes and on resumable
+     * streams.
+     */
     public boolean repeatable() {
         return type == Type.IDEMPOTENT || (type == Type.STREAMING && resumable);
     }
 
-    /** Whether answers come as a series of events. */
+    /** Returns whether responses are streams of server-sent events. */
     public boolean streaming() {
         return type == Type.STREAMING;
     }
 
+    /** Parses a route; {@link Configuration} checks its values. */
     static Route read(Fields fields) {
         String type = fields.text("type", "non_idempotent");
         return new Route(
--- a/src/main/java/myrtleladder/configuration/Service.java
+++ b/src/main/java/myrtleladder/configuration/Service.java
@@ -1,15 +1,16 @@
 package myrtleladder.configuration;
 
 /**
- * A service: a set of upstreams that are equivalent.
+ * A service: a set of interchangeable upstreams.
  *
  * @param name {@code name}
- * @param healthCheck {@code health_check}, the path of the probe; default {@code /healthz}
- * @param maxConnections {@code max_connections} to one upstream; default 100
- * @param engine {@code engine} of upstreams that run a language model, null for others
- * @param warmupMs {@code warmup_s}: how long an upstream stays cold after its start; default 0
- * @param warmupPerSecond {@code warmup_per_s}: requests a second that a cold upstream withstands,
- *     with a fraction; default 0 for no limit
+ * @param healthCheckPath {@code health_check}: the path of the health check; default {@code
+ *     /healthz}
+ * @param maxConnections {@code max_connections}: connection limit of one upstream; default 100
+ * @param engine {@code engine} of upstreams that run a language model, null for other services
+ * @param warmupMs {@code warmup_s}: how long an upstream is cold after its start; default 0
+ * @param warmupRequestsPerSecond {@code warmup_per_s}: request rate that a cold upstream can handle,
+ *     may be fractional; 0, the default, means no limit
  */
 public record Service(
         String name,
@@ -21,14 +22,15 @@
     private static final double MS_PER_SECOND = 1_000;
 
     /**
-     * A language model.
+     * Parameters of the inference engine that runs a language model.
      *
-     * @param capacity {@code capacity}: requests in one batch; default 1
-     * @param kvTokens {@code kv_tokens}: tokens that the key-value cache holds; default 0
-     * @param stride {@code stride}: tokens in one event of the answer; default 1
+     * @param maxBatchSize {@code capacity}: maximum number of requests in a batch; default 1
+     * @param kvCacheTokens {@code kv_tokens}: capacity of the key-value cache in tokens; default 0
+     * @param tokensPerEvent {@code stride}: tokens in each event of a response; default 1
      */
     public record Engine(int capacity, long kvTokens, int stride) {}
 
+    /** Parses a service. */
     static Service read(Fields fields) {
         Engine engine = null;
         if (fields.has("engine")) {
--- a/src/main/java/myrtleladder/configuration/Tenant.java
+++ b/src/main/java/myrtleladder/configuration/Tenant.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * A tenant with its keys and its quota, which holds over all balancers together.
+ * A tenant with its API keys and its rate limit. The limit applies to the sum of its requests at all
+ * balancers; its unit is tokens or requests.
  *
  * @param name {@code name}
- * @param keys {@code api_keys} by which its requests are recognized
- * @param priority {@code priority}; default 0
- * @param countsTokens whether {@code unit} is tokens rather than requests, the default
- * @param plainTokens {@code plain_tokens}: units of a request whose tokens are not known; default 1
- * @param ratePerSecond {@code rate_per_s}, in units; 0, the default, means no limit
- * @param burst {@code burst}, in units; default 0
+ * @param apiKeys {@code api_keys} that authenticate its requests
+ * @param priority {@code priority}: 0 is the highest and the default
+ * @param countsTokens whether {@code unit} is tokens; the default is requests
+ * @param defaultTokens {@code plain_tokens}: units charged for a request whose token usage is
+ *     unknown; default 1
+ * @param ratePerSecond {@code rate_per_s}: units per second; 0, the default, means no limit
+ * @param burst {@code burst}: capacity of the token bucket, in units; default 0
  */
 public record Tenant(
         String name,
@@ -22,6 +24,7 @@
         double ratePerSecond,
         double burst) {
 
+    /** Parses a tenant. */
     static Tenant read(Fields fields) {
         return new Tenant(
                 fields.text("name"),
--- a/src/main/java/myrtleladder/configuration/package-info.java
+++ b/src/main/java/myrtleladder/configuration/package-info.java
@@ -1,2 +1,4 @@
-/** The operator's configuration: the JSON document, changes to it, and its typed, checked form. */
+/**
+ * The operator's configuration: the JSON document, patches to it, and its validated, typed form.
+ */
 package myrtleladder.configuration;
--- a/src/main/java/myrtleladder/dataplane/ActiveRequests.java
+++ b/src/main/java/myrtleladder/dataplane/ActiveRequests.java
@@ -5,7 +5,8 @@
 import java.util.Set;
 
 /**
- * The requests that await their final response, in order of arrival. Confined to the event loop.
+ * The requests that have no final response yet, in the order in which they were started. Confined to
+ * the event loop.
  */
 final class ActiveRequests {
     private final Set<ProxiedRequest> requests = new LinkedHashSet<>();
@@ -22,7 +23,7 @@
         return requests.size();
     }
 
-    /** Checks each request's timeouts; requests may end or be retried meanwhile. */
+    /** Checks the timeouts of each request, which may end or retry requests. */
     void checkTimeouts(long nowMs) {
         for (ProxiedRequest request : new ArrayList<>(requests)) {
             request.checkTimeouts(nowMs);
--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -5,46 +5,49 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * One send of a request to one upstream. Counts as in flight at the upstream from {@link #start} to
- * {@link State#ENDED}. Confined to the event loop.
+ * An attempt to have one upstream execute a request. Counts as in flight at the upstream from {@link
+ * #start} until {@link State#ENDED}. Confined to the event loop.
  */
 final class Attempt implements ConnectionPool.ResponseListener {
-    /** Time in which a connection has to be established. */
+    /** Timeout for establishing a connection. */
     private static final long CONNECT_TIMEOUT_MS = 500;
 
-    /** How far an attempt has come. */
+    /** The progress of an attempt. */
     enum State {
-        /** Nothing was sent yet. */
+        /** Nothing has been sent yet. */
         CONNECTING,
-        /** The request was sent and may run from now on. */
+        /** The request has been sent and may be executed from now on. */
         SENT,
-        /** The head of the response has come. */
+        /** The head of the response has been received. */
         RECEIVING_RESPONSE,
-        /** It completed, failed or was cancelled; the listener hears nothing more. */
+        /** The attempt completed, failed or was cancelled; the listener is not called any more. */
         ENDED
     }
 
-    /** Receives the events of an attempt, each on the event loop; one of the last four is final. */
+    /**
+     * Receives the events of an attempt, on the event loop. All but {@link #onResponseHead} and
+     * {@link #onResponseBody} are final.
+     */
     interface Listener {
-        /** The head of the response has come. */
+        /** The head of the response was received. */
         void onResponseHead(Attempt attempt, ResponseHead head);
 
-        /** A part of the response's body has come. */
+        /** A part of the response body was received. */
         void onResponseBody(Attempt attempt, byte[] bytes);
 
         /** The response is complete. */
         void onResponseComplete(Attempt attempt);
 
-        /** No connection could be had and nothing was sent. */
+        /** No connection could be established, so nothing was sent. */
         void onNotSent(Attempt attempt);
 
         /**
-         * It ended before anything was sent, through no fault of the upstream: its zone was
-         * drained, or it became cold and its budget is spent.
+         * The attempt was withdrawn before anything was sent, without a failure of the upstream: its
+         * zone was drained, or it became cold and its warm-up budget is used up.
          */
         void onWithdrawn(Attempt attempt);
 
-        /** The connection was lost before the response was complete; the request may have run. */
+        /** The connection was lost before the response was complete; the request may have been executed. */
         void onConnectionLost(Attempt attempt);
     }
 
@@ -59,7 +62,7 @@
     private long sentAtMs;
     private boolean isPromptRead;
 
-    /** Creates an attempt, whose time to connect runs from now on. */
+    /** Creates an attempt and starts its connect timeout. */
     Attempt(
             PickResult pick,
             RequestHead head,
@@ -75,7 +78,8 @@
     }
 
     /**
-     * Acquires a connection, on which the request is sent; the listener may be called meanwhile.
+     * Acquires a connection and sends the request once it is established. The listener may be called
+     * before this returns.
      *
      * @param recentlyUsedOnly see {@link ConnectionPool#acquire}
      */
@@ -96,37 +100,40 @@
         return state;
     }
 
-    /** When the request was sent, 0 before. */
+    /** Returns the time at which the request was sent, 0 if it was not sent yet. */
     long sentAtMs() {
         return sentAtMs;
     }
 
-    /** Tokens of the prompt that the upstream was expected to read. */
+    /** Returns the prompt tokens that the upstream was expected to process, since not cached. */
     int promptTokens() {
         return pick.promptTokens();
     }
 
-    /** Whether no other prompt was known to be read there when the upstream was picked. */
+    /** Returns whether no other prompt was known to be pending at the upstream at the pick. */
     boolean isWithoutBacklog() {
         return pick.withoutBacklog();
     }
 
-    /** Time to the first event that the requests known at the pick explain. */
+    /** Returns the part of the expected time to the first event that is due to known prompts. */
     double explainedMs() {
         return pick.explainedMs();
     }
 
-    /** Tokens of the prompt that the upstream has yet to read. */
+    /** Returns the prompt tokens that the upstream has yet to process. */
     long pendingPromptTokens() {
         return isPromptRead || state == State.ENDED ? 0 : pick.promptTokens();
     }
 
-    /** Notes that the first event has come, so the prompt is read. */
+    /** Records that the first event was received, so the upstream has processed the prompt. */
     void markPromptRead() {
         isPromptRead = true;
     }
 
-    /** Ends the attempt if nothing was sent yet, since nothing may be sent to the upstream now. */
+    /**
+     * Ends the attempt if nothing was sent yet; called when the upstream may not receive requests
+     * any more.
+     */
     void withdrawIfUnsent() {
         if (state == State.CONNECTING) {
             cancel();
@@ -134,7 +141,7 @@
         }
     }
 
-    /** Ends the attempt; the upstream drops the request with its connection. */
+    /** Ends the attempt and closes its connection, upon which the upstream drops the request. */
     void cancel() {
         if (state == State.ENDED) {
             return;
@@ -161,7 +168,7 @@
     @Override
     public void onConnectionReady(ConnectionPool.PooledConnection ready) {
         if (!ready.canSend()) {
-            ready.close(); // it was closed between its becoming ready and this call
+            ready.close(); // closed between becoming ready and this call
             onConnectFailed();
             return;
         }
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -25,32 +25,33 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Long polls to the control plane: each carries the versions that this balancer has and is answered
- * once there are newer ones.
+ * Receives the configuration and the upstreams from the control plane by long polls. Each poll
+ * reports the versions that this balancer has; the control plane responds once it has newer ones, or
+ * after its hold time.
  *
- * <p>Invariants: one poll is in flight at most, apart from the one that announces the end; epoch
- * and generation never decrease, so responses of lower epochs and older generations are ignored.
+ * <p>Invariants: at most one poll is in flight, apart from the one that announces the shutdown.
+ * Epoch and generation never decrease: responses of lower epochs and older generations are ignored.
  * Confined to the event loop; {@link Main} starts and ends it.
  */
 final class ControlPoller {
     private static final Logger LOG = LogManager.getLogger(ControlPoller.class);
 
-    /** Timeout of a poll: the longest hold of a long poll and a round trip. */
+    /** Timeout of a poll: the longest time for which the control plane holds it, and a round trip. */
     private static final long POLL_TIMEOUT_MS = 750;
 
     /** Backoff before the next poll after a failed one. */
     private static final long RETRY_BACKOFF_MS = 50;
 
-    /** Time for which an unresponsive control node is avoided. */
+    /** Time for which an unresponsive control node is not polled if there are others. */
     private static final long AVOIDANCE_MS = 1_500;
 
-    /** A failure after a longer time is a timeout, one before it a refusal to connect. */
+    /** A poll that fails after a longer time has timed out; earlier failures are refusals. */
     private static final long UNRESPONSIVE_AFTER_MS = 400;
 
-    /** Time after which a primary is polled directly again that was out of reach. */
+    /** Time after which an unreachable primary, polled through a relay, is polled directly again. */
     private static final long RELAY_MS = 5_000;
 
-    /** Failures after which the seeds are read again. */
+    /** Number of consecutive failures after which the seeds are reloaded. */
     private static final int FAILURES_BEFORE_SEED_RELOAD = 6;
 
     private final Scheduler scheduler;
@@ -64,10 +65,10 @@
     private List<String> seeds;
     private List<String> members = List.of();
 
-    /** Address that is polled, empty until the next one is chosen. */
+    /** Address of the control node to poll, empty until the next one is selected. */
     private String target = "";
 
-    /** Whether the target passes requests on, since the primary is out of reach. */
+    /** Whether the target relays requests to the primary, which this balancer can't reach. */
     private boolean isRelayed;
 
     private long relayedSinceMs;
@@ -76,27 +77,33 @@
     private long polledAtMs;
     private long epoch;
 
-    /** Highest epoch that any control node named. */
+    /** Highest epoch that any control node reported. */
     private long highestNamedEpoch;
 
     private long generation;
     private long instanceRevision;
 
-    /** Whether the list of the epoch's primary was authoritative. */
+    /** Whether an upstream list from the primary of the current epoch was authoritative. */
     private boolean hasAuthoritativeList;
 
     private int balancers;
     private long memberRevision;
     private boolean isLeaving;
 
-    /** An unresponsive control node, and the highest epoch that was known when it timed out. */
+    /**
+     * State of an unresponsive control node.
+     *
+     * @param avoidUntilMs when it may be polled again
+     * @param knownEpoch highest epoch that was known when it timed out
+     */
     private record Avoidance(long untilMs, long knownEpoch) {}
 
     /**
      * Creates a poller.
      *
-     * @param address this balancer's own address for other balancers' heartbeats
-     * @param seedSource reads the addresses of control nodes from the settings
+     * @param balancerName name of this balancer
+     * @param address address at which this balancer receives heartbeats of other balancers
+     * @param seedSource reads the seed addresses of control nodes from the settings
      */
     ControlPoller(
             Scheduler scheduler,
@@ -117,26 +124,27 @@
         dataPlane.fleetLoads().setBalancer(balancer);
     }
 
-    /** Reads the seeds again. */
+    /** Reloads the seed addresses. */
     void reloadSeeds() {
         seeds = seedSource.get();
     }
 
-    /** Starts to poll; called once. */
+    /** Starts polling; called once. */
     void start() {
         poll();
     }
 
-    /** Announces to the control plane that this balancer ends; no poll follows. */
+    /** Announces to the control plane that this balancer shuts down, and stops polling. */
     void announceLeaving() {
         isLeaving = true;
         poll();
     }
 
     /**
-     * Requests quota from the primary that answered last.
+     * Requests quota from the primary, directly or through the relay.
      *
-     * @param callback receives the response, null without a primary or if none came in time
+     * @param callback receives the response; null if no primary is known or the request failed or
+     *     timed out
      */
     void requestQuota(QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
         if (epoch == 0 || target.isEmpty()) {
@@ -160,7 +168,7 @@
         callback.accept(response);
     }
 
-    /** Whether a configuration is in force and upstreams were received. */
+    /** Returns whether a configuration has been applied and a primary has sent its upstreams. */
     boolean isReady() {
         return generation > 0 && epoch > 0;
     }
@@ -197,7 +205,7 @@
         return request;
     }
 
-    /** The next control node in turn that is not avoided, or the next at all if all are. */
+    /** Returns the next control node, round robin, skipping unresponsive ones unless all are. */
     private String nextTarget() {
         Set<String> distinct = new LinkedHashSet<>(members);
         distinct.addAll(seeds);
@@ -243,7 +251,7 @@
 
     private void pollFailed() {
         boolean isUnresponsive = scheduler.now() - polledAtMs > UNRESPONSIVE_AFTER_MS;
-        if (isUnresponsive) { // a node that refuses may just be starting
+        if (isUnresponsive) { // a node that refuses the connection may just be starting
             long untilMs = scheduler.now() + AVOIDANCE_MS;
             avoidances.put(target, new Avoidance(untilMs, Math.max(epoch, highestNamedEpoch)));
         }
@@ -257,8 +265,8 @@
     }
 
     /**
-     * Polls the primary that a node named next. A node that hears a primary which is out of reach
-     * from here is asked once to pass the poll on.
+     * Polls the primary that a control node reported. If that primary is unreachable from here, the
+     * node that reported it is asked once to relay the poll.
      */
     private void redirectTo(String primary, long namedEpoch) {
         endAvoidanceOfLaterPrimary(primary, namedEpoch);
@@ -278,7 +286,10 @@
         scheduler.schedule(RETRY_BACKOFF_MS, this::poll);
     }
 
-    /** A primary of a later epoch than any known when it timed out was elected since: it is up. */
+    /**
+     * Polls an unresponsive node again if it is reported as primary of a later epoch than was known
+     * when it timed out: it must have been running to be elected.
+     */
     private void endAvoidanceOfLaterPrimary(String primary, long namedEpoch) {
         highestNamedEpoch = Math.max(highestNamedEpoch, namedEpoch);
         Avoidance avoidance = avoidances.get(primary);
@@ -289,7 +300,11 @@
 
     private void applyResponse(PollResponse response) {
         if (response.epoch > epoch) {
-            LOG.info("epoch {} of {} follows {}", response.epoch, response.primaryAddress, epoch);
+            LOG.info(
+                    "epoch {}: primary is {}; the epoch before was {}",
+                    response.epoch,
+                    response.primaryAddress,
+                    epoch);
         }
         hasAuthoritativeList =
                 response.authoritative || (hasAuthoritativeList && response.epoch == epoch);
@@ -321,6 +336,6 @@
         byte[] document = Compression.inflate(response.document);
         dataPlane.applyConfiguration(Configuration.read(Json.readObject(document)));
         generation = response.generation;
-        LOG.info("generation {} is in force", generation);
+        LOG.info("applied configuration generation {}", generation);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/DataPlane.java
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -7,15 +7,15 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The components of a balancer's data plane, what they share, and their periodic work. Confined to
- * the event loop of its scheduler, like all that it hands out; {@link Main} and {@link
- * ControlPoller} call it there.
+ * Creates and connects the components of a balancer's data plane, and runs their periodic work.
+ * Confined to the event loop of its scheduler, like all components that it returns; {@link Main} and
+ * {@link ControlPoller} call it there.
  */
 final class DataPlane {
-    /** Interval at which deadlines and unresponsive upstreams are looked for. */
+    /** Interval at which deadlines and unresponsive upstreams are checked. */
     private static final long CHECK_INTERVAL_MS = 50;
 
-    /** Mean interval of the reweighting, each drawn from half of it to one and a half. */
+    /** Mean interval of reweighting; each interval is random, from 0.5 to 1.5 times the mean. */
     private static final long REWEIGHT_INTERVAL_MS = 250;
 
     private final Scheduler scheduler;
@@ -40,7 +40,10 @@
     /**
      * Creates the components.
      *
-     * @param seed seeds all random draws, and tells this process from others of the same balancer
+     * @param retryBudget limits the retries of each service
+     * @param allocator requests quota from the primary
+     * @param seed seed of the random number generators; also identifies this process among those of
+     *     the same balancer
      */
     DataPlane(
             Scheduler scheduler,
@@ -86,42 +89,42 @@
         }
     }
 
-    /** Puts a newer configuration into force. */
+    /** Replaces the configuration. */
     void applyConfiguration(Configuration next) {
         configuration = next;
         directory.applyConfiguration(next);
         quotas.applyConfiguration(next);
     }
 
-    /** The configuration in force, null before the first one. */
+    /** Returns the current configuration, null before the first one was received. */
     Configuration configuration() {
         return configuration;
     }
 
-    /** Sets the number of balancers among which quotas, budgets and connections are divided. */
+    /** Sets the number of balancers that share quotas, retry budgets and connection limits. */
     void setBalancers(int count) {
         picker.setBalancers(count);
         retryBudget.setBalancers(count);
         quotas.setBalancers(count);
     }
 
-    /** Replaces the list of balancers, among which budgets of cold upstreams are divided. */
+    /** Replaces the list of balancers that share the request budgets of cold upstreams. */
     void setBalancerList(List<BalancerAddress> balancers) {
         warmupContext.setBalancers(balancers, nowMs());
         directory.balancersChanged();
     }
 
-    /** The primary of an epoch answered a poll. */
+    /** Records that the primary of an epoch responded to a poll. */
     void pollAnswered(long epoch) {
         warmupContext.pollAnswered(epoch, nowMs());
     }
 
-    /** What the warm-ups of all upstreams share. */
+    /** Returns the state that the warm-ups of all upstreams share. */
     WarmupContext warmup() {
         return warmupContext;
     }
 
-    /** Milliseconds of the scheduler's monotonic clock. */
+    /** Returns the time of the scheduler's monotonic clock in milliseconds. */
     long nowMs() {
         return scheduler.now();
     }
--- a/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
@@ -6,13 +6,13 @@
 import myrtleladder.http.Headers;
 
 /**
- * Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). Stateless;
- * never changes the fields that it is given.
+ * Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). Stateless; does
+ * not modify its arguments.
  */
 final class HeaderForwarding {
     /**
-     * Fields of a single connection (RFC 9110, sections 7.6.1, 10.1.1 and 11.7), and the length,
-     * which the sending side sets anew.
+     * Fields that apply to a single connection (RFC 9110, sections 7.6.1, 10.1.1 and 11.7), and
+     * Content-Length, which is set again when the message is sent.
      */
     private static final Set<String> HOP_BY_HOP =
             Set.of(
@@ -28,7 +28,7 @@
                     "content-length",
                     "expect");
 
-    /** Fields that the balancer alone may set for an upstream. */
+    /** Fields that only the balancer sets in requests to upstreams. */
     private static final Set<String> SET_BY_BALANCER =
             Set.of(
                     "authorization",
@@ -41,14 +41,14 @@
 
     private HeaderForwarding() {}
 
-    /** The fields of a client's request that an upstream receives, without the balancer's own. */
+    /** Returns the fields of a client's request to forward, without those that the balancer sets. */
     static Headers toUpstream(Headers clientHeaders) {
         Headers forwarded = withoutHopByHop(clientHeaders);
         SET_BY_BALANCER.forEach(forwarded::remove);
         return forwarded;
     }
 
-    /** The fields of an upstream's response that the client receives. */
+    /** Returns the fields of an upstream's response to forward to the client. */
     static Headers toClient(Headers upstreamHeaders) {
         return withoutHopByHop(upstreamHeaders);
     }
@@ -66,7 +66,7 @@
         return forwarded;
     }
 
-    /** Fields that the Connection field lists are hop-by-hop too (RFC 9110, section 7.6.1). */
+    /** Returns the fields that Connection lists, also hop-by-hop (RFC 9110, section 7.6.1). */
     private static Set<String> connectionOptions(String connection) {
         if (connection == null) {
             return Set.of();
--- a/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
+++ b/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
@@ -10,20 +10,20 @@
 import myrtleladder.http.ResponseHead;
 
 /**
- * HTTP/1.1 connections, kept idle for later requests as long as their upstreams keep them. Of idle
- * ones the last used is acquired first. Confined to the event loop.
+ * Pools HTTP/1.1 connections. Idle connections are reused, the most recently used one first, and
+ * closed before the keep-alive timeout of the upstream. Confined to the event loop.
  */
 final class HttpConnectionPool implements ConnectionPool {
-    /** Longest time for which a connection is kept idle. */
+    /** Maximum idle time of a connection. */
     private static final long MAX_IDLE_MS = 4_000;
 
-    /** Idle time up to which a connection counts as recently used. */
+    /** Maximum idle time of a connection that counts as recently used. */
     private static final long RECENTLY_USED_MS = 1_200;
 
-    /** How long before the upstream's own timeout an idle connection is closed. */
+    /** How long before the upstream's keep-alive timeout an idle connection is closed. */
     private static final long KEEP_ALIVE_MARGIN_MS = 900;
 
-    /** Most idle connections to one upstream. */
+    /** Maximum number of idle connections to an upstream. */
     private static final int MAX_IDLE_CONNECTIONS = 24;
 
     private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
@@ -62,7 +62,7 @@
         return created;
     }
 
-    /** The last used idle connection that may still be used, null if there is none. */
+    /** Removes the most recently used idle connection that is usable; null if there is none. */
     private PooledHttpConnection pollIdle(Upstream upstream, boolean recentlyUsedOnly) {
         ArrayDeque<PooledHttpConnection> connections = idleQueue(upstream);
         long nowMs = loop.now();
@@ -82,7 +82,6 @@
         return idle.computeIfAbsent(upstream, key -> new ArrayDeque<>());
     }
 
-    /** Closes connections that were idle for too long, and those to leaving upstreams. */
     @Override
     public void closeExpired() {
         long nowMs = loop.now();
@@ -100,7 +99,7 @@
         idle.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** How long a connection may be idle by the upstream's Keep-Alive field. */
+    /** Returns the maximum idle time of a connection according to a Keep-Alive field. */
     private static long maxIdleMs(String keepAlive) {
         for (String parameter : keepAlive.split(",")) {
             String trimmed = parameter.trim();
@@ -120,7 +119,7 @@
         }
     }
 
-    /** One connection to an upstream; without a listener while it is idle or closed. */
+    /** A connection to an upstream; its listener is null while it is idle or closed. */
     private final class PooledHttpConnection implements PooledConnection, HttpConnection.Listener {
         private final Upstream upstream;
         private HttpConnection connection;
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -22,29 +22,29 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The data plane's program: wires the components, and drains them at the end. All but {@link #main}
- * and {@link #serve} is confined to the event loop.
+ * The main class of the data plane: creates and connects the components, and drains requests before
+ * the process terminates. Confined to the event loop except for {@link #main} and {@link #serve}.
  */
 public final class Main {
     private static final Logger LOG = LogManager.getLogger(Main.class);
     private static final byte[] NO_BYTES = {};
 
-    /** Interval at which idle and slow client connections are looked for. */
+    /** Interval at which idle and slow client connections are checked. */
     private static final long IDLE_CHECK_INTERVAL_MS = 500;
 
-    /** Time beyond a client connection's announced timeouts before it is closed. */
+    /** How long after its announced timeout a client connection is closed. */
     private static final long CLIENT_TIMEOUT_MARGIN_MS = 1_000;
 
-    /** Time after SIGTERM for which new requests are still accepted. */
+    /** How long new requests are still accepted after SIGTERM. */
     private static final long ACCEPT_WHILE_DRAINING_MS = 2_500;
 
-    /** How long before the end of the grace period the process ends. */
+    /** How long before the end of the grace period the process terminates. */
     private static final long GRACE_MARGIN_MS = 700;
 
-    /** Interval at which the end of draining is looked for. */
+    /** Interval at which the progress of draining is checked. */
     private static final long DRAIN_CHECK_INTERVAL_MS = 50;
 
-    /** Time without requests in flight in which the last bytes reach clients. */
+    /** Time without requests in flight that is left for the last bytes to reach clients. */
     private static final long LAST_BYTES_MS = 150;
 
     private final NodeSettings settings;
@@ -62,12 +62,12 @@
         this.loop = loop;
     }
 
-    /** Runs the program; see {@link DataCommand} for its arguments. */
+    /** Runs a command of the data plane; see {@link DataCommand}. */
     public static void main(String[] arguments) {
         System.exit(DataCommand.run(arguments));
     }
 
-    /** Serves until SIGTERM and the end of requests in flight; does not return normally. */
+    /** Serves until SIGTERM, drains and terminates the process; does not return normally. */
     static void serve(NodeSettings settings)
             throws InterruptedException, ReflectiveOperationException {
         Main main = new Main(settings, new EventLoop());
@@ -79,7 +79,7 @@
         Runtime.getRuntime().halt(0);
     }
 
-    /** Starts to serve on a running loop; called on the loop. */
+    /** Starts to serve on a running event loop; called on that loop. */
     static void startOn(NodeSettings settings, EventLoop loop) {
         new Main(settings, loop).start();
     }
@@ -115,7 +115,7 @@
         dataPlane.start();
         poller.start();
         checkIdleConnections();
-        LOG.info("balancer {} at {}", settings.nodeName(), settings.frontend());
+        LOG.info("balancer {} listens at {}", settings.nodeName(), settings.frontend());
     }
 
     private void startServers(HeartbeatAgent agent) {
@@ -140,13 +140,13 @@
         callback.accept(AcknowledgeResponse.of(isHeartbeat, 0, null));
     }
 
-    /** The seeds of the settings file, which may change without a signal. */
+    /** Reads the seeds from the settings file again; the file may change without a signal. */
     private List<String> readSeeds() {
         List<Address> seeds = settings.seeds();
         try {
             seeds = NodeSettings.fromEnvironment().seeds();
         } catch (ResultException e) {
-            LOG.warn("the settings file is left: {}", e.getMessage());
+            LOG.warn("failed to reload the settings file, keeping the seeds from startup: {}", e.getMessage());
         }
         return seeds.stream().map(seed -> seed.host() + ":" + settings.firstPort()).toList();
     }
@@ -166,7 +166,8 @@
             return;
         }
         ClientLimits limits = dataPlane.configuration().limits();
-        // Clients keep connections by the timeout that they received last, so the longest holds.
+        // A client keeps its connections for the timeout that it learned last, which may be an
+        // earlier, longer one; so connections are closed by the longest timeout so far.
         longestIdleTimeoutMs = Math.max(longestIdleTimeoutMs, limits.idleTimeoutMs());
         frontend.limitBody(limits.maxBodyBytes());
         frontend.closeIdle(
@@ -179,7 +180,7 @@
             return;
         }
         isDraining = true;
-        LOG.info("draining with {} under way", dataPlane.activeRequests().size());
+        LOG.info("draining, {} requests in flight", dataPlane.activeRequests().size());
         long nowMs = loop.now();
         poller.announceLeaving();
         frontend.closeGracefully();
@@ -188,7 +189,10 @@
                 nowMs + settings.bounds().graceMs() - GRACE_MARGIN_MS);
     }
 
-    /** Ends the process once no request was in flight for a moment, between two points in time. */
+    /**
+     * Terminates the process once no request has been in flight for {@link #FLUSH_MS}, but not
+     * before {@code earliestMs} and at {@code latestMs} at the latest.
+     */
     private void awaitTermination(long earliestMs, long latestMs) {
         long nowMs = loop.now();
         if (frontend.unanswered() > 0) {
@@ -201,7 +205,7 @@
         if (nowMs >= latestMs || (nowMs >= earliestMs && isIdle)) {
             int inFlight = dataPlane.activeRequests().size();
             LOG.info(
-                    "ends with {} under way; {}; {}",
+                    "terminating, {} requests in flight; {}; {}",
                     inFlight,
                     dataPlane.counters(),
                     dataPlane.warmup().counters());
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -13,24 +13,25 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * A client's request from its admission to its one final response, over as many upstreams as that
- * takes: admission, pick, attempt, then response, retry or rejection.
+ * Processes a client's request from the time it has its quota to its final response. Picks an
+ * upstream, checks admission, makes an attempt, and then responds, retries at another upstream or
+ * rejects the request.
  *
- * <p>Invariants: at most one attempt is current, and events of others are ignored; in {@link
- * State#COMPLETED} there is none and nothing more is sent to the client. A response that says that
- * the request did not run (503) is given only if no attempt can have run it.
+ * <p>Invariants: at most one attempt is current, and events of other attempts are ignored. In {@link
+ * State#COMPLETED} there is no current attempt, and nothing more is sent to the client. A response
+ * that says that the request was not executed (503) is sent only if no attempt can have executed it.
  *
- * <p>Confined to the event loop. {@link RequestRouter} starts it, {@link ActiveRequests} checks its
- * timeouts, its attempts and the client's connection call back.
+ * <p>Confined to the event loop. {@link RequestRouter} starts the request, {@link ActiveRequests}
+ * checks its timeouts, and its attempts and the client's connection call back.
  */
 final class ProxiedRequest implements Attempt.Listener {
-    /** How long before the deadline a request ends, so that its answer arrives in time. */
+    /** How long before its deadline a request is ended, so that the response arrives in time. */
     private static final long DEADLINE_MARGIN_MS = 40;
 
-    /** Failures to connect after which a request is given up. */
+    /** Number of attempts that could not be sent after which the request ends. */
     private static final int MAX_UNSENT_ATTEMPTS = 4;
 
-    /** Misdirected Request: the upstream is not the expected incarnation (RFC 9110, 15.5.20). */
+    /** Misdirected Request: the upstream is not the expected instance (RFC 9110, 15.5.20). */
     private static final int MISDIRECTED_REQUEST = 421;
 
     private static final int BAD_REQUEST = 400;
@@ -39,13 +40,13 @@
     private static final int GATEWAY_TIMEOUT = 504;
 
     private enum State {
-        /** No attempt was made yet. */
+        /** No attempt has been made yet. */
         PICKING_UPSTREAM,
-        /** An attempt was made; the client has received nothing. */
+        /** An attempt has been made; nothing has been sent to the client. */
         AWAITING_RESPONSE,
-        /** The client has received a head and events; other upstreams may resume the stream. */
+        /** A head and events have been sent to the client; a retry resumes the stream. */
         STREAMING_RESPONSE,
-        /** The final response was given, or the client has left. */
+        /** The final response has been sent, or the client has disconnected. */
         COMPLETED
     }
 
@@ -68,8 +69,8 @@
     /**
      * Creates the request.
      *
-     * @param tenant null on routes that need none
-     * @param quotaCost what the tenant's quota was charged, refunded if the request does not run
+     * @param tenant null on routes that need no tenant
+     * @param quotaCost cost charged to the tenant's quota, refunded if the request is not executed
      */
     ProxiedRequest(
             DataPlane dataPlane,
@@ -101,12 +102,12 @@
         }
     }
 
-    /** Makes the first attempt or answers at once; called once. */
+    /** Makes the first attempt, or responds at once if none is possible; called once. */
     void start() {
         tryNextUpstream();
     }
 
-    /** Sends the request to an upstream that was not tried yet, or ends it if none can take it. */
+    /** Sends the request to an upstream not tried yet, or ends it if none is available. */
     private void tryNextUpstream() {
         long nowMs = dataPlane.nowMs();
         if (isDeadlineReached(nowMs)) {
@@ -138,7 +139,7 @@
         return triedUpstreams.isEmpty();
     }
 
-    /** To how many upstreams the request was sent, whatever came of it. */
+    /** Returns the number of attempts that sent the request, whatever their outcome. */
     private int sentAttempts() {
         return triedUpstreams.size() - unsentAttempts;
     }
@@ -188,14 +189,14 @@
         return headers;
     }
 
-    /** The weights that made the events which the client has, if it has any. */
+    /** Returns the weights version that generated the forwarded events, if there are any. */
     private long weightsVersionToResume() {
         return state == State.STREAMING_RESPONSE
                 ? response.weightsVersion()
                 : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
-    /** Whether a stream is resumed at an upstream that reported the weights which began it. */
+    /** Returns whether an upstream has the weights version that generated the forwarded events. */
     private boolean canResumeWithSameWeights(Upstream upstream) {
         long weightsVersion = weightsVersionToResume();
         return weightsVersion != InstanceRecord.UNKNOWN_WEIGHTS_VERSION
@@ -258,7 +259,7 @@
                 || head.headers().get(HeaderNames.NOT_EXECUTED) != null;
     }
 
-    /** Whether the response names this attempt and, if it is a success, has a signature. */
+    /** Checks for the id of the client's attempt and, in successful responses, for a signature. */
     private boolean isResponseToThisRequest(ResponseHead head) {
         if (attemptId != null && !attemptId.equals(head.headers().get(HeaderNames.ATTEMPT_ID))) {
             return false;
@@ -267,8 +268,9 @@
     }
 
     /**
-     * The upstream says that it did not run the request. Its 400 is the client's response, since
-     * others would answer the same, unless the client has received a part of another response.
+     * Handles a response that says that the upstream did not execute the request. A 400 is forwarded
+     * to the client, since other upstreams would respond the same, unless a part of another response
+     * has been forwarded already.
      */
     private void attemptRejected(Attempt attempt, ResponseHead head) {
         count(Event.REJECTED);
@@ -386,7 +388,7 @@
         }
     }
 
-    /** The request may have run and there is no complete response. */
+    /** Handles an attempt that may have executed the request but gave no complete response. */
     private void attemptFailed(Attempt attempt) {
         current = null;
         mayHaveRun = true;
@@ -433,8 +435,9 @@
     }
 
     /**
-     * Ends the request as it stands: a rejection if it never ran, else the failure that an upstream
-     * answered with, or an error if none did.
+     * Ends the request without a further attempt. Aborts a stream that has begun; otherwise responds
+     * with the saved failure of an upstream if there is one, with an error if the request may have
+     * been executed, or else with a rejection.
      */
     private void giveUp() {
         Attempt last = current;
@@ -458,7 +461,7 @@
         }
     }
 
-    /** Ends a request that never ran. */
+    /** Rejects a request that was not executed and refunds its quota. */
     private void reject(long retryAfterMs) {
         if (tenant != null) {
             dataPlane.quotas().refund(tenant, quotaCost);
--- a/src/main/java/myrtleladder/dataplane/RequestCounters.java
+++ b/src/main/java/myrtleladder/dataplane/RequestCounters.java
@@ -1,10 +1,10 @@
 package myrtleladder.dataplane;
 
-/** Counts what happened to requests since the start. Confined to the event loop. */
+/** Counts request events since the start of the process. Confined to the event loop. */
 final class RequestCounters {
-    /** An event that is counted. */
+    /** An event that is counted. Its label is written to the log, so it must not change. */
     enum Event {
-        /** A client's request arrived. */
+        /** A request was received from a client. */
         REQUEST("request"),
         /** No route matched. */
         NO_ROUTE("no_route"),
@@ -14,20 +14,20 @@
         OVER_QUOTA("over_quota"),
         /** The admission controller rejected a request. */
         NOT_ADMITTED("refused"),
-        /** No upstream could take a request. */
+        /** No upstream was available for a request. */
         NO_UPSTREAM("no_upstream"),
-        /** An attempt got no connection. */
+        /** No connection could be established for an attempt. */
         NOT_SENT("not_sent"),
-        /** An upstream rejected an attempt without running it. */
+        /** An upstream rejected an attempt without executing the request. */
         REJECTED("rejected"),
-        /** A response was not that of the attempt. */
+        /** An upstream's response did not belong to the attempt. */
         FOREIGN_RESPONSE("foreign_answer"),
-        /** An attempt failed after it was sent. */
+        /** An attempt failed after the request was sent. */
         ATTEMPT_FAILED("broken"),
-        /** A request was retried since its upstream was unresponsive. */
+        /** A request was retried because its upstream was unresponsive. */
         UNRESPONSIVE("silent");
 
-        /** Name in the log line at the end of the process, which operators read. */
+        /** Name in the log line that is written when the process terminates. */
         private final String label;
 
         Event(String label) {
@@ -47,7 +47,7 @@
         return counts[event.ordinal()];
     }
 
-    /** All counts as label=count, separated by spaces. */
+    /** Returns all counts as label=count, separated by spaces. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -13,21 +13,21 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * First part of a request's way: matches the route, authenticates the tenant, acquires its quota
- * and starts a {@link ProxiedRequest}, or answers with an error. Confined to the event loop; the
- * HTTP server calls {@link #handle}.
+ * Handles a client's request up to its admission: matches the route, authenticates the tenant,
+ * acquires its quota, and starts a {@link ProxiedRequest} or responds with an error. Confined to the
+ * event loop; the HTTP server calls {@link #handle}.
  */
 final class RequestRouter {
     private static final byte[] NO_BYTES = {};
     private static final String API_KEY_SCHEME = "Token ";
 
-    /** Time after which clients retry while there is no configuration yet. */
+    /** Retry-After while this balancer has no configuration yet. */
     private static final long NOT_CONFIGURED_RETRY_AFTER_MS = 300;
 
-    /** The same while this balancer shuts down: other balancers serve. */
+    /** Retry-After while this balancer shuts down; short, since other balancers are available. */
     private static final long SHUTDOWN_RETRY_AFTER_MS = 10;
 
-    /** Longest time after which clients over their quota are asked to retry. */
+    /** Maximum Retry-After of requests over quota. */
     private static final long MAX_QUOTA_RETRY_AFTER_MS = 2_000;
 
     private final DataPlane dataPlane;
@@ -37,20 +37,24 @@
     /**
      * Creates a router.
      *
-     * @param random draws services of split routes; shared with the data plane's periodic work
+     * @param random selects services of routes with a traffic split; shared with the periodic work
+     *     of the data plane
      */
     RequestRouter(DataPlane dataPlane, SplittableRandom random) {
         this.dataPlane = dataPlane;
         this.random = random;
     }
 
-    /** Rejects all later requests at once: the balancer ends before they could. */
+    /**
+     * Rejects all requests from now on, since the process may terminate before they complete.
+     */
     void rejectNewRequests() {
         acceptsRequests = false;
     }
 
     /**
-     * Takes a client's request; exactly one final response follows unless the client disconnects.
+     * Handles a client's request. It receives exactly one final response unless the client
+     * disconnects.
      */
     void handle(ServerExchange client) {
         count(Event.REQUEST);
@@ -93,9 +97,9 @@
     }
 
     /**
-     * Goes on once the quota is decided, at once or after a round trip to the primary. The request
-     * for quota carries the load that this request would be, so that the primary can tell others of
-     * it before the request is sent.
+     * Acquires the quota, at once or with a round trip to the primary, and then continues with the
+     * request. The quota request reports the load that this request will add, so that the primary
+     * can inform the other balancers of it before the request is sent.
      */
     private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
         int usedTokens = usedTokens(client.head().headers().get(HeaderNames.TOKEN_USAGE));
@@ -122,7 +126,10 @@
         reject(client, 429, Math.min(MAX_QUOTA_RETRY_AFTER_MS, waitMs));
     }
 
-    /** The load of a request that waits for its quota, null if its service is not known yet. */
+    /**
+     * Estimates the load of a request that awaits its quota; null for a route with several services,
+     * since one of them is selected only afterwards.
+     */
     private UpstreamLoad likelyLoad(ServerExchange client, Route route) {
         if (route.shares().size() != 1) {
             return null;
@@ -135,7 +142,10 @@
                 .likelyLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
     }
 
-    /** Starts an admitted request; the configuration may have changed since its route matched. */
+    /**
+     * Starts a request that has its quota. The configuration may have changed while the quota was
+     * being acquired; if the request now matches another route or none, it is handled from the start.
+     */
     private void startRequest(ServerExchange client, Route admitted, Tenant tenant, double cost) {
         if (!client.open()) {
             return;
@@ -153,7 +163,7 @@
         request.start();
     }
 
-    /** Draws a service in proportion to the weights of the route's traffic split. */
+    /** Selects a service at random, in proportion to the weights of the traffic split. */
     private String drawService(Route route) {
         List<Route.Share> shares = route.shares();
         double totalWeight = 0;
@@ -174,7 +184,7 @@
         return service;
     }
 
-    /** The sum of a token usage field, 0 without a field that can be read. */
+    /** Parses a token usage field and returns the sum; 0 if the field is missing or malformed. */
     private static int usedTokens(String usage) {
         if (usage == null) {
             return 0;
@@ -195,7 +205,7 @@
         client.respond(status, headers, NO_BYTES);
     }
 
-    /** The value of a Retry-After field: seconds with three decimals. */
+    /** Formats the value of a Retry-After field: seconds with three decimals. */
     static String retryAfter(long delayMs) {
         return String.format(Locale.ROOT, "%.3f", delayMs / 1_000.0);
     }
--- a/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
+++ b/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
@@ -7,15 +7,15 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * Assembles one response to the client out of the responses of one or more upstreams: events are
- * forwarded when they are complete and at most once, other bodies are buffered. The first accepted
- * head is the client's; a resumed stream adds events only. Confined to the event loop; its {@link
- * ProxiedRequest} alone calls it, and makes sure that there is one final response.
+ * Assembles the response to the client from the responses of one or more upstreams. Each event is
+ * forwarded once it is complete, and at most once; other bodies are buffered. The client receives
+ * the head that was accepted first; a resumed stream only adds events. Confined to the event loop.
+ * Only its {@link ProxiedRequest} calls it, and ensures that there is one final response.
  */
 final class ResponseAssembler {
     private static final byte[] NO_BYTES = {};
 
-    /** Longest body that is buffered. */
+    /** Maximum size of a buffered body. */
     private static final int MAX_BUFFERED_BYTES = 4 * 1_024 * 1_024;
 
     private final ServerExchange client;
@@ -28,13 +28,18 @@
     private long lastEventId;
     private boolean hasForwardedEvent;
 
-    /** Starts with the identifier of the last event that the client has from before, if any. */
+    /**
+     * Creates an assembler.
+     *
+     * @param lastEventId identifier of the last event that the client received in an earlier request,
+     *     or {@link ServerSentEventSplitter#NO_ID}
+     */
     ResponseAssembler(ServerExchange client, long lastEventId) {
         this.client = client;
         this.lastEventId = lastEventId;
     }
 
-    /** Drops what came of an incomplete event or a buffered body before another attempt. */
+    /** Discards incomplete events and buffered bodies of the attempt before. */
     void startAttempt() {
         splitter = new ServerSentEventSplitter();
         if (buffer != null) {
@@ -42,7 +47,7 @@
         }
     }
 
-    /** Takes the head that the client is to receive. */
+    /** Sets the head of the response to the client. */
     void acceptHead(ResponseHead accepted) {
         head = accepted;
         weightsVersion =
@@ -54,12 +59,18 @@
         return head.status();
     }
 
-    /** Version of the model weights that made the response, if its upstream reported it. */
+    /**
+     * Returns the version of the model weights that generated the response, or {@link
+     * InstanceRecord#UNKNOWN_WEIGHTS_VERSION} if the upstream did not report it.
+     */
     long weightsVersion() {
         return weightsVersion;
     }
 
-    /** Identifier of the last forwarded event, or {@link ServerSentEventSplitter#NO_ID}. */
+    /**
+     * Returns the identifier of the last event that the client has, or {@link
+     * ServerSentEventSplitter#NO_ID}.
+     */
     long lastEventId() {
         return lastEventId;
     }
@@ -68,24 +79,24 @@
         return hasForwardedEvent;
     }
 
-    /** Cuts bytes of a stream into events. */
+    /** Splits bytes of a stream into events and passes each complete event to the listener. */
     void splitEvents(byte[] bytes, ServerSentEventSplitter.Listener listener) {
         splitter.feed(bytes, listener);
     }
 
-    /** Whether the client has an event already, from the upstream before. */
+    /** Returns whether an event was already forwarded from an earlier attempt. */
     boolean isDuplicate(long eventId) {
         return eventId != ServerSentEventSplitter.NO_ID
                 && hasForwardedEvent
                 && eventId <= lastEventId;
     }
 
-    /** Begins the client's response with the accepted head. */
+    /** Begins a streamed response with the accepted head. */
     void beginStream() {
         client.begin(head.status(), HeaderForwarding.toClient(head.headers()));
     }
 
-    /** Forwards an event with its empty line. */
+    /** Forwards an event, including the empty line that ends it. */
     void forwardEvent(byte[] event, long eventId) {
         hasForwardedEvent = true;
         if (eventId != ServerSentEventSplitter.NO_ID) {
@@ -94,7 +105,7 @@
         client.write(event, 0, event.length);
     }
 
-    /** Forwards what follows the last event of a complete stream. */
+    /** Forwards the bytes after the last event of a stream that ended normally. */
     void forwardRemainder() {
         byte[] remainder = splitter.remainder();
         client.write(remainder, 0, remainder.length);
@@ -104,12 +115,12 @@
         client.end();
     }
 
-    /** Breaks the connection off, so that the client can't take the stream for complete. */
+    /** Closes the connection, so that the client detects that the stream is incomplete. */
     void abortStream() {
         client.abort();
     }
 
-    /** Buffers a part of a body; false if it became too long. */
+    /** Buffers a part of a body; returns false if the body exceeds the size limit. */
     boolean bufferBody(byte[] bytes) {
         if (buffer == null) {
             buffer = new ByteArrayOutputStream(Math.max(32, bytes.length));
@@ -118,7 +129,7 @@
         return buffer.size() <= MAX_BUFFERED_BYTES;
     }
 
-    /** The body of a stream without any event. */
+    /** Returns the body of an event stream that ended without a complete event. */
     byte[] eventlessBody() {
         return splitter.remainder();
     }
@@ -127,7 +138,10 @@
         return buffer == null ? NO_BYTES : buffer.toByteArray();
     }
 
-    /** Keeps a complete failure of an upstream while others are tried; the latest is kept. */
+    /**
+     * Saves the error response of an upstream while other upstreams are tried; replaces an earlier
+     * one.
+     */
     void keepFailure() {
         keptFailureHead = head;
         keptFailureBody = bufferedBody();
@@ -137,7 +151,7 @@
         return keptFailureHead != null;
     }
 
-    /** Sends the failure that was kept, unchanged. */
+    /** Sends the saved error response unchanged. */
     void respondKeptFailure() {
         client.respond(
                 keptFailureHead.status(),
@@ -150,7 +164,7 @@
         client.respond(head.status(), HeaderForwarding.toClient(head.headers()), body);
     }
 
-    /** Sends a response of the balancer's own. */
+    /** Sends a response generated by the balancer, with an empty body. */
     void respond(int status, Headers headers) {
         client.respond(status, headers, NO_BYTES);
     }
--- a/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
+++ b/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
@@ -4,12 +4,12 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events, so that
- * one cut off midway is never forwarded. Lines end with LF or CRLF; a lone CR ends none. Belongs to
- * one response; confined to the event loop.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events, so that a
+ * truncated event is never forwarded. Lines end with LF or CRLF; a CR alone does not end a line.
+ * Create one for each response. Confined to the event loop.
  */
 final class ServerSentEventSplitter {
-    /** Identifier of an event that has none, or none that is a number. */
+    /** Identifier of an event without an id field, or with one that is not a number. */
     static final long NO_ID = -1;
 
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
@@ -18,17 +18,18 @@
     /** Receives complete events. */
     interface Listener {
         /**
-         * A complete event has come.
+         * A complete event was received.
          *
-         * @param event its bytes with the empty line that ends it; the listener's own
-         * @param id its identifier or {@link #NO_ID}
+         * @param event the bytes of the event including the empty line that ends it; the listener
+         *     may keep and change the array
+         * @param id the identifier of the event or {@link #NO_ID}
          */
         void onEvent(byte[] event, long id);
     }
 
     private byte[] remainder = NO_BYTES;
 
-    /** Takes the next bytes of the stream; the listener is called for each event that they end. */
+    /** Adds the next bytes of the stream and calls the listener for each event they complete. */
     void feed(byte[] bytes, Listener listener) {
         byte[] input = remainder.length == 0 ? bytes : concatenate(remainder, bytes);
         int eventStart = 0;
@@ -49,7 +50,7 @@
         remainder = eventStart == 0 ? input : Arrays.copyOfRange(input, eventStart, input.length);
     }
 
-    /** The bytes after the last complete event. */
+    /** Returns the bytes after the last complete event. */
     byte[] remainder() {
         return remainder;
     }
@@ -60,7 +61,7 @@
         return both;
     }
 
-    /** The number in an event's first id field. */
+    /** Parses the first id field of an event. */
     private static long idOf(byte[] event) {
         for (int i = 0; i < event.length; i++) {
             boolean isLineStart = i == 0 || event[i - 1] == '\n';
@@ -83,7 +84,7 @@
         return true;
     }
 
-    /** The decimal number in the rest of a line, spaces apart. */
+    /** Parses the rest of a line as a decimal number and ignores spaces. */
     private static long parseNumber(byte[] event, int offset) {
         long value = 0;
         boolean hasDigit = false;
--- a/src/main/java/myrtleladder/dataplane/Warmup.java
+++ b/src/main/java/myrtleladder/dataplane/Warmup.java
@@ -35,21 +35,21 @@
 import myrtleladder.rpc.OneCall;
 
 /**
- * The warm-up run: a balancer that serves a few requests on the loopback interface, with fakes of
- * the control plane and of upstreams. The build runs it to record the class archive of the data
- * plane. {@link #run} is called by the command line; all else is confined to the event loop.
+ * Runs a balancer that serves a few requests on the loopback interface, with a fake control plane
+ * and fake upstreams. The build uses this run to record the class data sharing (CDS) archive of the
+ * data plane. The command line calls {@link #run}; all else is confined to the event loop.
  */
 final class Warmup {
-    /** Time in which the run has to end. */
+    /** Maximum duration of the run. */
     private static final long TIMEOUT_MS = 10_000;
 
-    /** Time for the start before the first request, and for the last responses. */
+    /** Time for startup before the first request, and for the last responses to arrive. */
     private static final long SETTLE_MS = 500;
 
     /** Interval between rounds of requests. */
     private static final long ROUND_INTERVAL_MS = 20;
 
-    /** Rounds of requests. */
+    /** Number of rounds of requests. */
     private static final int ROUNDS = 40;
 
     private static final String HOST = "127.0.0.1";
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Runs on a thread of its own loop; false if it did not end in time. */
+    /** Runs on a new event loop; returns false if the run did not complete in time. */
     static boolean run() throws InterruptedException {
         Warmup warmup = new Warmup();
         warmup.loop.start();
--- a/src/test/java/myrtleladder/configuration/CompressionTest.java
+++ b/src/test/java/myrtleladder/configuration/CompressionTest.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Documents are the same after compression, and damaged or too long ones are refused. */
+/** Compression round trips, and rejection of damaged and oversized documents. */
 class CompressionTest {
     @Test
     void documentIsTheSameAfterItsCompression() {
--- a/src/test/java/myrtleladder/configuration/ConfigurationCompatibilityTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationCompatibilityTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The operator's configuration document, against golden files with every field. Operators write it,
- * control nodes keep it on their disks and balancers read it; so the names, units and defaults of
- * its fields and the way in which it is written and compressed may not change.
+ * Compares the operator's configuration document with golden files that contain every field.
+ * Operators write the document, control nodes store it and balancers read it, so the names, units
+ * and defaults of its fields, its serialized form and its compression must not change.
  */
 class ConfigurationCompatibilityTest {
     private static final Path FOLDER = Path.of("src/test/resources/compatibility/configuration");
--- a/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What an operator may send and what each refusal is called. */
+/** Documents and patches that operators may send, and the result code of each rejection. */
 class ConfigurationDocumentTest {
     static final String WHOLE =
             "{'generation':7,'routes':["
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which control node a balancer polls, and which responses it applies. */
+/** Selection of the control node to poll, and of the responses to apply. */
 class ControlPollerTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final List<String> polledNodes = new ArrayList<>();
@@ -128,7 +128,7 @@
     @Test
     void avoidedNodeIsPolledOnceItIsNamedPrimaryOfALaterEpoch() {
         assertEquals("a:1", lastPolledNode());
-        timeOut(); // its machine was about to start
+        timeOut(); // its machine is still starting
         assertEquals("b:1", lastPolledNode());
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
--- a/src/test/java/myrtleladder/dataplane/DataCommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/dataplane/DataCommandCompatibilityTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The words and exit codes of the data plane's command line. Start scripts and operators depend on
- * them: 0 done, 1 failed with a numbered result, 2 the command line is wrong.
+ * Subcommands and exit codes of the data plane's command line, on which start scripts and operators
+ * depend: 0 success, 1 failure with a result code, 2 usage error.
  */
 class DataCommandCompatibilityTest {
     private static final String SETTINGS = "src/test/resources/compatibility/settings/";
--- a/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
+++ b/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The routes of {@link RoutesDocument}, with three upstreams of each service. */
+    /** Creates a context with the routes of {@link RoutesDocument} and three upstreams per service. */
     static DataPlaneContext withRouteOfEachKind() {
         return new Builder()
                 .withConfiguration(RoutesDocument.TEXT)
@@ -49,41 +49,41 @@
                 .build();
     }
 
-    /** A directory without upstreams, which tells nobody who left. */
+    /** Creates an upstream directory without upstreams and with a listener that does nothing. */
     static UpstreamDirectory emptyDirectory() {
         WarmupSettings settings = new WarmupSettings("e", 1, 0, 1_200);
         return new UpstreamDirectory(u -> {}, new WarmupContext(settings), new ManualScheduler());
     }
 
-    /** Reads a document that is written with single quotes. */
+    /** Parses a configuration document written with single quotes. */
     static Configuration configuration(String document) {
         byte[] bytes = document.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
         return Configuration.read(Json.readObject(bytes));
     }
 
-    /** The record of an upstream in zone z. */
+    /** Creates the record of an upstream in zone z. */
     static InstanceRecord record(String id, String service, Stage stage) {
         return InstanceRecord.of(id, service, "10.0.0.1:80", "z", 64, "v1", stage, 1);
     }
 
-    /** From now on the quota allocator answers so; null stands for no answer in time. */
+    /** Sets the response to all later quota requests; null stands for a timeout. */
     void answerQuotaRequestsWith(Message response) {
         quotaResponse = response;
     }
 
-    /** Lets a client send a request. */
+    /** Sends a request as a client. */
     ScriptedClient send(String path, String... fields) {
         ScriptedClient client = new ScriptedClient(path, fields);
         dataPlane.router().handle(client);
         return client;
     }
 
-    /** Applies records that are not all. */
+    /** Applies changed records; other upstreams stay as they are. */
     void update(InstanceRecord... records) {
         dataPlane.directory().applyRecords(List.of(records), false);
     }
 
-    /** Builds a context; periodic work starts if there are upstreams. */
+    /** Builds a context; its periodic work is started if there are upstreams. */
     static final class Builder {
         private final List<InstanceRecord> records = new ArrayList<>();
         private ManualScheduler clock = new ManualScheduler();
@@ -103,7 +103,7 @@
             return this;
         }
 
-        /** Sets the bound after which requests may not begin on older weights. */
+        /** Sets how long requests may still start on older weights after an upgrade. */
         Builder withVersionBoundMs(long value) {
             versionBoundMs = value;
             return this;
@@ -119,7 +119,7 @@
             return this;
         }
 
-        /** Adds ready upstreams, named by the service and numbers from 1. */
+        /** Adds ready upstreams; their ids are the service name and a number from 1. */
         Builder withUpstreams(String service, int count) {
             for (int i = 1; i <= count; i++) {
                 records.add(record(service + i, service, Stage.READY));
--- a/src/test/java/myrtleladder/dataplane/HeaderForwardingTest.java
+++ b/src/test/java/myrtleladder/dataplane/HeaderForwardingTest.java
@@ -6,7 +6,7 @@
 import myrtleladder.http.Headers;
 import org.junit.jupiter.api.Test;
 
-/** Which header fields reach the other side. */
+/** Header fields that are forwarded to upstreams and clients. */
 class HeaderForwardingTest {
     @Test
     void hopByHopFieldsAndThoseThatConnectionListsAreNotForwarded() {
@@ -27,7 +27,7 @@
             assertNull(forwarded.get(name), name);
         }
         assertEquals("2", forwarded.get("X-Other"));
-        assertEquals("1", source.get("X-Hop"), "the source stays as it is");
+        assertEquals("1", source.get("X-Hop"), "the source is not modified");
     }
 
     @Test
--- a/src/test/java/myrtleladder/dataplane/ProxiedRequestOutcomeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestOutcomeTest.java
@@ -11,24 +11,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every way in which a request can end: what the client has received already against what the
- * upstreams do from then on. Each ends in exactly one final response and leaves nothing waiting.
+ * Outcomes of a request for each combination of what the first upstream sent before it failed and
+ * how the other upstreams behave. Each request must end in exactly one final response, with no
+ * request left active.
  */
 class ProxiedRequestOutcomeTest {
-    /** Longer than every deadline of the routes. */
+    /** Longer than the timeouts of all routes. */
     private static final long ALL_DEADLINES_MS = 9_000;
 
-    /** How far the first upstream comes, before its connection is lost. */
+    /** What the first upstream sends before its connection is lost. */
     private enum Received {
-        /** The first upstream does what the others do. */
+        /** The first upstream does not fail on its own but behaves like the others. */
         NOTHING,
-        /** A head and a part of an event, of which the client gets nothing. */
+        /** A head and an incomplete event, which is not forwarded to the client. */
         INCOMPLETE_EVENT,
-        /** A head and two events, which the client has. */
+        /** A head and two events, which are forwarded to the client. */
         EVENTS
     }
 
-    /** What each upstream does from then on. */
+    /** How each upstream behaves from then on. */
     private enum Upstreams {
         COMPLETE,
         REJECT_503,
@@ -87,7 +88,7 @@
                 sent.loseConnection();
             }
             case STAY_SILENT, REFUSE_CONNECTION, CLIENT_LEAVES -> {
-                // nothing comes from the upstream
+                // the upstream sends nothing
             }
             default -> throw new IllegalStateException(upstreams.toString());
         }
@@ -102,8 +103,8 @@
     private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
 
     /**
-     * Paths as in {@link RoutesDocument}; the outcome is a status, "resumed" for a stream that is
-     * complete, "aborted" or "none" where the client has left.
+     * Paths are those of {@link RoutesDocument}. The outcome is a status code, "resumed" for a stream
+     * completed by another upstream, "aborted", or "none" if the client disconnected.
      */
     @ParameterizedTest(name = "{0}: {1}, then {2}")
     @CsvSource({
@@ -227,7 +228,7 @@
         begin(manyUpstreams.connections.lastSent(), Received.INCOMPLETE_EVENT);
         manyUpstreams.connections.lastSent().loseConnection();
         manyUpstreams.connections.lastSent().rejectAsNotExecuted();
-        assertEquals(3, manyUpstreams.connections.sent.size(), "no more than the route's retries");
+        assertEquals(3, manyUpstreams.connections.sent.size(), "at most as many as the route's retries");
         assertEquals(502, client.status);
     }
 
@@ -238,8 +239,8 @@
         context.clock.run(650);
         letOthersReportLongQueues(unresponsive.upstream);
         context.clock.run(100);
-        assertTrue(unresponsive.closed, "its upstream counts as unresponsive");
-        assertEquals(0, client.responses, "a 503 would say that it did not run");
+        assertTrue(unresponsive.closed, "the upstream is considered unresponsive");
+        assertEquals(0, client.responses, "a 503 would say that the request was not executed");
     }
 
     private void letOthersReportLongQueues(Upstream except) {
@@ -259,7 +260,7 @@
         ScriptedClient client = context.send("/i/1");
         act(context.connections.lastSent(), Upstreams.FAIL_500);
         context.connections.lastSent().rejectAsNotExecuted();
-        assertEquals(500, client.status, "a 503 would say that it did not run");
+        assertEquals(500, client.status, "a 503 would say that the request was not executed");
         assertEquals("why", client.body.toString());
         assertEquals("sig", client.headers.get(HeaderNames.UPSTREAM_SIGNATURE));
     }
--- a/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
@@ -13,7 +13,7 @@
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
-/** Admitted requests to their final response, with scripted upstreams on a manual clock. */
+/** Requests from admission to their final response, with scripted upstreams and a manual clock. */
 class ProxiedRequestTest {
     private static final String MODEL = "Myrtleladder-Model";
 
--- a/src/test/java/myrtleladder/dataplane/RequestCountersTest.java
+++ b/src/test/java/myrtleladder/dataplane/RequestCountersTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The counts in the log line at the end of the process. */
+/** Format of the counts in the log line at the end of the process. */
 class RequestCountersTest {
     @Test
     void countsAreWrittenWithTheNamesThatOperatorsRead() {
--- a/src/test/java/myrtleladder/dataplane/RequestRouterTest.java
+++ b/src/test/java/myrtleladder/dataplane/RequestRouterTest.java
@@ -9,7 +9,7 @@
 import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
 
-/** Requests up to their admission: route, tenant, quota and service. */
+/** Route matching, authentication, quota and selection of the service. */
 class RequestRouterTest {
     private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
     private final ScriptedConnectionPool connections = context.connections;
@@ -66,6 +66,6 @@
             connections.lastSent().respondHead(200);
             connections.lastSent().completeResponse();
         }
-        assertTrue(second >= 15 && second <= 45, "of 300 one in ten got " + second);
+        assertTrue(second >= 15 && second <= 45, "expected about 30 of 300 but was " + second);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/RoutesDocument.java
+++ b/src/test/java/myrtleladder/dataplane/RoutesDocument.java
@@ -1,10 +1,11 @@
 package myrtleladder.dataplane;
 
-/** A configuration with a route of each kind, for tests; written with single quotes. */
+/** A test configuration with a route of each kind, written with single quotes. */
 final class RoutesDocument {
     /**
-     * Paths: /s/ resumable stream, /s3/ the same with three retries, /n/ other stream, /u/ unsafe,
-     * /i/ idempotent, /o/ public, /w/ split.
+     * Routes by path: /s/ resumable stream, /s3/ resumable stream that may be sent to three upstreams,
+     * /n/ stream that is not resumable, /u/ non-idempotent, /i/ idempotent, /o/ public, /w/ with a
+     * traffic split.
      */
     static final String TEXT =
             """
--- a/src/test/java/myrtleladder/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -5,7 +5,7 @@
 import myrtleladder.http.RequestHead;
 import myrtleladder.http.ServerExchange;
 
-/** A fake client: a request with what came back. */
+/** A fake client that sends one request and records the response. */
 final class ScriptedClient implements ServerExchange {
     private final RequestHead head;
     private Runnable onGone;
@@ -17,10 +17,13 @@
     boolean aborted;
     int responses;
 
-    /** Responses that ended, also by an abort; a second one would be a fault. */
+    /** Number of responses that ended, including by an abort; more than one is an error. */
     int finalResponses;
 
-    /** Calls that the exchange is documented to ignore; a request that relies on them hangs. */
+    /**
+     * Number of calls in states in which the exchange ignores them; a request that depends on such a
+     * call never ends.
+     */
     int ignoredCalls;
 
     ScriptedClient(String path, String... fields) {
--- a/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -7,18 +7,18 @@
 import myrtleladder.http.RequestHead;
 import myrtleladder.http.ResponseHead;
 
-/** HttpConnectionPool to upstreams that do what a test says. */
+/** A connection pool to fake upstreams that a test controls. */
 final class ScriptedConnectionPool implements ConnectionPool {
     final List<SentRequest> sent = new ArrayList<>();
     boolean refusesConnections;
     boolean neverConnects;
 
-    /** Connections wait for {@link #establishHeld}. */
+    /** Whether new connections are established only by {@link #establishDelayed}. */
     boolean holdsConnections;
 
     private final List<SentRequest> held = new ArrayList<>();
 
-    /** A request that an upstream received. */
+    /** A connection to an upstream, and the request that was sent on it. */
     final class SentRequest implements PooledConnection {
         final Upstream upstream;
         final ResponseListener listener;
@@ -50,7 +50,7 @@
             return head.headers().get(name);
         }
 
-        /** The head of an answer that carries the request's id and a signature. */
+        /** Sends a response head with the request's attempt id and a signature. */
         void respondHead(int status, String... fields) {
             Headers headers =
                     new Headers()
@@ -116,7 +116,7 @@
 
     @Override
     public void closeExpired() {
-        // no connection is kept idle
+        // there are no idle connections
     }
 
     SentRequest lastSent() {
--- a/src/test/java/myrtleladder/dataplane/ServerSentEventSplitterTest.java
+++ b/src/test/java/myrtleladder/dataplane/ServerSentEventSplitterTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Streams of server-sent events cut into complete events. */
+/** Splitting of server-sent event streams into complete events. */
 class ServerSentEventSplitterTest {
     private final ServerSentEventSplitter splitter = new ServerSentEventSplitter();
     private final List<String> events = new ArrayList<>();
@@ -47,14 +47,14 @@
     @Test
     void sameEventsComeOutWhereverTheStreamIsCut() {
         String stream = "id: 1\ndata: a\n\n: comment\n\nid: 2\r\ndata: b\r\n\r\n";
-        for (int cut = 0; cut <= stream.length(); cut++) {
+        for (int splitAt = 0; splitAt <= stream.length(); splitAt++) {
             events.clear();
-            feed(stream.substring(0, cut));
-            feed(stream.substring(cut));
+            feed(stream.substring(0, splitAt));
+            feed(stream.substring(splitAt));
             assertEquals(
                     List.of("id: 1\ndata: a\n\n", ": comment\n\n", "id: 2\r\ndata: b\r\n\r\n"),
                     events,
-                    "cut at " + cut);
+                    "split at " + splitAt);
             assertEquals("", remainder());
         }
     }
