--- a/src/main/java/myrtleladder/configuration/ClientLimits.java
+++ b/src/main/java/myrtleladder/configuration/ClientLimits.java
@@ -12,25 +12,25 @@
  */
 public record ClientLimits(
         long maxHeaderBytes, long maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
-    private static final long DEFAULT_HEADER_BYTES = 16_384;
-    private static final long DEFAULT_BODY_BYTES = 4L * 1_024 * 1_024;
+    private static final long DEFAULT_MAX_HEADER_BYTES = 16_384;
+    private static final long DEFAULT_MAX_BODY_BYTES = 4L * 1_024 * 1_024;
     private static final long DEFAULT_HEADER_TIMEOUT_MS = 3_000;
     private static final long DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
     /** Parses the optional {@code limits} object of a configuration. */
-    static ClientLimits read(Fields root) {
+    static ClientLimits parse(JsonObject root) {
         if (!root.has("limits")) {
             return new ClientLimits(
-                    DEFAULT_HEADER_BYTES,
-                    DEFAULT_BODY_BYTES,
+                    DEFAULT_MAX_HEADER_BYTES,
+                    DEFAULT_MAX_BODY_BYTES,
                     DEFAULT_HEADER_TIMEOUT_MS,
                     DEFAULT_IDLE_TIMEOUT_MS);
         }
-        Fields fields = root.object("limits");
+        JsonObject json = root.getObject("limits");
         return new ClientLimits(
-                fields.number("max_header_bytes", DEFAULT_HEADER_BYTES),
-                fields.number("max_body_bytes", DEFAULT_BODY_BYTES),
-                fields.number("header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS),
-                fields.number("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS));
+                json.getLong("max_header_bytes", DEFAULT_MAX_HEADER_BYTES),
+                json.getLong("max_body_bytes", DEFAULT_MAX_BODY_BYTES),
+                json.getLong("header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS),
+                json.getLong("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS));
     }
 }
--- a/src/main/java/myrtleladder/configuration/Compression.java
+++ b/src/main/java/myrtleladder/configuration/Compression.java
@@ -42,7 +42,8 @@
     /**
      * Decompresses a document; an empty array is returned as is.
      *
-     * @throws ConfigurationException if the bytes are damaged or the document exceeds the size limit
+     * @throws ConfigurationException if the bytes are damaged or the document exceeds the size
+     *     limit
      */
     public static byte[] inflate(byte[] bytes) {
         if (bytes.length == 0) {
--- a/src/main/java/myrtleladder/configuration/Configuration.java
+++ b/src/main/java/myrtleladder/configuration/Configuration.java
@@ -14,22 +14,22 @@
     private final long generation;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
     private final Map<String, Service> services = new HashMap<>();
-    private final Map<String, Tenant> tenantsByKey = new HashMap<>();
+    private final Map<String, Tenant> tenantsByApiKey = new HashMap<>();
     private final List<Tenant> tenants = new ArrayList<>();
     private final ClientLimits limits;
 
-    private Configuration(Fields root) {
+    private Configuration(JsonObject root) {
         if (!root.has("generation")) {
-            throw Fields.wrong("generation", "a number");
+            throw JsonObject.invalidField("generation", "a number");
         }
-        generation = root.number("generation", 0);
-        limits = ClientLimits.read(root);
-        for (Fields fields : root.objects("services")) {
-            Service service = Service.read(fields);
+        generation = root.getLong("generation", 0);
+        limits = ClientLimits.parse(root);
+        for (JsonObject json : root.getObjects("services")) {
+            Service service = Service.parse(json);
             services.put(service.name(), service);
         }
-        readTenants(root);
-        readRoutes(root);
+        parseTenants(root);
+        parseRoutes(root);
     }
 
     /**
@@ -38,64 +38,65 @@
      * @param tree the JSON document, as {@link JsonCodec#parseObject} returns it
      * @throws ConfigurationException if the document is invalid
      */
-    public static Configuration read(Map<String, Object> tree) {
-        return new Configuration(Fields.of("configuration", tree));
+    public static Configuration parse(Map<String, Object> tree) {
+        return new Configuration(JsonObject.of("configuration", tree));
     }
 
-    private void readTenants(Fields root) {
-        for (Fields fields : root.objects("tenants")) {
-            Tenant tenant = Tenant.read(fields);
+    private void parseTenants(JsonObject root) {
+        for (JsonObject json : root.getObjects("tenants")) {
+            Tenant tenant = Tenant.parse(json);
             tenants.add(tenant);
-            for (String key : tenant.keys()) {
-                Tenant other = tenantsByKey.put(key, tenant);
+            for (String apiKey : tenant.apiKeys()) {
+                Tenant other = tenantsByApiKey.put(apiKey, tenant);
                 if (other != null && !other.name().equals(tenant.name())) {
                     throw new ConfigurationException(
                             ResultCode.SHARED_KEY,
-                            fields.path() + " has a key of tenant " + other.name());
+                            json.path() + " has a key of tenant " + other.name());
                 }
             }
         }
     }
 
-    private void readRoutes(Fields root) {
+    private void parseRoutes(JsonObject root) {
         Set<String> routeKeys = new HashSet<>();
-        for (Fields fields : root.objects("routes")) {
-            Route route = Route.read(fields);
-            check(fields.path(), route);
+        for (JsonObject json : root.getObjects("routes")) {
+            Route route = Route.parse(json);
+            validateRoute(json.path(), route);
             if (!routeKeys.add(
                     route.hostname().toLowerCase(Locale.ROOT) + " " + route.pathPrefix())) {
                 throw new ConfigurationException(
                         ResultCode.SAME_PLACE,
-                        fields.path() + " has host and prefix of another route");
+                        json.path() + " has host and prefix of another route");
             }
             routesByHost
                     .computeIfAbsent(
                             route.hostname().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
                     .add(route);
         }
-        for (List<Route> ofHost : routesByHost.values()) {
-            ofHost.sort((a, b) -> b.pathPrefix().length() - a.pathPrefix().length());
+        for (List<Route> routes : routesByHost.values()) {
+            routes.sort((a, b) -> b.pathPrefix().length() - a.pathPrefix().length());
         }
     }
 
-    private void check(String path, Route route) {
+    private void validateRoute(String path, Route route) {
         if (route.timeoutMs() <= 0) {
             throw new ConfigurationException(
                     ResultCode.NO_TIMEOUT, path + ".timeout_ms is not above 0");
         }
-        double sum = 0;
-        for (Route.Share share : route.shares()) {
-            if (!services.containsKey(share.service())) {
+        double totalWeight = 0;
+        for (Route.WeightedService weightedService : route.trafficSplit()) {
+            if (!services.containsKey(weightedService.serviceName())) {
                 throw new ConfigurationException(
                         ResultCode.UNKNOWN_SERVICE,
-                        path + " names the unknown service " + share.service());
+                        path + " names the unknown service " + weightedService.serviceName());
             }
-            if (share.weight() < 0) {
-                throw Fields.wrong(path + ".traffic_split", "a list of weights of 0 and more");
+            if (weightedService.weight() < 0) {
+                throw JsonObject.invalidField(
+                        path + ".traffic_split", "a list of weights of 0 and more");
             }
-            sum += share.weight();
+            totalWeight += weightedService.weight();
         }
-        if (sum <= 0) {
+        if (totalWeight <= 0) {
             throw new ConfigurationException(
                     ResultCode.NO_WEIGHT, path + ".traffic_split adds up to 0");
         }
@@ -112,12 +113,14 @@
      * @param host the value of the Host header field, with or without a port; null matches no route
      * @return null if no route matches
      */
-    public Route route(String host, String path) {
+    public Route matchRoute(String host, String path) {
         if (host == null) {
             return null;
         }
-        int port = host.indexOf(':');
-        String name = (port < 0 ? host : host.substring(0, port)).toLowerCase(Locale.ROOT);
+        int portSeparator = host.indexOf(':');
+        String name =
+                (portSeparator < 0 ? host : host.substring(0, portSeparator))
+                        .toLowerCase(Locale.ROOT);
         for (Route route : routesByHost.getOrDefault(name, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
                 return route;
@@ -137,8 +140,8 @@
     }
 
     /** Returns the tenant that an API key belongs to; null if the key is null or unknown. */
-    public Tenant tenant(String key) {
-        return key == null ? null : tenantsByKey.get(key);
+    public Tenant tenantByApiKey(String apiKey) {
+        return apiKey == null ? null : tenantsByApiKey.get(apiKey);
     }
 
     /** Returns all tenants. */
--- a/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
+++ b/src/main/java/myrtleladder/configuration/ConfigurationDocument.java
@@ -7,8 +7,8 @@
 import myrtleladder.result.ResultCode;
 
 /**
- * A configuration as the JSON document that the operator wrote, and the changes that an operator can
- * make to it. Immutable.
+ * A configuration as the JSON document that the operator wrote, and the changes that an operator
+ * can make to it. Immutable.
  */
 public final class ConfigurationDocument {
     private static final String GENERATION = "generation";
@@ -30,7 +30,7 @@
     }
 
     /** Restores a document that was validated before it was stored; does not validate it again. */
-    public static ConfigurationDocument stored(byte[] bytes, long generation) {
+    public static ConfigurationDocument fromStored(byte[] bytes, long generation) {
         return new ConfigurationDocument(bytes, generation);
     }
 
@@ -46,7 +46,7 @@
 
     /** Parses the document into its typed form. */
     public Configuration configuration() {
-        return Configuration.read(Json.readObject(bytes));
+        return Configuration.parse(JsonCodec.parseObject(bytes));
     }
 
     /**
@@ -56,8 +56,8 @@
      * @return the new document
      * @throws ConfigurationException if it is invalid or its generation is not higher
      */
-    public ConfigurationDocument replacedBy(byte[] whole) {
-        return checked(Json.readObject(whole));
+    public ConfigurationDocument replacedBy(byte[] replacement) {
+        return validated(JsonCodec.parseObject(replacement));
     }
 
     /**
@@ -69,12 +69,12 @@
      * @return the patched document
      * @throws ConfigurationException if the result is invalid or its generation is not higher
      */
-    public ConfigurationDocument changedBy(byte[] change) {
-        Map<String, Object> patch = Json.readObject(change);
+    public ConfigurationDocument patchedBy(byte[] patchBytes) {
+        Map<String, Object> patch = JsonCodec.parseObject(patchBytes);
         Map<String, Object> tree =
-                bytes.length == 0 ? new LinkedHashMap<>() : Json.readObject(bytes);
+                bytes.length == 0 ? new LinkedHashMap<>() : JsonCodec.parseObject(bytes);
         if (patch.get(GENERATION) == null) {
-            throw Fields.wrong(GENERATION, "a number");
+            throw JsonObject.invalidField(GENERATION, "a number");
         }
         patch.forEach(
                 (name, value) -> {
@@ -83,49 +83,51 @@
                     }
                 });
         if (patch.get(DELETE) != null) {
-            delete(tree, Fields.of(DELETE, patch.get(DELETE)), (Map<?, ?>) patch.get(DELETE));
+            delete(tree, JsonObject.of(DELETE, patch.get(DELETE)), (Map<?, ?>) patch.get(DELETE));
         }
         if (patch.get(UPSERT) != null) {
-            Fields.of(UPSERT, patch.get(UPSERT));
+            JsonObject.of(UPSERT, patch.get(UPSERT));
             upsert(tree, (Map<?, ?>) patch.get(UPSERT));
         }
-        return checked(tree);
+        return validated(tree);
     }
 
-    private ConfigurationDocument checked(Map<String, Object> tree) {
-        Configuration configuration = Configuration.read(tree);
+    private ConfigurationDocument validated(Map<String, Object> tree) {
+        Configuration configuration = Configuration.parse(tree);
         if (configuration.generation() <= generation) {
             throw new ConfigurationException(
                     ResultCode.OLD_GENERATION,
                     "generation " + configuration.generation() + " is not above " + generation);
         }
-        return new ConfigurationDocument(Json.write(tree), configuration.generation());
+        return new ConfigurationDocument(JsonCodec.serialize(tree), configuration.generation());
     }
 
-    private static void delete(Map<String, Object> tree, Fields fields, Map<?, ?> lists) {
-        for (Object kind : lists.keySet()) {
-            List<String> names = fields.texts(String.valueOf(kind));
-            items(tree, String.valueOf(kind)).removeIf(item -> names.contains(nameOf(item)));
+    private static void delete(
+            Map<String, Object> tree, JsonObject json, Map<?, ?> changesByCollection) {
+        for (Object collection : changesByCollection.keySet()) {
+            List<String> names = json.getStrings(String.valueOf(collection));
+            mutableItems(tree, String.valueOf(collection))
+                    .removeIf(item -> names.contains(nameOf(item)));
         }
     }
 
-    private static void upsert(Map<String, Object> tree, Map<?, ?> lists) {
-        lists.forEach(
-                (kind, value) -> {
-                    if (value instanceof List<?> changed) {
-                        List<Object> items = items(tree, String.valueOf(kind));
-                        changed.forEach(item -> put(items, item));
+    private static void upsert(Map<String, Object> tree, Map<?, ?> changesByCollection) {
+        changesByCollection.forEach(
+                (collection, value) -> {
+                    if (value instanceof List<?> changedItems) {
+                        List<Object> items = mutableItems(tree, String.valueOf(collection));
+                        changedItems.forEach(item -> putItem(items, item));
                     } else {
-                        tree.put(String.valueOf(kind), value);
+                        tree.put(String.valueOf(collection), value);
                     }
                 });
     }
 
     /** Replaces the item with the same name, or appends the item if there is none. */
-    private static void put(List<Object> items, Object item) {
+    private static void putItem(List<Object> items, Object item) {
         String name = nameOf(item);
         if (name == null) {
-            throw Fields.wrong(UPSERT, "a list of named items");
+            throw JsonObject.invalidField(UPSERT, "a list of named items");
         }
         for (int i = 0; i < items.size(); i++) {
             if (name.equals(nameOf(items.get(i)))) {
@@ -142,11 +144,11 @@
     }
 
     /** Replaces a list of items in the tree by a mutable copy and returns the copy. */
-    private static List<Object> items(Map<String, Object> tree, String kind) {
-        Object present = tree.get(kind);
+    private static List<Object> mutableItems(Map<String, Object> tree, String collection) {
+        Object present = tree.get(collection);
         List<Object> items =
                 present instanceof List<?> list ? new ArrayList<>(list) : new ArrayList<>();
-        tree.put(kind, items);
+        tree.put(collection, items);
         return items;
     }
 }
--- a/src/main/java/myrtleladder/configuration/Json.java
+++ b/src/main/java/myrtleladder/configuration/JsonCodec.java
@@ -13,19 +13,19 @@
  * Parses and serializes JSON objects as trees of maps and lists. The maps preserve the order of the
  * fields. Thread-safe.
  */
-public final class Json {
-    private static final DslJson<Object> LIBRARY = new DslJson<>(new DslJson.Settings<>());
+public final class JsonCodec {
+    private static final DslJson<Object> DSL_JSON = new DslJson<>(new DslJson.Settings<>());
 
-    private Json() {}
+    private JsonCodec() {}
 
     /**
      * Parses a document, which must be a single JSON object; only white space may follow it.
      *
      * @throws ConfigurationException with {@code CONFIGURATION_SYNTAX} if it is anything else
      */
-    public static Map<String, Object> readObject(byte[] bytes) {
+    public static Map<String, Object> parseObject(byte[] bytes) {
         try {
-            JsonReader<Object> reader = LIBRARY.newReader(bytes);
+            JsonReader<Object> reader = DSL_JSON.newReader(bytes);
             if (reader.getNextToken() != '{') {
                 throw new ConfigurationException(
                         ResultCode.CONFIGURATION_SYNTAX, "the document is no object");
@@ -48,10 +48,10 @@
     }
 
     /** Serializes a tree to UTF-8 without white space. */
-    public static byte[] write(Map<String, Object> tree) {
-        JsonWriter writer = LIBRARY.newWriter();
+    public static byte[] serialize(Map<String, Object> tree) {
+        JsonWriter writer = DSL_JSON.newWriter();
         try {
-            LIBRARY.serialize(writer, tree);
+            DSL_JSON.serialize(writer, tree);
         } catch (IOException e) {
             throw new IllegalStateException("failed to serialize JSON to memory", e);
         }
--- a/src/main/java/myrtleladder/configuration/Fields.java
+++ b/src/main/java/myrtleladder/configuration/JsonObject.java
@@ -10,11 +10,11 @@
  * ConfigurationException} with the path of the field if it has the wrong type, or if it is missing
  * and has no default. A field that is null counts as missing.
  */
-final class Fields {
+final class JsonObject {
     private final String path;
     private final Map<?, ?> values;
 
-    private Fields(String path, Map<?, ?> values) {
+    private JsonObject(String path, Map<?, ?> values) {
         this.path = path;
         this.values = values;
     }
@@ -25,15 +25,15 @@
      * @param path the path of the value in the document, for error messages
      * @throws ConfigurationException if the value is not an object
      */
-    static Fields of(String path, Object value) {
+    static JsonObject of(String path, Object value) {
         if (!(value instanceof Map<?, ?> map)) {
-            throw wrong(path, "an object");
+            throw invalidField(path, "an object");
         }
-        return new Fields(path, map);
+        return new JsonObject(path, map);
     }
 
     /** Creates the exception for a field that is not what was expected. */
-    static ConfigurationException wrong(String path, String expected) {
+    static ConfigurationException invalidField(String path, String expected) {
         return new ConfigurationException(
                 ResultCode.CONFIGURATION_FIELD, path + " is not " + expected);
     }
@@ -49,23 +49,23 @@
     }
 
     /** Returns a required string, which must not be empty. */
-    String text(String name) {
+    String getString(String name) {
         if (values.get(name) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw wrong(path + "." + name, "a text");
+        throw invalidField(path + "." + name, "a text");
     }
 
-    String text(String name, String defaultValue) {
-        return has(name) ? text(name) : defaultValue;
+    String getString(String name, String defaultValue) {
+        return has(name) ? getString(name) : defaultValue;
     }
 
     /** Returns a number rounded to the nearest integer. */
-    long number(String name, long defaultValue) {
-        return Math.round(decimal(name, defaultValue));
+    long getLong(String name, long defaultValue) {
+        return Math.round(getDouble(name, defaultValue));
     }
 
-    double decimal(String name, double defaultValue) {
+    double getDouble(String name, double defaultValue) {
         Object value = values.get(name);
         if (value == null) {
             return defaultValue;
@@ -73,11 +73,11 @@
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw wrong(path + "." + name, "a number");
+        throw invalidField(path + "." + name, "a number");
     }
 
     /** Returns a boolean, false if the field is missing. */
-    boolean flag(String name) {
+    boolean getBoolean(String name) {
         Object value = values.get(name);
         if (value == null) {
             return false;
@@ -85,16 +85,16 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw wrong(path + "." + name, "true or false");
+        throw invalidField(path + "." + name, "true or false");
     }
 
     /** Returns a required nested object. */
-    Fields object(String name) {
+    JsonObject getObject(String name) {
         return of(path + "." + name, values.get(name));
     }
 
     /** Returns a copy of a list, empty if the field is missing. */
-    List<Object> list(String name) {
+    List<Object> getList(String name) {
         Object value = values.get(name);
         if (value == null) {
             return List.of();
@@ -102,27 +102,27 @@
         if (value instanceof List<?> list) {
             return new ArrayList<>(list);
         }
-        throw wrong(path + "." + name, "a list");
+        throw invalidField(path + "." + name, "a list");
     }
 
     /** Returns a list of objects, empty if the field is missing. */
-    List<Fields> objects(String name) {
-        List<Fields> objects = new ArrayList<>();
-        for (Object item : list(name)) {
+    List<JsonObject> getObjects(String name) {
+        List<JsonObject> objects = new ArrayList<>();
+        for (Object item : getList(name)) {
             objects.add(of(path + "." + name + "[" + objects.size() + "]", item));
         }
         return objects;
     }
 
     /** Returns a list of strings, empty if the field is missing. */
-    List<String> texts(String name) {
-        List<String> texts = new ArrayList<>();
-        for (Object item : list(name)) {
+    List<String> getStrings(String name) {
+        List<String> strings = new ArrayList<>();
+        for (Object item : getList(name)) {
             if (!(item instanceof String text)) {
-                throw wrong(path + "." + name, "a list of texts");
+                throw invalidField(path + "." + name, "a list of texts");
             }
-            texts.add(text);
+            strings.add(text);
         }
-        return texts;
+        return strings;
     }
 }
--- a/src/main/java/myrtleladder/configuration/Route.java
+++ b/src/main/java/myrtleladder/configuration/Route.java
@@ -32,11 +32,11 @@
         long targetLatencyMs,
         int priority,
         int retries,
-        boolean open,
+        boolean isPublic,
         boolean sessionAffinity,
         boolean resumable,
-        long gapAimMs,
-        List<Share> shares) {
+        long targetEventGapMs,
+        List<WeightedService> trafficSplit) {
 
     /** Whether requests are idempotent, or their responses are streams of events. */
     public enum Type {
@@ -52,50 +52,53 @@
      * @param weight {@code weight}: the service receives requests in proportion to its part of the
      *     sum of all weights; not negative
      */
-    public record Share(String service, double weight) {}
+    public record WeightedService(String serviceName, double weight) {}
 
     /**
-     * Returns whether a request may be executed more than once: on idempotent routes and on resumable
-     * streams.
+     * Returns whether a request may be executed more than once: on idempotent routes and on
+     * resumable streams.
      */
-    public boolean repeatable() {
+    public boolean isIdempotent() {
         return type == Type.IDEMPOTENT || (type == Type.STREAMING && resumable);
     }
 
     /** Returns whether responses are streams of server-sent events. */
-    public boolean streaming() {
+    public boolean isStreaming() {
         return type == Type.STREAMING;
     }
 
     /** Parses a route; {@link Configuration} checks its values. */
-    static Route read(Fields fields) {
-        String type = fields.text("type", "non_idempotent");
+    static Route parse(JsonObject json) {
+        String type = json.getString("type", "non_idempotent");
         return new Route(
-                fields.text("name"),
-                fields.text("hostname"),
-                fields.text("path_prefix"),
+                json.getString("name"),
+                json.getString("hostname"),
+                json.getString("path_prefix"),
                 switch (type) {
                     case "idempotent" -> Type.IDEMPOTENT;
                     case "streaming" -> Type.STREAMING;
                     default -> Type.NON_IDEMPOTENT;
                 },
-                fields.number("timeout_ms", 0),
-                fields.number("target_latency_ms", 1_000),
-                (int) fields.number("priority", 0),
-                (int) fields.number("retries", 1),
-                fields.flag("public"),
-                fields.flag("session_affinity"),
-                fields.flag("resumable"),
-                fields.number("gap_aim_ms", 0),
-                readShares(fields));
+                json.getLong("timeout_ms", 0),
+                json.getLong("target_latency_ms", 1_000),
+                (int) json.getLong("priority", 0),
+                (int) json.getLong("retries", 1),
+                json.getBoolean("public"),
+                json.getBoolean("session_affinity"),
+                json.getBoolean("resumable"),
+                json.getLong("gap_aim_ms", 0),
+                parseTrafficSplit(json));
     }
 
-    private static List<Share> readShares(Fields fields) {
-        if (!fields.has("traffic_split")) {
-            return List.of(new Share(fields.text("backend"), 1));
+    private static List<WeightedService> parseTrafficSplit(JsonObject json) {
+        if (!json.has("traffic_split")) {
+            return List.of(new WeightedService(json.getString("backend"), 1));
         }
-        return fields.objects("traffic_split").stream()
-                .map(f -> new Share(f.text("backend"), f.decimal("weight", 0)))
+        return json.getObjects("traffic_split").stream()
+                .map(
+                        entry ->
+                                new WeightedService(
+                                        entry.getString("backend"), entry.getDouble("weight", 0)))
                 .toList();
     }
 }
--- a/src/main/java/myrtleladder/configuration/Service.java
+++ b/src/main/java/myrtleladder/configuration/Service.java
@@ -9,16 +9,16 @@
  * @param maxConnections {@code max_connections}: connection limit of one upstream; default 100
  * @param engine {@code engine} of upstreams that run a language model, null for other services
  * @param warmupMs {@code warmup_s}: how long an upstream is cold after its start; default 0
- * @param warmupRequestsPerSecond {@code warmup_per_s}: request rate that a cold upstream can handle,
- *     may be fractional; 0, the default, means no limit
+ * @param warmupRequestsPerSecond {@code warmup_per_s}: request rate that a cold upstream can
+ *     handle, may be fractional; 0, the default, means no limit
  */
 public record Service(
         String name,
-        String healthCheck,
+        String healthCheckPath,
         int maxConnections,
         Engine engine,
         long warmupMs,
-        double warmupPerSecond) {
+        double warmupRequestsPerSecond) {
     private static final double MS_PER_SECOND = 1_000;
 
     /**
@@ -28,25 +28,25 @@
      * @param kvCacheTokens {@code kv_tokens}: capacity of the key-value cache in tokens; default 0
      * @param tokensPerEvent {@code stride}: tokens in each event of a response; default 1
      */
-    public record Engine(int capacity, long kvTokens, int stride) {}
+    public record Engine(int maxBatchSize, long kvCacheTokens, int tokensPerEvent) {}
 
     /** Parses a service. */
-    static Service read(Fields fields) {
+    static Service parse(JsonObject json) {
         Engine engine = null;
-        if (fields.has("engine")) {
-            Fields part = fields.object("engine");
+        if (json.has("engine")) {
+            JsonObject engineJson = json.getObject("engine");
             engine =
                     new Engine(
-                            (int) part.number("capacity", 1),
-                            part.number("kv_tokens", 0),
-                            (int) part.number("stride", 1));
+                            (int) engineJson.getLong("capacity", 1),
+                            engineJson.getLong("kv_tokens", 0),
+                            (int) engineJson.getLong("stride", 1));
         }
         return new Service(
-                fields.text("name"),
-                fields.text("health_check", "/healthz"),
-                (int) fields.number("max_connections", 100),
+                json.getString("name"),
+                json.getString("health_check", "/healthz"),
+                (int) json.getLong("max_connections", 100),
                 engine,
-                Math.round(fields.decimal("warmup_s", 0) * MS_PER_SECOND),
-                fields.decimal("warmup_per_s", 0));
+                Math.round(json.getDouble("warmup_s", 0) * MS_PER_SECOND),
+                json.getDouble("warmup_per_s", 0));
     }
 }
--- a/src/main/java/myrtleladder/configuration/Tenant.java
+++ b/src/main/java/myrtleladder/configuration/Tenant.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A tenant with its API keys and its rate limit. The limit applies to the sum of its requests at all
- * balancers; its unit is tokens or requests.
+ * A tenant with its API keys and its rate limit. The limit applies to the sum of its requests at
+ * all balancers; its unit is tokens or requests.
  *
  * @param name {@code name}
  * @param apiKeys {@code api_keys} that authenticate its requests
@@ -17,22 +17,22 @@
  */
 public record Tenant(
         String name,
-        List<String> keys,
+        List<String> apiKeys,
         int priority,
         boolean countsTokens,
-        long plainTokens,
+        long defaultTokens,
         double ratePerSecond,
         double burst) {
 
     /** Parses a tenant. */
-    static Tenant read(Fields fields) {
+    static Tenant parse(JsonObject json) {
         return new Tenant(
-                fields.text("name"),
-                fields.texts("api_keys"),
-                (int) fields.number("priority", 0),
-                "tokens".equals(fields.text("unit", "requests")),
-                fields.number("plain_tokens", 1),
-                fields.decimal("rate_per_s", 0),
-                fields.decimal("burst", 0));
+                json.getString("name"),
+                json.getStrings("api_keys"),
+                (int) json.getLong("priority", 0),
+                "tokens".equals(json.getString("unit", "requests")),
+                json.getLong("plain_tokens", 1),
+                json.getDouble("rate_per_s", 0),
+                json.getDouble("burst", 0));
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ChangeValidation.java
+++ b/src/main/java/myrtleladder/controlplane/ChangeValidation.java
@@ -37,7 +37,7 @@
             return new Valid(
                     request.isReplacement()
                             ? current.replacedBy(request.body())
-                            : current.changedBy(request.body()));
+                            : current.patchedBy(request.body()));
         } catch (ConfigurationException e) {
             return new Rejected(HttpResponses.BAD_REQUEST, e.getMessage());
         }
--- a/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
+++ b/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
@@ -80,6 +80,6 @@
 
     /** The document, ready to be changed. */
     ConfigurationDocument document() {
-        return ConfigurationDocument.stored(documentBytes(), snapshot.generation);
+        return ConfigurationDocument.fromStored(documentBytes(), snapshot.generation);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.ConfigurationDocument;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.StateChange;
@@ -105,7 +105,7 @@
     }
 
     private void acknowledge(ConfigurationRequest request) {
-        byte[] body = Json.write(Map.of("generation", committed.generation()));
+        byte[] body = JsonCodec.serialize(Map.of("generation", committed.generation()));
         HttpResponses.json(request.exchange(), HttpResponses.OK, body);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/HttpResponses.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -1,7 +1,7 @@
 package myrtleladder.controlplane;
 
 import java.util.Map;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.Headers;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.Member;
@@ -47,12 +47,12 @@
 
     /** Refuses the request with a reason, as JSON. */
     static void error(ServerExchange exchange, int status, String reason) {
-        json(exchange, status, Json.write(Map.of("error", reason)));
+        json(exchange, status, JsonCodec.serialize(Map.of("error", reason)));
     }
 
     /** Acknowledges the request with an empty JSON object. */
     static void acknowledge(ServerExchange exchange) {
-        json(exchange, OK, Json.write(Map.of()));
+        json(exchange, OK, JsonCodec.serialize(Map.of()));
     }
 
     /** Responds with a JSON document. */
--- a/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/InstanceRequestHandler.java
@@ -1,7 +1,7 @@
 package myrtleladder.controlplane;
 
 import java.util.function.BooleanSupplier;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
@@ -70,7 +70,7 @@
     private void handleHeartbeat(ServerExchange exchange, String id) {
         InstanceRecord record;
         try {
-            record = InstanceHeartbeatParser.parse(id, Json.readObject(exchange.body()));
+            record = InstanceHeartbeatParser.parse(id, JsonCodec.parseObject(exchange.body()));
         } catch (ResultException e) {
             HttpResponses.error(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
             return;
--- a/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/StatusRequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 import myrtleladder.tally.Tallies;
@@ -56,7 +56,7 @@
         if (tallies != null) {
             status.put("tallies", toJson(tallies.figures()));
         }
-        HttpResponses.json(exchange, HttpResponses.OK, Json.write(status));
+        HttpResponses.json(exchange, HttpResponses.OK, JsonCodec.serialize(status));
     }
 
     private static Map<String, Object> toJson(TallyFigures figures) {
--- a/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.OptionalLong;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.result.ResultException;
 import myrtleladder.tally.AdditionResult;
@@ -46,7 +46,7 @@
     private void respondWithTotal(ServerExchange exchange, String name) {
         OptionalLong total = tallies.total(name);
         if (total.isPresent()) {
-            byte[] body = Json.write(Map.of("total", total.getAsLong()));
+            byte[] body = JsonCodec.serialize(Map.of("total", total.getAsLong()));
             HttpResponses.json(exchange, HttpResponses.OK, body);
         } else {
             HttpResponses.unavailable(exchange);
@@ -56,7 +56,7 @@
     private void add(ServerExchange exchange, String name) {
         Map<String, Object> json;
         try {
-            json = Json.readObject(exchange.body());
+            json = JsonCodec.parseObject(exchange.body());
         } catch (ResultException e) {
             HttpResponses.error(exchange, HttpResponses.BAD_REQUEST, e.getMessage());
             return;
--- a/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 
@@ -48,6 +48,6 @@
         }
         UpgradeStatus status =
                 UpgradeStatus.of(instances.all(), balancers.inFlightRequests(), regionByZone);
-        HttpResponses.json(exchange, HttpResponses.OK, Json.write(status.toJson()));
+        HttpResponses.json(exchange, HttpResponses.OK, JsonCodec.serialize(status.toJson()));
     }
 }
--- a/src/main/java/myrtleladder/dataplane/ActiveRequests.java
+++ b/src/main/java/myrtleladder/dataplane/ActiveRequests.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The requests that have no final response yet, in the order in which they were started. Confined to
- * the event loop.
+ * The requests that have no final response yet, in the order in which they were started. Confined
+ * to the event loop.
  */
 final class ActiveRequests {
     private final Set<ProxiedRequest> requests = new LinkedHashSet<>();
--- a/src/main/java/myrtleladder/dataplane/AdmissionController.java
+++ b/src/main/java/myrtleladder/dataplane/AdmissionController.java
@@ -54,7 +54,7 @@
 
     private static long longestAcceptedWaitMs(Route route) {
         long byLatency = ACCEPTED_TARGET_LATENCIES * route.targetLatencyMs();
-        long byGap = ACCEPTED_EVENT_GAPS * route.gapAimMs();
+        long byGap = ACCEPTED_EVENT_GAPS * route.targetEventGapMs();
         return Math.max(MIN_ACCEPTED_WAIT_MS, Math.max(byLatency, byGap));
     }
 
--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -5,8 +5,8 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * An attempt to have one upstream execute a request. Counts as in flight at the upstream from {@link
- * #start} until {@link State#ENDED}. Confined to the event loop.
+ * An attempt to have one upstream execute a request. Counts as in flight at the upstream from
+ * {@link #start} until {@link State#ENDED}. Confined to the event loop.
  */
 final class Attempt implements ConnectionPool.ResponseListener {
     /** Timeout for establishing a connection. */
@@ -42,12 +42,15 @@
         void onNotSent(Attempt attempt);
 
         /**
-         * The attempt was withdrawn before anything was sent, without a failure of the upstream: its
-         * zone was drained, or it became cold and its warm-up budget is used up.
+         * The attempt was withdrawn before anything was sent, without a failure of the upstream:
+         * its zone was drained, or it became cold and its warm-up budget is used up.
          */
         void onWithdrawn(Attempt attempt);
 
-        /** The connection was lost before the response was complete; the request may have been executed. */
+        /**
+         * The connection was lost before the response was complete; the request may have been
+         * executed.
+         */
         void onConnectionLost(Attempt attempt);
     }
 
@@ -60,7 +63,7 @@
     private State state = State.CONNECTING;
     private ConnectionPool.PooledConnection connection;
     private long sentAtMs;
-    private boolean isPromptRead;
+    private boolean isPromptProcessed;
 
     /** Creates an attempt and starts its connect timeout. */
     Attempt(
@@ -78,8 +81,8 @@
     }
 
     /**
-     * Acquires a connection and sends the request once it is established. The listener may be called
-     * before this returns.
+     * Acquires a connection and sends the request once it is established. The listener may be
+     * called before this returns.
      *
      * @param recentlyUsedOnly see {@link ConnectionPool#acquire}
      */
@@ -105,29 +108,32 @@
         return sentAtMs;
     }
 
-    /** Returns the prompt tokens that the upstream was expected to process, since not cached. */
+    /**
+     * Returns the number of prompt tokens that the upstream was expected to process because they
+     * were not cached.
+     */
     int promptTokens() {
         return pick.promptTokens();
     }
 
-    /** Returns whether no other prompt was known to be pending at the upstream at the pick. */
+    /** Returns whether no other prompt was known to be pending when the upstream was picked. */
     boolean isWithoutBacklog() {
         return pick.withoutBacklog();
     }
 
     /** Returns the part of the expected time to the first event that is due to known prompts. */
-    double explainedMs() {
+    double knownPrefillMs() {
         return pick.explainedMs();
     }
 
-    /** Returns the prompt tokens that the upstream has yet to process. */
+    /** Returns the number of prompt tokens that the upstream has yet to process. */
     long pendingPromptTokens() {
-        return isPromptRead || state == State.ENDED ? 0 : pick.promptTokens();
+        return isPromptProcessed || state == State.ENDED ? 0 : pick.promptTokens();
     }
 
     /** Records that the first event was received, so the upstream has processed the prompt. */
-    void markPromptRead() {
-        isPromptRead = true;
+    void markPromptProcessed() {
+        isPromptProcessed = true;
     }
 
     /**
--- a/src/main/java/myrtleladder/dataplane/Warmup.java
+++ b/src/main/java/myrtleladder/dataplane/ClassArchiveTrainingRun.java
@@ -39,12 +39,12 @@
  * and fake upstreams. The build uses this run to record the class data sharing (CDS) archive of the
  * data plane. The command line calls {@link #run}; all else is confined to the event loop.
  */
-final class Warmup {
+final class ClassArchiveTrainingRun {
     /** Maximum duration of the run. */
     private static final long TIMEOUT_MS = 10_000;
 
     /** Time for startup before the first request, and for the last responses to arrive. */
-    private static final long SETTLE_MS = 500;
+    private static final long STARTUP_AND_DRAIN_MS = 500;
 
     /** Interval between rounds of requests. */
     private static final long ROUND_INTERVAL_MS = 20;
@@ -71,7 +71,7 @@
                     + "\"burst\":9.5}]}";
 
     private final EventLoop loop = new EventLoop();
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch completed = new CountDownLatch(1);
     private final int controlPort = freePort();
     private final int upstreamPort = freePort();
     private final int frontendPort = freePort();
@@ -87,21 +87,21 @@
 
     /** Runs on a new event loop; returns false if the run did not complete in time. */
     static boolean run() throws InterruptedException {
-        Warmup warmup = new Warmup();
-        warmup.loop.start();
-        warmup.loop.execute(warmup::start);
-        return warmup.done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        ClassArchiveTrainingRun run = new ClassArchiveTrainingRun();
+        run.loop.start();
+        run.loop.execute(run::start);
+        return run.completed.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private void start() {
-        new MessageServer(loop, HOST, controlPort, this::answerControlMessage);
-        new HttpServer(loop, HOST, upstreamPort, this::answerAsUpstream);
-        Main.startOn(settings(), loop);
+        new MessageServer(loop, HOST, controlPort, this::handleControlMessage);
+        new HttpServer(loop, HOST, upstreamPort, this::handleUpstreamRequest);
+        Main.startOnLoop(settings(), loop);
         for (int round = 1; round <= ROUNDS; round++) {
-            loop.schedule(SETTLE_MS + round * ROUND_INTERVAL_MS, this::sendRound);
+            loop.schedule(STARTUP_AND_DRAIN_MS + round * ROUND_INTERVAL_MS, this::sendRound);
         }
-        long lastRoundMs = SETTLE_MS + ROUNDS * ROUND_INTERVAL_MS;
-        loop.schedule(lastRoundMs + SETTLE_MS, done::countDown);
+        long lastRoundMs = STARTUP_AND_DRAIN_MS + ROUNDS * ROUND_INTERVAL_MS;
+        loop.schedule(lastRoundMs + STARTUP_AND_DRAIN_MS, completed::countDown);
     }
 
     private NodeSettings settings() {
@@ -128,11 +128,11 @@
                 InternalNetwork.direct(new Address(HOST, freePort())));
     }
 
-    private void answerControlMessage(Message message, Consumer<Message> callback) {
+    private void handleControlMessage(Message message, Consumer<Message> callback) {
         if (message instanceof QuotaRequest request) {
-            QuotaResponse grant = QuotaResponse.of(true, request.units, 0);
-            grant.fleetLoads = loads();
-            callback.accept(grant);
+            QuotaResponse quota = QuotaResponse.of(true, request.units, 0);
+            quota.fleetLoads = fleetLoads();
+            callback.accept(quota);
         } else if (message instanceof PollRequest request && request.generation == 0) {
             callback.accept(firstPollResponse());
         }
@@ -154,11 +154,11 @@
                         BalancerAddress.of("n", HOST + ":" + controlPort),
                         BalancerAddress.of("m", HOST + ":" + controlPort));
         response.instances = List.of(instance("i", "s"), instance("j", "p"));
-        response.fleetLoads = loads();
+        response.fleetLoads = fleetLoads();
         return response;
     }
 
-    private static FleetLoads loads() {
+    private static FleetLoads fleetLoads() {
         FleetLoads loads = new FleetLoads();
         loads.epoch = 1;
         loads.loadsKnown = true;
@@ -173,7 +173,7 @@
                 id, service, HOST + ":" + upstreamPort, "z", 64, "v1", Stage.READY, 1);
     }
 
-    private void answerAsUpstream(ServerExchange exchange) {
+    private void handleUpstreamRequest(ServerExchange exchange) {
         Headers headers =
                 new Headers()
                         .add(HeaderNames.UPSTREAM_SIGNATURE, "x")
--- a/src/main/java/myrtleladder/dataplane/ConnectionPool.java
+++ b/src/main/java/myrtleladder/dataplane/ConnectionPool.java
@@ -4,8 +4,8 @@
 import myrtleladder.http.ResponseHead;
 
 /**
- * Pools connections to upstreams, each used by one request at a time. Confined to the event loop, on
- * which listeners are called.
+ * Pools connections to upstreams, each used by one request at a time. Confined to the event loop,
+ * on which listeners are called.
  */
 interface ConnectionPool {
     /**
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.heartbeat.HeartbeatAgent;
 import myrtleladder.protocol.DrainedZones;
 import myrtleladder.protocol.LoadReport;
@@ -26,8 +26,8 @@
 
 /**
  * Receives the configuration and the upstreams from the control plane by long polls. Each poll
- * reports the versions that this balancer has; the control plane responds once it has newer ones, or
- * after its hold time.
+ * reports the versions that this balancer has; the control plane responds once it has newer ones,
+ * or after its hold time.
  *
  * <p>Invariants: at most one poll is in flight, apart from the one that announces the shutdown.
  * Epoch and generation never decrease: responses of lower epochs and older generations are ignored.
@@ -36,20 +36,24 @@
 final class ControlPoller {
     private static final Logger LOG = LogManager.getLogger(ControlPoller.class);
 
-    /** Timeout of a poll: the longest time for which the control plane holds it, and a round trip. */
+    /**
+     * Timeout of a poll: the longest time for which the control plane holds it, and a round trip.
+     */
     private static final long POLL_TIMEOUT_MS = 750;
 
     /** Backoff before the next poll after a failed one. */
     private static final long RETRY_BACKOFF_MS = 50;
 
     /** Time for which an unresponsive control node is not polled if there are others. */
-    private static final long AVOIDANCE_MS = 1_500;
+    private static final long AVOID_UNRESPONSIVE_MS = 1_500;
 
-    /** A poll that fails after a longer time has timed out; earlier failures are refusals. */
+    /** A poll that fails after a longer time has timed out; one that fails earlier was refused. */
     private static final long UNRESPONSIVE_AFTER_MS = 400;
 
-    /** Time after which an unreachable primary, polled through a relay, is polled directly again. */
-    private static final long RELAY_MS = 5_000;
+    /**
+     * Time after which an unreachable primary, polled through a relay, is polled directly again.
+     */
+    private static final long RELAY_DURATION_MS = 5_000;
 
     /** Number of consecutive failures after which the seeds are reloaded. */
     private static final int FAILURES_BEFORE_SEED_RELOAD = 6;
@@ -57,16 +61,16 @@
     private final Scheduler scheduler;
     private final Peers peers;
     private final DataPlane dataPlane;
-    private final String balancer;
+    private final String balancerName;
     private final String address;
     private final HeartbeatAgent heartbeatAgent;
     private final Supplier<List<String>> seedSource;
-    private final Map<String, Avoidance> avoidances = new HashMap<>();
+    private final Map<String, UnresponsiveNode> unresponsiveNodes = new HashMap<>();
     private List<String> seeds;
-    private List<String> members = List.of();
+    private List<String> controlNodes = List.of();
 
     /** Address of the control node to poll, empty until the next one is selected. */
-    private String target = "";
+    private String targetAddress = "";
 
     /** Whether the target relays requests to the primary, which this balancer can't reach. */
     private boolean isRelayed;
@@ -78,7 +82,7 @@
     private long epoch;
 
     /** Highest epoch that any control node reported. */
-    private long highestNamedEpoch;
+    private long highestReportedEpoch;
 
     private long generation;
     private long instanceRevision;
@@ -86,8 +90,8 @@
     /** Whether an upstream list from the primary of the current epoch was authoritative. */
     private boolean hasAuthoritativeList;
 
-    private int balancers;
-    private long memberRevision;
+    private int balancerCount;
+    private long balancerListRevision;
     private boolean isLeaving;
 
     /**
@@ -96,7 +100,7 @@
      * @param avoidUntilMs when it may be polled again
      * @param knownEpoch highest epoch that was known when it timed out
      */
-    private record Avoidance(long untilMs, long knownEpoch) {}
+    private record UnresponsiveNode(long avoidUntilMs, long knownEpoch) {}
 
     /**
      * Creates a poller.
@@ -109,19 +113,19 @@
             Scheduler scheduler,
             Peers peers,
             DataPlane dataPlane,
-            String balancer,
+            String balancerName,
             String address,
             HeartbeatAgent heartbeatAgent,
             Supplier<List<String>> seedSource) {
         this.scheduler = scheduler;
         this.peers = peers;
         this.dataPlane = dataPlane;
-        this.balancer = balancer;
+        this.balancerName = balancerName;
         this.address = address;
         this.heartbeatAgent = heartbeatAgent;
         this.seedSource = seedSource;
         this.seeds = seedSource.get();
-        dataPlane.fleetLoads().setBalancer(balancer);
+        dataPlane.fleetLoads().setBalancer(balancerName);
     }
 
     /** Reloads the seed addresses. */
@@ -147,14 +151,14 @@
      *     timed out
      */
     void requestQuota(QuotaRequest request, long timeoutMs, Consumer<Message> callback) {
-        if (epoch == 0 || target.isEmpty()) {
+        if (epoch == 0 || targetAddress.isEmpty()) {
             callback.accept(null);
             return;
         }
         request.loadReport = dataPlane.fleetLoads().createReport();
         request.relayWanted = isRelayed ? true : null;
         peers.call(
-                target,
+                targetAddress,
                 request,
                 timeoutMs,
                 response -> quotaResponseReceived(request.loadReport, response, callback));
@@ -162,8 +166,8 @@
 
     private void quotaResponseReceived(
             LoadReport report, Message response, Consumer<Message> callback) {
-        if (response instanceof QuotaResponse grant && grant.fromPrimary) {
-            dataPlane.fleetLoads().applyResponse(report, grant.fleetLoads, scheduler.now());
+        if (response instanceof QuotaResponse quota && quota.fromPrimary) {
+            dataPlane.fleetLoads().applyResponse(report, quota.fleetLoads, scheduler.now());
         }
         callback.accept(response);
     }
@@ -174,13 +178,13 @@
     }
 
     private void poll() {
-        if (target.isEmpty()) {
-            target = nextTarget();
+        if (targetAddress.isEmpty()) {
+            targetAddress = selectNextNode();
         }
         PollRequest request = createRequest();
         polledAtMs = scheduler.now();
         peers.call(
-                target,
+                targetAddress,
                 request,
                 POLL_TIMEOUT_MS,
                 response -> pollResponseReceived(request.loadReport, response));
@@ -188,16 +192,16 @@
 
     private PollRequest createRequest() {
         PollRequest request = new PollRequest();
-        request.balancer = balancer;
+        request.balancer = balancerName;
         request.leaving = isLeaving;
         request.epoch = epoch;
         request.generation = generation;
         request.instanceRevision = instanceRevision;
         request.hasAuthoritativeList = hasAuthoritativeList;
-        request.balancerCount = balancers;
+        request.balancerCount = balancerCount;
         request.address = address;
         request.liveBalancers = heartbeatAgent.liveMembers();
-        request.balancerListRevision = memberRevision;
+        request.balancerListRevision = balancerListRevision;
         request.loadReport = dataPlane.fleetLoads().createReport();
         request.relayWanted = isRelayed ? true : null;
         request.drainedZones = DrainedZones.of(dataPlane.directory().drainedZones());
@@ -206,8 +210,8 @@
     }
 
     /** Returns the next control node, round robin, skipping unresponsive ones unless all are. */
-    private String nextTarget() {
-        Set<String> distinct = new LinkedHashSet<>(members);
+    private String selectNextNode() {
+        Set<String> distinct = new LinkedHashSet<>(controlNodes);
         distinct.addAll(seeds);
         List<String> nodes = new ArrayList<>(distinct);
         for (int i = 0; i < nodes.size(); i++) {
@@ -220,8 +224,8 @@
     }
 
     private boolean isAvoided(String node) {
-        Avoidance avoidance = avoidances.get(node);
-        return avoidance != null && scheduler.now() < avoidance.untilMs();
+        UnresponsiveNode unresponsiveNode = unresponsiveNodes.get(node);
+        return unresponsiveNode != null && scheduler.now() < unresponsiveNode.avoidUntilMs();
     }
 
     private void pollResponseReceived(LoadReport report, Message message) {
@@ -233,16 +237,16 @@
             return;
         }
         if (!response.controlNodeAddresses.isEmpty()) {
-            members = response.controlNodeAddresses;
+            controlNodes = response.controlNodeAddresses;
         }
         if (!response.fromPrimary || response.epoch < epoch) {
             redirectTo(response.primaryAddress, response.epoch);
             return;
         }
         consecutiveFailures = 0;
-        if (isRelayed && scheduler.now() - relayedSinceMs >= RELAY_MS) {
+        if (isRelayed && scheduler.now() - relayedSinceMs >= RELAY_DURATION_MS) {
             isRelayed = false;
-            target = response.primaryAddress;
+            targetAddress = response.primaryAddress;
         }
         applyResponse(response);
         dataPlane.fleetLoads().applyResponse(report, response.fleetLoads, scheduler.now());
@@ -252,14 +256,16 @@
     private void pollFailed() {
         boolean isUnresponsive = scheduler.now() - polledAtMs > UNRESPONSIVE_AFTER_MS;
         if (isUnresponsive) { // a node that refuses the connection may just be starting
-            long untilMs = scheduler.now() + AVOIDANCE_MS;
-            avoidances.put(target, new Avoidance(untilMs, Math.max(epoch, highestNamedEpoch)));
+            long avoidUntilMs = scheduler.now() + AVOID_UNRESPONSIVE_MS;
+            unresponsiveNodes.put(
+                    targetAddress,
+                    new UnresponsiveNode(avoidUntilMs, Math.max(epoch, highestReportedEpoch)));
         }
         consecutiveFailures++;
         if (consecutiveFailures % FAILURES_BEFORE_SEED_RELOAD == 0) {
             reloadSeeds();
         }
-        target = "";
+        targetAddress = "";
         isRelayed = false;
         scheduler.schedule(RETRY_BACKOFF_MS, this::poll);
     }
@@ -268,33 +274,33 @@
      * Polls the primary that a control node reported. If that primary is unreachable from here, the
      * node that reported it is asked once to relay the poll.
      */
-    private void redirectTo(String primary, long namedEpoch) {
-        endAvoidanceOfLaterPrimary(primary, namedEpoch);
-        if (primary.equals(target)) {
-            target = "";
+    private void redirectTo(String primary, long reportedEpoch) {
+        stopAvoidingNewPrimary(primary, reportedEpoch);
+        if (primary.equals(targetAddress)) {
+            targetAddress = "";
             isRelayed = false;
         } else if (!isAvoided(primary)) {
-            target = primary;
+            targetAddress = primary;
             isRelayed = false;
         } else if (!isRelayed) {
             isRelayed = true;
             relayedSinceMs = scheduler.now();
         } else {
-            target = "";
+            targetAddress = "";
             isRelayed = false;
         }
         scheduler.schedule(RETRY_BACKOFF_MS, this::poll);
     }
 
     /**
-     * Polls an unresponsive node again if it is reported as primary of a later epoch than was known
-     * when it timed out: it must have been running to be elected.
+     * Stops avoiding an unresponsive node that is reported as primary of a later epoch than was
+     * known when it timed out: it has been elected since and so is running again.
      */
-    private void endAvoidanceOfLaterPrimary(String primary, long namedEpoch) {
-        highestNamedEpoch = Math.max(highestNamedEpoch, namedEpoch);
-        Avoidance avoidance = avoidances.get(primary);
-        if (avoidance != null && namedEpoch > avoidance.knownEpoch()) {
-            avoidances.remove(primary);
+    private void stopAvoidingNewPrimary(String primary, long reportedEpoch) {
+        highestReportedEpoch = Math.max(highestReportedEpoch, reportedEpoch);
+        UnresponsiveNode unresponsiveNode = unresponsiveNodes.get(primary);
+        if (unresponsiveNode != null && reportedEpoch > unresponsiveNode.knownEpoch()) {
+            unresponsiveNodes.remove(primary);
         }
     }
 
@@ -309,7 +315,7 @@
         hasAuthoritativeList =
                 response.authoritative || (hasAuthoritativeList && response.epoch == epoch);
         epoch = response.epoch;
-        dataPlane.pollAnswered(epoch);
+        dataPlane.recordPollResponse(epoch);
         instanceRevision = response.instanceRevision;
         if (response.drainedZones != null) {
             dataPlane.directory().applyDrainedZones(response.drainedZones.names);
@@ -321,20 +327,20 @@
         if (response.generation > generation && response.document.length > 0) {
             applyConfiguration(response);
         }
-        balancers = response.balancerCount;
-        memberRevision = response.balancerListRevision;
+        balancerCount = response.balancerCount;
+        balancerListRevision = response.balancerListRevision;
         if (!response.balancerList.isEmpty()) {
             heartbeatAgent.setMembers(response.balancerList);
         }
         if (response.authoritative && !response.balancerList.isEmpty()) {
             dataPlane.setBalancerList(response.balancerList);
         }
-        dataPlane.setBalancers(response.balancerCount);
+        dataPlane.setBalancerCount(response.balancerCount);
     }
 
     private void applyConfiguration(PollResponse response) {
         byte[] document = Compression.inflate(response.document);
-        dataPlane.applyConfiguration(Configuration.read(Json.readObject(document)));
+        dataPlane.applyConfiguration(Configuration.parse(JsonCodec.parseObject(document)));
         generation = response.generation;
         LOG.info("applied configuration generation {}", generation);
     }
--- a/src/main/java/myrtleladder/dataplane/DataCommand.java
+++ b/src/main/java/myrtleladder/dataplane/DataCommand.java
@@ -34,6 +34,6 @@
 
     @Override
     public boolean warmUp() throws InterruptedException {
-        return Warmup.run();
+        return ClassArchiveTrainingRun.run();
     }
 }
--- a/src/main/java/myrtleladder/dataplane/DataPlane.java
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -8,12 +8,12 @@
 
 /**
  * Creates and connects the components of a balancer's data plane, and runs their periodic work.
- * Confined to the event loop of its scheduler, like all components that it returns; {@link Main} and
- * {@link ControlPoller} call it there.
+ * Confined to the event loop of its scheduler, like all components that it returns; {@link Main}
+ * and {@link ControlPoller} call it there.
  */
 final class DataPlane {
     /** Interval at which deadlines and unresponsive upstreams are checked. */
-    private static final long CHECK_INTERVAL_MS = 50;
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 50;
 
     /** Mean interval of reweighting; each interval is random, from 0.5 to 1.5 times the mean. */
     private static final long REWEIGHT_INTERVAL_MS = 250;
@@ -76,7 +76,7 @@
     }
 
     private void runPeriodicWork() {
-        scheduler.schedule(CHECK_INTERVAL_MS, this::runPeriodicWork);
+        scheduler.schedule(TIMEOUT_CHECK_INTERVAL_MS, this::runPeriodicWork);
         long nowMs = nowMs();
         quotas.advanceClock(nowMs);
         activeRequests.checkTimeouts(nowMs);
@@ -102,7 +102,7 @@
     }
 
     /** Sets the number of balancers that share quotas, retry budgets and connection limits. */
-    void setBalancers(int count) {
+    void setBalancerCount(int count) {
         picker.setBalancers(count);
         retryBudget.setBalancers(count);
         quotas.setBalancers(count);
@@ -115,12 +115,12 @@
     }
 
     /** Records that the primary of an epoch responded to a poll. */
-    void pollAnswered(long epoch) {
+    void recordPollResponse(long epoch) {
         warmupContext.pollAnswered(epoch, nowMs());
     }
 
     /** Returns the state that the warm-ups of all upstreams share. */
-    WarmupContext warmup() {
+    WarmupContext warmupContext() {
         return warmupContext;
     }
 
--- a/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
+++ b/src/main/java/myrtleladder/dataplane/HeaderForwarding.java
@@ -6,8 +6,8 @@
 import myrtleladder.http.Headers;
 
 /**
- * Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). Stateless; does
- * not modify its arguments.
+ * Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). Stateless;
+ * does not modify its arguments.
  */
 final class HeaderForwarding {
     /**
@@ -41,7 +41,9 @@
 
     private HeaderForwarding() {}
 
-    /** Returns the fields of a client's request to forward, without those that the balancer sets. */
+    /**
+     * Returns the fields of a client's request to forward, without those that the balancer sets.
+     */
     static Headers toUpstream(Headers clientHeaders) {
         Headers forwarded = withoutHopByHop(clientHeaders);
         SET_BY_BALANCER.forEach(forwarded::remove);
--- a/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
+++ b/src/main/java/myrtleladder/dataplane/HttpConnectionPool.java
@@ -29,8 +29,8 @@
     private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
 
     private final EventLoop loop;
-    private final Map<Upstream, ArrayDeque<PooledHttpConnection>> idle = new HashMap<>();
-    private final Map<Upstream, Integer> open = new HashMap<>();
+    private final Map<Upstream, ArrayDeque<PooledHttpConnection>> idleByUpstream = new HashMap<>();
+    private final Map<Upstream, Integer> openCountByUpstream = new HashMap<>();
 
     HttpConnectionPool(EventLoop loop) {
         this.loop = loop;
@@ -38,12 +38,12 @@
 
     @Override
     public int openConnections(Upstream upstream) {
-        return open.getOrDefault(upstream, 0);
+        return openCountByUpstream.getOrDefault(upstream, 0);
     }
 
     @Override
     public int idleConnections(Upstream upstream) {
-        ArrayDeque<PooledHttpConnection> connections = idle.get(upstream);
+        ArrayDeque<PooledHttpConnection> connections = idleByUpstream.get(upstream);
         return connections == null ? 0 : connections.size();
     }
 
@@ -57,7 +57,7 @@
             return reused;
         }
         PooledHttpConnection created = new PooledHttpConnection(upstream, listener);
-        open.merge(upstream, 1, Integer::sum);
+        openCountByUpstream.merge(upstream, 1, Integer::sum);
         created.connection = HttpConnection.connect(loop, upstream.record().address, created);
         return created;
     }
@@ -79,13 +79,13 @@
     }
 
     private ArrayDeque<PooledHttpConnection> idleQueue(Upstream upstream) {
-        return idle.computeIfAbsent(upstream, key -> new ArrayDeque<>());
+        return idleByUpstream.computeIfAbsent(upstream, key -> new ArrayDeque<>());
     }
 
     @Override
     public void closeExpired() {
         long nowMs = loop.now();
-        for (ArrayDeque<PooledHttpConnection> connections : idle.values()) {
+        for (ArrayDeque<PooledHttpConnection> connections : idleByUpstream.values()) {
             Iterator<PooledHttpConnection> iterator = connections.iterator();
             while (iterator.hasNext()) {
                 PooledHttpConnection connection = iterator.next();
@@ -96,21 +96,21 @@
                 }
             }
         }
-        idle.values().removeIf(ArrayDeque::isEmpty);
+        idleByUpstream.values().removeIf(ArrayDeque::isEmpty);
     }
 
     /** Returns the maximum idle time of a connection according to a Keep-Alive field. */
-    private static long maxIdleMs(String keepAlive) {
+    private static long parseMaxIdleMs(String keepAlive) {
         for (String parameter : keepAlive.split(",")) {
             String trimmed = parameter.trim();
             if (trimmed.startsWith(KEEP_ALIVE_TIMEOUT)) {
-                return maxIdleMsOfTimeout(trimmed.substring(KEEP_ALIVE_TIMEOUT.length()));
+                return maxIdleMsForTimeout(trimmed.substring(KEEP_ALIVE_TIMEOUT.length()));
             }
         }
         return MAX_IDLE_MS;
     }
 
-    private static long maxIdleMsOfTimeout(String seconds) {
+    private static long maxIdleMsForTimeout(String seconds) {
         try {
             long timeoutMs = Long.parseLong(seconds) * 1_000;
             return Math.min(MAX_IDLE_MS, Math.max(0, timeoutMs - KEEP_ALIVE_MARGIN_MS));
@@ -126,7 +126,7 @@
         private ResponseListener listener;
         private long idleSinceMs;
         private long maxIdleMs = MAX_IDLE_MS;
-        private boolean isCounted = true;
+        private boolean isCountedAsOpen = true;
 
         private PooledHttpConnection(Upstream upstream, ResponseListener listener) {
             this.upstream = upstream;
@@ -147,14 +147,14 @@
         public void close() {
             listener = null;
             connection.close();
-            uncount();
+            decrementOpenCount();
         }
 
-        private void uncount() {
-            if (isCounted) {
-                isCounted = false;
-                open.merge(upstream, -1, Integer::sum);
-                open.remove(upstream, 0);
+        private void decrementOpenCount() {
+            if (isCountedAsOpen) {
+                isCountedAsOpen = false;
+                openCountByUpstream.merge(upstream, -1, Integer::sum);
+                openCountByUpstream.remove(upstream, 0);
             }
         }
 
@@ -169,7 +169,7 @@
         public void head(ResponseHead head) {
             String keepAlive = head.headers().get("Keep-Alive");
             if (keepAlive != null) {
-                maxIdleMs = maxIdleMs(keepAlive);
+                maxIdleMs = parseMaxIdleMs(keepAlive);
             }
             if (listener != null) {
                 listener.onResponseHead(head);
@@ -187,13 +187,13 @@
         public void end(boolean reusable) {
             ResponseListener completed = listener;
             listener = null;
-            boolean hasRoom = idleConnections(upstream) < MAX_IDLE_CONNECTIONS;
-            if (reusable && !upstream.record().isLeaving() && hasRoom) {
+            boolean isBelowIdleLimit = idleConnections(upstream) < MAX_IDLE_CONNECTIONS;
+            if (reusable && !upstream.record().isLeaving() && isBelowIdleLimit) {
                 idleSinceMs = loop.now();
                 idleQueue(upstream).addLast(this);
             } else {
                 connection.close();
-                uncount();
+                decrementOpenCount();
             }
             if (completed != null) {
                 completed.onResponseComplete();
@@ -202,8 +202,8 @@
 
         @Override
         public void closed(boolean everConnected) {
-            uncount();
-            ArrayDeque<PooledHttpConnection> connections = idle.get(upstream);
+            decrementOpenCount();
+            ArrayDeque<PooledHttpConnection> connections = idleByUpstream.get(upstream);
             if (connections != null) {
                 connections.remove(this);
             }
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -45,7 +45,7 @@
     private static final long DRAIN_CHECK_INTERVAL_MS = 50;
 
     /** Time without requests in flight that is left for the last bytes to reach clients. */
-    private static final long LAST_BYTES_MS = 150;
+    private static final long FLUSH_MS = 150;
 
     private final NodeSettings settings;
     private final EventLoop loop;
@@ -80,7 +80,7 @@
     }
 
     /** Starts to serve on a running event loop; called on that loop. */
-    static void startOn(NodeSettings settings, EventLoop loop) {
+    static void startOnLoop(NodeSettings settings, EventLoop loop) {
         new Main(settings, loop).start();
     }
 
@@ -101,7 +101,7 @@
                                 settings.heartbeatMs()),
                         System.nanoTime());
         PeerClient peers = new PeerClient(loop, settings.internal()::callAddress);
-        HeartbeatAgent agent = new HeartbeatAgent(loop, peers, settings.nodeName());
+        HeartbeatAgent heartbeatAgent = new HeartbeatAgent(loop, peers, settings.nodeName());
         poller =
                 new ControlPoller(
                         loop,
@@ -109,33 +109,33 @@
                         dataPlane,
                         settings.nodeName(),
                         settings.ip() + ":" + settings.firstPort(),
-                        agent,
+                        heartbeatAgent,
                         this::readSeeds);
-        startServers(agent);
+        startServers(heartbeatAgent);
         dataPlane.start();
         poller.start();
         checkIdleConnections();
         LOG.info("balancer {} listens at {}", settings.nodeName(), settings.frontend());
     }
 
-    private void startServers(HeartbeatAgent agent) {
+    private void startServers(HeartbeatAgent heartbeatAgent) {
         new MessageServer(
                 loop,
                 settings.internal().listen().host(),
                 settings.internal().listen().port(),
-                (message, callback) -> messageReceived(agent, message, callback));
-        agent.start();
+                (message, callback) -> handleMessage(heartbeatAgent, message, callback));
+        heartbeatAgent.start();
         Address readiness = settings.readiness();
-        new HttpServer(loop, readiness.host(), readiness.port(), this::answerReadiness);
+        new HttpServer(loop, readiness.host(), readiness.port(), this::handleReadinessProbe);
         Address clients = settings.frontend();
         frontend = new HttpServer(loop, clients.host(), clients.port(), dataPlane.router()::handle);
     }
 
-    private static void messageReceived(
-            HeartbeatAgent agent, Message message, Consumer<Message> callback) {
+    private static void handleMessage(
+            HeartbeatAgent heartbeatAgent, Message message, Consumer<Message> callback) {
         boolean isHeartbeat = message instanceof BalancerHeartbeat;
         if (message instanceof BalancerHeartbeat heartbeat) {
-            agent.onHeartbeat(heartbeat);
+            heartbeatAgent.onHeartbeat(heartbeat);
         }
         callback.accept(AcknowledgeResponse.of(isHeartbeat, 0, null));
     }
@@ -146,7 +146,9 @@
         try {
             seeds = NodeSettings.fromEnvironment().seeds();
         } catch (ResultException e) {
-            LOG.warn("failed to reload the settings file, keeping the seeds from startup: {}", e.getMessage());
+            LOG.warn(
+                    "failed to reload the settings file, keeping the seeds from startup: {}",
+                    e.getMessage());
         }
         return seeds.stream().map(seed -> seed.host() + ":" + settings.firstPort()).toList();
     }
@@ -155,7 +157,7 @@
         poller.reloadSeeds();
     }
 
-    private void answerReadiness(ServerExchange exchange) {
+    private void handleReadinessProbe(ServerExchange exchange) {
         boolean isReady = poller.isReady() && !isDraining;
         exchange.respond(isReady ? 200 : 503, new Headers(), NO_BYTES);
     }
@@ -166,8 +168,8 @@
             return;
         }
         ClientLimits limits = dataPlane.configuration().limits();
-        // A client keeps its connections for the timeout that it learned last, which may be an
-        // earlier, longer one; so connections are closed by the longest timeout so far.
+        // A client may reuse an idle connection until the timeout that it was sent last, which can
+        // be longer than the current one; so the longest timeout so far applies.
         longestIdleTimeoutMs = Math.max(longestIdleTimeoutMs, limits.idleTimeoutMs());
         frontend.limitBody(limits.maxBodyBytes());
         frontend.closeIdle(
@@ -201,14 +203,14 @@
         if (nowMs >= earliestMs) {
             dataPlane.router().rejectNewRequests();
         }
-        boolean isIdle = nowMs - idleSinceMs >= LAST_BYTES_MS;
+        boolean isIdle = nowMs - idleSinceMs >= FLUSH_MS;
         if (nowMs >= latestMs || (nowMs >= earliestMs && isIdle)) {
             int inFlight = dataPlane.activeRequests().size();
             LOG.info(
                     "terminating, {} requests in flight; {}; {}",
                     inFlight,
                     dataPlane.counters(),
-                    dataPlane.warmup().counters());
+                    dataPlane.warmupContext().counters());
             terminated.countDown();
             return;
         }
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -17,9 +17,10 @@
  * upstream, checks admission, makes an attempt, and then responds, retries at another upstream or
  * rejects the request.
  *
- * <p>Invariants: at most one attempt is current, and events of other attempts are ignored. In {@link
- * State#COMPLETED} there is no current attempt, and nothing more is sent to the client. A response
- * that says that the request was not executed (503) is sent only if no attempt can have executed it.
+ * <p>Invariants: at most one attempt is current, and events of other attempts are ignored. In
+ * {@link State#COMPLETED} there is no current attempt, and nothing more is sent to the client. A
+ * response that says that the request was not executed (503) is sent only if no attempt can have
+ * executed it.
  *
  * <p>Confined to the event loop. {@link RequestRouter} starts the request, {@link ActiveRequests}
  * checks its timeouts, and its attempts and the client's connection call back.
@@ -28,7 +29,7 @@
     /** How long before its deadline a request is ended, so that the response arrives in time. */
     private static final long DEADLINE_MARGIN_MS = 40;
 
-    /** Number of attempts that could not be sent after which the request ends. */
+    /** Maximum number of attempts that could not be sent; then the request ends. */
     private static final int MAX_UNSENT_ATTEMPTS = 4;
 
     /** Misdirected Request: the upstream is not the expected instance (RFC 9110, 15.5.20). */
@@ -62,9 +63,9 @@
     private final ResponseAssembler response;
     private final Set<Upstream> triedUpstreams = new HashSet<>();
     private State state = State.PICKING_UPSTREAM;
-    private Attempt current;
-    private boolean mayHaveRun;
-    private int unsentAttempts;
+    private Attempt currentAttempt;
+    private boolean mayHaveExecuted;
+    private int unsentAttemptCount;
 
     /**
      * Creates the request.
@@ -111,7 +112,7 @@
     private void tryNextUpstream() {
         long nowMs = dataPlane.nowMs();
         if (isDeadlineReached(nowMs)) {
-            giveUp();
+            endWithoutRetry();
             return;
         }
         PickResult pick =
@@ -120,7 +121,7 @@
                         .pick(service, prompt, triedUpstreams, weightsVersionToResume(), nowMs);
         if (pick == null) {
             count(Event.NO_UPSTREAM);
-            giveUp();
+            endWithoutRetry();
             return;
         }
         if (isFirstAttempt()) {
@@ -140,8 +141,8 @@
     }
 
     /** Returns the number of attempts that sent the request, whatever their outcome. */
-    private int sentAttempts() {
-        return triedUpstreams.size() - unsentAttempts;
+    private int sentAttemptCount() {
+        return triedUpstreams.size() - unsentAttemptCount;
     }
 
     private boolean isDeadlineReached(long nowMs) {
@@ -164,8 +165,8 @@
         if (dataPlane.picker().shouldAnnounce(prompt)) {
             dataPlane.fleetLoads().promptSent(prompt, upstream, nowMs);
         }
-        current = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
-        current.start(dataPlane.connections(), !route.repeatable());
+        currentAttempt = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
+        currentAttempt.start(dataPlane.connections(), !route.isIdempotent());
     }
 
     private Headers upstreamHeaders(Upstream upstream, double prefillMs, long nowMs) {
@@ -189,14 +190,17 @@
         return headers;
     }
 
-    /** Returns the weights version that generated the forwarded events, if there are any. */
+    /**
+     * Returns the version of the model weights that generated the forwarded events, {@link
+     * InstanceRecord#UNKNOWN_WEIGHTS_VERSION} if there are none.
+     */
     private long weightsVersionToResume() {
         return state == State.STREAMING_RESPONSE
                 ? response.weightsVersion()
                 : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
-    /** Returns whether an upstream has the weights version that generated the forwarded events. */
+    /** Returns whether an upstream has the weights that generated the forwarded events. */
     private boolean canResumeWithSameWeights(Upstream upstream) {
         long weightsVersion = weightsVersionToResume();
         return weightsVersion != InstanceRecord.UNKNOWN_WEIGHTS_VERSION
@@ -205,36 +209,36 @@
 
     @Override
     public void onNotSent(Attempt attempt) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
-        current = null;
+        currentAttempt = null;
         attempt.upstream().connectionFailed(dataPlane.nowMs());
         count(Event.NOT_SENT);
         retryUnsent();
     }
 
     private void retryUnsent() {
-        unsentAttempts++;
-        if (unsentAttempts < MAX_UNSENT_ATTEMPTS) {
+        unsentAttemptCount++;
+        if (unsentAttemptCount < MAX_UNSENT_ATTEMPTS) {
             tryNextUpstream();
         } else {
-            giveUp();
+            endWithoutRetry();
         }
     }
 
     @Override
     public void onWithdrawn(Attempt attempt) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
-        current = null;
+        currentAttempt = null;
         retryUnsent();
     }
 
     @Override
     public void onResponseHead(Attempt attempt, ResponseHead head) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
         attempt.upstream()
@@ -268,9 +272,9 @@
     }
 
     /**
-     * Handles a response that says that the upstream did not execute the request. A 400 is forwarded
-     * to the client, since other upstreams would respond the same, unless a part of another response
-     * has been forwarded already.
+     * Handles a response that says that the upstream did not execute the request. A 400 is
+     * forwarded to the client, since other upstreams would respond the same, unless a part of
+     * another response has been forwarded already.
      */
     private void attemptRejected(Attempt attempt, ResponseHead head) {
         count(Event.REJECTED);
@@ -278,21 +282,21 @@
             response.acceptHead(head);
             return;
         }
-        current = null;
+        currentAttempt = null;
         attempt.cancel();
         if (head.status() == MISDIRECTED_REQUEST && !canResumeWithSameWeights(attempt.upstream())) {
             dataPlane.directory().markGone(attempt.upstream());
         }
-        if (dataPlane.retryPolicy().shouldRetryRejection(route, service, sentAttempts())) {
+        if (dataPlane.retryPolicy().shouldRetryRejection(route, service, sentAttemptCount())) {
             tryNextUpstream();
         } else {
-            giveUp();
+            endWithoutRetry();
         }
     }
 
     @Override
     public void onResponseBody(Attempt attempt, byte[] bytes) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
         if (isEventStream()) {
@@ -307,11 +311,12 @@
     }
 
     private boolean isEventStream() {
-        return route.streaming() && (state == State.STREAMING_RESPONSE || response.status() < 300);
+        return route.isStreaming()
+                && (state == State.STREAMING_RESPONSE || response.status() < 300);
     }
 
     private void eventReceived(Attempt attempt, byte[] event, long eventId) {
-        if (attempt != current || state == State.COMPLETED) {
+        if (attempt != currentAttempt || state == State.COMPLETED) {
             return;
         }
         if (attempt.pendingPromptTokens() > 0 || !response.hasForwardedEvent()) {
@@ -333,18 +338,18 @@
         if (attempt.isWithoutBacklog()) {
             dataPlane.prefillTime().addSample(attempt.promptTokens(), timeToFirstEventMs);
         }
-        double unexplainedMs = Math.max(0, timeToFirstEventMs - attempt.explainedMs());
-        attempt.upstream().recordExtraDelay(unexplainedMs, nowMs);
-        attempt.markPromptRead();
+        double extraDelayMs = Math.max(0, timeToFirstEventMs - attempt.knownPrefillMs());
+        attempt.upstream().recordExtraDelay(extraDelayMs, nowMs);
+        attempt.markPromptProcessed();
         attempt.upstream().prefixCache().recordSent(prompt, nowMs);
     }
 
     @Override
     public void onResponseComplete(Attempt attempt) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
-        current = null;
+        currentAttempt = null;
         if (state == State.STREAMING_RESPONSE) {
             completeStream(attempt);
             return;
@@ -352,14 +357,14 @@
         boolean isServerError = response.status() >= 500;
         if (isServerError && shouldRetryFailure()) {
             attempt.upstream().requestFailed(dataPlane.nowMs());
-            response.keepFailure();
+            response.saveFailure();
             tryNextUpstream();
             return;
         }
         recordOutcome(attempt, isServerError);
         byte[] body =
-                route.streaming() && response.status() < 300
-                        ? response.eventlessBody()
+                route.isStreaming() && response.status() < 300
+                        ? response.bodyWithoutEvents()
                         : response.bufferedBody();
         transitionTo(State.COMPLETED);
         response.respond(body);
@@ -383,21 +388,21 @@
 
     @Override
     public void onConnectionLost(Attempt attempt) {
-        if (attempt == current) {
+        if (attempt == currentAttempt) {
             attemptFailed(attempt);
         }
     }
 
     /** Handles an attempt that may have executed the request but gave no complete response. */
     private void attemptFailed(Attempt attempt) {
-        current = null;
-        mayHaveRun = true;
+        currentAttempt = null;
+        mayHaveExecuted = true;
         attempt.upstream().requestFailed(dataPlane.nowMs());
         count(Event.ATTEMPT_FAILED);
         if (shouldRetryFailure()) {
             tryNextUpstream();
         } else {
-            giveUp();
+            endWithoutRetry();
         }
     }
 
@@ -405,7 +410,7 @@
         boolean deadlineReached = isDeadlineReached(dataPlane.nowMs());
         return dataPlane
                 .retryPolicy()
-                .shouldRetryFailure(route, service, sentAttempts(), deadlineReached);
+                .shouldRetryFailure(route, service, sentAttemptCount(), deadlineReached);
     }
 
     /** Ends the request at its deadline, or retries it if its upstream is unresponsive. */
@@ -414,48 +419,48 @@
             return;
         }
         if (isDeadlineReached(nowMs)) {
-            giveUp();
+            endWithoutRetry();
             return;
         }
-        if (current == null || current.state() == Attempt.State.CONNECTING) {
+        if (currentAttempt == null || currentAttempt.state() == Attempt.State.CONNECTING) {
             return;
         }
-        if (!dataPlane.unresponsiveDetector().isUnresponsive(current, service, nowMs)) {
+        if (!dataPlane.unresponsiveDetector().isUnresponsive(currentAttempt, service, nowMs)) {
             return;
         }
-        current.upstream().becameUnresponsive(nowMs);
+        currentAttempt.upstream().becameUnresponsive(nowMs);
         if (shouldRetryFailure()) {
             count(Event.UNRESPONSIVE);
-            Attempt unresponsive = current;
-            current = null;
-            mayHaveRun = true;
-            unresponsive.cancel();
+            Attempt unresponsiveAttempt = currentAttempt;
+            currentAttempt = null;
+            mayHaveExecuted = true;
+            unresponsiveAttempt.cancel();
             tryNextUpstream();
         }
     }
 
     /**
-     * Ends the request without a further attempt. Aborts a stream that has begun; otherwise responds
-     * with the saved failure of an upstream if there is one, with an error if the request may have
-     * been executed, or else with a rejection.
+     * Ends the request without a further attempt. Aborts a stream that has begun; otherwise
+     * responds with the saved failure of an upstream if there is one, with an error if the request
+     * may have been executed, or else with a rejection.
      */
-    private void giveUp() {
-        Attempt last = current;
-        current = null;
-        if (last != null) {
-            mayHaveRun |= last.state() != Attempt.State.CONNECTING;
-            last.cancel();
+    private void endWithoutRetry() {
+        Attempt lastAttempt = currentAttempt;
+        currentAttempt = null;
+        if (lastAttempt != null) {
+            mayHaveExecuted |= lastAttempt.state() != Attempt.State.CONNECTING;
+            lastAttempt.cancel();
         }
         if (state == State.STREAMING_RESPONSE) {
             transitionTo(State.COMPLETED);
             response.abortStream();
-        } else if (response.hasKeptFailure()) {
+        } else if (response.hasSavedFailure()) {
             transitionTo(State.COMPLETED);
-            response.respondKeptFailure();
-        } else if (mayHaveRun) {
-            boolean late = isDeadlineReached(dataPlane.nowMs());
+            response.respondWithSavedFailure();
+        } else if (mayHaveExecuted) {
+            boolean deadlineReached = isDeadlineReached(dataPlane.nowMs());
             transitionTo(State.COMPLETED);
-            response.respond(late ? GATEWAY_TIMEOUT : BAD_GATEWAY, new Headers());
+            response.respond(deadlineReached ? GATEWAY_TIMEOUT : BAD_GATEWAY, new Headers());
         } else {
             reject(dataPlane.admission().defaultRetryAfterMs());
         }
@@ -476,10 +481,10 @@
         if (state == State.COMPLETED) {
             return;
         }
-        Attempt last = current;
-        current = null;
-        if (last != null) {
-            last.cancel();
+        Attempt lastAttempt = currentAttempt;
+        currentAttempt = null;
+        if (lastAttempt != null) {
+            lastAttempt.cancel();
         }
         transitionTo(State.COMPLETED);
     }
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -13,9 +13,9 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * Handles a client's request up to its admission: matches the route, authenticates the tenant,
- * acquires its quota, and starts a {@link ProxiedRequest} or responds with an error. Confined to the
- * event loop; the HTTP server calls {@link #handle}.
+ * The first stage of request handling: matches the route, authenticates the tenant, acquires its
+ * quota, and starts a {@link ProxiedRequest} or responds with an error. Confined to the event loop;
+ * the HTTP server calls {@link #handle}.
  */
 final class RequestRouter {
     private static final byte[] NO_BYTES = {};
@@ -45,9 +45,7 @@
         this.random = random;
     }
 
-    /**
-     * Rejects all requests from now on, since the process may terminate before they complete.
-     */
+    /** Rejects all requests from now on, since the process may terminate before they complete. */
     void rejectNewRequests() {
         acceptsRequests = false;
     }
@@ -71,11 +69,11 @@
             client.respond(404, new Headers(), NO_BYTES);
             return;
         }
-        if (route.open() || configuration.tenants().isEmpty()) {
+        if (route.isPublic() || configuration.tenants().isEmpty()) {
             startRequest(client, route, null, 0);
             return;
         }
-        Tenant tenant = configuration.tenant(apiKeyOf(client.head().headers()));
+        Tenant tenant = configuration.tenantByApiKey(apiKeyOf(client.head().headers()));
         if (tenant == null) {
             count(Event.NO_KEY);
             client.respond(401, new Headers(), NO_BYTES);
@@ -86,7 +84,7 @@
 
     private Route matchRoute(ServerExchange client) {
         String host = client.head().headers().get("Host");
-        return dataPlane.configuration().route(host, client.head().path());
+        return dataPlane.configuration().matchRoute(host, client.head().path());
     }
 
     private static String apiKeyOf(Headers headers) {
@@ -102,21 +100,21 @@
      * can inform the other balancers of it before the request is sent.
      */
     private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
-        int usedTokens = usedTokens(client.head().headers().get(HeaderNames.TOKEN_USAGE));
+        int usedTokens = parseTokenUsage(client.head().headers().get(HeaderNames.TOKEN_USAGE));
         double cost = TenantQuotaClient.cost(tenant, usedTokens);
         dataPlane.quotas().advanceClock(dataPlane.nowMs());
-        dataPlane.fleetLoads().setPendingLoad(() -> likelyLoad(client, route));
+        dataPlane.fleetLoads().setPendingLoad(() -> estimateLoad(client, route));
         dataPlane
                 .quotas()
                 .acquire(
                         tenant,
                         cost,
                         dataPlane.nowMs(),
-                        waitMs -> quotaDecided(client, route, tenant, cost, waitMs));
+                        waitMs -> onQuotaDecision(client, route, tenant, cost, waitMs));
         dataPlane.fleetLoads().setPendingLoad(FleetLoadSync.NO_PENDING_LOAD);
     }
 
-    private void quotaDecided(
+    private void onQuotaDecision(
             ServerExchange client, Route route, Tenant tenant, double cost, long waitMs) {
         if (waitMs == 0) {
             startRequest(client, route, tenant, cost);
@@ -127,14 +125,14 @@
     }
 
     /**
-     * Estimates the load of a request that awaits its quota; null for a route with several services,
-     * since one of them is selected only afterwards.
+     * Estimates the load of a request that awaits its quota; null for a route with several
+     * services, since one of them is selected only afterwards.
      */
-    private UpstreamLoad likelyLoad(ServerExchange client, Route route) {
-        if (route.shares().size() != 1) {
+    private UpstreamLoad estimateLoad(ServerExchange client, Route route) {
+        if (route.trafficSplit().size() != 1) {
             return null;
         }
-        String serviceName = route.shares().get(0).service();
+        String serviceName = route.trafficSplit().get(0).serviceName();
         Service service = dataPlane.configuration().service(serviceName);
         String prefix = client.head().headers().get(HeaderNames.PROMPT_PREFIX);
         return dataPlane
@@ -144,18 +142,20 @@
 
     /**
      * Starts a request that has its quota. The configuration may have changed while the quota was
-     * being acquired; if the request now matches another route or none, it is handled from the start.
+     * being acquired; if the request now matches another route or none, it is handled from the
+     * start.
      */
-    private void startRequest(ServerExchange client, Route admitted, Tenant tenant, double cost) {
+    private void startRequest(
+            ServerExchange client, Route admittedRoute, Tenant tenant, double cost) {
         if (!client.open()) {
             return;
         }
         Route route = matchRoute(client);
-        if (route == null || !admitted.name().equals(route.name())) {
+        if (route == null || !admittedRoute.name().equals(route.name())) {
             handle(client);
             return;
         }
-        Service service = dataPlane.configuration().service(drawService(route));
+        Service service = dataPlane.configuration().service(selectService(route));
         dataPlane.retryBudget().recordRequest(service.name());
         ProxiedRequest request =
                 new ProxiedRequest(dataPlane, client, route, service, tenant, cost);
@@ -164,19 +164,19 @@
     }
 
     /** Selects a service at random, in proportion to the weights of the traffic split. */
-    private String drawService(Route route) {
-        List<Route.Share> shares = route.shares();
+    private String selectService(Route route) {
+        List<Route.WeightedService> trafficSplit = route.trafficSplit();
         double totalWeight = 0;
-        for (Route.Share share : shares) {
-            totalWeight += share.weight();
+        for (Route.WeightedService weightedService : trafficSplit) {
+            totalWeight += weightedService.weight();
         }
-        double drawn = random.nextDouble() * totalWeight;
+        double remainingWeight = random.nextDouble() * totalWeight;
         String service = null;
-        for (Route.Share share : shares) {
-            if (share.weight() > 0) {
-                service = share.service();
-                drawn -= share.weight();
-                if (drawn < 0) {
+        for (Route.WeightedService weightedService : trafficSplit) {
+            if (weightedService.weight() > 0) {
+                service = weightedService.serviceName();
+                remainingWeight -= weightedService.weight();
+                if (remainingWeight < 0) {
                     return service;
                 }
             }
@@ -185,7 +185,7 @@
     }
 
     /** Parses a token usage field and returns the sum; 0 if the field is missing or malformed. */
-    private static int usedTokens(String usage) {
+    private static int parseTokenUsage(String usage) {
         if (usage == null) {
             return 0;
         }
--- a/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
+++ b/src/main/java/myrtleladder/dataplane/ResponseAssembler.java
@@ -23,16 +23,16 @@
     private long weightsVersion = InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     private ServerSentEventSplitter splitter;
     private ByteArrayOutputStream buffer;
-    private ResponseHead keptFailureHead;
-    private byte[] keptFailureBody;
+    private ResponseHead savedFailureHead;
+    private byte[] savedFailureBody;
     private long lastEventId;
     private boolean hasForwardedEvent;
 
     /**
      * Creates an assembler.
      *
-     * @param lastEventId identifier of the last event that the client received in an earlier request,
-     *     or {@link ServerSentEventSplitter#NO_ID}
+     * @param lastEventId identifier of the last event that the client received in an earlier
+     *     request, or {@link ServerSentEventSplitter#NO_ID}
      */
     ResponseAssembler(ServerExchange client, long lastEventId) {
         this.client = client;
@@ -130,7 +130,7 @@
     }
 
     /** Returns the body of an event stream that ended without a complete event. */
-    byte[] eventlessBody() {
+    byte[] bodyWithoutEvents() {
         return splitter.remainder();
     }
 
@@ -142,21 +142,21 @@
      * Saves the error response of an upstream while other upstreams are tried; replaces an earlier
      * one.
      */
-    void keepFailure() {
-        keptFailureHead = head;
-        keptFailureBody = bufferedBody();
+    void saveFailure() {
+        savedFailureHead = head;
+        savedFailureBody = bufferedBody();
     }
 
-    boolean hasKeptFailure() {
-        return keptFailureHead != null;
+    boolean hasSavedFailure() {
+        return savedFailureHead != null;
     }
 
     /** Sends the saved error response unchanged. */
-    void respondKeptFailure() {
+    void respondWithSavedFailure() {
         client.respond(
-                keptFailureHead.status(),
-                HeaderForwarding.toClient(keptFailureHead.headers()),
-                keptFailureBody);
+                savedFailureHead.status(),
+                HeaderForwarding.toClient(savedFailureHead.headers()),
+                savedFailureBody);
     }
 
     /** Sends the accepted head with a complete body. */
--- a/src/main/java/myrtleladder/dataplane/RetryPolicy.java
+++ b/src/main/java/myrtleladder/dataplane/RetryPolicy.java
@@ -30,7 +30,7 @@
      */
     boolean shouldRetryFailure(
             Route route, Service service, int sentAttempts, boolean deadlineReached) {
-        return route.repeatable()
+        return route.isIdempotent()
                 && sentAttempts < route.retries()
                 && !deadlineReached
                 && budget.tryAcquire(service.name());
--- a/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
+++ b/src/main/java/myrtleladder/dataplane/ServerSentEventSplitter.java
@@ -44,7 +44,7 @@
             if (isEmptyLine) {
                 byte[] event = Arrays.copyOfRange(input, eventStart, i + 1);
                 eventStart = i + 1;
-                listener.onEvent(event, idOf(event));
+                listener.onEvent(event, parseId(event));
             }
         }
         remainder = eventStart == 0 ? input : Arrays.copyOfRange(input, eventStart, input.length);
@@ -56,13 +56,13 @@
     }
 
     private static byte[] concatenate(byte[] first, byte[] second) {
-        byte[] both = Arrays.copyOf(first, first.length + second.length);
-        System.arraycopy(second, 0, both, first.length, second.length);
-        return both;
+        byte[] concatenated = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, concatenated, first.length, second.length);
+        return concatenated;
     }
 
     /** Parses the first id field of an event. */
-    private static long idOf(byte[] event) {
+    private static long parseId(byte[] event) {
         for (int i = 0; i < event.length; i++) {
             boolean isLineStart = i == 0 || event[i - 1] == '\n';
             if (isLineStart && hasIdFieldAt(event, i)) {
--- a/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
+++ b/src/main/java/myrtleladder/dataplane/TenantQuotaClient.java
@@ -108,7 +108,7 @@
         if (!tenant.countsTokens()) {
             return 1;
         }
-        return usedTokens > 0 ? usedTokens : tenant.plainTokens();
+        return usedTokens > 0 ? usedTokens : tenant.defaultTokens();
     }
 
     /**
--- a/src/main/java/myrtleladder/dataplane/Upstream.java
+++ b/src/main/java/myrtleladder/dataplane/Upstream.java
@@ -92,7 +92,7 @@
     /** Sets the engine of a model upstream and empties the model of its cache; null is ignored. */
     void setEngine(Service.Engine engine) {
         if (engine != null) {
-            prefixCache = new PrefixCacheModel(engine.kvTokens());
+            prefixCache = new PrefixCacheModel(engine.kvCacheTokens());
             hasEngine = true;
         }
     }
--- a/src/main/java/myrtleladder/dataplane/WarmupContext.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupContext.java
@@ -11,7 +11,7 @@
 final class WarmupContext {
     private final WarmupSettings settings;
     private final WarmupOwnership ownership;
-    private final ControlContact contact = new ControlContact();
+    private final PrimaryContactTracker contact = new PrimaryContactTracker();
     private final WarmupCounters counters = new WarmupCounters();
 
     WarmupContext(WarmupSettings settings) {
@@ -21,7 +21,7 @@
 
     /** The primary of an epoch answered a poll. */
     void pollAnswered(long epoch, long nowMs) {
-        contact.pollAnswered(epoch, nowMs);
+        contact.recordPollResponse(epoch, nowMs);
     }
 
     /** Replaces the list of balancers. */
@@ -44,6 +44,6 @@
 
     /** Whether the primary would have reported by now that an upstream was down at a time. */
     boolean wasReportedSince(long failedAtMs, long nowMs) {
-        return contact.lasted(settings.confirmationMs(), failedAtMs, nowMs);
+        return contact.wasContinuousFor(settings.confirmationMs(), failedAtMs, nowMs);
     }
 }
--- a/src/main/java/myrtleladder/dataplane/WarmupSettings.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupSettings.java
@@ -28,10 +28,10 @@
      * {@link #UNLIMITED} if the service is unknown (null) or has no limit.
      */
     int allowance(Service service) {
-        if (service == null || service.warmupPerSecond() <= 0) {
+        if (service == null || service.warmupRequestsPerSecond() <= 0) {
             return UNLIMITED;
         }
-        return (int) ((service.warmupPerSecond() * overage + slack) / LISTS_IN_USE);
+        return (int) ((service.warmupRequestsPerSecond() * overage + slack) / LISTS_IN_USE);
     }
 
     /** The time from a failure until the primary has reported if the upstream was down, in ms. */
--- a/src/test/java/myrtleladder/configuration/CompressionTest.java
+++ b/src/test/java/myrtleladder/configuration/CompressionTest.java
@@ -11,13 +11,13 @@
 /** Compression round trips, and rejection of damaged and oversized documents. */
 class CompressionTest {
     @Test
-    void documentIsTheSameAfterItsCompression() {
+    void documentIsUnchangedAfterARoundTrip() {
         byte[] document = "{'generation':7}".repeat(5_000).getBytes(StandardCharsets.UTF_8);
         assertArrayEquals(document, Compression.inflate(Compression.deflate(document)));
     }
 
     @Test
-    void longestDocumentIsReadAndOneByteMoreIsNot() {
+    void documentOfMaximumSizeIsAcceptedAndALargerOneRejected() {
         byte[] longest = new byte[Compression.MAX_DOCUMENT_BYTES];
         assertEquals(longest.length, Compression.inflate(Compression.deflate(longest)).length);
         byte[] tooLong = Compression.deflate(new byte[Compression.MAX_DOCUMENT_BYTES + 1]);
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void documentThatWasCutOffIsRefused() {
-        byte[] whole = Compression.deflate("a document".getBytes(StandardCharsets.UTF_8));
-        byte[] part = Arrays.copyOf(whole, whole.length - 5);
-        assertThrows(ConfigurationException.class, () -> Compression.inflate(part));
+    void truncatedDocumentIsRejected() {
+        byte[] compressed = Compression.deflate("a document".getBytes(StandardCharsets.UTF_8));
+        byte[] truncated = Arrays.copyOf(compressed, compressed.length - 5);
+        assertThrows(ConfigurationException.class, () -> Compression.inflate(truncated));
     }
 }
--- a/src/test/java/myrtleladder/configuration/ConfigurationCompatibilityTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationCompatibilityTest.java
@@ -53,7 +53,7 @@
 
     @Test
     void eachFieldOfARouteIsRead() throws IOException {
-        Route route = configuration().route("h.example", "/a/x");
+        Route route = configuration().matchRoute("h.example", "/a/x");
         assertEquals("r1", route.name());
         assertEquals("H.example", route.hostname());
         assertEquals("/a/", route.pathPrefix());
@@ -62,46 +62,47 @@
         assertEquals(802, route.targetLatencyMs());
         assertEquals(3, route.priority());
         assertEquals(4, route.retries());
-        assertTrue(route.open());
+        assertTrue(route.isPublic());
         assertTrue(route.sessionAffinity());
         assertTrue(route.resumable());
-        assertEquals(805, route.gapAimMs());
-        assertEquals(List.of(new Route.Share("s1", 1)), route.shares());
+        assertEquals(805, route.targetEventGapMs());
+        assertEquals(List.of(new Route.WeightedService("s1", 1)), route.trafficSplit());
     }
 
     @Test
     void aSplitRouteIsRead() throws IOException {
-        Route route = configuration().route("h.example", "/b/x");
+        Route route = configuration().matchRoute("h.example", "/b/x");
         assertEquals(Route.Type.IDEMPOTENT, route.type());
         assertEquals(
-                List.of(new Route.Share("s1", 1.5), new Route.Share("s2", 0.5)), route.shares());
+                List.of(new Route.WeightedService("s1", 1.5), new Route.WeightedService("s2", 0.5)),
+                route.trafficSplit());
     }
 
     @Test
     void eachMissingFieldOfARouteHasItsDefault() throws IOException {
-        Route route = configuration().route("h.example", "/x");
+        Route route = configuration().matchRoute("h.example", "/x");
         assertEquals(Route.Type.NON_IDEMPOTENT, route.type());
         assertEquals(1_000, route.targetLatencyMs());
         assertEquals(0, route.priority());
         assertEquals(1, route.retries());
-        assertFalse(route.open());
+        assertFalse(route.isPublic());
         assertFalse(route.sessionAffinity());
         assertFalse(route.resumable());
-        assertEquals(0, route.gapAimMs());
+        assertEquals(0, route.targetEventGapMs());
     }
 
     @Test
     void eachFieldOfAServiceIsRead() throws IOException {
         Service service = configuration().service("s1");
-        assertEquals("/live", service.healthCheck());
+        assertEquals("/live", service.healthCheckPath());
         assertEquals(9, service.maxConnections());
-        assertEquals(11, service.engine().capacity());
-        assertEquals(120_000, service.engine().kvTokens());
-        assertEquals(13, service.engine().stride());
-        Service plain = configuration().service("s2");
-        assertEquals("/healthz", plain.healthCheck());
-        assertEquals(100, plain.maxConnections());
-        assertNull(plain.engine());
+        assertEquals(11, service.engine().maxBatchSize());
+        assertEquals(120_000, service.engine().kvCacheTokens());
+        assertEquals(13, service.engine().tokensPerEvent());
+        Service withDefaults = configuration().service("s2");
+        assertEquals("/healthz", withDefaults.healthCheckPath());
+        assertEquals(100, withDefaults.maxConnections());
+        assertNull(withDefaults.engine());
     }
 
     @Test
@@ -115,19 +116,19 @@
 
     @Test
     void eachFieldOfATenantIsRead() throws IOException {
-        Tenant tenant = configuration().tenant("k2");
+        Tenant tenant = configuration().tenantByApiKey("k2");
         assertEquals("t1", tenant.name());
-        assertEquals(List.of("k1", "k2"), tenant.keys());
+        assertEquals(List.of("k1", "k2"), tenant.apiKeys());
         assertEquals(5, tenant.priority());
         assertTrue(tenant.countsTokens());
-        assertEquals(6, tenant.plainTokens());
+        assertEquals(6, tenant.defaultTokens());
         assertEquals(7.5, tenant.ratePerSecond());
         assertEquals(80.5, tenant.burst());
-        Tenant plain = configuration().tenant("k3");
-        assertEquals(0, plain.priority());
-        assertFalse(plain.countsTokens());
-        assertEquals(1, plain.plainTokens());
-        assertEquals(0, plain.ratePerSecond());
-        assertEquals(0, plain.burst());
+        Tenant withDefaults = configuration().tenantByApiKey("k3");
+        assertEquals(0, withDefaults.priority());
+        assertFalse(withDefaults.countsTokens());
+        assertEquals(1, withDefaults.defaultTokens());
+        assertEquals(0, withDefaults.ratePerSecond());
+        assertEquals(0, withDefaults.burst());
     }
 }
--- a/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/myrtleladder/configuration/ConfigurationDocumentTest.java
@@ -12,7 +12,7 @@
 
 /** Documents and patches that operators may send, and the result code of each rejection. */
 class ConfigurationDocumentTest {
-    static final String WHOLE =
+    static final String DOCUMENT =
             "{'generation':7,'routes':["
                     + "{'name':'r1','hostname':'h.example','path_prefix':'/a/',"
                     + "'type':'streaming','timeout_ms':8000,"
@@ -31,30 +31,33 @@
         return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
-    static ConfigurationDocument first() {
-        return ConfigurationDocument.empty().replacedBy(json(WHOLE));
+    static ConfigurationDocument initialDocument() {
+        return ConfigurationDocument.empty().replacedBy(json(DOCUMENT));
     }
 
     @Test
     void aCompleteConfigurationIsStoredAsItWasSent() {
-        assertEquals(WHOLE.replace('\'', '"'), new String(first().bytes(), StandardCharsets.UTF_8));
+        assertEquals(
+                DOCUMENT.replace('\'', '"'),
+                new String(initialDocument().bytes(), StandardCharsets.UTF_8));
     }
 
     @Test
     void aPathIsRoutedByTheLongestMatchingPrefixOfItsHost() {
-        Configuration configuration = first().configuration();
-        assertEquals("r2", configuration.route("H.example:80", "/a/b/c").name());
-        assertEquals("r1", configuration.route("h.example", "/a/c").name());
-        assertNull(configuration.route("h.example", "/c/"));
-        assertNull(configuration.route("other", "/a/c"));
-        assertEquals("t1", configuration.tenant("k2").name());
-        assertNull(configuration.tenant("k3"));
+        Configuration configuration = initialDocument().configuration();
+        assertEquals("r2", configuration.matchRoute("H.example:80", "/a/b/c").name());
+        assertEquals("r1", configuration.matchRoute("h.example", "/a/c").name());
+        assertNull(configuration.matchRoute("h.example", "/c/"));
+        assertNull(configuration.matchRoute("other", "/a/c"));
+        assertEquals("t1", configuration.tenantByApiKey("k2").name());
+        assertNull(configuration.tenantByApiKey("k3"));
     }
 
     @Test
-    void aChangeOfNamedItemsKeepsAllOthers() {
+    void aPatchOfNamedItemsKeepsAllOthers() {
         ConfigurationDocument changed =
-                first().changedBy(
+                initialDocument()
+                        .patchedBy(
                                 json(
                                         "{'generation':9,'upsert':{'routes':["
                                                 + "{'name':'r1','hostname':'h.example',"
@@ -65,10 +68,10 @@
                                                 + "'delete':{'routes':['r2']}}"));
         Configuration configuration = changed.configuration();
         assertEquals(9, changed.generation());
-        assertEquals("r1", configuration.route("h.example", "/n/x").name());
-        assertNull(configuration.route("h.example", "/a/b/c"));
+        assertEquals("r1", configuration.matchRoute("h.example", "/n/x").name());
+        assertNull(configuration.matchRoute("h.example", "/a/b/c"));
         assertEquals(4_000, configuration.limits().idleTimeoutMs());
-        assertEquals("t1", configuration.tenant("k1").name());
+        assertEquals("t1", configuration.tenantByApiKey("k1").name());
     }
 
     @ParameterizedTest
@@ -101,8 +104,10 @@
                         + "{'name':'b','api_keys':['k']}]}"
             })
     void anInvalidDocumentIsRejectedWithItsResultCode(ResultCode code, String text) {
-        ConfigurationException refused =
-                assertThrows(ConfigurationException.class, () -> first().replacedBy(json(text)));
-        assertEquals(code, refused.code(), refused.getMessage());
+        ConfigurationException rejection =
+                assertThrows(
+                        ConfigurationException.class,
+                        () -> initialDocument().replacedBy(json(text)));
+        assertEquals(code, rejection.code(), rejection.getMessage());
     }
 }
--- a/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
@@ -35,7 +35,7 @@
     void errorsNameTheirPlace() {
         StringBuilder text = new StringBuilder();
         ConfigurationDocument current =
-                ConfigurationDocument.stored(
+                ConfigurationDocument.fromStored(
                         "{\"generation\":7}".getBytes(StandardCharsets.UTF_8), 7);
         for (String document : DOCUMENTS) {
             String result = "taken";
--- a/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
@@ -5,7 +5,7 @@
 
 import java.nio.charset.StandardCharsets;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.protocol.QuotaRequest;
 import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
@@ -21,7 +21,7 @@
                         + ",\"burst\":"
                         + burst
                         + "},{\"name\":\"free\",\"api_keys\":[\"f\"]}]}";
-        return Configuration.read(Json.readObject(text.getBytes(StandardCharsets.UTF_8)));
+        return Configuration.parse(JsonCodec.parseObject(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
--- a/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
@@ -82,14 +82,14 @@
     void theConfigurationAndItsQuotasAreRead(int node) throws IOException {
         StoredState state = copyOf("core-" + node).load();
         Configuration configuration =
-                ConfigurationDocument.stored(
+                ConfigurationDocument.fromStored(
                                 Compression.inflate(state.snapshot.document),
                                 state.snapshot.generation)
                         .configuration();
         assertEquals(17, configuration.generation());
-        assertEquals("r2", configuration.route("h.example", "/b/x").name());
-        assertEquals(7.5, configuration.tenant("k1").ratePerSecond());
-        assertEquals(80.5, configuration.tenant("k1").burst());
+        assertEquals("r2", configuration.matchRoute("h.example", "/b/x").name());
+        assertEquals(7.5, configuration.tenantByApiKey("k1").ratePerSecond());
+        assertEquals(80.5, configuration.tenantByApiKey("k1").burst());
     }
 
     @ParameterizedTest
--- a/src/test/java/myrtleladder/dataplane/ColdUpstreamTest.java
+++ b/src/test/java/myrtleladder/dataplane/ColdUpstreamTest.java
@@ -190,7 +190,7 @@
         play(1_000);
         assertWithinAllowance();
         for (int poll = 0; poll <= 10; poll++) {
-            fleet.forEach(balancer -> balancer.dataPlane.pollAnswered(1));
+            fleet.forEach(balancer -> balancer.dataPlane.recordPollResponse(1));
             clock.run(500);
         }
         play(1_000);
@@ -226,10 +226,10 @@
     @Test
     void requestThatWaitedForItsConnectionIsWithheldIfTheUpstreamBecameCold() {
         DataPlaneContext balancer = start(0);
-        balancer.connections.holdsConnections = true;
+        balancer.connections.delaysConnections = true;
         ScriptedClient client = balancer.send("/s/1");
         balancer.update(record(Stage.READY, 2, 3_000));
-        balancer.connections.establishHeld();
+        balancer.connections.establishDelayed();
         assertEquals(0, balancer.connections.sent.size());
         assertEquals(503, client.status);
     }
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -32,7 +32,8 @@
 
     @BeforeEach
     void start() {
-        HeartbeatAgent agent = new HeartbeatAgent(clock, (to, message, timeout, back) -> {}, "e");
+        HeartbeatAgent agent =
+                new HeartbeatAgent(clock, (to, message, timeout, callback) -> {}, "e");
         poller =
                 new ControlPoller(
                         clock,
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void pollerIsReadyOnceAConfigurationIsInForce() {
+    void pollerIsReadyOnceAConfigurationIsApplied() {
         assertFalse(poller.isReady());
         pendingCallback.accept(response(3, 0));
         assertFalse(poller.isReady());
@@ -91,7 +92,7 @@
     }
 
     @Test
-    void unresponsiveNodeIsAvoidedButOneThatRefusesIsPolledAgain() {
+    void unresponsiveNodeIsAvoidedButOneThatRefusesConnectionsIsPolledAgain() {
         assertEquals("a:1", lastPolledNode());
         pendingCallback.accept(null);
         clock.run(60);
@@ -126,7 +127,7 @@
     }
 
     @Test
-    void avoidedNodeIsPolledOnceItIsNamedPrimaryOfALaterEpoch() {
+    void unresponsiveNodeIsPolledOnceItIsReportedAsPrimaryOfALaterEpoch() {
         assertEquals("a:1", lastPolledNode());
         timeOut(); // its machine is still starting
         assertEquals("b:1", lastPolledNode());
@@ -136,7 +137,7 @@
     }
 
     @Test
-    void avoidedPrimaryIsNotPolledWhenItIsNamedForTheKnownEpoch() {
+    void unresponsivePrimaryIsNotPolledWhenItIsReportedForTheKnownEpoch() {
         pendingCallback.accept(response(3, 7));
         assertEquals("a:1", lastPolledNode());
         timeOut();
@@ -152,7 +153,7 @@
     }
 
     @Test
-    void primaryOutOfReachIsPolledThroughAnotherNodeAndLaterDirectlyAgain() {
+    void unreachablePrimaryIsPolledThroughARelayAndLaterDirectlyAgain() {
         pendingCallback.accept(response(3, 7));
         timeOut();
         pendingCallback.accept(redirection("a:1", 3));
@@ -168,7 +169,7 @@
     }
 
     @Test
-    void deadPrimaryCostsAStartingBalancerTwoPollsAtMost() {
+    void failedPrimaryCostsAStartingBalancerAtMostTwoPolls() {
         timeOut();
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
@@ -180,16 +181,16 @@
     }
 
     @Test
-    void drainedZonesAreAppliedAndKeptWhenAnEarlierPrimaryDoesNotKnowThem() {
+    void drainedZonesAreAppliedAndKeptWhenAnotherPrimaryDoesNotKnowThem() {
         PollResponse draining = response(3, 7);
         draining.drainedZones = DrainedZones.of(List.of("z"));
         pendingCallback.accept(draining);
         assertEquals(List.of("z"), polls.get(polls.size() - 1).drainedZones.names);
         pendingCallback.accept(response(4, 7));
         assertEquals(List.of("z"), dataPlane.directory().drainedZones());
-        PollResponse takenBack = response(4, 7);
-        takenBack.drainedZones = DrainedZones.of(List.of());
-        pendingCallback.accept(takenBack);
+        PollResponse withoutDrainedZones = response(4, 7);
+        withoutDrainedZones.drainedZones = DrainedZones.of(List.of());
+        pendingCallback.accept(withoutDrainedZones);
         assertEquals(List.of(), dataPlane.directory().drainedZones());
     }
 
@@ -203,13 +204,13 @@
     }
 
     @Test
-    void listOfAPrimaryThatHasNotHeardAllBalancersGivesNoShareOfColdUpstreams() {
+    void nonAuthoritativeBalancerListGivesNoBudgetForColdUpstreams() {
         PollResponse response = response(3, 0);
         response.balancerList = List.of(BalancerAddress.of("e", "e:1"));
         pendingCallback.accept(response);
-        assertEquals(0, dataPlane.warmup().ownership().balancers());
+        assertEquals(0, dataPlane.warmupContext().ownership().balancers());
         response.authoritative = true;
         pendingCallback.accept(response);
-        assertEquals(1, dataPlane.warmup().ownership().balancers());
+        assertEquals(1, dataPlane.warmupContext().ownership().balancers());
     }
 }
--- a/src/test/java/myrtleladder/dataplane/DataCommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/dataplane/DataCommandCompatibilityTest.java
@@ -16,37 +16,37 @@
     }
 
     @Test
-    void checkOfAGoodFileEndsWithZero() {
+    void checkOfAValidFileExitsWithZero() {
         assertEquals(0, run("check", SETTINGS + "data.toml"));
     }
 
     @Test
-    void checkOfABadFileEndsWithOne() {
+    void checkOfAnInvalidFileExitsWithOne() {
         assertEquals(1, run("check", SETTINGS + "bad.toml"));
     }
 
     @Test
-    void checkOfAMissingFileEndsWithOne() {
+    void checkOfAMissingFileExitsWithOne() {
         assertEquals(1, run("check", SETTINGS + "missing.toml"));
     }
 
     @Test
-    void helpEndsWithZero() {
+    void helpExitsWithZero() {
         assertEquals(0, run("--help"));
     }
 
     @Test
-    void anUnknownVerbEndsWithTwo() {
+    void unknownSubcommandExitsWithTwo() {
         assertEquals(2, run("no-such-verb"));
     }
 
     @Test
-    void anUnknownOptionEndsWithTwo() {
+    void unknownOptionExitsWithTwo() {
         assertEquals(2, run("--no-such-option"));
     }
 
     @Test
-    void noVerbEndsWithTwo() {
+    void missingSubcommandExitsWithTwo() {
         assertEquals(2, run());
     }
 }
--- a/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
+++ b/src/test/java/myrtleladder/dataplane/DataPlaneContext.java
@@ -5,7 +5,7 @@
 import java.util.Collection;
 import java.util.List;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.protocol.InstanceRecord;
 import myrtleladder.protocol.InstanceRecord.Stage;
 import myrtleladder.protocol.Message;
@@ -39,7 +39,9 @@
         }
     }
 
-    /** Creates a context with the routes of {@link RoutesDocument} and three upstreams per service. */
+    /**
+     * Creates a context with the routes of {@link RoutesDocument} and three upstreams per service.
+     */
     static DataPlaneContext withRouteOfEachKind() {
         return new Builder()
                 .withConfiguration(RoutesDocument.TEXT)
@@ -58,7 +60,7 @@
     /** Parses a configuration document written with single quotes. */
     static Configuration configuration(String document) {
         byte[] bytes = document.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-        return Configuration.read(Json.readObject(bytes));
+        return Configuration.parse(JsonCodec.parseObject(bytes));
     }
 
     /** Creates the record of an upstream in zone z. */
--- a/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -4,7 +4,7 @@
 
 import java.nio.charset.StandardCharsets;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.configuration.Route;
 import org.junit.jupiter.api.Test;
 
@@ -19,8 +19,8 @@
                         + ",\"priority\":"
                         + priority
                         + "}],\"services\":[{\"name\":\"m\"}]}";
-        return Configuration.read(Json.readObject(text.getBytes(StandardCharsets.UTF_8)))
-                .route("h", "/r/1");
+        return Configuration.parse(JsonCodec.parseObject(text.getBytes(StandardCharsets.UTF_8)))
+                .matchRoute("h", "/r/1");
     }
 
     @Test
--- a/src/test/java/myrtleladder/dataplane/ProxiedRequestOutcomeTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestOutcomeTest.java
@@ -20,7 +20,7 @@
     private static final long ALL_DEADLINES_MS = 9_000;
 
     /** What the first upstream sends before its connection is lost. */
-    private enum Received {
+    private enum FirstResponse {
         /** The first upstream does not fail on its own but behaves like the others. */
         NOTHING,
         /** A head and an incomplete event, which is not forwarded to the client. */
@@ -30,7 +30,7 @@
     }
 
     /** How each upstream behaves from then on. */
-    private enum Upstreams {
+    private enum UpstreamBehaviour {
         COMPLETE,
         REJECT_503,
         REJECT_400,
@@ -39,16 +39,16 @@
         FAIL_421,
         FAIL_500,
         FAIL_503,
-        ANSWER_ANOTHER_REQUEST,
+        RESPOND_TO_ANOTHER_REQUEST,
         LOSE_CONNECTION,
-        LOSE_CONNECTION_IN_EVENT,
-        STAY_SILENT,
+        LOSE_CONNECTION_WITHIN_EVENT,
+        SEND_NOTHING,
         REFUSE_CONNECTION,
-        CLIENT_LEAVES
+        CLIENT_DISCONNECTS
     }
 
-    private static void begin(SentRequest first, Received received) {
-        switch (received) {
+    private static void sendFirstResponse(SentRequest first, FirstResponse firstResponse) {
+        switch (firstResponse) {
             case NOTHING -> {
                 return;
             }
@@ -61,13 +61,13 @@
                 first.sendEvent(1);
                 first.sendEvent(2);
             }
-            default -> throw new IllegalStateException(received.toString());
+            default -> throw new IllegalStateException(firstResponse.toString());
         }
         first.loseConnection();
     }
 
-    private static void act(SentRequest sent, Upstreams upstreams) {
-        switch (upstreams) {
+    private static void applyBehaviourTo(SentRequest sent, UpstreamBehaviour behaviour) {
+        switch (behaviour) {
             case COMPLETE -> {
                 sent.respondHead(200);
                 sent.sendEvent(3);
@@ -80,17 +80,18 @@
             case FAIL_421 -> sent.respondHead(421);
             case FAIL_500 -> respond(sent, 500);
             case FAIL_503 -> respond(sent, 503);
-            case ANSWER_ANOTHER_REQUEST -> sent.respondHead(200, HeaderNames.ATTEMPT_ID, "another");
+            case RESPOND_TO_ANOTHER_REQUEST ->
+                    sent.respondHead(200, HeaderNames.ATTEMPT_ID, "another");
             case LOSE_CONNECTION -> sent.loseConnection();
-            case LOSE_CONNECTION_IN_EVENT -> {
+            case LOSE_CONNECTION_WITHIN_EVENT -> {
                 sent.respondHead(200);
                 sent.sendBytes("id: 3\nda");
                 sent.loseConnection();
             }
-            case STAY_SILENT, REFUSE_CONNECTION, CLIENT_LEAVES -> {
+            case SEND_NOTHING, REFUSE_CONNECTION, CLIENT_DISCONNECTS -> {
                 // the upstream sends nothing
             }
-            default -> throw new IllegalStateException(upstreams.toString());
+            default -> throw new IllegalStateException(behaviour.toString());
         }
     }
 
@@ -103,8 +104,8 @@
     private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
 
     /**
-     * Paths are those of {@link RoutesDocument}. The outcome is a status code, "resumed" for a stream
-     * completed by another upstream, "aborted", or "none" if the client disconnected.
+     * Paths are those of {@link RoutesDocument}. The outcome is a status code, "resumed" for a
+     * stream completed by another upstream, "aborted", or "none" if the client disconnected.
      */
     @ParameterizedTest(name = "{0}: {1}, then {2}")
     @CsvSource({
@@ -116,12 +117,12 @@
         "/s/1, NOTHING, FAIL_421, 503",
         "/s/1, NOTHING, FAIL_500, 500",
         "/s/1, NOTHING, FAIL_503, 503",
-        "/s/1, NOTHING, ANSWER_ANOTHER_REQUEST, 502",
+        "/s/1, NOTHING, RESPOND_TO_ANOTHER_REQUEST, 502",
         "/s/1, NOTHING, LOSE_CONNECTION, 502",
-        "/s/1, NOTHING, LOSE_CONNECTION_IN_EVENT, 502",
-        "/s/1, NOTHING, STAY_SILENT, 504",
+        "/s/1, NOTHING, LOSE_CONNECTION_WITHIN_EVENT, 502",
+        "/s/1, NOTHING, SEND_NOTHING, 504",
         "/s/1, NOTHING, REFUSE_CONNECTION, 503",
-        "/s/1, NOTHING, CLIENT_LEAVES, none",
+        "/s/1, NOTHING, CLIENT_DISCONNECTS, none",
         "/s/1, INCOMPLETE_EVENT, COMPLETE, 200",
         "/s/1, INCOMPLETE_EVENT, REJECT_503, 502",
         "/s/1, INCOMPLETE_EVENT, REJECT_400, 400",
@@ -130,12 +131,12 @@
         "/s/1, INCOMPLETE_EVENT, FAIL_421, 502",
         "/s/1, INCOMPLETE_EVENT, FAIL_500, 500",
         "/s/1, INCOMPLETE_EVENT, FAIL_503, 503",
-        "/s/1, INCOMPLETE_EVENT, ANSWER_ANOTHER_REQUEST, 502",
+        "/s/1, INCOMPLETE_EVENT, RESPOND_TO_ANOTHER_REQUEST, 502",
         "/s/1, INCOMPLETE_EVENT, LOSE_CONNECTION, 502",
-        "/s/1, INCOMPLETE_EVENT, LOSE_CONNECTION_IN_EVENT, 502",
-        "/s/1, INCOMPLETE_EVENT, STAY_SILENT, 504",
+        "/s/1, INCOMPLETE_EVENT, LOSE_CONNECTION_WITHIN_EVENT, 502",
+        "/s/1, INCOMPLETE_EVENT, SEND_NOTHING, 504",
         "/s/1, INCOMPLETE_EVENT, REFUSE_CONNECTION, 502",
-        "/s/1, INCOMPLETE_EVENT, CLIENT_LEAVES, none",
+        "/s/1, INCOMPLETE_EVENT, CLIENT_DISCONNECTS, none",
         "/s/1, EVENTS, COMPLETE, resumed",
         "/s/1, EVENTS, REJECT_503, aborted",
         "/s/1, EVENTS, REJECT_400, aborted",
@@ -144,12 +145,12 @@
         "/s/1, EVENTS, FAIL_421, aborted",
         "/s/1, EVENTS, FAIL_500, aborted",
         "/s/1, EVENTS, FAIL_503, aborted",
-        "/s/1, EVENTS, ANSWER_ANOTHER_REQUEST, aborted",
+        "/s/1, EVENTS, RESPOND_TO_ANOTHER_REQUEST, aborted",
         "/s/1, EVENTS, LOSE_CONNECTION, aborted",
-        "/s/1, EVENTS, LOSE_CONNECTION_IN_EVENT, aborted",
-        "/s/1, EVENTS, STAY_SILENT, aborted",
+        "/s/1, EVENTS, LOSE_CONNECTION_WITHIN_EVENT, aborted",
+        "/s/1, EVENTS, SEND_NOTHING, aborted",
         "/s/1, EVENTS, REFUSE_CONNECTION, aborted",
-        "/s/1, EVENTS, CLIENT_LEAVES, none",
+        "/s/1, EVENTS, CLIENT_DISCONNECTS, none",
         "/n/1, INCOMPLETE_EVENT, COMPLETE, 502",
         "/n/1, EVENTS, COMPLETE, aborted",
         "/u/1, NOTHING, REJECT_503, 503",
@@ -158,19 +159,19 @@
         "/u/1, NOTHING, FAIL_400, 400",
         "/u/1, NOTHING, FAIL_500, 500",
         "/u/1, NOTHING, LOSE_CONNECTION, 502",
-        "/u/1, NOTHING, ANSWER_ANOTHER_REQUEST, 502",
-        "/u/1, NOTHING, STAY_SILENT, 504",
+        "/u/1, NOTHING, RESPOND_TO_ANOTHER_REQUEST, 502",
+        "/u/1, NOTHING, SEND_NOTHING, 504",
         "/u/1, NOTHING, REFUSE_CONNECTION, 503",
-        "/u/1, NOTHING, CLIENT_LEAVES, none",
+        "/u/1, NOTHING, CLIENT_DISCONNECTS, none",
         "/i/1, NOTHING, FAIL_500, 500",
         "/i/1, NOTHING, LOSE_CONNECTION, 502",
-        "/i/1, NOTHING, STAY_SILENT, 504",
+        "/i/1, NOTHING, SEND_NOTHING, 504",
     })
     void requestEndsInOneFinalResponse(
-            String path, Received received, Upstreams upstreams, String outcome) {
+            String path, FirstResponse firstResponse, UpstreamBehaviour behaviour, String outcome) {
         ScriptedClient client = context.send(path);
-        begin(context.connections.lastSent(), received);
-        letAct(client, received == Received.NOTHING ? 0 : 1, upstreams);
+        sendFirstResponse(context.connections.lastSent(), firstResponse);
+        applyBehaviour(client, firstResponse == FirstResponse.NOTHING ? 0 : 1, behaviour);
         context.clock.run(ALL_DEADLINES_MS);
         assertEquals(outcome, outcomeOf(client));
         assertEquals(outcome.equals("none") ? 0 : 1, client.finalResponses);
@@ -181,19 +182,20 @@
         }
     }
 
-    private void letAct(ScriptedClient client, int alreadyActed, Upstreams upstreams) {
-        if (upstreams == Upstreams.CLIENT_LEAVES) {
+    private void applyBehaviour(
+            ScriptedClient client, int firstIndex, UpstreamBehaviour behaviour) {
+        if (behaviour == UpstreamBehaviour.CLIENT_DISCONNECTS) {
             client.disconnect();
             return;
         }
-        if (upstreams == Upstreams.REFUSE_CONNECTION) {
+        if (behaviour == UpstreamBehaviour.REFUSE_CONNECTION) {
             context.connections.refusesConnections = true;
             int last = context.connections.sent.size() - 1;
             context.connections.sent.get(last).rejectAsNotExecuted();
             return;
         }
-        for (int i = alreadyActed; i < context.connections.sent.size(); i++) {
-            act(context.connections.sent.get(i), upstreams);
+        for (int i = firstIndex; i < context.connections.sent.size(); i++) {
+            applyBehaviourTo(context.connections.sent.get(i), behaviour);
         }
     }
 
@@ -208,27 +210,28 @@
     }
 
     @Test
-    void resumptionThatIsRejectedIsTakenUpByTheNextUpstreamWithinTheRetries() {
+    void rejectedResumptionIsRetriedAtTheNextUpstreamWithinTheRetryLimit() {
         ScriptedClient client = context.send("/s3/1");
-        begin(context.connections.lastSent(), Received.EVENTS);
+        sendFirstResponse(context.connections.lastSent(), FirstResponse.EVENTS);
         context.connections.lastSent().respondHead(400, HeaderNames.NOT_EXECUTED, "1");
-        act(context.connections.lastSent(), Upstreams.COMPLETE);
+        applyBehaviourTo(context.connections.lastSent(), UpstreamBehaviour.COMPLETE);
         assertEquals(3, context.connections.sent.size());
         assertEquals("resumed", outcomeOf(client));
     }
 
     @Test
-    void attemptThatIsLostAfterAnEarlierHeadCountsTowardsTheRetries() {
+    void attemptLostAfterAnEarlierHeadCountsTowardsTheRetryLimit() {
         DataPlaneContext manyUpstreams =
                 new DataPlaneContext.Builder()
                         .withConfiguration(RoutesDocument.TEXT)
                         .withUpstreams("m", 6)
                         .build();
         ScriptedClient client = manyUpstreams.send("/s3/1");
-        begin(manyUpstreams.connections.lastSent(), Received.INCOMPLETE_EVENT);
+        sendFirstResponse(manyUpstreams.connections.lastSent(), FirstResponse.INCOMPLETE_EVENT);
         manyUpstreams.connections.lastSent().loseConnection();
         manyUpstreams.connections.lastSent().rejectAsNotExecuted();
-        assertEquals(3, manyUpstreams.connections.sent.size(), "at most as many as the route's retries");
+        assertEquals(
+                3, manyUpstreams.connections.sent.size(), "at most as many as the route's retries");
         assertEquals(502, client.status);
     }
 
@@ -256,9 +259,9 @@
     }
 
     @Test
-    void failureOfAnUpstreamIsPassedOnIfTheRetryIsRejected() {
+    void upstreamErrorIsForwardedIfTheRetryIsRejected() {
         ScriptedClient client = context.send("/i/1");
-        act(context.connections.lastSent(), Upstreams.FAIL_500);
+        applyBehaviourTo(context.connections.lastSent(), UpstreamBehaviour.FAIL_500);
         context.connections.lastSent().rejectAsNotExecuted();
         assertEquals(500, client.status, "a 503 would say that the request was not executed");
         assertEquals("why", client.body.toString());
@@ -266,9 +269,9 @@
     }
 
     @Test
-    void malformedRequestIsAnsweredWithTheWholeResponseOfTheUpstream() {
+    void rejectionWithStatus400IsForwardedCompletely() {
         ScriptedClient client = context.send("/u/1");
-        act(context.connections.lastSent(), Upstreams.REJECT_400);
+        applyBehaviourTo(context.connections.lastSent(), UpstreamBehaviour.REJECT_400);
         assertEquals(400, client.status);
         assertEquals("why", client.body.toString());
         assertNotNull(client.headers.get(HeaderNames.UPSTREAM_SIGNATURE));
--- a/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
+++ b/src/test/java/myrtleladder/dataplane/ProxiedRequestTest.java
@@ -91,26 +91,26 @@
         assertTrue(client.ended);
     }
 
-    private void upgradeAllButOne(String former) {
+    private void upgradeAllButOne(String notUpgradedId) {
         for (int i = 1; i <= 3; i++) {
             String id = "m" + i;
-            long weights = id.equals(former) ? 1 : 2;
+            long weights = id.equals(notUpgradedId) ? 1 : 2;
             context.update(
                     DataPlaneContext.record(id, "m", Stage.READY).withWeightsVersion(weights));
         }
     }
 
     @Test
-    void streamIsResumedWithTheWeightsThatBeganItIfAnyUpstreamHasThem() {
+    void streamIsResumedWithItsOriginalWeightsIfAnyUpstreamHasThem() {
         for (int i = 0; i < 20; i++) {
             context.send("/s/" + i);
             SentRequest first = connections.lastSent();
-            String former = first.upstream.record().id.equals("m3") ? "m1" : "m3";
-            upgradeAllButOne(former);
+            String notUpgradedId = first.upstream.record().id.equals("m3") ? "m1" : "m3";
+            upgradeAllButOne(notUpgradedId);
             first.respondHead(200, HeaderNames.VERSIONS, "1");
             first.sendEvent(1);
             first.loseConnection();
-            assertEquals(former, connections.lastSent().upstream.record().id);
+            assertEquals(notUpgradedId, connections.lastSent().upstream.record().id);
             assertEquals("1", connections.lastSent().header(HeaderNames.EXPECT_VERSION));
             assertEquals("1", connections.lastSent().header(HeaderNames.LAST_EVENT_ID));
             connections.lastSent().respondHead(200, HeaderNames.VERSIONS, "1");
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void streamIsResumedWithOtherWeightsIfNoUpstreamHasTheFirst() {
+    void streamIsResumedWithOtherWeightsIfNoUpstreamHasTheOriginalOnes() {
         ScriptedClient client = context.send("/s/1");
         SentRequest first = connections.lastSent();
         upgradeAllButOne("none");
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void rejectionAfterALostConnectionDoesNotPromiseThatNothingRan() {
+    void rejectionAfterALostConnectionIsNotForwardedAs503() {
         ScriptedClient client = context.send("/i/1");
         connections.lastSent().loseConnection();
         connections.lastSent().rejectAsNotExecuted();
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void misdirectedRequestRemovesTheIncarnationAndIsRetried() {
+    void misdirectedRequestRemovesTheInstanceAndIsRetried() {
         ScriptedClient client = context.send("/u/1");
         SentRequest first = connections.lastSent();
         first.respondHead(
@@ -293,7 +293,7 @@
     }
 
     @Test
-    void requestsWithOnePrefixGoToOneUpstream() {
+    void requestsWithTheSamePrefixGoToTheSameUpstream() {
         for (int i = 0; i < 10; i++) {
             context.send(
                     "/s/" + i,
@@ -310,7 +310,7 @@
 
     @Test
     void requestThatCannotBeginInTimeIsNotAdmitted() {
-        int refused = 0;
+        int rejectedCount = 0;
         for (int i = 0; i < 40; i++) {
             ScriptedClient client =
                     context.send(
@@ -319,9 +319,9 @@
                             "c" + i + ":20000",
                             HeaderNames.TOKEN_USAGE,
                             "20000,10");
-            refused += client.status == 503 ? 1 : 0;
+            rejectedCount += client.status == 503 ? 1 : 0;
         }
-        assertTrue(refused > 0 && refused < 40, "refused " + refused);
+        assertTrue(rejectedCount > 0 && rejectedCount < 40, "rejected " + rejectedCount);
     }
 
     @Test
--- a/src/test/java/myrtleladder/dataplane/RequestRouterTest.java
+++ b/src/test/java/myrtleladder/dataplane/RequestRouterTest.java
@@ -16,7 +16,7 @@
     private final DataPlane dataPlane = context.dataPlane;
 
     @Test
-    void unknownRoutesAndKeysAreRejectedAndPublicRoutesNeedNone() {
+    void unknownRoutesAndKeysAreRejectedAndPublicRoutesNeedNoKey() {
         assertEquals(404, context.send("/x/").status);
         assertEquals(401, context.send("/s/1", HeaderNames.AUTHORIZATION, "Token other").status);
         assertEquals(0, connections.sent.size());
@@ -59,13 +59,16 @@
 
     @Test
     void splitRouteDrawsServicesByWeight() {
-        int second = 0;
+        int secondServiceCount = 0;
         for (int i = 0; i < 300; i++) {
             assertEquals(0, context.send("/w/1").status);
-            second += connections.lastSent().upstream.record().service.equals("q") ? 1 : 0;
+            secondServiceCount +=
+                    connections.lastSent().upstream.record().service.equals("q") ? 1 : 0;
             connections.lastSent().respondHead(200);
             connections.lastSent().completeResponse();
         }
-        assertTrue(second >= 15 && second <= 45, "expected about 30 of 300 but was " + second);
+        assertTrue(
+                secondServiceCount >= 15 && secondServiceCount <= 45,
+                "expected about 30 of 300 but was " + secondServiceCount);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/RetryPolicyTest.java
+++ b/src/test/java/myrtleladder/dataplane/RetryPolicyTest.java
@@ -12,8 +12,8 @@
 class RetryPolicyTest {
     private static final Configuration CONFIGURATION =
             DataPlaneContext.configuration(RoutesDocument.TEXT);
-    private static final Route IDEMPOTENT = CONFIGURATION.route("h.example", "/i/1");
-    private static final Route NON_IDEMPOTENT = CONFIGURATION.route("h.example", "/u/1");
+    private static final Route IDEMPOTENT = CONFIGURATION.matchRoute("h.example", "/i/1");
+    private static final Route NON_IDEMPOTENT = CONFIGURATION.matchRoute("h.example", "/u/1");
     private static final Service SERVICE = CONFIGURATION.service("p");
 
     /** With a slack of 4 the bucket of a new balancer holds one retry and a bit. */
--- a/src/test/java/myrtleladder/dataplane/RoutesDocument.java
+++ b/src/test/java/myrtleladder/dataplane/RoutesDocument.java
@@ -3,9 +3,9 @@
 /** A test configuration with a route of each kind, written with single quotes. */
 final class RoutesDocument {
     /**
-     * Routes by path: /s/ resumable stream, /s3/ resumable stream that may be sent to three upstreams,
-     * /n/ stream that is not resumable, /u/ non-idempotent, /i/ idempotent, /o/ public, /w/ with a
-     * traffic split.
+     * Routes by path: /s/ resumable stream, /s3/ resumable stream that may be sent to three
+     * upstreams, /n/ stream that is not resumable, /u/ non-idempotent, /i/ idempotent, /o/ public,
+     * /w/ with a traffic split.
      */
     static final String TEXT =
             """
--- a/src/test/java/myrtleladder/dataplane/ScriptedClient.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedClient.java
@@ -21,8 +21,8 @@
     int finalResponses;
 
     /**
-     * Number of calls in states in which the exchange ignores them; a request that depends on such a
-     * call never ends.
+     * Number of calls in states in which the exchange ignores them; a request that depends on such
+     * a call never ends.
      */
     int ignoredCalls;
 
@@ -55,28 +55,28 @@
     }
 
     @Override
-    public void respond(int code, Headers answer, byte[] bytes) {
+    public void respond(int statusCode, Headers responseHeaders, byte[] bytes) {
         if (responses > 0 || aborted) {
             ignoredCalls++;
             return;
         }
         finalResponses++;
         responses++;
-        status = code;
-        headers = answer;
+        status = statusCode;
+        headers = responseHeaders;
         body.append(new String(bytes, StandardCharsets.UTF_8));
         ended = true;
     }
 
     @Override
-    public void begin(int code, Headers answer) {
+    public void begin(int statusCode, Headers responseHeaders) {
         if (responses > 0 || aborted) {
             ignoredCalls++;
             return;
         }
         responses++;
-        status = code;
-        headers = answer;
+        status = statusCode;
+        headers = responseHeaders;
     }
 
     @Override
--- a/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
+++ b/src/test/java/myrtleladder/dataplane/ScriptedConnectionPool.java
@@ -14,9 +14,9 @@
     boolean neverConnects;
 
     /** Whether new connections are established only by {@link #establishDelayed}. */
-    boolean holdsConnections;
+    boolean delaysConnections;
 
-    private final List<SentRequest> held = new ArrayList<>();
+    private final List<SentRequest> delayed = new ArrayList<>();
 
     /** A connection to an upstream, and the request that was sent on it. */
     final class SentRequest implements PooledConnection {
@@ -88,20 +88,20 @@
     @Override
     public PooledConnection acquire(
             Upstream upstream, ResponseListener listener, boolean recentlyUsedOnly) {
-        SentRequest link = new SentRequest(upstream, listener);
+        SentRequest connection = new SentRequest(upstream, listener);
         if (refusesConnections) {
             listener.onConnectFailed();
-        } else if (holdsConnections) {
-            held.add(link);
+        } else if (delaysConnections) {
+            delayed.add(connection);
         } else if (!neverConnects) {
-            listener.onConnectionReady(link);
+            listener.onConnectionReady(connection);
         }
-        return link;
+        return connection;
     }
 
-    void establishHeld() {
-        held.forEach(link -> link.listener.onConnectionReady(link));
-        held.clear();
+    void establishDelayed() {
+        delayed.forEach(connection -> connection.listener.onConnectionReady(connection));
+        delayed.clear();
     }
 
     @Override
--- a/src/test/java/myrtleladder/dataplane/ServerSentEventSplitterTest.java
+++ b/src/test/java/myrtleladder/dataplane/ServerSentEventSplitterTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void sameEventsComeOutWhereverTheStreamIsCut() {
+    void eventsDoNotDependOnWhereTheStreamIsSplit() {
         String stream = "id: 1\ndata: a\n\n: comment\n\nid: 2\r\ndata: b\r\n\r\n";
         for (int splitAt = 0; splitAt <= stream.length(); splitAt++) {
             events.clear();
@@ -60,9 +60,9 @@
     }
 
     @Test
-    void identifierThatIsNoNumberCountsAsNone() {
+    void nonNumericIdentifierCountsAsNone() {
         feed("id: x1\n\ndata: id: 3\n\nid:\n\n");
-        long none = ServerSentEventSplitter.NO_ID;
-        assertEquals(List.of(none, none, none), ids);
+        long noId = ServerSentEventSplitter.NO_ID;
+        assertEquals(List.of(noId, noId, noId), ids);
     }
 }
--- a/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
+++ b/src/test/java/myrtleladder/dataplane/TenantQuotaClientTest.java
@@ -30,7 +30,7 @@
                             + ",'burst':"
                             + RATE_PER_S
                             + "}]}");
-    private final Tenant tenant = configuration.tenant("k");
+    private final Tenant tenant = configuration.tenantByApiKey("k");
     private final List<QuotaRequest> requests = new ArrayList<>();
     private double granted;
 
