--- a/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
+++ b/src/main/java/myrtleladder/controlplane/CommittedConfiguration.java
@@ -89,6 +89,6 @@
 
     /** Returns the parsed document, to which a change can be applied. */
     ConfigurationDocument document() {
-        return ConfigurationDocument.stored(documentBytes(), snapshot.generation);
+        return ConfigurationDocument.fromStored(documentBytes(), snapshot.generation);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/UpgradeRequestHandler.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 
@@ -49,6 +49,6 @@
         UpgradeStatus status =
                 UpgradeStatus.of(
                         instances.reportedRecords(), balancers.inFlightByInstance(), regionByZone);
-        HttpResponses.sendJson(exchange, HttpResponses.OK, Json.write(status.toJson()));
+        HttpResponses.sendJson(exchange, HttpResponses.OK, JsonCodec.serialize(status.toJson()));
     }
 }
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -13,21 +13,21 @@
 import myrtleladder.protocol.UpstreamLoad;
 
 /**
- * First part of a request's way: matches the route, authenticates the tenant, acquires its quota
- * and starts a {@link ProxiedRequest}, or answers with an error. Confined to the event loop; the
- * HTTP server calls {@link #handle}.
+ * The first stage of request handling: matches the route, authenticates the tenant, acquires its
+ * quota, and starts a {@link ProxiedRequest} or responds with an error. Confined to the event loop;
+ * the HTTP server calls {@link #handle}.
  */
 final class RequestRouter {
     private static final byte[] NO_BYTES = {};
     private static final String API_KEY_SCHEME = "Token ";
 
-    /** Time after which clients retry while there is no configuration yet. */
+    /** Retry-After while this balancer has no configuration yet. */
     private static final long NOT_CONFIGURED_RETRY_AFTER_MS = 300;
 
-    /** The same while this balancer shuts down: other balancers serve. */
+    /** Retry-After while this balancer shuts down; short, since other balancers are available. */
     private static final long SHUTDOWN_RETRY_AFTER_MS = 10;
 
-    /** Longest time after which clients over their quota are asked to retry. */
+    /** Maximum Retry-After of requests over quota. */
     private static final long MAX_QUOTA_RETRY_AFTER_MS = 2_000;
 
     private final DataPlane dataPlane;
@@ -37,20 +37,22 @@
     /**
      * Creates a router.
      *
-     * @param random draws services of split routes; shared with the data plane's periodic work
+     * @param random selects services of routes with a traffic split; shared with the periodic work
+     *     of the data plane
      */
     RequestRouter(DataPlane dataPlane, SplittableRandom random) {
         this.dataPlane = dataPlane;
         this.random = random;
     }
 
-    /** Rejects all later requests at once: the balancer ends before they could. */
+    /** Rejects all requests from now on, since the process may terminate before they complete. */
     void rejectNewRequests() {
         acceptsRequests = false;
     }
 
     /**
-     * Takes a client's request; exactly one final response follows unless the client disconnects.
+     * Handles a client's request. It receives exactly one final response unless the client
+     * disconnects.
      */
     void handle(ServerExchange client) {
         count(Event.REQUEST);
@@ -67,11 +69,11 @@
             client.respond(404, new Headers(), NO_BYTES);
             return;
         }
-        if (route.open() || configuration.tenants().isEmpty()) {
+        if (route.isPublic() || configuration.tenants().isEmpty()) {
             startRequest(client, route, null, 0);
             return;
         }
-        Tenant tenant = configuration.tenant(apiKeyOf(client.head().headers()));
+        Tenant tenant = configuration.tenantByApiKey(apiKeyOf(client.head().headers()));
         if (tenant == null) {
             count(Event.NO_KEY);
             client.respond(401, new Headers(), NO_BYTES);
@@ -82,7 +84,7 @@
 
     private Route matchRoute(ServerExchange client) {
         String host = client.head().headers().get("Host");
-        return dataPlane.configuration().route(host, client.head().path());
+        return dataPlane.configuration().matchRoute(host, client.head().path());
     }
 
     private static String apiKeyOf(Headers headers) {
@@ -93,26 +95,26 @@
     }
 
     /**
-     * Goes on once the quota is decided, at once or after a round trip to the primary. The request
-     * for quota carries the load that this request would be, so that the primary can tell others of
-     * it before the request is sent.
+     * Acquires the quota, at once or with a round trip to the primary, and then continues with the
+     * request. The quota request reports the load that this request will add, so that the primary
+     * can inform the other balancers of it before the request is sent.
      */
     private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
-        int usedTokens = usedTokens(client.head().headers().get(HeaderNames.TOKEN_USAGE));
+        int usedTokens = parseTokenUsage(client.head().headers().get(HeaderNames.TOKEN_USAGE));
         double cost = TenantQuotaClient.costUnits(tenant, usedTokens);
         dataPlane.quotas().advanceClock(dataPlane.nowMs());
-        dataPlane.fleetLoads().setPendingLoad(() -> likelyLoad(client, route));
+        dataPlane.fleetLoads().setPendingLoad(() -> estimateLoad(client, route));
         dataPlane
                 .quotas()
                 .acquire(
                         tenant,
                         cost,
                         dataPlane.nowMs(),
-                        waitMs -> quotaDecided(client, route, tenant, cost, waitMs));
+                        waitMs -> onQuotaDecision(client, route, tenant, cost, waitMs));
         dataPlane.fleetLoads().setPendingLoad(FleetLoadSync.NO_PENDING_LOAD);
     }
 
-    private void quotaDecided(
+    private void onQuotaDecision(
             ServerExchange client, Route route, Tenant tenant, double cost, long waitMs) {
         if (waitMs == 0) {
             startRequest(client, route, tenant, cost);
@@ -122,12 +124,15 @@
         reject(client, 429, Math.min(MAX_QUOTA_RETRY_AFTER_MS, waitMs));
     }
 
-    /** The load of a request that waits for its quota, null if its service is not known yet. */
-    private UpstreamLoad likelyLoad(ServerExchange client, Route route) {
-        if (route.shares().size() != 1) {
+    /**
+     * Estimates the load of a request that awaits its quota; null for a route with several
+     * services, since one of them is selected only afterwards.
+     */
+    private UpstreamLoad estimateLoad(ServerExchange client, Route route) {
+        if (route.trafficSplit().size() != 1) {
             return null;
         }
-        String serviceName = route.shares().get(0).service();
+        String serviceName = route.trafficSplit().get(0).serviceName();
         Service service = dataPlane.configuration().service(serviceName);
         String prefix = client.head().headers().get(HeaderNames.PROMPT_PREFIX);
         return dataPlane
@@ -135,17 +140,22 @@
                 .estimateLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
     }
 
-    /** Starts an admitted request; the configuration may have changed since its route matched. */
-    private void startRequest(ServerExchange client, Route admitted, Tenant tenant, double cost) {
+    /**
+     * Starts a request that has its quota. The configuration may have changed while the quota was
+     * being acquired; if the request now matches another route or none, it is handled from the
+     * start.
+     */
+    private void startRequest(
+            ServerExchange client, Route admittedRoute, Tenant tenant, double cost) {
         if (!client.open()) {
             return;
         }
         Route route = matchRoute(client);
-        if (route == null || !admitted.name().equals(route.name())) {
+        if (route == null || !admittedRoute.name().equals(route.name())) {
             handle(client);
             return;
         }
-        Service service = dataPlane.configuration().service(drawService(route));
+        Service service = dataPlane.configuration().service(selectService(route));
         dataPlane.retryBudget().recordRequest(service.name());
         ProxiedRequest request =
                 new ProxiedRequest(dataPlane, client, route, service, tenant, cost);
@@ -153,20 +163,20 @@
         request.start();
     }
 
-    /** Draws a service in proportion to the weights of the route's traffic split. */
-    private String drawService(Route route) {
-        List<Route.Share> shares = route.shares();
+    /** Selects a service at random, in proportion to the weights of the traffic split. */
+    private String selectService(Route route) {
+        List<Route.WeightedService> trafficSplit = route.trafficSplit();
         double totalWeight = 0;
-        for (Route.Share share : shares) {
-            totalWeight += share.weight();
+        for (Route.WeightedService weightedService : trafficSplit) {
+            totalWeight += weightedService.weight();
         }
-        double drawn = random.nextDouble() * totalWeight;
+        double remainingWeight = random.nextDouble() * totalWeight;
         String service = null;
-        for (Route.Share share : shares) {
-            if (share.weight() > 0) {
-                service = share.service();
-                drawn -= share.weight();
-                if (drawn < 0) {
+        for (Route.WeightedService weightedService : trafficSplit) {
+            if (weightedService.weight() > 0) {
+                service = weightedService.serviceName();
+                remainingWeight -= weightedService.weight();
+                if (remainingWeight < 0) {
                     return service;
                 }
             }
@@ -174,8 +184,8 @@
         return service;
     }
 
-    /** The sum of a token usage field, 0 without a field that can be read. */
-    private static int usedTokens(String usage) {
+    /** Parses a token usage field and returns the sum; 0 if the field is missing or malformed. */
+    private static int parseTokenUsage(String usage) {
         if (usage == null) {
             return 0;
         }
@@ -195,7 +205,7 @@
         client.respond(status, headers, NO_BYTES);
     }
 
-    /** The value of a Retry-After field: seconds with three decimals. */
+    /** Formats the value of a Retry-After field: seconds with three decimals. */
     static String retryAfter(long delayMs) {
         return String.format(Locale.ROOT, "%.3f", delayMs / 1_000.0);
     }
--- a/src/main/java/myrtleladder/dataplane/WarmupSettings.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupSettings.java
@@ -29,11 +29,11 @@
      * service; {@link #UNLIMITED} if the service is unknown (null) or has no limit.
      */
     int allowancePerSecond(Service service) {
-        if (service == null || service.warmupPerSecond() <= 0) {
+        if (service == null || service.warmupRequestsPerSecond() <= 0) {
             return UNLIMITED;
         }
         return (int)
-                ((service.warmupPerSecond() * overageFactor + slackPerSecond)
+                ((service.warmupRequestsPerSecond() * overageFactor + slackPerSecond)
                         / MAX_CONCURRENT_LISTS);
     }
 
--- a/src/test/java/myrtleladder/dataplane/DataCommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/dataplane/DataCommandCompatibilityTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The words and exit codes of the data plane's command line. Start scripts and operators depend on
- * them: 0 done, 1 failed with a numbered result, 2 the command line is wrong.
+ * Subcommands and exit codes of the data plane's command line, on which start scripts and operators
+ * depend: 0 success, 1 failure with a result code, 2 usage error.
  */
 class DataCommandCompatibilityTest {
     private static final String SETTINGS = "src/test/resources/compatibility/settings/";
@@ -16,37 +16,37 @@
     }
 
     @Test
-    void checkOfAGoodFileEndsWithZero() {
+    void checkOfAValidFileExitsWithZero() {
         assertEquals(0, run("check", SETTINGS + "data.toml"));
     }
 
     @Test
-    void checkOfABadFileEndsWithOne() {
+    void checkOfAnInvalidFileExitsWithOne() {
         assertEquals(1, run("check", SETTINGS + "bad.toml"));
     }
 
     @Test
-    void checkOfAMissingFileEndsWithOne() {
+    void checkOfAMissingFileExitsWithOne() {
         assertEquals(1, run("check", SETTINGS + "missing.toml"));
     }
 
     @Test
-    void helpEndsWithZero() {
+    void helpExitsWithZero() {
         assertEquals(0, run("--help"));
     }
 
     @Test
-    void anUnknownVerbEndsWithTwo() {
+    void unknownSubcommandExitsWithTwo() {
         assertEquals(2, run("no-such-verb"));
     }
 
     @Test
-    void anUnknownOptionEndsWithTwo() {
+    void unknownOptionExitsWithTwo() {
         assertEquals(2, run("--no-such-option"));
     }
 
     @Test
-    void noVerbEndsWithTwo() {
+    void missingSubcommandExitsWithTwo() {
         assertEquals(2, run());
     }
 }
