--- a/src/test/java/myrtleladder/replication/CoreQuotaTest.java
+++ b/src/test/java/myrtleladder/replication/CpuQuotaTest.java
@@ -11,7 +11,7 @@
  * Processes under a CPU quota, which run for 10 ms and are then throttled for the rest of each 100
  * ms period. Throttling alone must not cause an election.
  */
-class CoreQuotaTest {
+class CpuQuotaTest {
     private static final long PERIOD_MS = 100;
     private static final long STARTUP_MS = 3_000;
     private static final int PERIODS = 300;
