--- a/src/main/java/myrtleladder/dataplane/Attempt.java
+++ b/src/main/java/myrtleladder/dataplane/Attempt.java
@@ -123,7 +123,7 @@
 
     /** Returns the part of the expected time to the first event that is due to known prompts. */
     double knownPrefillMs() {
-        return pick.explainedMs();
+        return pick.knownPrefillMs();
     }
 
     /** Returns the number of prompt tokens that the upstream has yet to process. */
--- a/src/main/java/myrtleladder/dataplane/ControlPoller.java
+++ b/src/main/java/myrtleladder/dataplane/ControlPoller.java
@@ -125,7 +125,7 @@
         this.heartbeatAgent = heartbeatAgent;
         this.seedSource = seedSource;
         this.seeds = seedSource.get();
-        dataPlane.fleetLoads().setBalancer(balancerName);
+        dataPlane.fleetLoads().setBalancerName(balancerName);
     }
 
     /** Reloads the seed addresses. */
@@ -205,7 +205,7 @@
         request.loadReport = dataPlane.fleetLoads().createReport();
         request.relayWanted = isRelayed ? true : null;
         request.drainedZones = DrainedZones.of(dataPlane.directory().drainedZones());
-        request.inFlightAtDraining.addAll(dataPlane.directory().inFlightAtLeavingUpstreams());
+        request.inFlightAtDraining.addAll(dataPlane.directory().inFlightAtRemovedUpstreams());
         return request;
     }
 
--- a/src/main/java/myrtleladder/dataplane/DataPlane.java
+++ b/src/main/java/myrtleladder/dataplane/DataPlane.java
@@ -83,7 +83,7 @@
         if (nowMs >= nextReweightAtMs) {
             nextReweightAtMs =
                     nowMs + REWEIGHT_INTERVAL_MS / 2 + random.nextLong(REWEIGHT_INTERVAL_MS);
-            picker.reweight(nowMs);
+            picker.updateWeights(nowMs);
             warmupContext.counters().logStates(directory.all(), nowMs);
             connections.closeExpired();
         }
@@ -103,20 +103,20 @@
 
     /** Sets the number of balancers that share quotas, retry budgets and connection limits. */
     void setBalancerCount(int count) {
-        picker.setBalancers(count);
-        retryBudget.setBalancers(count);
-        quotas.setBalancers(count);
+        picker.setBalancerCount(count);
+        retryBudget.setBalancerCount(count);
+        quotas.setBalancerCount(count);
     }
 
     /** Replaces the list of balancers that share the request budgets of cold upstreams. */
     void setBalancerList(List<BalancerAddress> balancers) {
         warmupContext.setBalancers(balancers, nowMs());
-        directory.balancersChanged();
+        directory.balancerListChanged();
     }
 
     /** Records that the primary of an epoch responded to a poll. */
     void recordPollResponse(long epoch) {
-        warmupContext.pollAnswered(epoch, nowMs());
+        warmupContext.recordPollResponse(epoch, nowMs());
     }
 
     /** Returns the state that the warm-ups of all upstreams share. */
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -163,7 +163,7 @@
                         client.head().target(),
                         upstreamHeaders(upstream, prefillMs, nowMs));
         if (dataPlane.picker().shouldAnnounce(prompt)) {
-            dataPlane.fleetLoads().promptSent(prompt, upstream, nowMs);
+            dataPlane.fleetLoads().recordPromptSent(prompt, upstream, nowMs);
         }
         currentAttempt = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
         currentAttempt.start(dataPlane.connections(), !route.isIdempotent());
@@ -213,7 +213,7 @@
             return;
         }
         currentAttempt = null;
-        attempt.upstream().connectionFailed(dataPlane.nowMs());
+        attempt.upstream().recordConnectFailure(dataPlane.nowMs());
         count(Event.NOT_SENT);
         retryUnsent();
     }
@@ -285,7 +285,7 @@
         currentAttempt = null;
         attempt.cancel();
         if (head.status() == MISDIRECTED_REQUEST && !canResumeWithSameWeights(attempt.upstream())) {
-            dataPlane.directory().markGone(attempt.upstream());
+            dataPlane.directory().removeGone(attempt.upstream());
         }
         if (dataPlane.retryPolicy().shouldRetryRejection(route, service, sentAttemptCount())) {
             tryNextUpstream();
@@ -356,7 +356,7 @@
         }
         boolean isServerError = response.status() >= 500;
         if (isServerError && shouldRetryFailure()) {
-            attempt.upstream().requestFailed(dataPlane.nowMs());
+            attempt.upstream().recordFailure(dataPlane.nowMs());
             response.saveFailure();
             tryNextUpstream();
             return;
@@ -380,9 +380,9 @@
     private void recordOutcome(Attempt attempt, boolean isServerError) {
         long nowMs = dataPlane.nowMs();
         if (isServerError) {
-            attempt.upstream().requestFailed(nowMs);
+            attempt.upstream().recordFailure(nowMs);
         } else {
-            attempt.upstream().requestSucceeded(nowMs - attempt.sentAtMs());
+            attempt.upstream().recordSuccess(nowMs - attempt.sentAtMs());
         }
     }
 
@@ -397,7 +397,7 @@
     private void attemptFailed(Attempt attempt) {
         currentAttempt = null;
         mayHaveExecuted = true;
-        attempt.upstream().requestFailed(dataPlane.nowMs());
+        attempt.upstream().recordFailure(dataPlane.nowMs());
         count(Event.ATTEMPT_FAILED);
         if (shouldRetryFailure()) {
             tryNextUpstream();
@@ -428,7 +428,7 @@
         if (!dataPlane.unresponsiveDetector().isUnresponsive(currentAttempt, service, nowMs)) {
             return;
         }
-        currentAttempt.upstream().becameUnresponsive(nowMs);
+        currentAttempt.upstream().markUnresponsive(nowMs);
         if (shouldRetryFailure()) {
             count(Event.UNRESPONSIVE);
             Attempt unresponsiveAttempt = currentAttempt;
--- a/src/main/java/myrtleladder/dataplane/RequestRouter.java
+++ b/src/main/java/myrtleladder/dataplane/RequestRouter.java
@@ -101,7 +101,7 @@
      */
     private void acquireQuota(ServerExchange client, Route route, Tenant tenant) {
         int usedTokens = parseTokenUsage(client.head().headers().get(HeaderNames.TOKEN_USAGE));
-        double cost = TenantQuotaClient.cost(tenant, usedTokens);
+        double cost = TenantQuotaClient.costUnits(tenant, usedTokens);
         dataPlane.quotas().advanceClock(dataPlane.nowMs());
         dataPlane.fleetLoads().setPendingLoad(() -> estimateLoad(client, route));
         dataPlane
@@ -137,7 +137,7 @@
         String prefix = client.head().headers().get(HeaderNames.PROMPT_PREFIX);
         return dataPlane
                 .picker()
-                .likelyLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
+                .estimateLoad(service, PromptSegments.parse(prefix), dataPlane.nowMs());
     }
 
     /**
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -208,9 +208,9 @@
         PollResponse response = response(3, 0);
         response.balancerList = List.of(BalancerAddress.of("e", "e:1"));
         pendingCallback.accept(response);
-        assertEquals(0, dataPlane.warmupContext().ownership().balancers());
+        assertEquals(0, dataPlane.warmupContext().ownership().balancerCount());
         response.authoritative = true;
         pendingCallback.accept(response);
-        assertEquals(1, dataPlane.warmupContext().ownership().balancers());
+        assertEquals(1, dataPlane.warmupContext().ownership().balancerCount());
     }
 }
