--- a/src/main/java/myrtleladder/configuration/Compression.java
+++ b/src/main/java/myrtleladder/configuration/Compression.java
@@ -14,7 +14,7 @@
 public final class Compression {
     private static final int BUFFER_BYTES = 8 * 1_024;
 
-    /** Maximum size of a decompressed document; guards against damaged or forged input. */
+    /** Maximum size of a decompressed document; bounds the memory that forged input can take. */
     static final int MAX_DOCUMENT_BYTES = 64 * 1_024 * 1_024;
 
     private Compression() {}
@@ -56,8 +56,9 @@
             byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
-                boolean stuck = count == 0 && !inflater.finished();
-                if (stuck || count > MAX_DOCUMENT_BYTES - out.size()) {
+                // The input is truncated or requires a preset dictionary.
+                boolean isStuck = count == 0 && !inflater.finished();
+                if (isStuck || count > MAX_DOCUMENT_BYTES - out.size()) {
                     throw new ConfigurationException(
                             ResultCode.CONFIGURATION_SYNTAX, "a stored document is damaged");
                 }
--- a/src/main/java/myrtleladder/configuration/JsonCodec.java
+++ b/src/main/java/myrtleladder/configuration/JsonCodec.java
@@ -19,7 +19,8 @@
     private JsonCodec() {}
 
     /**
-     * Parses a document, which must be a single JSON object; only white space may follow it.
+     * Parses a document, which must be a single JSON object; only white space and control
+     * characters may follow it.
      *
      * @throws ConfigurationException with {@code CONFIGURATION_SYNTAX} if it is anything else
      */
--- a/src/main/java/myrtleladder/configuration/Tenant.java
+++ b/src/main/java/myrtleladder/configuration/Tenant.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A tenant with its API keys and its rate limit. The limit applies to the sum of its requests at
- * all balancers; its unit is tokens or requests.
+ * A tenant with its API keys and its rate limit. The limit is in tokens or requests and applies to
+ * the tenant's total at all balancers. The parameters are described with their JSON fields.
  *
- * @param name {@code name}
- * @param apiKeys {@code api_keys} that authenticate its requests
+ * @param name {@code name}: name of the tenant
+ * @param apiKeys {@code api_keys}: keys that authenticate its requests
  * @param priority {@code priority}: 0 is the highest and the default
  * @param countsTokens whether {@code unit} is tokens; the default is requests
  * @param defaultTokens {@code plain_tokens}: units charged for a request whose token usage is
--- a/src/main/java/myrtleladder/dataplane/RetryBudget.java
+++ b/src/main/java/myrtleladder/dataplane/RetryBudget.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * This balancer's retry budget for each service, as a token bucket. Each client request adds a
- * fixed fraction of a token, so that the budgets of all balancers add up to the configured ratio
- * without coordination. The capacity of the bucket is an equal fraction of the configured slack.
+ * This balancer's retry budget for each service, as a token bucket; a retry takes one token. Each
+ * client request adds a fixed fraction of a token, so that the retries of all balancers together
+ * stay below the configured ratio without coordination. Each balancer's bucket has the same
+ * capacity, a fraction of the configured slack divided by the number of balancers, but at least 1.
  * Confined to the event loop.
  */
 final class RetryBudget {
@@ -16,7 +17,10 @@
     /** Fraction of the configured slack that is used. */
     private static final double SLACK_FRACTION = 0.6;
 
-    /** Initial fill of a bucket; not full, since an earlier process of this balancer spent some. */
+    /**
+     * Initial tokens of a bucket as a fraction of its capacity. Below 1, since an earlier process
+     * of this balancer may have spent tokens just before a restart.
+     */
     private static final double INITIAL_FILL_FRACTION = 0.5;
 
     private final double tokensPerRequest;
@@ -35,11 +39,12 @@
         this.slack = slack;
     }
 
-    /** Sets the number of balancers that share the slack; at least 1 is assumed. */
+    /** Sets the number of balancers that share the slack; a count below 1 is treated as 1. */
     void setBalancerCount(int count) {
         balancerCount = Math.max(1, count);
     }
 
+    /** Capacity of a bucket, in tokens. */
     private double capacity() {
         return Math.max(1, slack * SLACK_FRACTION / balancerCount);
     }
@@ -56,11 +61,11 @@
 
     /** Takes one token for a retry; returns false if there is less than one. */
     boolean tryAcquire(String service) {
-        double availableTokens = availableTokens(service);
-        if (availableTokens < 1) {
+        double available = availableTokens(service);
+        if (available < 1) {
             return false;
         }
-        tokensByService.put(service, availableTokens - 1);
+        tokensByService.put(service, available - 1);
         return true;
     }
 }
--- a/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
+++ b/src/main/java/myrtleladder/dataplane/UpstreamDirectory.java
@@ -20,12 +20,12 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * The upstreams that this balancer knows, by service. An incarnation that is draining or gone is
- * removed for good. Upstreams of a drained zone are excluded from picks until the zone is
- * undrained. Confined to the event loop.
+ * The upstreams that this balancer knows, by service. An incarnation that is reported as draining
+ * or gone is removed, and later records of it are ignored. Upstreams of a drained zone are excluded
+ * from picks until the zone is undrained. Confined to the event loop.
  */
 final class UpstreamDirectory {
-    /** Maximum number of removed incarnations to remember; the set is cleared when it is full. */
+    /** Maximum size of {@link #removedIds}; the set is cleared when it is full. */
     private static final int MAX_REMOVED_IDS = 5_000;
 
     private final Map<String, Upstream> byId = new LinkedHashMap<>();
@@ -46,7 +46,7 @@
         this.scheduler = scheduler;
     }
 
-    /** Applies warm-up limits, and the engines of services that were not configured before. */
+    /** Applies the warm-up limits of services, and their engines to upstreams without an engine. */
     void applyConfiguration(Configuration next) {
         configuration = next;
         byId.values().forEach(this::applyServiceSettings);
@@ -63,12 +63,13 @@
 
     /** Recomputes the ownership of warm-up budgets after the list of balancers changed. */
     void balancerListChanged() {
-        long sinceMs = warmupContext.ownership().changedAtMs();
-        byId.values().forEach(upstream -> upstream.warmup().updateOwnership(sinceMs));
+        long changedAtMs = warmupContext.ownership().changedAtMs();
+        byId.values().forEach(upstream -> upstream.warmup().updateOwnership(changedAtMs));
     }
 
     /**
-     * Treats upstreams of an undrained zone as cold until the primary confirms that they are not.
+     * Limits requests to the upstreams of an undrained zone until the primary has confirmed that
+     * they are warm, since they may have restarted cold.
      */
     private void markZoneUnconfirmed(String zone) {
         for (Upstream upstream : byId.values()) {
@@ -81,7 +82,7 @@
     /**
      * Applies records from the control plane.
      *
-     * @param complete whether the records are the full list, so that other upstreams are gone
+     * @param complete whether the records are the full list; upstreams not in it are removed
      */
     void applyRecords(Collection<InstanceRecord> records, boolean complete) {
         if (records.isEmpty() && !complete) {
@@ -169,7 +170,10 @@
         return drainedZones;
     }
 
-    /** Replaces the drained zones; requests not yet sent to their upstreams are sent elsewhere. */
+    /**
+     * Replaces the drained zones. Attempts that have not been sent yet to upstreams in these zones
+     * are withdrawn, so that their requests are sent elsewhere.
+     */
     void applyDrainedZones(List<String> zones) {
         if (zones.equals(drainedZones)) {
             return;
@@ -211,7 +215,7 @@
                 });
     }
 
-    /** The upstreams of a service that may be picked. */
+    /** The upstreams that may be picked for a service. */
     List<Upstream> available(String service) {
         return availableByService.getOrDefault(service, List.of());
     }
@@ -226,7 +230,10 @@
         return byId.values();
     }
 
-    /** Applies the sums of the other balancers' loads; upstreams without a load have none. */
+    /**
+     * Applies the sums of the other balancers' loads. The load of an upstream that is not in the
+     * list is set to 0.
+     */
     void applyFleetLoads(List<UpstreamLoad> loads, long nowMs) {
         Map<Integer, UpstreamLoad> byKey = new HashMap<>();
         for (UpstreamLoad load : loads) {
--- a/src/main/java/myrtleladder/dataplane/WarmupContext.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupContext.java
@@ -6,12 +6,12 @@
 
 /**
  * State shared by the {@link UpstreamWarmup}s of all upstreams: settings, the list of balancers,
- * counters and the contact with the control plane. Confined to the event loop.
+ * counters and the times of the primary's poll responses. Confined to the event loop.
  */
 final class WarmupContext {
     private final WarmupSettings settings;
     private final WarmupOwnership ownership;
-    private final PrimaryContactTracker contact = new PrimaryContactTracker();
+    private final PrimaryContactTracker primaryContact = new PrimaryContactTracker();
     private final WarmupCounters counters = new WarmupCounters();
 
     WarmupContext(WarmupSettings settings) {
@@ -19,14 +19,14 @@
         this.ownership = new WarmupOwnership(settings.balancerName());
     }
 
-    /** Records that the primary of this epoch answered a poll. */
+    /** Records that the primary of an epoch responded to a poll. */
     void recordPollResponse(long epoch, long nowMs) {
-        contact.recordPollResponse(epoch, nowMs);
+        primaryContact.recordPollResponse(epoch, nowMs);
     }
 
     /** Replaces the list of balancers. */
     void setBalancers(List<BalancerAddress> balancers, long nowMs) {
-        ownership.setBalancers(balancers.stream().map(listed -> listed.name).toList(), nowMs);
+        ownership.setBalancers(balancers.stream().map(balancer -> balancer.name).toList(), nowMs);
     }
 
     WarmupCounters counters() {
@@ -42,8 +42,11 @@
         return settings.allowancePerSecond(service);
     }
 
-    /** Whether the primary would have reported by now if an upstream had gone down at that time. */
+    /**
+     * Whether the primary has responded to polls for long enough since {@code failedAtMs} that it
+     * would have reported an upstream that went down then.
+     */
     boolean hasConfirmationDelayPassed(long failedAtMs, long nowMs) {
-        return contact.wasContinuousFor(settings.confirmationDelayMs(), failedAtMs, nowMs);
+        return primaryContact.wasContinuousFor(settings.confirmationDelayMs(), failedAtMs, nowMs);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/policy/RuleParameters.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/RuleParameters.java
@@ -1,11 +1,11 @@
 package myrtleladder.loadbalancer.policy;
 
 /**
- * Parameters of the rules that a balancer has to follow. Times are microseconds.
+ * Parameters of the rules that a balancer has to follow. Times are in microseconds.
  *
- * @param answerSlackUs time after a request's deadline by which its final answer must be given
+ * @param answerSlackUs time after a request's deadline until which its final answer is in time
  * @param askWithinUs the setting {@code ask-within-s}; no decision depends on it
- * @param initialCapacityFraction fraction of its capacity that an upstream has when it is launched
+ * @param initialCapacityFraction fraction of its full capacity that an upstream has at its launch
  * @param slowStartDurationUs time from its launch until an upstream has its full capacity
  * @param drainGraceUs time after an upstream begins to drain or leaves the list in which requests
  *     may still be sent to it
--- a/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
@@ -1,8 +1,11 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Prefers upstreams of the balancer's own zone, depending on the price of crossing zones. */
+/**
+ * A factor by which upstreams of the balancer's own zone are preferred; it rises with the price of
+ * sending a request to another zone.
+ */
 final class ZonePreference {
-    /** Added to the preference for the own zone per point that crossing costs. */
+    /** Increase of the own zone's factor for each point of the cross-zone price. */
     private static final double PREFERENCE_PER_POINT = 80;
 
     private final int zone;
@@ -13,7 +16,7 @@
         this.ownZonePreference = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
     }
 
-    /** The preference for an upstream: 1 in other zones, 1 or more in the own zone. */
+    /** The factor for an upstream: 1 in other zones, at least 1 in the own zone. */
     double preference(UpstreamState upstream) {
         return upstream.endpoint.zone() == zone ? ownZonePreference : 1;
     }
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -120,7 +120,8 @@
         return response;
     }
 
-    private void timeOut() {
+    /** Lets a poll time out after 750 ms, and the next one be sent after the backoff of 50 ms. */
+    private void timeOutPoll() {
         clock.run(750);
         pendingCallback.accept(null);
         clock.run(60);
@@ -129,7 +130,7 @@
     @Test
     void unresponsiveNodeIsPolledOnceItIsReportedAsPrimaryOfALaterEpoch() {
         assertEquals("a:1", lastPolledNode());
-        timeOut(); // its machine is still starting
+        timeOutPoll(); // its machine is still starting
         assertEquals("b:1", lastPolledNode());
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
@@ -140,7 +141,7 @@
     void unresponsivePrimaryIsNotPolledWhenItIsReportedForTheKnownEpoch() {
         pendingCallback.accept(response(3, 7));
         assertEquals("a:1", lastPolledNode());
-        timeOut();
+        timeOutPoll();
         assertEquals("b:1", lastPolledNode());
         pendingCallback.accept(redirection("a:1", 3));
         clock.run(60);
@@ -155,7 +156,7 @@
     @Test
     void unreachablePrimaryIsPolledThroughARelayAndLaterDirectlyAgain() {
         pendingCallback.accept(response(3, 7));
-        timeOut();
+        timeOutPoll();
         pendingCallback.accept(redirection("a:1", 3));
         clock.run(60);
         pendingCallback.accept(response(3, 8));
@@ -170,11 +171,11 @@
 
     @Test
     void failedPrimaryCostsAStartingBalancerAtMostTwoPolls() {
-        timeOut();
+        timeOutPoll();
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
         assertEquals("a:1", lastPolledNode());
-        timeOut();
+        timeOutPoll();
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
         assertTrue(List.of("b:1", "c:1").contains(lastPolledNode()));
@@ -182,23 +183,23 @@
 
     @Test
     void drainedZonesAreAppliedAndKeptWhenAnotherPrimaryDoesNotKnowThem() {
-        PollResponse draining = response(3, 7);
-        draining.drainedZones = DrainedZones.of(List.of("z"));
-        pendingCallback.accept(draining);
+        PollResponse withDrainedZone = response(3, 7);
+        withDrainedZone.drainedZones = DrainedZones.of(List.of("z"));
+        pendingCallback.accept(withDrainedZone);
         assertEquals(List.of("z"), polls.get(polls.size() - 1).drainedZones.names);
         pendingCallback.accept(response(4, 7));
         assertEquals(List.of("z"), dataPlane.directory().drainedZones());
-        PollResponse withoutDrainedZones = response(4, 7);
-        withoutDrainedZones.drainedZones = DrainedZones.of(List.of());
-        pendingCallback.accept(withoutDrainedZones);
+        PollResponse withEmptyDrainedZones = response(4, 7);
+        withEmptyDrainedZones.drainedZones = DrainedZones.of(List.of());
+        pendingCallback.accept(withEmptyDrainedZones);
         assertEquals(List.of(), dataPlane.directory().drainedZones());
     }
 
     @Test
     void backupRedirectsToThePrimary() {
-        PollResponse other = new PollResponse();
-        other.primaryAddress = "c:1";
-        pendingCallback.accept(other);
+        PollResponse redirection = new PollResponse();
+        redirection.primaryAddress = "c:1";
+        pendingCallback.accept(redirection);
         clock.run(60);
         assertEquals("c:1", lastPolledNode());
     }
--- a/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -8,10 +8,10 @@
 import myrtleladder.configuration.Route;
 import org.junit.jupiter.api.Test;
 
-/** Prefill classes of prompts by target latency. */
+/** Prefill classes of prompts, by expected prefill time and the route's target latency. */
 class PrefillPriorityTest {
     private static Route route(int targetLatencyMs, int priority) {
-        String text =
+        String document =
                 "{\"generation\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
                         + "\"path_prefix\":\"/r/\",\"type\":\"streaming\",\"backend\":\"m\","
                         + "\"timeout_ms\":8000,\"target_latency_ms\":"
@@ -19,7 +19,7 @@
                         + ",\"priority\":"
                         + priority
                         + "}],\"services\":[{\"name\":\"m\"}]}";
-        return Configuration.parse(JsonCodec.parseObject(text.getBytes(StandardCharsets.UTF_8)))
+        return Configuration.parse(JsonCodec.parseObject(document.getBytes(StandardCharsets.UTF_8)))
                 .matchRoute("h", "/r/1");
     }
 
--- a/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
+++ b/src/test/java/myrtleladder/dataplane/UpstreamDirectoryTest.java
@@ -5,7 +5,7 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Availability of upstreams as their records change. */
+/** Availability of the upstreams p1 to p3 of the service p as their records change. */
 class UpstreamDirectoryTest {
     private final DataPlaneContext context = DataPlaneContext.withRouteOfEachKind();
     private final ScriptedConnectionPool connections = context.connections;
--- a/src/test/java/myrtleladder/loadbalancer/policy/HedgingPolicyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/HedgingPolicyTest.java
@@ -10,15 +10,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which requests are hedged, and how many of them. */
+/**
+ * Which requests are hedged, and how many of them. The request classes are those of {@link
+ * SettingsBuilder#build}.
+ */
 class HedgingPolicyTest {
     private static final long SECOND_US = SimulatedHost.SECOND_US;
     private static final long MILLISECOND_US = SimulatedHost.MILLISECOND_US;
     private final SettingsBuilder settings = new SettingsBuilder();
 
     /**
-     * Guards against detecting a vanished upstream too late: the attempt stayed outstanding until
-     * the deadline, when a repeat was no longer permitted.
+     * Without a hedge, the attempt would stay outstanding at a vanished upstream until the
+     * deadline, when a repeat is no longer permitted.
      */
     @ParameterizedTest(name = "class {0} within {1} ms")
     @CsvSource({"0, 1000", "1, 700"})
@@ -36,8 +39,8 @@
     }
 
     /**
-     * Guards against hedging every slow request: with answer times of 400 ms and a key remembered
-     * for 1 s, each slow request was sent twice, although there was no spare capacity.
+     * With answer times of 400 ms and keys remembered for 1 s, hedging would send each slow request
+     * twice, although there is no spare capacity.
      */
     @Test
     void slowRequestIsNotHedgedWhereKeysAreRememberedBriefly() {
@@ -66,6 +69,7 @@
             ids.add(host.request(1, 2 * SECOND_US));
         }
         host.advance(700 * MILLISECOND_US);
+        // 8 first attempts and 3 hedges, the size of the token bucket
         assertEquals(
                 8 + 3, ids.stream().mapToInt(id -> host.upstreamsByRequest.get(id).size()).sum());
     }
@@ -82,7 +86,7 @@
         assertEquals(1, host.upstreamsByRequest.get(id).size());
     }
 
-    /** An upstream that answers other requests does not hang: it is only slow with this one. */
+    /** An upstream that answers other requests has not failed: it is only slow with this one. */
     @Test
     void attemptAtUpstreamThatAnswersOthersIsNotHedged() {
         settings.hedging(true);
--- a/src/test/java/myrtleladder/loadbalancer/policy/RuleCheckerTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/RuleCheckerTest.java
@@ -7,11 +7,15 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** {@link RuleChecker} detects each kind of violation. */
+/**
+ * {@link RuleChecker} detects violations of each rule. The request classes are those of {@link
+ * SettingsBuilder#build}.
+ */
 class RuleCheckerTest {
     private static final long SECOND_US = SimulatedHost.SECOND_US;
 
-    private RuleChecker checker() {
+    /** Creates a checker with the warm upstreams u0 and u1, and u2, which is launched at 10 s. */
+    private RuleChecker newChecker() {
         RuleChecker checker = new RuleChecker(new SettingsBuilder().build(), 1.0);
         checker.endpointsReported(
                 0,
@@ -34,7 +38,7 @@
 
     @Test
     void checkerCatchesAMissingAnswer() {
-        RuleChecker checker = checker();
+        RuleChecker checker = newChecker();
         checker.requestArrived(0, request(0, 1));
         checker.finish(2 * SECOND_US);
         assertViolation(checker, "1");
@@ -42,7 +46,7 @@
 
     @Test
     void checkerCatchesARepeatedNonIdempotentRequest() {
-        RuleChecker checker = checker();
+        RuleChecker checker = newChecker();
         checker.requestArrived(0, request(2, 1));
         checker.attemptSent(0, "r", "u0");
         checker.attemptEnded(new AttemptEnd("r", 0, "u0", Outcome.RESET, 1, false, null));
@@ -52,7 +56,7 @@
 
     @Test
     void checkerCatchesAKeyedRepeatInAnotherZone() {
-        RuleChecker checker = checker();
+        RuleChecker checker = newChecker();
         checker.requestArrived(0, request(1, 1));
         checker.attemptSent(0, "r", "u0");
         checker.attemptEnded(new AttemptEnd("r", 0, "u0", Outcome.TIMEOUT, 1, false, null));
@@ -62,7 +66,7 @@
 
     @Test
     void checkerCatchesASendToADrainedUpstream() {
-        RuleChecker checker = checker();
+        RuleChecker checker = newChecker();
         checker.endpointsReported(
                 0, EndpointListKind.CHANGES, List.of(SimulatedHost.endpoint(0, State.DRAINING, 0)));
         checker.requestArrived(2 * SECOND_US, request(0, 1));
@@ -72,7 +76,7 @@
 
     @Test
     void checkerCatchesAnOverloadedColdUpstream() {
-        RuleChecker checker = checker();
+        RuleChecker checker = newChecker();
         checker.requestArrived(11 * SECOND_US, request(0, 5 * SECOND_US));
         checker.attemptSent(11 * SECOND_US, "r", "u2");
         assertViolation(checker, "4");
--- a/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/policy/UtilisationLoadBalancerCapacityTest.java
@@ -11,23 +11,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Measures the time of a decision and the heap per upstream of one of 440 balancers, with 100 to
- * 6,300 upstreams.
+ * Measures the time per request, the time per change of the upstream list and the heap of one of
+ * 440 balancers, with 100 to 6,300 upstreams.
  */
 @Tag("long")
 class UtilisationLoadBalancerCapacityTest {
     private static final int[] UPSTREAM_COUNTS = {100, 400, 1_600, 6_300};
     private static final int BALANCERS = 440;
     private static final int WARM_UP_REQUESTS = 20_000;
-    private static final int REQUESTS = 20_000;
+    private static final int MEASURED_REQUESTS = 20_000;
     private static final int IN_FLIGHT = 32;
     private static final long ARRIVAL_INTERVAL_US = 4_000;
 
-    /** Records where requests are sent, and nothing else. */
+    /**
+     * Queues a successful outcome for each attempt that is sent. It records nothing else, so that
+     * the heap and the time measured are those of the balancer.
+     */
     private static final class RecordingHost extends SimulatedHost {
         final Deque<AttemptEnd> outstanding = new ArrayDeque<>();
 
-        int sentRequests;
+        int arrivedRequests;
 
         RecordingHost(SettingsBuilder settings) {
             balancer = new UtilisationLoadBalancer(settings.build(), 1, this);
@@ -54,7 +57,7 @@
         }
     }
 
-    private static RecordingHost balancer(int upstreams) {
+    private static RecordingHost hostWithUpstreams(int upstreams) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.groupSize(BALANCERS);
         RecordingHost host = new RecordingHost(settings);
@@ -72,7 +75,7 @@
             host.balancer.onRequest(
                     host.nowUs,
                     new Request(
-                            "r" + host.sentRequests++,
+                            "r" + host.arrivedRequests++,
                             0,
                             0,
                             null,
@@ -88,20 +91,22 @@
 
     @Test
     void decisionTimeAndHeapByUpstreams() {
-        CapacityMeasurements time =
+        CapacityMeasurements requestTime =
                 new CapacityMeasurements("module, a request with its outcome", "us");
         CapacityMeasurements heap = new CapacityMeasurements("module, heap", "KB");
-        CapacityMeasurements list = new CapacityMeasurements("module, a change of one entry", "us");
-        serve(balancer(UPSTREAM_COUNTS[0]), WARM_UP_REQUESTS); // loads the classes
+        CapacityMeasurements listChangeTime =
+                new CapacityMeasurements("module, a change of one entry", "us");
+        serve(hostWithUpstreams(UPSTREAM_COUNTS[0]), WARM_UP_REQUESTS); // loads classes
         for (int upstreams : UPSTREAM_COUNTS) {
             heap.add(
                     upstreams,
-                    CapacityMeasurements.retainedHeapBytes(() -> balancer(upstreams)) / 1_024.0);
-            RecordingHost host = balancer(upstreams);
+                    CapacityMeasurements.retainedHeapBytes(() -> hostWithUpstreams(upstreams))
+                            / 1_024.0);
+            RecordingHost host = hostWithUpstreams(upstreams);
             serve(host, WARM_UP_REQUESTS);
             long startedNs = System.nanoTime();
-            serve(host, REQUESTS);
-            time.add(upstreams, (System.nanoTime() - startedNs) / 1e3 / REQUESTS);
+            serve(host, MEASURED_REQUESTS);
+            requestTime.add(upstreams, (System.nanoTime() - startedNs) / 1e3 / MEASURED_REQUESTS);
             int changes = 200;
             startedNs = System.nanoTime();
             for (int i = 0; i < changes; i++) {
@@ -109,11 +114,11 @@
                         SimulatedHost.endpoint(
                                 i % upstreams, i % 2 == 0 ? State.DRAINING : State.READY, 0));
             }
-            list.add(upstreams, (System.nanoTime() - startedNs) / 1e3 / changes);
+            listChangeTime.add(upstreams, (System.nanoTime() - startedNs) / 1e3 / changes);
         }
-        time.print();
+        requestTime.print();
         heap.print();
-        list.print();
+        listChangeTime.print();
         assertTrue(heap.slope() < 4, "heap per upstream in KB: " + heap.slope());
     }
 }
