--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -373,7 +373,7 @@
         }
         for (InstanceRecord record : assigned) {
             LOG.info(
-                    "assigned to upstream {} in zone {} the ordinal {}",
+                    "upstream {} in zone {} has been assigned ordinal {}",
                     record.id,
                     record.zone,
                     record.ordinal);
--- a/src/main/java/myrtleladder/controlplane/PromptDirectory.java
+++ b/src/main/java/myrtleladder/controlplane/PromptDirectory.java
@@ -9,22 +9,25 @@
 import myrtleladder.protocol.FleetLoads;
 
 /**
- * The shared prompt prefixes that upstreams have cached, as announced by the balancers. It is a
- * compacted log in which each announcement has a revision, so that each balancer only receives new
- * announcements. A repeated announcement moves to the end of the log instead of being stored twice.
+ * The prompt prefixes that upstreams have cached, as announced by the balancers. The directory is a
+ * compacted log: each announcement has a revision, so that each balancer receives only those that
+ * are new to it, and a repeated announcement moves to the end of the log instead of being stored
+ * twice.
  *
  * <p>Invariant: both maps contain the same announcements. Confined to the event loop.
  */
 final class PromptDirectory {
-    /** Maximum number of announcements in the log; the oldest are dropped. Bounds the memory. */
+    /** Maximum number of announcements in the log, to bound its memory. The oldest are dropped. */
     private static final int MAX_ANNOUNCEMENTS = 8_192;
 
-    /** Maximum number of announcements in a response. Bounds its size. */
-    private static final int MAX_PROMPTS_IN_RESPONSE = 128;
+    /** Maximum number of announcements in a response, to bound its size. */
+    private static final int MAX_ANNOUNCEMENTS_IN_RESPONSE = 128;
 
     private final TreeMap<Long, CachedPrompt> promptByRevision = new TreeMap<>();
     private final Map<CachedPrefix, Long> revisionByCachedPrefix = new HashMap<>();
-    private long revision;
+
+    /** The revision of the latest announcement; 0 if there has been none. */
+    private long latestRevision;
 
     /** A prompt prefix cached at an upstream. */
     private record CachedPrefix(long prefixHash, int upstreamKey) {
@@ -34,24 +37,24 @@
     }
 
     /**
-     * Clears the log, when this node becomes primary. Balancers keep the announcements that they
-     * received from earlier primaries.
+     * Clears the log. Called when this node becomes primary. Balancers keep the announcements that
+     * they received from earlier primaries.
      */
     void clear() {
         promptByRevision.clear();
         revisionByCachedPrefix.clear();
-        revision = 0;
+        latestRevision = 0;
     }
 
     /** Adds announcements to the log. */
     void record(List<CachedPrompt> announced) {
         for (CachedPrompt cached : announced) {
-            revision++;
-            Long previous = revisionByCachedPrefix.put(CachedPrefix.of(cached), revision);
+            latestRevision++;
+            Long previous = revisionByCachedPrefix.put(CachedPrefix.of(cached), latestRevision);
             if (previous != null) {
                 promptByRevision.remove(previous);
             }
-            promptByRevision.put(revision, cached);
+            promptByRevision.put(latestRevision, cached);
         }
         while (promptByRevision.size() > MAX_ANNOUNCEMENTS) {
             CachedPrompt oldest = promptByRevision.pollFirstEntry().getValue();
@@ -60,15 +63,18 @@
     }
 
     /**
-     * Adds to a response the announcements after a revision, oldest first, and the revision up to
-     * which the balancer has all announcements once it has received the response.
+     * Adds to a response the announcements after a revision, oldest first, as many as fit, and the
+     * revision after which the balancer's next request continues.
+     *
+     * @param knownRevision the revision up to which the balancer has received the announcements; 0
+     *     if it has received none in this epoch
      */
     void addChangesSince(FleetLoads response, long knownRevision) {
-        response.promptRevision = Math.min(knownRevision, revision);
+        response.promptRevision = Math.min(knownRevision, latestRevision);
         response.cachedPrompts = new ArrayList<>();
         for (Map.Entry<Long, CachedPrompt> entry :
                 promptByRevision.tailMap(knownRevision, false).entrySet()) {
-            if (response.cachedPrompts.size() == MAX_PROMPTS_IN_RESPONSE) {
+            if (response.cachedPrompts.size() == MAX_ANNOUNCEMENTS_IN_RESPONSE) {
                 return;
             }
             response.cachedPrompts.add(entry.getValue());
--- a/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/TallyRequestHandler.java
@@ -9,20 +9,20 @@
 import myrtleladder.tally.Tallies;
 
 /**
- * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. With 503 the
- * request had no effect. With 504 it is unknown whether the addition counts; it may be retried with
- * the same id.
+ * Handles {@code POST} and {@code GET /tallies/NAME} on every node, primary or not. A response with
+ * status 503 means that the request had no effect. Status 504 means that it is unknown whether the
+ * addition counts; the request may be retried with the same id.
  *
  * <p>Confined to the event loop.
  */
 final class TallyRequestHandler {
     private static final String ID_FIELD = "id";
 
-    /** The request field with the amount to add. Applications depend on its name. */
+    /** The request field with the amount to add, named so because applications depend on it. */
     private static final String AMOUNT_FIELD = "owner";
 
     /** Maximum length of a tally name and of an id, in characters. */
-    private static final int MAX_NAME_LENGTH = 128;
+    private static final int MAX_NAME_OR_ID_LENGTH = 128;
 
     private final Tallies tallies;
 
@@ -30,10 +30,10 @@
         this.tallies = tallies;
     }
 
-    /** Handles a request for the tally with this name. */
+    /** Handles a request for the tally with the given name. */
     void handle(ServerExchange exchange, String name) {
         String method = exchange.head().method();
-        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
+        if (name.isEmpty() || name.length() > MAX_NAME_OR_ID_LENGTH) {
             HttpResponses.sendEmpty(exchange, HttpResponses.NOT_FOUND);
         } else if (method.equals("GET")) {
             respondWithTotal(exchange, name);
@@ -65,7 +65,7 @@
         boolean isIdValid =
                 json.get(ID_FIELD) instanceof String id
                         && !id.isEmpty()
-                        && id.length() <= MAX_NAME_LENGTH;
+                        && id.length() <= MAX_NAME_OR_ID_LENGTH;
         boolean isAmountValid = json.get(AMOUNT_FIELD) instanceof Long amount && amount >= 0;
         if (isIdValid && isAmountValid) {
             String id = (String) json.get(ID_FIELD);
--- a/src/main/java/myrtleladder/replication/MembershipRequests.java
+++ b/src/main/java/myrtleladder/replication/MembershipRequests.java
@@ -11,19 +11,22 @@
  * that is not repeated expires. Confined to the event loop.
  */
 final class MembershipRequests {
+    /** The time of each node's latest request to join, in the order of the first requests. */
     private final Map<Member, Long> joinRequestedAtMs = new LinkedHashMap<>();
+
+    /** The time of each member's latest request to leave, in the order of the first requests. */
     private final Map<Member, Long> leaveRequestedAtMs = new LinkedHashMap<>();
 
     /**
-     * Records a join request. It replaces a leave request from the same node, which must have
-     * restarted since.
+     * Records a join request. It replaces a leave request from the same node: a node that joins
+     * after it asked to leave has restarted in between.
      */
     void recordJoin(Member member, long nowMs) {
         leaveRequestedAtMs.remove(member);
         joinRequestedAtMs.put(member, nowMs);
     }
 
-    /** Removes the join request of a node that does not respond; it may send another. */
+    /** Removes the join request of a node that does not respond. The node may request again. */
     void withdrawJoin(Member member) {
         joinRequestedAtMs.remove(member);
     }
@@ -34,16 +37,19 @@
         leaveRequestedAtMs.put(member, nowMs);
     }
 
-    /** Removes requests that are older than {@link ReplicationTiming#MEMBERSHIP_REQUEST_TTL_MS}. */
+    /**
+     * Removes requests that were not repeated within {@link
+     * ReplicationTiming#MEMBERSHIP_REQUEST_TTL_MS}.
+     */
     void expire(long nowMs) {
         removeExpired(joinRequestedAtMs, nowMs);
         removeExpired(leaveRequestedAtMs, nowMs);
     }
 
-    private static void removeExpired(Map<Member, Long> requestedAtMs, long nowMs) {
-        requestedAtMs
+    private static void removeExpired(Map<Member, Long> requestTimesMs, long nowMs) {
+        requestTimesMs
                 .values()
-                .removeIf(atMs -> nowMs - atMs > ReplicationTiming.MEMBERSHIP_REQUEST_TTL_MS);
+                .removeIf(timeMs -> nowMs - timeMs > ReplicationTiming.MEMBERSHIP_REQUEST_TTL_MS);
     }
 
     /** Removes all requests. */
@@ -64,7 +70,7 @@
         return new LinkedHashSet<>(leaveRequestedAtMs.keySet());
     }
 
-    /** Returns whether a member requested to leave. */
+    /** Returns whether there is a leave request from a member. */
     boolean isLeaving(Member member) {
         return leaveRequestedAtMs.containsKey(member);
     }
--- a/src/main/java/myrtleladder/replication/ReplicaSelection.java
+++ b/src/main/java/myrtleladder/replication/ReplicaSelection.java
@@ -7,9 +7,10 @@
 import myrtleladder.protocol.Member;
 
 /**
- * Chooses the replicas of a candidate's view among the members that promised: first this node, then
- * preferred replicas of the base view, then other preferred members of the group. Members that are
- * leaving or unresponsive are chosen only if the others are too few.
+ * Chooses the replicas of a candidate's view: this node, then members of the group that promised
+ * the candidate's epoch. Preferred members, those that are neither leaving nor unresponsive, come
+ * first, and among them the replicas of the base view. Other members are chosen only if there are
+ * too few preferred ones.
  */
 final class ReplicaSelection {
     private final ReplicaContext context;
@@ -21,7 +22,7 @@
     }
 
     /**
-     * Returns the replicas, with this node first; empty if too few members promised.
+     * Returns the replicas, with this node first, or empty if too few group members promised.
      *
      * @param baseReplicas the replicas of the base view
      * @param group the group of the new view
--- a/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
+++ b/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
@@ -7,9 +7,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * Starts a view change for a primary when a replica has failed or when the group or the replicas
- * are to change. Confined to the event loop; used by {@link PrimaryState} and {@link
- * ChangeReplicator}.
+ * Decides when a primary starts a view change: when a replica has timed out, when a group change
+ * has to be started or completed, or when a leaving replica can be replaced. Confined to the event
+ * loop; used by {@link PrimaryState} and {@link ChangeReplicator}.
  */
 final class ViewChangeTrigger {
     private final ReplicaContext context;
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Returns the group change that may be made now. The group may not change until the previous
-     * group change is complete, that is, until the group is stable.
+     * Returns the group change that is to be made now. The plan leaves the group unchanged while
+     * the previous group change is incomplete, that is, while the group is not stable.
      */
     ReconfigurationPlan reconfigurationPlan() {
         View view = context.view();
@@ -40,7 +40,8 @@
     }
 
     /**
-     * Returns the members that have timed out, those with the longest time without contact first.
+     * Returns the members without contact for longer than the member timeout, those with the
+     * longest time without contact first.
      */
     private List<Member> unresponsiveMembers(View view) {
         long nowMs = context.nowMs();
@@ -58,11 +59,12 @@
     }
 
     /**
-     * Starts a view change that replaces a replica if one has timed out. Returns whether one has.
+     * Starts a view change that replaces the first replica that has timed out, if there is one.
+     * Returns whether it started a view change.
      */
     boolean replaceUnresponsiveReplica(long nowMs) {
         for (Member member : context.view().replicas) {
-            if (!context.isSelf(member) && hasTimedOut(member, nowMs)) {
+            if (!context.isSelf(member) && exceedsReplicaTimeout(member, nowMs)) {
                 context.unresponsiveReplicas().add(member);
                 quorum.transitionToCandidate(false, "replica " + member + " timed out");
                 return true;
@@ -71,7 +73,10 @@
         return false;
     }
 
-    /** Starts a view change if the group or the replicas are to change. */
+    /**
+     * Starts a view change if this node is the primary and a group change has to be completed, the
+     * group has to change, or a leaving replica can be replaced.
+     */
     void changeViewIfDue() {
         if (!quorum.isPrimary()) {
             return;
@@ -96,10 +101,10 @@
     private boolean canBecomeReplica(Member member, View view, long nowMs) {
         return !view.replicas.contains(member)
                 && context.isPreferredReplica(member)
-                && !hasTimedOut(member, nowMs);
+                && !exceedsReplicaTimeout(member, nowMs);
     }
 
-    private boolean hasTimedOut(Member member, long nowMs) {
+    private boolean exceedsReplicaTimeout(Member member, long nowMs) {
         return context.memberContacts().millisSinceContact(member, nowMs)
                 > ReplicationTiming.REPLICA_TIMEOUT_MS;
     }
--- a/src/main/java/myrtleladder/tally/DurableAdditions.java
+++ b/src/main/java/myrtleladder/tally/DurableAdditions.java
@@ -25,14 +25,14 @@
     private final Runnable onProgress;
     private final List<Waiter> waiters = new ArrayList<>();
 
-    /** The additions that are in memory only and not part of the append in flight. */
+    /** The additions that wait for the next append. Those of the append in flight are not in it. */
     private List<TallyAddition> queue = new ArrayList<>();
 
     private boolean isAppending;
     private int unsyncedCount;
     private long failureCount;
 
-    /** A task that waits until all additions of a vector are durable, or for its timeout. */
+    /** A task that runs when all additions of a vector are durable or its timeout has passed. */
     private static final class Waiter {
         private final VersionVector target;
         private final Runnable task;
@@ -61,7 +61,10 @@
                 addition -> durableVector.raise(addition.replica, addition.sequence));
     }
 
-    /** Queues additions for the disk. Each has to continue the sequence of its replica. */
+    /**
+     * Queues additions to be appended to the disk. Each addition must have the next sequence number
+     * of its replica.
+     */
     void append(List<TallyAddition> additions) {
         queue.addAll(additions);
         unsyncedCount += additions.size();
@@ -105,8 +108,8 @@
     }
 
     /**
-     * Runs a task once all additions of a vector are durable, immediately if they are already, or
-     * after the timeout if they are not durable by then.
+     * Runs a task once: as soon as all additions of a vector are durable, which may be immediately,
+     * or when the timeout has passed.
      */
     void whenDurable(VersionVector target, long timeoutMs, Runnable task) {
         if (durableVector.includes(target)) {
@@ -137,12 +140,12 @@
         satisfied.forEach(waiter -> waiter.task.run());
     }
 
-    /** Returns a live view of the additions that are on the disk. */
+    /** Returns the vector of the durable additions, which later appends raise. Not a copy. */
     VersionVector durableVector() {
         return durableVector;
     }
 
-    /** Returns the number of additions that are in memory only. */
+    /** Returns the number of additions that are queued or in the append in flight. */
     int unsyncedCount() {
         return unsyncedCount;
     }
--- a/src/test/java/myrtleladder/replication/DeposedPrimaryTest.java
+++ b/src/test/java/myrtleladder/replication/DeposedPrimaryTest.java
@@ -14,13 +14,16 @@
     private static final long STARTUP_MS = 3_000;
     private static final long ELECTION_MS = 3_000;
 
-    /** One round trip plus one poll interval. */
+    /** Upper bound of one round trip plus one poll interval. */
     private static final long REJECTION_MS = 100;
 
     private final VirtualCluster cluster =
             VirtualCluster.builder().nodes(5).toleratedFailures(2).start();
 
-    /** Returns a live list of the times at which a node sends heartbeats in an epoch. */
+    /**
+     * Starts to record the heartbeats that a node sends in an epoch. Returns the list of their send
+     * times, to which later heartbeats are added.
+     */
     private List<Long> recordHeartbeats(VirtualNode sender, long epoch) {
         List<Long> sentAtMs = new ArrayList<>();
         cluster.network.onCall(
@@ -35,9 +38,9 @@
     }
 
     private void assertStopsAfterRejection(
-            VirtualNode former, List<Long> sentAtMs, long returnedAtMs) {
+            VirtualNode formerPrimary, List<Long> sentAtMs, long returnedAtMs) {
         cluster.clock.run(5_000);
-        assertNotEquals(former, cluster.primary());
+        assertNotEquals(formerPrimary, cluster.primary());
         int others = cluster.nodes.size() - 1;
         assertTrue(sentAtMs.size() <= 2 * others, sentAtMs.size() + " heartbeats after its return");
         for (long atMs : sentAtMs) {
@@ -50,34 +53,34 @@
     @Test
     void pausedPrimarySendsAtMostTwoRoundsOfHeartbeatsInItsFormerEpoch() {
         cluster.clock.run(STARTUP_MS);
-        VirtualNode former = cluster.primary();
-        former.pause(ELECTION_MS);
+        VirtualNode formerPrimary = cluster.primary();
+        formerPrimary.pause(ELECTION_MS);
         cluster.clock.run(ELECTION_MS);
-        List<Long> sentAtMs = recordHeartbeats(former, former.replica.view().epoch);
-        assertStopsAfterRejection(former, sentAtMs, cluster.clock.now());
+        List<Long> sentAtMs = recordHeartbeats(formerPrimary, formerPrimary.replica.view().epoch);
+        assertStopsAfterRejection(formerPrimary, sentAtMs, cluster.clock.now());
     }
 
     @Test
     void isolatedPrimarySendsAtMostTwoRoundsOfHeartbeatsInItsFormerEpoch() {
         cluster.clock.run(STARTUP_MS);
-        VirtualNode former = cluster.primary();
-        long epoch = former.replica.view().epoch;
-        cluster.isolate(former.address);
+        VirtualNode formerPrimary = cluster.primary();
+        long epoch = formerPrimary.replica.view().epoch;
+        cluster.isolate(formerPrimary.address);
         cluster.clock.run(ELECTION_MS);
         cluster.network.heal();
-        List<Long> sentAtMs = recordHeartbeats(former, epoch);
-        assertStopsAfterRejection(former, sentAtMs, cluster.clock.now() + 200);
+        List<Long> sentAtMs = recordHeartbeats(formerPrimary, epoch);
+        assertStopsAfterRejection(formerPrimary, sentAtMs, cluster.clock.now() + 200);
     }
 
     @Test
     void restartedPrimarySendsNoHeartbeatsInItsFormerEpoch() {
         cluster.clock.run(STARTUP_MS);
-        VirtualNode former = cluster.primary();
-        long epoch = former.replica.view().epoch;
-        former.kill();
+        VirtualNode formerPrimary = cluster.primary();
+        long epoch = formerPrimary.replica.view().epoch;
+        formerPrimary.kill();
         cluster.clock.run(ELECTION_MS);
-        former.start(false);
-        List<Long> sentAtMs = recordHeartbeats(former, epoch);
+        formerPrimary.start(false);
+        List<Long> sentAtMs = recordHeartbeats(formerPrimary, epoch);
         cluster.clock.run(5_000);
         assertEquals(List.of(), sentAtMs);
     }
--- a/src/test/java/myrtleladder/replication/PersistentStateTest.java
+++ b/src/test/java/myrtleladder/replication/PersistentStateTest.java
@@ -13,7 +13,10 @@
 import myrtleladder.protocol.StoredState;
 import org.junit.jupiter.api.Test;
 
-/** The tracking of saves in flight, with a storage whose saves the test completes. */
+/**
+ * Tests how {@link PersistentState} tracks saves in flight. The tests decide when each save
+ * completes and whether it succeeds.
+ */
 class PersistentStateTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final List<StoredState> written = new ArrayList<>();
--- a/src/test/java/myrtleladder/replication/VirtualNode.java
+++ b/src/test/java/myrtleladder/replication/VirtualNode.java
@@ -8,17 +8,21 @@
 import myrtleladder.protocol.Message;
 import myrtleladder.scheduler.Scheduler;
 
-/** A node with a disk and a process that runs a replica and can be killed, paused and restarted. */
+/**
+ * A simulated node: a disk, and a process that runs a replica. The process can be killed, paused
+ * and restarted; the disk outlives it.
+ */
 final class VirtualNode implements PeerTransport, Replica.Listener {
+    /** See {@link ReplicaOptions#catchUpMs}. */
     private static final long CATCH_UP_MS = 4_000;
 
     final String address;
     final VirtualDisk disk;
 
-    /** The replica of the latest process. */
+    /** The replica that the latest process runs or, if it was killed, ran. */
     Replica replica;
 
-    /** The time of the clock until which the process is paused. */
+    /** The process is paused while the time of the cluster's clock is before this. */
     long pausedUntilMs;
 
     private final VirtualCluster cluster;
@@ -41,8 +45,8 @@
     void start(boolean bootstrap) {
         incarnation++;
         running = true;
-        Scheduler process = new ProcessScheduler(incarnation);
-        disk.attach(process);
+        Scheduler processScheduler = new ProcessScheduler(incarnation);
+        disk.attach(processScheduler);
         ReplicaOptions options =
                 new ReplicaOptions(
                         Member.of(address, controlAddress, ""),
@@ -55,7 +59,7 @@
                         options,
                         disk.load(),
                         cluster.newStoreIdentity(),
-                        process,
+                        processScheduler,
                         disk,
                         this,
                         this,
@@ -63,13 +67,13 @@
         replica.start();
     }
 
-    /** Kills the process. Its disk keeps all completed saves. */
+    /** Kills the process. The disk keeps all completed saves. */
     void kill() {
         running = false;
         incarnation++;
     }
 
-    /** Kills the process and erases its disk. */
+    /** Kills the process and erases the disk. */
     void killAndWipe() {
         kill();
         disk.wipe();
@@ -102,12 +106,15 @@
         return replica.state() == Replica.State.PRIMARY;
     }
 
-    /** Returns the number of the current process, which changes with each start and kill. */
+    /** Returns a number that increases with each start and each kill of the process. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Runs a task of a process, after its pause if it is paused, or not at all if it has ended. */
+    /**
+     * Runs a task of the process with the given incarnation: now, or after the pause if the process
+     * is paused. Does nothing if that process has ended by then.
+     */
     void execute(int ofIncarnation, Runnable task) {
         if (!running || incarnation != ofIncarnation) {
             return;
@@ -137,10 +144,10 @@
 
     @Override
     public void onPrimacyLost() {
-        // The simulated client reads the role directly.
+        // The simulated client reads the role of the replica instead.
     }
 
-    /** The scheduler of one process, whose timers end with it. */
+    /** The scheduler of one process. Its timers have no effect once the process has ended. */
     private final class ProcessScheduler implements Scheduler {
         private final int ofIncarnation;
 
