--- a/src/main/java/myrtleladder/dataplane/WarmupContext.java
+++ b/src/main/java/myrtleladder/dataplane/WarmupContext.java
@@ -5,8 +5,8 @@
 import myrtleladder.protocol.BalancerAddress;
 
 /**
- * What the warm-ups of all upstreams share: the settings, the list of balancers and the contact
- * with the control plane. Confined to the event loop.
+ * State shared by the {@link UpstreamWarmup}s of all upstreams: settings, the list of balancers,
+ * counters and the contact with the control plane. Confined to the event loop.
  */
 final class WarmupContext {
     private final WarmupSettings settings;
@@ -16,11 +16,11 @@
 
     WarmupContext(WarmupSettings settings) {
         this.settings = settings;
-        this.ownership = new WarmupOwnership(settings.balancer());
+        this.ownership = new WarmupOwnership(settings.balancerName());
     }
 
-    /** The primary of an epoch answered a poll. */
-    void pollAnswered(long epoch, long nowMs) {
+    /** Records that the primary of this epoch answered a poll. */
+    void recordPollResponse(long epoch, long nowMs) {
         contact.pollAnswered(epoch, nowMs);
     }
 
@@ -37,13 +37,13 @@
         return ownership;
     }
 
-    /** See {@link WarmupSettings#allowance}. */
-    int allowance(Service service) {
-        return settings.allowance(service);
+    /** See {@link WarmupSettings#allowancePerSecond}. */
+    int allowancePerSecond(Service service) {
+        return settings.allowancePerSecond(service);
     }
 
-    /** Whether the primary would have reported by now that an upstream was down at a time. */
-    boolean wasReportedSince(long failedAtMs, long nowMs) {
-        return contact.lasted(settings.confirmationMs(), failedAtMs, nowMs);
+    /** Whether the primary would have reported by now if an upstream had gone down at that time. */
+    boolean hasConfirmationDelayPassed(long failedAtMs, long nowMs) {
+        return contact.lasted(settings.confirmationDelayMs(), failedAtMs, nowMs);
     }
 }
