--- a/src/test/java/myrtleladder/controlplane/AsyncTallyWriterTest.java
+++ b/src/test/java/myrtleladder/controlplane/AsyncTallyWriterTest.java
@@ -16,33 +16,33 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Group commit and callbacks, with a disk that syncs when the test lets it. */
+/** Group commit and callbacks, on a disk whose syncs the test releases one by one. */
 @Timeout(30)
 class AsyncTallyWriterTest {
     @TempDir Path folder;
-    private final SteppedAccess disk = new SteppedAccess();
-    private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
+    private final SteppedFileAccess disk = new SteppedFileAccess();
+    private final BlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
     private final List<String> results = new ArrayList<>();
 
-    /** Each sync waits for a permit, and tells that it waits. */
-    private static final class SteppedAccess extends LogFileAccess {
-        private final Semaphore begun = new Semaphore(0);
-        private final Semaphore permits = new Semaphore(0);
-        private volatile boolean fails;
+    /** Announces each sync and blocks it until the test releases a permit. */
+    private static final class SteppedFileAccess extends LogFileAccess {
+        private final Semaphore startedForces = new Semaphore(0);
+        private final Semaphore forcePermits = new Semaphore(0);
+        private volatile boolean failsToForce;
 
         @Override
         void force(FileChannel channel) throws IOException {
-            begun.release();
-            permits.acquireUninterruptibly();
-            if (fails) {
+            startedForces.release();
+            forcePermits.acquireUninterruptibly();
+            if (failsToForce) {
                 throw new IOException("Input/output error");
             }
             super.force(channel);
         }
     }
 
-    private AsyncTallyWriter started() {
-        AsyncTallyWriter writer = new AsyncTallyWriter(loop::add, new TallyLog(folder, disk));
+    private AsyncTallyWriter startedWriter() {
+        AsyncTallyWriter writer = new AsyncTallyWriter(eventLoop::add, new TallyLog(folder, disk));
         writer.start();
         return writer;
     }
@@ -53,28 +53,28 @@
     }
 
     private void runNextTask() throws InterruptedException {
-        loop.poll(20, TimeUnit.SECONDS).run();
+        eventLoop.poll(20, TimeUnit.SECONDS).run();
     }
 
-    private List<Long> loaded() {
+    private List<Long> loadedSequences() {
         return new TallyLog(folder).load().stream().map(addition -> addition.sequence).toList();
     }
 
     @Test
-    void allThatWaitsForASyncSharesTheNextOne() throws Exception {
-        AsyncTallyWriter writer = started();
+    void appendsDuringASyncAreGroupedIntoTheNextOne() throws Exception {
+        AsyncTallyWriter writer = startedWriter();
         append(writer, 1);
-        disk.begun.acquire();
+        disk.startedForces.acquire();
         for (int sequence = 2; sequence <= 50; sequence++) {
             append(writer, sequence);
         }
-        assertEquals(0, loop.size(), "nothing is durable");
-        disk.permits.release();
+        assertEquals(0, eventLoop.size(), "no append is durable before the first sync");
+        disk.forcePermits.release();
         runNextTask();
         assertEquals(List.of("1 true"), results);
-        disk.begun.acquire();
-        assertEquals(0, loop.size(), "the second write is not durable");
-        disk.permits.release();
+        disk.startedForces.acquire();
+        assertEquals(0, eventLoop.size(), "the second write is not durable before its sync");
+        disk.forcePermits.release();
         runNextTask();
         List<String> expected = new ArrayList<>();
         List<Long> sequences = new ArrayList<>();
@@ -82,39 +82,39 @@
             expected.add(sequence + " true");
             sequences.add(sequence);
         }
-        assertEquals(expected, results, "in the order of the appends");
-        assertEquals(sequences, loaded());
+        assertEquals(expected, results, "callbacks run in the order of the appends");
+        assertEquals(sequences, loadedSequences());
     }
 
     @Test
-    void failedWriteIsToldAndTheNextOneSucceeds() throws Exception {
-        AsyncTallyWriter writer = started();
-        disk.fails = true;
+    void failedWriteIsReportedAndTheNextOneSucceeds() throws Exception {
+        AsyncTallyWriter writer = startedWriter();
+        disk.failsToForce = true;
         append(writer, 1);
-        disk.begun.acquire();
+        disk.startedForces.acquire();
         append(writer, 2);
-        disk.permits.release();
+        disk.forcePermits.release();
         runNextTask();
-        disk.begun.acquire();
+        disk.startedForces.acquire();
         append(writer, 1);
-        disk.permits.release();
+        disk.forcePermits.release();
         runNextTask();
         assertEquals(List.of("1 false", "2 false"), results);
-        disk.begun.acquire();
-        disk.fails = false;
-        disk.permits.release();
+        disk.startedForces.acquire();
+        disk.failsToForce = false;
+        disk.forcePermits.release();
         runNextTask();
         assertEquals(List.of("1 false", "2 false", "1 true"), results);
-        assertEquals(List.of(1L), loaded());
+        assertEquals(List.of(1L), loadedSequences());
     }
 
     @Test
-    void appendOfNothingIsAnsweredInItsTurn() throws Exception {
-        AsyncTallyWriter writer = started();
+    void emptyAppendIsAnsweredInOrder() throws Exception {
+        AsyncTallyWriter writer = startedWriter();
         append(writer, 1);
-        disk.begun.acquire();
+        disk.startedForces.acquire();
         writer.append(List.of(), done -> results.add("nothing " + done));
-        disk.permits.release();
+        disk.forcePermits.release();
         runNextTask();
         runNextTask();
         assertEquals(List.of("1 true", "nothing true"), results);
--- a/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationErrorsApprovalTest.java
@@ -7,7 +7,7 @@
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
 
-/** The messages with which invalid configurations are rejected. */
+/** The error messages for invalid configurations. */
 class ConfigurationErrorsApprovalTest {
     private static final List<String> DOCUMENTS =
             List.of(
--- a/src/test/java/myrtleladder/controlplane/ConfigurationRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/ConfigurationRequestTest.java
@@ -13,7 +13,7 @@
 import myrtleladder.replication.Replica;
 import org.junit.jupiter.api.Test;
 
-/** Requests of operators at {@code /config} of a primary. */
+/** Operator requests to {@code /config} of a primary. */
 class ConfigurationRequestTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void nothingIsAnsweredDefinitelyWithoutAMajority() {
+    void allRequestsAreAnswered503WithoutAMajority() {
         node.change("PUT", "0", "{'generation':3}");
         node.partitionPeers();
         RecordedExchange put = node.change("PUT", "3", "{'generation':5}");
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void deposedPrimaryRejectsNothingInItsOldEpoch() {
+    void deposedPrimaryAnswers503InsteadOfAFailedPrecondition() {
         node.change("PUT", "0", "{'generation':3}");
-        node.promiseByPeers(99);
+        node.setEpochPromisedByPeers(99);
         assertEquals(503, node.change("PUT", "1", "{'generation':9}").status);
         assertEquals(Replica.State.FOLLOWER, node.replica.state());
     }
--- a/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlAnswersCompatibilityTest.java
@@ -38,8 +38,8 @@
 
 /**
  * The control plane's HTTP interface: paths, status codes, header fields and the names of JSON
- * fields, some against golden files. Operators, the platform and upstreams were written against
- * them; so they may not change.
+ * fields, some compared with golden files. Operators, the platform and upstreams depend on them, so
+ * they must not change.
  */
 class ControlAnswersCompatibilityTest {
     private static final Path FOLDER = Path.of("src/test/resources/compatibility/answers");
@@ -49,11 +49,11 @@
     private final List<Message> sent = new ArrayList<>();
     private ControlPlane plane;
 
-    /** A call at the control address and its answer. */
+    /** A request to the control address and its response. */
     private static final class Call extends FakeServerExchange {
         private int status;
         private Headers headers;
-        private String answer;
+        private String responseBody;
 
         Call(String method, String path, Headers headers, String body) {
             super(
@@ -65,7 +65,7 @@
         public void respond(int code, Headers fields, byte[] bytes) {
             status = code;
             headers = fields;
-            answer = new String(bytes, StandardCharsets.UTF_8);
+            responseBody = new String(bytes, StandardCharsets.UTF_8);
         }
 
         @Override
@@ -76,11 +76,11 @@
 
     @BeforeEach
     void start() {
-        Replica replica = node(true);
+        Replica replica = startNode(true);
         assertEquals(Replica.State.PRIMARY, replica.state());
     }
 
-    private Replica node(boolean bootstrap) {
+    private Replica startNode(boolean bootstrap) {
         List<Member> seeds =
                 List.of(
                         Member.of("a:1", "a:2", ""),
@@ -126,7 +126,7 @@
         return known ? AcknowledgeResponse.of(true, 0, peer) : null;
     }
 
-    private Call answer(String method, String path, Headers headers, String body) {
+    private Call send(String method, String path, Headers headers, String body) {
         Call call = new Call(method, path, headers, body);
         plane.handle(call);
         clock.run(50);
@@ -134,15 +134,15 @@
     }
 
     private Call get(String path) {
-        return answer("GET", path, new Headers(), "");
+        return send("GET", path, new Headers(), "");
     }
 
     private Call put(String match, String body) {
-        return answer("PUT", "/config", new Headers().add("If-Match", match), body);
+        return send("PUT", "/config", new Headers().add("If-Match", match), body);
     }
 
     private Call heartbeat(String id, String state, int sequence) {
-        return answer(
+        return send(
                 "PUT",
                 "/instances/" + id,
                 new Headers(),
@@ -163,7 +163,7 @@
     private static void assertDocument(int status, String document, Call call) {
         assertEquals(status, call.status);
         assertEquals("application/json", call.headers.get("Content-Type"));
-        assertEquals(document, call.answer);
+        assertEquals(document, call.responseBody);
     }
 
     @Test
@@ -173,7 +173,7 @@
         Call call = get("/status");
         assertEquals(200, call.status);
         assertEquals("application/json", call.headers.get("Content-Type"));
-        Map<String, Object> fields = JSON.readerForMapOf(Object.class).readValue(call.answer);
+        Map<String, Object> fields = JSON.readerForMapOf(Object.class).readValue(call.responseBody);
         assertEquals(
                 List.of("balancers", "epoch", "generation", "state", "upstreams", "view"),
                 fields.keySet().stream().sorted().toList());
@@ -200,7 +200,7 @@
         Call call = get("/upgrade");
         assertEquals(200, call.status);
         assertEquals("application/json", call.headers.get("Content-Type"));
-        assertGolden("upgrade.json", call.answer);
+        assertGolden("upgrade.json", call.responseBody);
     }
 
     @Test
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void anUpstreamThatDrainsIsAcknowledgedAndKnown() {
+    void aDrainingHeartbeatIsAcknowledgedAndRecorded() {
         assertDocument(200, "{}", heartbeat("i1", "draining", 1));
         assertEquals(Stage.DRAINING, plane.instances().get(0).stage);
     }
@@ -227,7 +227,7 @@
     @Test
     void aDepartureIsAcknowledged() {
         heartbeat("i1", "ready", 1);
-        assertDocument(200, "{}", answer("DELETE", "/instances/i1", new Headers(), ""));
+        assertDocument(200, "{}", send("DELETE", "/instances/i1", new Headers(), ""));
     }
 
     @Test
@@ -235,14 +235,14 @@
         assertDocument(
                 400,
                 "{\"error\":\"E201 CONFIGURATION_FIELD: backend is not a text\"}",
-                answer("PUT", "/instances/i1", new Headers(), "{'state':'ready'}"));
+                send("PUT", "/instances/i1", new Headers(), "{'state':'ready'}"));
     }
 
     @Test
-    void beforeTheFirstConfigurationThereIsNone() {
+    void configurationIsNotFoundBeforeTheFirstChange() {
         Call call = get("/config");
         assertEquals(404, call.status);
-        assertEquals("", call.answer);
+        assertEquals("", call.responseBody);
     }
 
     @Test
@@ -260,7 +260,7 @@
     void aPatchChangesNamedItems() {
         put("0", "{'generation':3,'services':[{'name':'x'},{'name':'y'}]}");
         Call patch =
-                answer(
+                send(
                         "PATCH",
                         "/config",
                         new Headers().add("If-Match", "3"),
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void anInvalidConfigurationIsRefusedByItsLabel() {
+    void anInvalidConfigurationIsRefusedWithItsErrorCode() {
         put("0", "{'generation':3}");
         assertDocument(
                 400,
@@ -292,19 +292,20 @@
     }
 
     @Test
-    void anotherMethodIsRefused() {
-        assertEquals(405, answer("POST", "/config", new Headers(), "{}").status);
+    void anUnsupportedMethodIsRefused() {
+        assertEquals(405, send("POST", "/config", new Headers(), "{}").status);
     }
 
     @Test
-    void anotherPathIsUnknown() {
+    void anUnknownPathIsNotFound() {
         assertEquals(404, get("/no-such-path").status);
     }
 
     @Test
-    void anOrderIsRememberedByTheSameDigest() {
+    void aChangeIsStoredUnderTheSameDigest() {
         put("0", "{'generation':3}");
-        // the first half of the SHA-256 of method, match and body; nodes of two versions compare it
+        // the first half of the SHA-256 of method, If-Match and body; nodes of different versions
+        // compare it
         assertEquals(
                 List.of("d1aa155ffbd6e3710acd9d1e7d8fc973"),
                 sent.stream()
@@ -315,16 +316,16 @@
     }
 
     @Test
-    void aNodeThatKnowsNoPrimaryAsksToTryAgain() {
-        node(false);
+    void aNodeWithoutAPrimaryAnswersWithRetryAfter() {
+        startNode(false);
         Call call = get("/upgrade");
         assertEquals(503, call.status);
         assertEquals("0.2", call.headers.get("Retry-After"));
     }
 
     @Test
-    void aFollowerNamesThePrimary() {
-        node(false);
+    void aFollowerRedirectsToThePrimary() {
+        startNode(false);
         Member self = Member.of("a:1", "a:2", "s");
         Member primary = Member.of("b:1", "b:2", "first-b:1");
         List<Member> group = List.of(self, primary);
--- a/src/test/java/myrtleladder/controlplane/ControlCommandCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlCommandCompatibilityTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The words and exit codes of the control plane's command line. Start scripts and operators depend
- * on them: 0 done, 1 failed with a numbered result, 2 the command line is wrong.
+ * The verbs, options and exit codes of the control plane's command line. Start scripts and
+ * operators depend on them: 0 for success, 1 for a failure with an error code, 2 for an invalid
+ * command line.
  */
 class ControlCommandCompatibilityTest {
     private static final String RESOURCES = "src/test/resources/compatibility/";
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void noVerbEndsWithTwo() {
+    void aMissingVerbEndsWithTwo() {
         assertEquals(2, run());
     }
 }
--- a/src/test/java/myrtleladder/controlplane/ControlPartitionTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPartitionTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Cuts and slow links between real control processes, which call each other through a proxy of the
- * test bed, while operators, balancers and upstreams call them.
+ * Partitions and slow links between real control processes, which call each other through a fault
+ * proxy while operators, balancers and upstreams call them.
  */
 class ControlPartitionTest {
-    /** Cuts after which the view is not compared any more. */
-    private static final int MAX_CUTS = 5;
+    /** After this many attempts a partition is used even if the view has changed meanwhile. */
+    private static final int MAX_CUT_ATTEMPTS = 5;
 
     private static final int MAX_PRIMARIES = 10;
     private static final long RECOVERY_TIMEOUT_MS = 10_000;
-    private static final LinkFault SLOW = new LinkFault(false, 120_000, 60_000, 0, 0, 0);
+    private static final LinkFault SLOW_LINK = new LinkFault(false, 120_000, 60_000, 0, 0, 0);
 
     @TempDir Path folder;
     private FaultProxy proxy;
@@ -41,8 +41,8 @@
         proxy.close();
     }
 
-    /** Nodes that are all members of the group; none is left running if that fails. */
-    private ControlProcesses started(int nodes) throws Exception {
+    /** Starts nodes and waits until all are members of the group; stops them all on a failure. */
+    private ControlProcesses startedProcesses(int nodes) throws Exception {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             names.add("n" + i);
@@ -52,7 +52,7 @@
             for (String name : names) {
                 processes.start(name, true);
             }
-            processes.firstChange();
+            processes.awaitFirstChange();
             processes.awaitMembers(names);
             return processes;
         } catch (Exception | AssertionError e) {
@@ -61,33 +61,33 @@
         }
     }
 
-    private void cut(String from, String to) {
+    private void cutLink(String from, String to) {
         proxy.bring(new Fault.Link(from, to, LinkFault.CUT));
     }
 
     private void cutBetween(List<String> side, List<String> other) {
         for (String one : side) {
             for (String two : other) {
-                cut(one, two);
-                cut(two, one);
+                cutLink(one, two);
+                cutLink(two, one);
             }
         }
     }
 
-    /** Chooses one side of a partition by the view that is in effect. */
+    /** Chooses one side of a partition from the current view. */
     private interface SideChooser {
         List<String> choose() throws InterruptedException;
     }
 
-    /** Cuts one side off by the view in effect; anew if the view changed just before the cut. */
-    private void cutOff(ControlProcesses processes, SideChooser chooser) throws Exception {
+    /** Partitions off one side; starts over if the view changed just before the partition. */
+    private void isolateSide(ControlProcesses processes, SideChooser chooser) throws Exception {
         for (int attempt = 1; ; attempt++) {
-            String view = processes.awaitSettledView();
+            String view = processes.awaitStableView();
             List<String> side = chooser.choose();
             List<String> others = new ArrayList<>(processes.names());
             others.removeAll(side);
             cutBetween(side, others);
-            if (attempt == MAX_CUTS || processes.view().equals(view)) {
+            if (attempt == MAX_CUT_ATTEMPTS || processes.view().equals(view)) {
                 return;
             }
             proxy.bring(new Fault.HealAll());
@@ -95,7 +95,9 @@
         }
     }
 
-    /** The leader and a voter that is no replica, so that the others have a majority and a copy. */
+    /**
+     * The leader and a voter without the state, so that the others keep a majority and a replica.
+     */
     private static List<String> leaderAndVoter(ControlProcesses processes)
             throws InterruptedException {
         String leader = processes.awaitLeader();
@@ -115,21 +117,21 @@
         return names.stream().filter(other -> !other.equals(name)).toList();
     }
 
-    /** Waits until changes are acknowledged again, and returns how many ms that took. */
+    /** Waits for that many more acknowledged changes; returns the waiting time in ms. */
     private static long awaitChanges(ControlTraffic traffic, int count)
             throws InterruptedException {
         long startedAt = System.nanoTime();
-        long target = traffic.newestAcknowledged() + count;
-        while (traffic.newestAcknowledged() < target) {
+        long target = traffic.newestAcknowledgedGeneration() + count;
+        while (traffic.newestAcknowledgedGeneration() < target) {
             long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
-            assertTrue(waitedMs < RECOVERY_TIMEOUT_MS, "no change is acknowledged");
+            assertTrue(waitedMs < RECOVERY_TIMEOUT_MS, "no change was acknowledged in time");
             Thread.sleep(10);
         }
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
     }
 
-    private void leaderAloneFor(long durationMs) throws Exception {
-        try (ControlProcesses processes = started(3);
+    private void isolateLeaderFor(long durationMs) throws Exception {
+        try (ControlProcesses processes = startedProcesses(3);
                 ControlTraffic traffic = new ControlTraffic(processes)) {
             awaitChanges(traffic, 2);
             String leader = processes.awaitLeader();
@@ -140,76 +142,79 @@
             proxy.bring(new Fault.HealAll());
             processes.awaitMembers(List.of(leader));
             awaitChanges(traffic, 2);
-            assertTrue(traffic.departures() > 0);
-            assertEquals(List.of(), traffic.violationsAtEnd(MAX_PRIMARIES));
+            assertTrue(traffic.acknowledgedDepartures() > 0);
+            assertEquals(List.of(), traffic.stopAndFindViolations(MAX_PRIMARIES));
         }
     }
 
     @Test
-    void leaderThatIsCutOffIsReplacedAndFollowsAfterwards() throws Exception {
-        leaderAloneFor(3_000);
+    void isolatedLeaderIsReplacedAndRejoinsAsAFollower() throws Exception {
+        isolateLeaderFor(3_000);
     }
 
     @Test
     @Tag("long")
-    void leaderThatIsCutOffFor20SecondsShowsNothingStale() throws Exception {
-        leaderAloneFor(20_000);
+    void leaderIsolatedFor20SecondsServesNothingStale() throws Exception {
+        isolateLeaderFor(20_000);
     }
 
     @Test
-    void leaderThatIsHeardByNobodyIsReplaced() throws Exception {
-        try (ControlProcesses processes = started(3);
+    void leaderThatReachesNoOtherNodeIsReplaced() throws Exception {
+        try (ControlProcesses processes = startedProcesses(3);
                 ControlTraffic traffic = new ControlTraffic(processes)) {
             awaitChanges(traffic, 2);
             String leader = processes.awaitLeader();
             for (String other : without(processes.names(), leader)) {
-                cut(leader, other);
+                cutLink(leader, other);
             }
             awaitChanges(traffic, 5);
             proxy.bring(new Fault.HealAll());
             awaitChanges(traffic, 5);
-            assertEquals(List.of(), traffic.violationsAtEnd(MAX_PRIMARIES));
+            assertEquals(List.of(), traffic.stopAndFindViolations(MAX_PRIMARIES));
         }
     }
 
     @Test
-    void majorityGoesOnWithoutTheLeaderAndAnotherVoter() throws Exception {
-        try (ControlProcesses processes = started(5);
+    void majorityContinuesWithoutTheLeaderAndAnotherVoter() throws Exception {
+        try (ControlProcesses processes = startedProcesses(5);
                 ControlTraffic traffic = new ControlTraffic(processes)) {
             awaitChanges(traffic, 2);
-            cutOff(processes, () -> leaderAndVoter(processes));
+            isolateSide(processes, () -> leaderAndVoter(processes));
             awaitChanges(traffic, 3);
             proxy.bring(new Fault.HealAll());
             processes.awaitMembers(processes.names());
             awaitChanges(traffic, 3);
-            assertEquals(List.of(), traffic.violationsAtEnd(MAX_PRIMARIES));
+            assertEquals(List.of(), traffic.stopAndFindViolations(MAX_PRIMARIES));
         }
     }
 
     @Test
-    void serviceRestsWhileTheMajorityHasNoCopyOfTheState() throws Exception {
-        try (ControlProcesses processes = started(5);
+    void changesStopWhileTheMajorityHasNoReplica() throws Exception {
+        try (ControlProcesses processes = startedProcesses(5);
                 ControlTraffic traffic = new ControlTraffic(processes)) {
             awaitChanges(traffic, 2);
-            cutOff(processes, () -> bothReplicas(processes));
-            Thread.sleep(2_000); // a change that was on its way may still be acknowledged
-            long before = traffic.newestAcknowledged();
+            isolateSide(processes, () -> bothReplicas(processes));
+            Thread.sleep(2_000); // a change that was in flight may still be acknowledged
+            long before = traffic.newestAcknowledgedGeneration();
             Thread.sleep(2_000);
-            assertEquals(before, traffic.newestAcknowledged(), "there is no majority with a copy");
+            assertEquals(
+                    before,
+                    traffic.newestAcknowledgedGeneration(),
+                    "no change may be acknowledged without a majority that has a replica");
             proxy.bring(new Fault.HealAll());
             awaitChanges(traffic, 3);
-            assertEquals(List.of(), traffic.violationsAtEnd(MAX_PRIMARIES));
+            assertEquals(List.of(), traffic.stopAndFindViolations(MAX_PRIMARIES));
         }
     }
 
     @Test
-    void slowLinksDelayChangesAndBreakNothing() throws Exception {
-        try (ControlProcesses processes = started(3);
+    void slowLinksDelayChangesWithoutViolations() throws Exception {
+        try (ControlProcesses processes = startedProcesses(3);
                 ControlTraffic traffic = new ControlTraffic(processes)) {
             awaitChanges(traffic, 2);
             for (String one : processes.names()) {
                 for (String other : without(processes.names(), one)) {
-                    proxy.bring(new Fault.Link(one, other, SLOW));
+                    proxy.bring(new Fault.Link(one, other, SLOW_LINK));
                 }
             }
             awaitChanges(traffic, 3);
@@ -217,7 +222,7 @@
             proxy.bring(new Fault.HealAll());
             awaitChanges(traffic, 3);
             processes.awaitLeader();
-            assertEquals(List.of(), traffic.violationsAtEnd(MAX_PRIMARIES));
+            assertEquals(List.of(), traffic.stopAndFindViolations(MAX_PRIMARIES));
         }
     }
 }
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneFixture.java
@@ -29,9 +29,9 @@
 import myrtleladder.tally.Tallies;
 import myrtleladder.tally.TallyOptions;
 
-/** A control plane on a manual clock, primary of a group whose other two members are scripted. */
+/** A primary control plane on a manual clock; the other two members of its group are scripted. */
 final class ControlPlaneFixture {
-    /** The interval of heartbeats of upstreams. */
+    /** The heartbeat interval of upstreams. */
     static final long HEARTBEAT_INTERVAL_MS = 1_000;
 
     private static final long SYNC_MS = 5;
@@ -42,19 +42,19 @@
 
     final ManualScheduler clock = new ManualScheduler();
 
-    /** The messages that were sent to the other members. */
+    /** All messages sent to the other members. */
     final List<Message> sent = new ArrayList<>();
 
     final ControlPlane plane = newControlPlane();
     final Replica replica;
 
-    /** What the disk has, null before the first sync. */
-    StoredState stored;
+    /** The state on the disk, null before the first sync. */
+    StoredState storedState;
 
-    private boolean doPeersAnswer = true;
+    private boolean arePeersResponsive = true;
     private long epochPromisedByPeers;
 
-    /** Starts the node and waits until it is primary. */
+    /** Starts the node and waits until it is the primary. */
     ControlPlaneFixture() {
         List<Member> seeds =
                 List.of(
@@ -68,7 +68,7 @@
                         "s",
                         clock,
                         (state, done) -> {
-                            stored = state;
+                            storedState = state;
                             clock.schedule(SYNC_MS, () -> done.accept(true));
                         },
                         this::call,
@@ -97,13 +97,13 @@
                 Map.of("z", "r"));
     }
 
-    /** A control plane of another process that starts with what the disk has. */
+    /** Creates the control plane of a new process that starts from the state on the disk. */
     ControlPlane restarted() {
         ControlPlane restarted = newControlPlane();
         restarted.attach(
                 new Replica(
                         new ReplicaOptions(replica.self(), 1, false, List.of(), CATCH_UP_MS),
-                        stored,
+                        storedState,
                         "x",
                         clock,
                         (state, done) -> done.accept(true),
@@ -113,21 +113,21 @@
         return restarted;
     }
 
-    /** From now on the other members do not answer. */
+    /** Makes the other members unresponsive. */
     void partitionPeers() {
-        doPeersAnswer = false;
+        arePeersResponsive = false;
     }
 
-    /** From now on the other members refuse all with a promise of this epoch. */
-    void promiseByPeers(long epoch) {
+    /** Makes the other members refuse all requests because they promised this epoch. */
+    void setEpochPromisedByPeers(long epoch) {
         epochPromisedByPeers = epoch;
     }
 
     private void call(String to, Message message, long timeoutMs, Consumer<Message> responder) {
         sent.add(message);
         clock.schedule(
-                doPeersAnswer ? ROUND_TRIP_MS : timeoutMs,
-                () -> responder.accept(doPeersAnswer ? response(to, message) : null));
+                arePeersResponsive ? ROUND_TRIP_MS : timeoutMs,
+                () -> responder.accept(arePeersResponsive ? response(to, message) : null));
     }
 
     private Message response(String to, Message message) {
@@ -155,14 +155,14 @@
                 : null;
     }
 
-    /** Sends a request and waits for some milliseconds. */
+    /** Sends a request and advances the clock. */
     <T extends ServerExchange> T send(T exchange, long waitMs) {
         plane.handle(exchange);
         clock.run(waitMs);
         return exchange;
     }
 
-    /** Sends a change of the configuration and waits for its response. */
+    /** Sends a configuration change and waits for its response. */
     RecordedExchange change(String method, String ifMatch, String body) {
         return send(RecordedExchange.matching(ifMatch, method, "/config", body), 50);
     }
@@ -182,24 +182,24 @@
                 20);
     }
 
-    /** Sends the departure of an upstream and waits for some milliseconds. */
+    /** Sends the departure of an upstream and advances the clock. */
     RecordedExchange departure(String id, long waitMs) {
         return send(RecordedExchange.of("DELETE", "/instances/" + id, ""), waitMs);
     }
 
-    /** Sends a message; the responses are recorded in the list that is returned. */
+    /** Delivers a message; its responses are added to the returned list, also later. */
     List<Message> receive(Message message) {
         List<Message> responses = new ArrayList<>();
         plane.receive(message, responses::add);
         return responses;
     }
 
-    /** Whether a message to another member meets a condition. */
+    /** Whether any message sent to another member matches the condition. */
     boolean hasSent(Predicate<Message> condition) {
         return sent.stream().anyMatch(condition);
     }
 
-    /** The record of an instance. */
+    /** The record of an instance; fails if there is none. */
     InstanceRecord instance(String id) {
         return plane.instances().stream()
                 .filter(record -> record.id.equals(id))
--- a/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlPlaneTest.java
@@ -16,7 +16,7 @@
 import myrtleladder.replication.Replica;
 import org.junit.jupiter.api.Test;
 
-/** Polls and quota requests of balancers at a primary. */
+/** Polls and quota requests that balancers send to a primary. */
 class ControlPlaneTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void pollWaitsUntilThereIsAnUpdateAndGetsItAtOnce() {
+    void pollWaitsForAnUpdateAndIsAnsweredAtOnce() {
         node.change("PUT", "0", "{'generation':3}");
         node.clock.run(4_000);
         PollResponse first = firstPoll();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void waitingPollIsToldAtOnceThatAKnownUpstreamBecameCold() {
+    void waitingPollIsAnsweredAtOnceWhenAKnownUpstreamBecomesCold() {
         node.heartbeat("i", "ready", 1);
         node.clock.run(4_000);
         node.heartbeat("i", "ready", 2);
@@ -77,8 +77,10 @@
                         + "'sequence':3,'warmup_left_ms':3000}";
         node.send(RecordedExchange.of("PUT", "/instances/i", body), 20);
         assertEquals(1, responses.size());
-        InstanceRecord told = ((PollResponse) responses.get(0)).instances.get(0);
-        assertTrue(told.warmupLeftMs() >= 3_000, "left " + told.warmupLeftMs());
+        InstanceRecord reportedRecord = ((PollResponse) responses.get(0)).instances.get(0);
+        assertTrue(
+                reportedRecord.warmupLeftMs() >= 3_000,
+                "remaining warm-up " + reportedRecord.warmupLeftMs());
     }
 
     @Test
--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -26,25 +26,23 @@
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.testbed.proxy.FaultProxy;
 
-/** Real processes of the control plane on loopback addresses, each with a folder as its disk. */
+/** Control plane processes on loopback addresses, each with a directory as its disk. */
 final class ControlProcesses implements AutoCloseable {
     private static final int INTERNAL_PORT = 7500;
     private static final int CONTROL_PORT = 8367;
     private static final int SEED_COUNT = 3;
-    private static final int SHOWN_LOG_LINES = 30;
+    private static final int MAX_LOG_LINES = 30;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
-    /**
-     * How long a process may take to stop after SIGSTOP; chosen for a machine that is overloaded.
-     */
+    /** How long a process may take to stop after SIGSTOP; long enough for an overloaded machine. */
     private static final long SUSPENSION_TIMEOUT_MS = 10_000;
 
     private static final Duration TIMEOUT = Duration.ofSeconds(15);
 
-    /** A view that has not changed for this long is taken for settled. */
-    private static final Duration SETTLED = Duration.ofMillis(1_500);
+    /** A view that has not changed for this long counts as stable. */
+    private static final Duration VIEW_STABLE_PERIOD = Duration.ofMillis(1_500);
 
-    /** How long processes may take to start and to form a group; for an overloaded machine. */
+    /** How long processes may take to start and form a group; allows for an overloaded machine. */
     private static final Duration START_TIMEOUT = Duration.ofSeconds(45);
 
     private final HttpClient http =
@@ -55,22 +53,22 @@
     private final Path folder;
     private final Map<String, Process> processes = new LinkedHashMap<>();
 
-    /** Null if the nodes call each other directly. */
+    /** The proxy between the nodes; null if they call each other directly. */
     private final FaultProxy proxy;
 
-    private final List<String> proxied;
+    private final List<String> proxiedNames;
     private final ControlTopology topology;
 
     ControlProcesses(Path folder) {
         this(folder, null, List.of());
     }
 
-    /** Nodes of which those that are named call each other through a proxy. */
+    /** Creates nodes; the named ones call each other through the proxy. */
     ControlProcesses(Path folder, FaultProxy proxy, List<String> proxied) {
         this(folder, proxy, proxied, new ControlTopology(proxied.size(), 1, 1, 0));
     }
 
-    /** Nodes of a topology that call each other through a proxy. */
+    /** Creates the nodes of a topology; they call each other through the proxy. */
     ControlProcesses(Path folder, FaultProxy proxy, ControlTopology topology) {
         this(folder, proxy, topology.names(), topology);
     }
@@ -79,11 +77,13 @@
             Path folder, FaultProxy proxy, List<String> proxied, ControlTopology topology) {
         this.folder = folder;
         this.proxy = proxy;
-        this.proxied = proxied;
+        this.proxiedNames = proxied;
         this.topology = topology;
     }
 
-    /** Where the applications of a zone call a node: through the proxy if it lies elsewhere. */
+    /**
+     * The address at which applications of a zone call a node: the proxy if it is in another zone.
+     */
     InetSocketAddress addressFor(String zone, String name) {
         InetSocketAddress control = new InetSocketAddress(ip(name), CONTROL_PORT);
         return topology.zoneOf(name).equals(zone)
@@ -91,10 +91,10 @@
                 : proxy.stream(ControlTopology.applicationsIn(zone), name, control);
     }
 
-    /** The addresses at which a node calls the others, as its settings file has them. */
+    /** The settings lines with the proxy addresses at which a node calls the others. */
     private String callAddresses(String name) {
         StringBuilder section = new StringBuilder();
-        for (String other : proxied) {
+        for (String other : proxiedNames) {
             if (!other.equals(name)) {
                 InetSocketAddress target = new InetSocketAddress(ip(other), INTERNAL_PORT);
                 InetSocketAddress called = proxy.stream(name, other, target);
@@ -106,18 +106,20 @@
         return section.toString();
     }
 
-    /** An address that only this test of this process uses. */
+    /**
+     * A loopback address derived from the process id, so that concurrent test runs do not collide.
+     */
     private static String ip(String name) {
         long pid = ProcessHandle.current().pid();
         int position = 150 + Integer.parseInt(name.substring(1));
         return "127." + (1 + pid / 250 % 250) + "." + (1 + pid % 250) + "." + position;
     }
 
-    private Path disk(String name) {
+    private Path diskFolder(String name) {
         return folder.resolve(name);
     }
 
-    /** Starts a node; {@code isBootstrap} belongs to the first start of all. */
+    /** Starts a node; {@code isBootstrap} is true only for the first start of the cluster. */
     void start(String name, boolean isBootstrap) throws IOException {
         StringBuilder seeds = new StringBuilder();
         for (int i = 0; i < SEED_COUNT; i++) {
@@ -129,7 +131,7 @@
                                 .formatted(name, ip(name), topology.zoneOf(name))
                         + "port_range = [%d,7515]\nseeds = [%s]\nbootstrap = %s\n"
                                 .formatted(INTERNAL_PORT, seeds, isBootstrap)
-                        + "heartbeat_ms = 1200\ndata_dir = \"%s\"\n".formatted(disk(name))
+                        + "heartbeat_ms = 1200\ndata_dir = \"%s\"\n".formatted(diskFolder(name))
                         + "[listen]\ncontrol = \"%s:%d\"\n".formatted(ip(name), CONTROL_PORT)
                         + "[fault_tolerance]\n"
                         + "machines = %d\nzones = %d\n"
@@ -170,7 +172,7 @@
 
     /**
      * Suspends a node's process and waits until all of its threads have stopped: on a busy machine
-     * they run on for a while after the signal was sent, and the node could still answer.
+     * they run for a while after the signal was sent, and the node could still respond.
      */
     void suspend(String name) throws IOException, InterruptedException {
         signal(name, "STOP");
@@ -182,7 +184,7 @@
         }
     }
 
-    /** Whether the state of each thread, the field after its name in brackets, is T (proc(5)). */
+    /** Whether each thread is in state T: the field after its name in parentheses, see proc(5). */
     private static boolean hasStopped(Path tasks) throws IOException {
         try (Stream<Path> threads = Files.list(tasks)) {
             for (Path thread : threads.toList()) {
@@ -195,7 +197,7 @@
         return true;
     }
 
-    /** Kills a node; it is no more among those that are called. */
+    /** Kills a node and removes it from the nodes that are called. */
     void kill(String name) throws InterruptedException {
         Process process = processes.remove(name);
         process.destroyForcibly();
@@ -210,21 +212,21 @@
         }
     }
 
-    /** Whether a node that was asked to end has done so within a time. */
-    boolean hasEnded(String name, long withinMs) throws InterruptedException {
+    /** Waits for a node that was asked to terminate; false if it still runs after the time. */
+    boolean hasExited(String name, long withinMs) throws InterruptedException {
         return processes.get(name).waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
     /** Empties a node's disk. */
-    void wipe(String name) throws IOException {
-        try (Stream<Path> files = Files.walk(disk(name))) {
+    void wipeDisk(String name) throws IOException {
+        try (Stream<Path> files = Files.walk(diskFolder(name))) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
     }
 
-    /** The response of a node to an HTTP request; null if there is none. */
+    /** Sends an HTTP request to a node; null if there is no response. */
     HttpResponse<String> call(String name, String method, String path, String match, String body)
             throws InterruptedException {
         HttpRequest.Builder request =
@@ -241,8 +243,8 @@
         }
     }
 
-    /** The response of a node to a message; null if there is none. */
-    Message message(String name, Message message) throws InterruptedException {
+    /** Sends an internal message to a node; null if there is no response. */
+    Message sendMessage(String name, Message message) throws InterruptedException {
         URI uri = URI.create("http://" + ip(name) + ":" + INTERNAL_PORT + "/message");
         byte[] bytes = MessageCodec.encode(message);
         HttpRequest request =
@@ -259,8 +261,8 @@
         }
     }
 
-    /** Polls one node after the other until one answers as primary and knows the fleet's loads. */
-    FleetLoads loads(LoadReport report) throws InterruptedException {
+    /** Polls the nodes in turn until one responds as primary with the loads of the fleet. */
+    FleetLoads awaitLoads(LoadReport report) throws InterruptedException {
         long endNs = System.nanoTime() + TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
             for (String name : names()) {
@@ -269,30 +271,31 @@
                 poll.address = report.balancer + ":1";
                 poll.immediate = true;
                 poll.loadReport = report;
-                if (message(name, poll) instanceof PollResponse reply
+                if (sendMessage(name, poll) instanceof PollResponse reply
                         && reply.fromPrimary
                         && reply.fleetLoads.loadsKnown) {
                     return reply.fleetLoads;
                 }
             }
         }
-        throw new AssertionError("nobody knows the loads");
+        throw new AssertionError("no primary responded with the loads of the fleet");
     }
 
-    /** Sends the first change until it is acknowledged: the processes may still be starting. */
-    void firstChange() throws InterruptedException {
-        change(0, 1, START_TIMEOUT);
+    /** Retries the first change until it is acknowledged; allows for processes that still start. */
+    void awaitFirstChange() throws InterruptedException {
+        awaitChange(0, 1, START_TIMEOUT);
     }
 
-    /** Sends a change to one node after the other until it is acknowledged. */
-    void change(long match, long generation) throws InterruptedException {
-        change(match, generation, TIMEOUT);
+    /** Sends a change to the nodes in turn until it is acknowledged. */
+    void awaitChange(long match, long generation) throws InterruptedException {
+        awaitChange(match, generation, TIMEOUT);
     }
 
-    private void change(long match, long generation, Duration timeout) throws InterruptedException {
+    private void awaitChange(long match, long generation, Duration timeout)
+            throws InterruptedException {
         String body = "{\"generation\":" + generation + ",\"services\":[{\"name\":\"s\"}]}";
         long endNs = System.nanoTime() + timeout.toNanos();
-        String last = "nothing";
+        String last = "no call";
         while (System.nanoTime() < endNs) {
             for (String name : names()) {
                 HttpResponse<String> answer =
@@ -304,11 +307,15 @@
             }
         }
         throw new AssertionError(
-                "generation " + generation + " is not acknowledged: " + last + logs());
+                "generation "
+                        + generation
+                        + " was not acknowledged, last response: "
+                        + last
+                        + logTails());
     }
 
-    /** The name of the node that leads, empty if none does. */
-    String leader() throws InterruptedException {
+    /** The name of the primary, empty if there is none. */
+    String findLeader() throws InterruptedException {
         for (String name : names()) {
             HttpResponse<String> answer = call(name, "GET", "/status", "", "");
             if (answer != null && answer.body().contains("\"PRIMARY\"")) {
@@ -318,67 +325,67 @@
         return "";
     }
 
-    /** The names of the nodes that hold the state, as the leader's status tells it. */
+    /** The names of the replicas according to the leader's status. */
     List<String> replicas() throws InterruptedException {
-        String view = leadersView();
-        return namesIn(view.substring(view.indexOf("replicas ["), view.indexOf("group [")));
+        String view = awaitLeaderStatus();
+        return memberNames(view.substring(view.indexOf("replicas ["), view.indexOf("group [")));
     }
 
-    /** The view that is in effect, as the leader's status tells it. */
+    /** The current view according to the leader's status. */
     String view() throws InterruptedException {
-        String status = leadersView();
+        String status = awaitLeaderStatus();
         int groupAt = status.indexOf("group [");
         return status.substring(status.indexOf("primary "), status.indexOf(']', groupAt));
     }
 
     /** Waits until the view has not changed for a while, and returns it. */
-    String awaitSettledView() throws InterruptedException {
+    String awaitStableView() throws InterruptedException {
         long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
-        String settled = view();
+        String stableView = view();
         long sinceNs = System.nanoTime();
-        while (System.nanoTime() - sinceNs < SETTLED.toNanos()) {
+        while (System.nanoTime() - sinceNs < VIEW_STABLE_PERIOD.toNanos()) {
             if (System.nanoTime() > endNs) {
-                throw new AssertionError("the view does not settle" + logs());
+                throw new AssertionError("the view did not become stable in time" + logTails());
             }
-            String now = view();
-            if (!now.equals(settled)) {
-                settled = now;
+            String currentView = view();
+            if (!currentView.equals(stableView)) {
+                stableView = currentView;
                 sinceNs = System.nanoTime();
             }
         }
-        return settled;
+        return stableView;
     }
 
-    /** Waits until the leader's view has all of these nodes in its group. */
+    /** Waits until all of these nodes are in the group of the leader's view. */
     void awaitMembers(List<String> members) throws InterruptedException {
         long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
-            String view = leadersView();
-            if (namesIn(view.substring(view.indexOf("group ["))).containsAll(members)) {
+            String view = awaitLeaderStatus();
+            if (memberNames(view.substring(view.indexOf("group ["))).containsAll(members)) {
                 return;
             }
         }
-        throw new AssertionError("not all of " + members + " are admitted" + logs());
+        throw new AssertionError("not all of " + members + " were admitted in time" + logTails());
     }
 
-    private List<String> namesIn(String members) {
+    private List<String> memberNames(String members) {
         return names().stream().filter(name -> members.contains(ip(name) + ":")).toList();
     }
 
-    /** The name of the node that leads; waits for one. */
+    /** Waits for a leader and returns its name. */
     String awaitLeader() throws InterruptedException {
         long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
-            String leader = leader();
+            String leader = findLeader();
             if (!leader.isEmpty()) {
                 return leader;
             }
         }
-        throw new AssertionError("nobody leads" + logs());
+        throw new AssertionError("no node became leader in time" + logTails());
     }
 
-    /** The view as the status of the leader has it; waits for a leader. */
-    private String leadersView() throws InterruptedException {
+    /** Waits for a leader and returns the body of its status. */
+    private String awaitLeaderStatus() throws InterruptedException {
         long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
             for (String name : names()) {
@@ -388,11 +395,11 @@
                 }
             }
         }
-        throw new AssertionError("nobody leads" + logs());
+        throw new AssertionError("no node became leader in time" + logTails());
     }
 
-    /** The configuration that a node shows; waits until one does. */
-    String configuration() throws InterruptedException {
+    /** Waits until a node returns the configuration. */
+    String awaitConfiguration() throws InterruptedException {
         long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
             for (String name : names()) {
@@ -402,14 +409,14 @@
                 }
             }
         }
-        throw new AssertionError("nobody shows a configuration" + logs());
+        throw new AssertionError("no node returned a configuration in time" + logTails());
     }
 
-    /** Waits until a node follows as a member of the leader's view. */
+    /** Waits until a node is a follower and a member of the leader's view. */
     void awaitMember(String name) throws InterruptedException {
         long endNs = System.nanoTime() + TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
-            String leader = leader();
+            String leader = findLeader();
             HttpResponse<String> answer =
                     leader.isEmpty() ? null : call(leader, "GET", "/status", "", "");
             HttpResponse<String> own = call(name, "GET", "/status", "", "");
@@ -419,17 +426,17 @@
                 return;
             }
         }
-        throw new AssertionError(name + " is not admitted" + logs());
+        throw new AssertionError(name + " was not admitted in time" + logTails());
     }
 
-    /** The ends of the nodes' logs, for the message of a failure. */
-    String logs() {
+    /** The last lines of each node's log, for failure messages. */
+    String logTails() {
         StringBuilder logs = new StringBuilder();
         for (String name : names()) {
             logs.append("\n-- ").append(name).append('\n');
             try {
                 List<String> lines = Files.readAllLines(folder.resolve(name + ".log"));
-                int first = Math.max(0, lines.size() - SHOWN_LOG_LINES);
+                int first = Math.max(0, lines.size() - MAX_LOG_LINES);
                 logs.append(String.join("\n", lines.subList(first, lines.size())));
             } catch (IOException e) {
                 logs.append(e);
--- a/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -15,20 +15,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Faults of real processes with real sockets and files. */
+/** Process and disk faults of a control plane with real sockets and files. */
 class ControlProcessesTest {
     private static final int UPSTREAM = 9;
     private static final List<String> SEEDS = List.of("n0", "n1", "n2");
 
     @TempDir Path folder;
 
-    private ControlProcesses started() throws Exception {
+    private ControlProcesses startedProcesses() throws Exception {
         ControlProcesses processes = new ControlProcesses(folder);
         try {
             for (String name : SEEDS) {
                 processes.start(name, true);
             }
-            processes.change(0, 1);
+            processes.awaitChange(0, 1);
             return processes;
         } catch (Exception | AssertionError e) {
             processes.close();
@@ -37,12 +37,12 @@
     }
 
     @Test
-    void leaderThatWasSuspendedShowsNothingStaleWhenItResumes() throws Exception {
-        try (ControlProcesses processes = started()) {
-            String leader = processes.leader();
+    void resumedLeaderServesNothingStale() throws Exception {
+        try (ControlProcesses processes = startedProcesses()) {
+            String leader = processes.findLeader();
             processes.suspend(leader);
-            processes.change(1, 2);
-            assertNotEquals(leader, processes.leader());
+            processes.awaitChange(1, 2);
+            assertNotEquals(leader, processes.findLeader());
             processes.signal(leader, "CONT");
             for (int i = 0; i < 20; i++) {
                 HttpResponse<String> read = processes.call(leader, "GET", "/config", "", "");
@@ -53,24 +53,25 @@
                 assertTrue(
                         newest || read == null || read.statusCode() == 503, String.valueOf(read));
             }
-            processes.change(2, 3);
+            processes.awaitChange(2, 3);
         }
     }
 
     @Test
-    void anyDiskMayBeLostAfterAReplacementAndALeaversEnd() throws Exception {
-        try (ControlProcesses processes = started()) {
+    void anyDiskMayBeLostAfterAReplacementAndADeparture() throws Exception {
+        try (ControlProcesses processes = startedProcesses()) {
             processes.start("n3", false);
             processes.awaitMember("n3");
             processes.signal("n1", "TERM");
-            assertTrue(processes.hasEnded("n1", 3_000), "a successor stands");
+            assertTrue(
+                    processes.hasExited("n1", 3_000), "n1 has a successor and must exit at once");
             processes.kill("n1");
-            String leader = processes.leader();
+            String leader = processes.findLeader();
             processes.kill(leader);
-            processes.wipe(leader);
-            processes.change(1, 2);
+            processes.wipeDisk(leader);
+            processes.awaitChange(1, 2);
             processes.start(leader, false);
-            processes.change(2, 3);
+            processes.awaitChange(2, 3);
         }
     }
 
@@ -86,17 +87,17 @@
 
     @Test
     void balancersGetEachOthersLoadsAlsoFromTheNextLeader() throws Exception {
-        try (ControlProcesses processes = started()) {
-            processes.loads(report("a", 1, 5));
-            processes.loads(report("a", 1, 5)); // sent again
-            FleetLoads loads = processes.loads(report("b", 1, 2));
+        try (ControlProcesses processes = startedProcesses()) {
+            processes.awaitLoads(report("a", 1, 5));
+            processes.awaitLoads(report("a", 1, 5)); // a repeated report
+            FleetLoads loads = processes.awaitLoads(report("b", 1, 2));
             assertEquals(1, loads.loads.size());
             assertEquals(5, loads.loads.get(0).inFlightRequests);
             assertEquals(1, loads.cachedPrompts.size());
 
-            processes.kill(processes.leader());
-            processes.loads(report("a", 2, 4));
-            FleetLoads after = processes.loads(report("b", 2, 2));
+            processes.kill(processes.findLeader());
+            processes.awaitLoads(report("a", 2, 4));
+            FleetLoads after = processes.awaitLoads(report("b", 2, 2));
             assertTrue(after.epoch > loads.epoch);
             assertEquals(1, after.loads.size());
             assertEquals(4, after.loads.get(0).inFlightRequests);
@@ -105,29 +106,30 @@
 
     @Test
     void memberThatMissedHundredsOfChangesCatchesUp() throws Exception {
-        try (ControlProcesses processes = started()) {
-            String leader = processes.leader();
-            String away =
+        try (ControlProcesses processes = startedProcesses()) {
+            String leader = processes.findLeader();
+            String stoppedNode =
                     SEEDS.stream().filter(name -> !name.equals(leader)).findFirst().orElseThrow();
-            processes.kill(away);
+            processes.kill(stoppedNode);
             for (int generation = 1; generation < 300; generation++) {
-                processes.change(generation, generation + 1);
+                processes.awaitChange(generation, generation + 1);
             }
-            processes.start(away, false);
-            processes.awaitMember(away);
-            String second = processes.leader();
+            processes.start(stoppedNode, false);
+            processes.awaitMember(stoppedNode);
+            String second = processes.findLeader();
             processes.kill(second);
-            processes.wipe(second);
-            processes.change(300, 301);
+            processes.wipeDisk(second);
+            processes.awaitChange(300, 301);
             HttpResponse<String> again =
                     processes.call(
-                            processes.leader(),
+                            processes.findLeader(),
                             "PUT",
                             "/config",
                             "1",
                             "{\"generation\":2,\"services\":[{\"name\":\"s\"}]}");
-            assertEquals(200, again.statusCode(), "an order of 299 changes ago is known");
-            assertFalse(processes.leader().isEmpty());
+            assertEquals(
+                    200, again.statusCode(), "a change made 299 changes ago must be recognized");
+            assertFalse(processes.findLeader().isEmpty());
         }
     }
 }
--- a/src/test/java/myrtleladder/controlplane/ControlTopology.java
+++ b/src/test/java/myrtleladder/controlplane/ControlTopology.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 
 /**
- * The nodes of a control plane, n0, n1 and so on, which lie in its zones by turns.
+ * The nodes of a control plane, n0, n1 and so on, assigned to its zones in turn.
  *
  * @param toleratedMachines machines that may be lost at once
  * @param toleratedZones zones that may be lost at once
@@ -26,7 +26,7 @@
         return names().stream().filter(name -> zoneOf(name).equals(zone)).toList();
     }
 
-    /** What a proxy calls the applications of a zone. */
+    /** The name under which a fault proxy knows the applications of a zone. */
     static String applicationsIn(String zone) {
         return "applications-" + zone;
     }
--- a/src/test/java/myrtleladder/controlplane/ControlTraffic.java
+++ b/src/test/java/myrtleladder/controlplane/ControlTraffic.java
@@ -20,16 +20,16 @@
 import myrtleladder.protocol.QuotaResponse;
 
 /**
- * Callers of real control processes, each on a thread of its own: an operator who changes the
- * configuration, readers, a balancer that polls and takes quota, upstreams that come and leave.
- * What they see is checked: nothing acknowledged is lost or shown in an older state, no two nodes
- * grant the quota of one.
+ * Clients of real control processes, each on its own thread: an operator that changes the
+ * configuration, a reader, a balancer that polls and requests quota, and upstreams that register
+ * and depart. Checks their responses: no acknowledged change is lost, no read is stale, and no two
+ * nodes grant the quota of one.
  */
 final class ControlTraffic implements AutoCloseable {
-    /** Units a second and burst of the only tenant. */
+    /** Units per second, and burst, of the only tenant. */
     private static final int RATE_PER_S = 100;
 
-    /** How long after an acknowledgement a poll may be answered without it (control-safety.md). */
+    /** How long polls may return a state older than an acknowledgement (control-safety.md). */
     private static final long MAX_POLL_STALENESS_MS = 800;
 
     private static final long CALL_INTERVAL_MS = 30;
@@ -43,29 +43,29 @@
     private final Map<Long, Long> acknowledgedAtMs = new ConcurrentHashMap<>();
     private final Map<String, Long> departedAtMs = new ConcurrentHashMap<>();
     private final Map<Long, String> primaryByEpoch = new HashMap<>();
-    private final AtomicLong newestAcknowledged = new AtomicLong(1);
-    private final AtomicInteger departures = new AtomicInteger();
+    private final AtomicLong newestAcknowledgedGeneration = new AtomicLong(1);
+    private final AtomicInteger acknowledgedDepartures = new AtomicInteger();
     private final AtomicLong grantedUnits = new AtomicLong();
     private final long startedAtMs = nowMs();
     private volatile boolean running = true;
 
-    /** A call that is made again and again. */
+    /** A call that a thread repeats. */
     private interface Step {
         void run(int round) throws InterruptedException;
     }
 
-    /** Starts all callers; generation 1 has to be acknowledged. */
+    /** Starts all clients; generation 1 must have been acknowledged. */
     ControlTraffic(ControlProcesses processes) {
         this.processes = processes;
         this.names = processes.names();
         start("operator", this::change);
         start("reader", this::read);
         start("balancer", this::poll);
-        start("quota", this::takeQuota);
-        start("upstream", this::comeAndLeave);
+        start("quota", this::requestQuota);
+        start("upstream", this::registerAndDepart);
     }
 
-    /** The configuration of a generation: one service, and one tenant with a quota. */
+    /** The configuration of a generation: one service and one tenant with a quota. */
     static String document(long generation) {
         return ("{\"generation\":%d,\"services\":[{\"name\":\"s\"}],"
                         + "\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\"],"
@@ -98,15 +98,15 @@
         return names.get(round % names.size());
     }
 
-    private void violated(String description) {
+    private void addViolation(String description) {
         if (violations.size() < MAX_VIOLATIONS) {
             violations.add((nowMs() - startedAtMs) + " ms: " + description);
         }
     }
 
-    /** Sends one change to one node after the other until it is acknowledged. */
+    /** Sends one change to the nodes in turn until it is acknowledged. */
     private void change(int round) throws InterruptedException {
-        long base = newestAcknowledged.get();
+        long base = newestAcknowledgedGeneration.get();
         String body = document(base + 1);
         for (int i = 0; running; i++) {
             HttpResponse<String> answer =
@@ -114,11 +114,11 @@
             int status = answer == null ? 0 : answer.statusCode();
             if (status == 200) {
                 acknowledgedAtMs.put(base + 1, nowMs());
-                newestAcknowledged.set(base + 1);
+                newestAcknowledgedGeneration.set(base + 1);
                 return;
             }
             if (status >= 400 && status < 500) {
-                violated("generation " + (base + 1) + " is refused with " + status);
+                addViolation("generation " + (base + 1) + " was refused with " + status);
                 return;
             }
             Thread.sleep(CALL_INTERVAL_MS);
@@ -126,99 +126,109 @@
     }
 
     private void read(int round) throws InterruptedException {
-        long atLeast = newestAcknowledged.get();
+        long atLeast = newestAcknowledgedGeneration.get();
         HttpResponse<String> answer = processes.call(node(round), "GET", "/config", "", "");
         if (answer == null || answer.statusCode() != 200) {
             return;
         }
         Matcher generation = GENERATION.matcher(answer.body());
         if (!generation.find() || Long.parseLong(generation.group(1)) < atLeast) {
-            violated(node(round) + " shows " + answer.body() + " after " + atLeast);
+            addViolation(
+                    node(round) + " returned " + answer.body() + " after generation " + atLeast);
         }
     }
 
     private void poll(int round) throws InterruptedException {
         long sentAtMs = nowMs();
-        long newest = newestAcknowledged.get();
+        long newest = newestAcknowledgedGeneration.get();
         long acknowledgedBeforeMs = sentAtMs - acknowledgedAtMs.getOrDefault(newest, sentAtMs);
         PollRequest request = new PollRequest();
         request.balancer = "b";
         request.address = "127.0.0.1:1";
         request.immediate = true;
-        if (!(processes.message(node(round), request) instanceof PollResponse response)
+        if (!(processes.sendMessage(node(round), request) instanceof PollResponse response)
                 || !response.fromPrimary) {
             return;
         }
         if (acknowledgedBeforeMs > MAX_POLL_STALENESS_MS && response.generation < newest) {
-            violated(node(round) + " tells generation " + response.generation + " of " + newest);
+            addViolation(
+                    node(round)
+                            + " returned generation "
+                            + response.generation
+                            + ", not "
+                            + newest);
         }
         String other = primaryByEpoch.putIfAbsent(response.epoch, node(round));
         if (other != null && !other.equals(node(round))) {
-            violated("epoch " + response.epoch + " has " + other + " and " + node(round));
+            addViolation(
+                    "epoch " + response.epoch + " has primaries " + other + " and " + node(round));
         }
         for (InstanceRecord record : response.instances) {
             Long departed = departedAtMs.get(record.id);
             boolean late = departed != null && sentAtMs - departed > MAX_POLL_STALENESS_MS;
             if (late && record.stage == Stage.READY) {
-                violated(record.id + ", which has left, is told as ready by " + node(round));
+                addViolation(record.id + ", which departed, is reported ready by " + node(round));
             }
         }
     }
 
-    private void takeQuota(int round) throws InterruptedException {
-        if (processes.message(node(round), QuotaRequest.of("t", 1)) instanceof QuotaResponse answer
+    private void requestQuota(int round) throws InterruptedException {
+        if (processes.sendMessage(node(round), QuotaRequest.of("t", 1))
+                        instanceof QuotaResponse answer
                 && answer.fromPrimary) {
             grantedUnits.addAndGet(Math.round(answer.grantedUnits));
         }
     }
 
-    private void comeAndLeave(int round) throws InterruptedException {
+    private void registerAndDepart(int round) throws InterruptedException {
         String id = "u" + round;
         String path = "/instances/" + id;
         String heartbeat =
                 "{\"backend\":\"s\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\","
                         + "\"capacity\":8,\"state\":\"ready\",\"sequence\":1}";
         for (int i = 0; running && i < names.size(); i++) {
-            HttpResponse<String> came = processes.call(node(round + i), "PUT", path, "", heartbeat);
-            if (came == null || came.statusCode() != 200) {
+            HttpResponse<String> registration =
+                    processes.call(node(round + i), "PUT", path, "", heartbeat);
+            if (registration == null || registration.statusCode() != 200) {
                 continue;
             }
-            HttpResponse<String> left = processes.call(node(round + i + 1), "DELETE", path, "", "");
-            if (left != null && left.statusCode() == 200) {
+            HttpResponse<String> departure =
+                    processes.call(node(round + i + 1), "DELETE", path, "", "");
+            if (departure != null && departure.statusCode() == 200) {
                 departedAtMs.put(id, nowMs());
-                departures.incrementAndGet();
+                acknowledgedDepartures.incrementAndGet();
             }
             return;
         }
     }
 
-    /** The generation that was acknowledged last. */
-    long newestAcknowledged() {
-        return newestAcknowledged.get();
+    /** The newest generation that was acknowledged. */
+    long newestAcknowledgedGeneration() {
+        return newestAcknowledgedGeneration.get();
     }
 
     /** How many departures were acknowledged. */
-    int departures() {
-        return departures.get();
+    int acknowledgedDepartures() {
+        return acknowledgedDepartures.get();
     }
 
     /**
-     * Ends the callers, reads the configuration once more and returns what was violated.
+     * Stops the clients, reads the configuration once more and returns all violations.
      *
-     * @param primaries how many nodes led one after the other; each begins with a part of the burst
+     * @param primaries upper bound of successive primaries; each starts with a part of the burst
      */
-    List<String> violationsAtEnd(int primaries) throws InterruptedException {
+    List<String> stopAndFindViolations(int primaries) throws InterruptedException {
         close();
-        String last = processes.configuration();
-        String newest = "\"generation\":" + newestAcknowledged.get();
-        String next = "\"generation\":" + (newestAcknowledged.get() + 1);
+        String last = processes.awaitConfiguration();
+        String newest = "\"generation\":" + newestAcknowledgedGeneration.get();
+        String next = "\"generation\":" + (newestAcknowledgedGeneration.get() + 1);
         if (!last.contains(newest) && !last.contains(next)) {
-            violated("in the end there is " + last);
+            addViolation("the configuration at the end is " + last);
         }
         double elapsedS = (nowMs() - startedAtMs) / 1_000.0;
         double allowed = RATE_PER_S * (elapsedS + 1 + 0.1 * primaries) * 1.05;
         if (grantedUnits.get() > allowed) {
-            violated(grantedUnits.get() + " units were granted, " + allowed + " are allowed");
+            addViolation(grantedUnits.get() + " units were granted, " + allowed + " are allowed");
         }
         return violations;
     }
--- a/src/test/java/myrtleladder/controlplane/DrainRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/DrainRequestTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Evacuations of zones by an operator at {@code /drain/ZONE} of a primary. */
+/** Zone evacuations that an operator requests at {@code /drain/ZONE} of a primary. */
 class DrainRequestTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
-    private int order(String method, String zone) {
+    private int sendDrainRequest(String method, String zone) {
         return node.send(RecordedExchange.of(method, "/drain/" + zone, ""), 50).status;
     }
 
-    private List<String> zonesPolled() {
+    private List<String> polledZones() {
         return poll().drainedZones.names;
     }
 
@@ -34,69 +34,69 @@
     }
 
     @Test
-    void upstreamsOfAZoneTakenBackAreColdUntilTheirNextHeartbeat() {
+    void upstreamsOfARestoredZoneAreColdUntilTheirNextHeartbeat() {
         node.heartbeat("i", "ready", 1);
-        assertEquals(200, order("POST", "z"));
+        assertEquals(200, sendDrainRequest("POST", "z"));
         assertEquals(0, poll().instances.get(0).warmupLeftMs());
-        assertEquals(200, order("DELETE", "z"));
+        assertEquals(200, sendDrainRequest("DELETE", "z"));
         assertTrue(poll().instances.get(0).warmupLeftMs() > 0);
         node.heartbeat("i", "ready", 2);
         assertEquals(0, poll().instances.get(0).warmupLeftMs());
     }
 
     @Test
-    void evacuationIsOnTheDiskWhenItIsAcknowledged() {
-        assertEquals(200, order("POST", "z-1"));
-        assertEquals(List.of("z-1"), node.stored.snapshot.drainedZones);
-        assertEquals(200, order("DELETE", "z-1"));
-        assertEquals(List.of(), node.stored.snapshot.drainedZones);
+    void evacuationIsDurableWhenItIsAcknowledged() {
+        assertEquals(200, sendDrainRequest("POST", "z-1"));
+        assertEquals(List.of("z-1"), node.storedState.snapshot.drainedZones);
+        assertEquals(200, sendDrainRequest("DELETE", "z-1"));
+        assertEquals(List.of(), node.storedState.snapshot.drainedZones);
     }
 
     @Test
-    void repeatedOrdersAreAcknowledged() {
-        assertEquals(200, order("DELETE", "z"));
-        assertEquals(200, order("POST", "z"));
-        assertEquals(200, order("POST", "z"));
-        assertEquals(200, order("POST", "y"));
-        assertEquals(List.of("y", "z"), zonesPolled());
-        assertEquals(200, order("DELETE", "z"));
-        assertEquals(200, order("DELETE", "z"));
-        assertEquals(List.of("y"), zonesPolled());
+    void repeatedRequestsAreAcknowledged() {
+        assertEquals(200, sendDrainRequest("DELETE", "z"));
+        assertEquals(200, sendDrainRequest("POST", "z"));
+        assertEquals(200, sendDrainRequest("POST", "z"));
+        assertEquals(200, sendDrainRequest("POST", "y"));
+        assertEquals(List.of("y", "z"), polledZones());
+        assertEquals(200, sendDrainRequest("DELETE", "z"));
+        assertEquals(200, sendDrainRequest("DELETE", "z"));
+        assertEquals(List.of("y"), polledZones());
     }
 
     @Test
-    void evacuationAndConfigurationKeepEachOther() {
-        assertEquals(200, order("POST", "z"));
+    void evacuationsAndConfigurationChangesDoNotOverwriteEachOther() {
+        assertEquals(200, sendDrainRequest("POST", "z"));
         assertEquals(200, node.change("PUT", "0", "{'generation':3}").status);
-        assertEquals(List.of("z"), node.stored.snapshot.drainedZones);
-        assertEquals(200, order("POST", "y"));
+        assertEquals(List.of("z"), node.storedState.snapshot.drainedZones);
+        assertEquals(200, sendDrainRequest("POST", "y"));
         assertEquals("{\"generation\":3}", node.readConfiguration().body);
         assertEquals(200, node.change("PUT", "0", "{'generation':3}").status);
-        assertEquals(List.of("y", "z"), node.stored.snapshot.drainedZones);
+        assertEquals(List.of("y", "z"), node.storedState.snapshot.drainedZones);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "a/b", "a%20b", "a b", "zone,other", "é"})
-    void namesThatAreNoZonesAreRefused(String zone) {
-        assertEquals(400, order("POST", zone));
-        assertEquals(400, order("DELETE", zone));
+    void invalidZoneNamesAreRefused(String zone) {
+        assertEquals(400, sendDrainRequest("POST", zone));
+        assertEquals(400, sendDrainRequest("DELETE", zone));
     }
 
     @Test
-    void namesMayHaveAHundredCharactersAtMost() {
-        assertEquals(200, order("POST", "A.b_c-9" + "x".repeat(93)));
-        assertEquals(400, order("POST", "A.b_c-9" + "x".repeat(94)));
+    void zoneNamesMayHave100CharactersAtMost() {
+        assertEquals(200, sendDrainRequest("POST", "A.b_c-9" + "x".repeat(93)));
+        assertEquals(400, sendDrainRequest("POST", "A.b_c-9" + "x".repeat(94)));
     }
 
     @Test
     void otherMethodsAreRefused() {
-        assertEquals(405, order("GET", "z"));
-        assertEquals(405, order("PUT", "z"));
+        assertEquals(405, sendDrainRequest("GET", "z"));
+        assertEquals(405, sendDrainRequest("PUT", "z"));
     }
 
     @Test
-    void withoutAMajorityNeitherOrdersNorRepeatsAreAcknowledged() {
-        assertEquals(200, order("POST", "z"));
+    void neitherRequestsNorRepeatsAreAcknowledgedWithoutAMajority() {
+        assertEquals(200, sendDrainRequest("POST", "z"));
         node.partitionPeers();
         RecordedExchange repeat = node.send(RecordedExchange.of("POST", "/drain/z", ""), 0);
         RecordedExchange next = node.send(RecordedExchange.of("POST", "/drain/y", ""), 4_000);
@@ -143,8 +143,8 @@
     }
 
     @Test
-    void balancerThatKnowsNoEvacuationsIsNotAnsweredOverAndOver() {
-        assertEquals(200, order("POST", "z"));
+    void balancerWithoutEvacuationSupportIsNotAnsweredRepeatedly() {
+        assertEquals(200, sendDrainRequest("POST", "z"));
         assertEquals(0, waitingPoll(null).size());
     }
 }
--- a/src/test/java/myrtleladder/controlplane/FailingLogFileAccess.java
+++ b/src/test/java/myrtleladder/controlplane/FailingLogFileAccess.java
@@ -4,13 +4,13 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 
-/** A disk that can be told to refuse operations, after a part of the write if wanted. */
+/** A disk whose operations a test can make fail; a write may fail after some of its bytes. */
 final class FailingLogFileAccess extends LogFileAccess {
     boolean failsToForce;
     boolean failsToTruncate;
     int forces;
 
-    /** How many bytes are still written; -1 for no bound. */
+    /** How many bytes a write stores before it fails; -1 for no limit. */
     int writableBytes = -1;
 
     @Override
--- a/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
+++ b/src/test/java/myrtleladder/controlplane/FakeServerExchange.java
@@ -5,8 +5,8 @@
 import myrtleladder.http.ServerExchange;
 
 /**
- * A request whose client expects one complete response and keeps its connection until it comes.
- * Responses in pieces fail the test.
+ * A request whose client keeps its connection open until one complete response arrives. Streamed
+ * responses fail the test.
  */
 public abstract class FakeServerExchange implements ServerExchange {
     private final RequestHead head;
@@ -40,21 +40,21 @@
 
     @Override
     public final void onGone(Runnable task) {
-        // the connection stays
+        // the client never disconnects
     }
 
     @Override
     public final void begin(int status, Headers headers) {
-        throw new AssertionError("no response of the control plane comes in pieces");
+        throw new AssertionError("the control plane must not stream its responses");
     }
 
     @Override
     public final void write(byte[] bytes, int offset, int length) {
-        throw new AssertionError("no response of the control plane comes in pieces");
+        throw new AssertionError("the control plane must not stream its responses");
     }
 
     @Override
     public final void end() {
-        throw new AssertionError("no response of the control plane comes in pieces");
+        throw new AssertionError("the control plane must not stream its responses");
     }
 }
--- a/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
+++ b/src/test/java/myrtleladder/controlplane/HintedHandoffTest.java
@@ -12,7 +12,7 @@
 import myrtleladder.replication.ManualScheduler;
 import org.junit.jupiter.api.Test;
 
-/** Records for a member that was unresponsive reach it once it answers. */
+/** Records meant for an unresponsive member are delivered once it responds again. */
 class HintedHandoffTest {
     private static InstanceRecord record(String id, Stage stage, long sequence) {
         return InstanceRecord.of(id, "s", "10.0.0.1:80", "z", 8, "v1", stage, sequence);
@@ -21,42 +21,45 @@
     @Test
     void latestRecordOfEachInstanceIsHandedOverOnceTheMemberAnswers() {
         ManualScheduler clock = new ManualScheduler();
-        Member away = Member.of("b:1", "b:2", "store");
-        boolean[] isBack = {false};
-        List<InstanceRecord> taken = new ArrayList<>();
+        Member unresponsiveMember = Member.of("b:1", "b:2", "store");
+        boolean[] isResponsive = {false};
+        List<InstanceRecord> receivedRecords = new ArrayList<>();
         HintedHandoff handoff =
                 new HintedHandoff(
                         clock,
                         (to, message, timeoutMs, responder) -> {
-                            if (isBack[0]) {
-                                taken.addAll(((ShareInstancesRequest) message).instances);
+                            if (isResponsive[0]) {
+                                receivedRecords.addAll(((ShareInstancesRequest) message).instances);
                             }
                             responder.accept(
-                                    isBack[0] ? AcknowledgeResponse.of(true, 1, away) : null);
+                                    isResponsive[0]
+                                            ? AcknowledgeResponse.of(true, 1, unresponsiveMember)
+                                            : null);
                         });
-        handoff.addHint(away, record("i", Stage.READY, 1), 1);
-        handoff.addHint(away, record("i", Stage.DRAINING, 2), 1);
-        handoff.addHint(away, record("j", Stage.GONE, 1), 1);
+        handoff.addHint(unresponsiveMember, record("i", Stage.READY, 1), 1);
+        handoff.addHint(unresponsiveMember, record("i", Stage.DRAINING, 2), 1);
+        handoff.addHint(unresponsiveMember, record("j", Stage.GONE, 1), 1);
         clock.run(2_000);
         assertEquals(2, handoff.hintCount());
-        isBack[0] = true;
+        isResponsive[0] = true;
         clock.run(1_000);
         assertEquals(0, handoff.hintCount());
         assertEquals(
-                List.of(Stage.DRAINING, Stage.GONE), taken.stream().map(r -> r.stage).toList());
+                List.of(Stage.DRAINING, Stage.GONE),
+                receivedRecords.stream().map(r -> r.stage).toList());
     }
 
     @Test
     void acknowledgementOfAnotherMemberAtTheAddressRemovesNoHint() {
         ManualScheduler clock = new ManualScheduler();
-        Member away = Member.of("b:1", "b:2", "store");
+        Member unresponsiveMember = Member.of("b:1", "b:2", "store");
         Member wiped = Member.of("b:1", "b:2", "new store");
         HintedHandoff handoff =
                 new HintedHandoff(
                         clock,
                         (to, message, timeoutMs, responder) ->
                                 responder.accept(AcknowledgeResponse.of(true, 1, wiped)));
-        handoff.addHint(away, record("i", Stage.GONE, 1), 1);
+        handoff.addHint(unresponsiveMember, record("i", Stage.GONE, 1), 1);
         clock.run(1_000);
         assertEquals(1, handoff.hintCount());
     }
--- a/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRegistryTest.java
@@ -9,14 +9,14 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats and records of other nodes in any order. */
+/** Merging of heartbeats and of records from other nodes, in any order. */
 class InstanceRegistryTest {
     private static InstanceRecord record(Stage stage, long sequence) {
         return InstanceRecord.of("i", "s", "10.0.0.1:80", "z", 8, "v1", stage, sequence);
     }
 
     @Test
-    void newPrimaryTakesNoInstanceForLostBecauseAnotherNodeDid() {
+    void newPrimaryDoesNotAdoptTheLostStageFromAnotherNode() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.READY, 3), 0);
         registry.recover(List.of(record(Stage.LOST, 20)), 1_000);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void departureHoldsAgainstAllLaterRecords() {
+    void departureOverridesAllLaterRecords() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.DRAINING, 3), 0);
         assertFalse(registry.merge(record(Stage.READY, 9), 1));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void onlyChangedRecordsFollowARevision() {
+    void onlyChangedRecordsAreReturnedSinceARevision() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(record(Stage.READY, 1), 0);
         long knownRevision = registry.revision();
@@ -51,21 +51,22 @@
         return record(Stage.READY, sequence).withWarmupLeftMs(warmupLeftMs);
     }
 
-    private static long leftMs(InstanceRegistry registry, long nowMs) {
+    private static long remainingWarmupMs(InstanceRegistry registry, long nowMs) {
         return registry.recordAsOf("i", nowMs).warmupLeftMs();
     }
 
     @Test
-    void warmupThatBeginsOrBeginsAgainIsAChangeAndRunsOutOnThisClock() {
+    void warmupThatStartsOrRestartsIsAChangeAndExpiresOnTheLocalClock() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(cold(1, 0), 10_000);
-        assertEquals(0, leftMs(registry, 10_000));
+        assertEquals(0, remainingWarmupMs(registry, 10_000));
         assertTrue(registry.merge(cold(2, 3_000), 11_000));
         assertFalse(registry.merge(cold(3, 1_790), 12_200));
-        long leftMs = leftMs(registry, 12_200);
-        assertTrue(leftMs >= 1_800 && leftMs <= 2_000, "left " + leftMs);
+        long remainingMs = remainingWarmupMs(registry, 12_200);
+        assertTrue(
+                remainingMs >= 1_800 && remainingMs <= 2_000, "remaining warm-up " + remainingMs);
         assertTrue(registry.merge(cold(4, 3_000), 13_400));
-        assertEquals(0, leftMs(registry, 16_700));
+        assertEquals(0, remainingWarmupMs(registry, 16_700));
         assertFalse(registry.merge(cold(5, 0), 16_700));
     }
 
@@ -75,28 +76,28 @@
         registry.merge(cold(5, 3_000), 10_000);
         assertFalse(registry.merge(cold(4, 0), 10_500));
         registry.recover(List.of(cold(5, 0)), 10_600);
-        assertTrue(leftMs(registry, 10_600) >= 2_400);
+        assertTrue(remainingWarmupMs(registry, 10_600) >= 2_400);
         assertTrue(registry.merge(cold(6, 0), 10_700));
-        assertEquals(0, leftMs(registry, 10_700));
+        assertEquals(0, remainingWarmupMs(registry, 10_700));
     }
 
     @Test
-    void instancesOfAZoneTakenBackAreColdUntilTheirNextHeartbeat() {
+    void instancesOfARestoredZoneAreColdUntilTheirNextHeartbeat() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(cold(1, 0), 10_000);
         assertEquals(0, registry.assumeCold("y", 2_400, 10_000).size());
         assertTrue(registry.assumeCold("z", 2_400, 10_000).get(0).warmupLeftMs() >= 2_400);
         assertTrue(registry.merge(cold(2, 0), 11_000));
-        assertEquals(0, leftMs(registry, 11_000));
+        assertEquals(0, remainingWarmupMs(registry, 11_000));
     }
 
     @Test
-    void silentInstanceIsTakenForColdBeforeItIsLost() {
+    void unresponsiveInstanceIsAssumedColdBeforeItIsLost() {
         InstanceRegistry registry = new InstanceRegistry();
         registry.merge(cold(1, 0), 10_000);
         assertFalse(registry.assumeColdWithoutHeartbeat(3_000, 2_400, 13_000));
         assertTrue(registry.assumeColdWithoutHeartbeat(3_000, 2_400, 13_001));
         assertFalse(registry.assumeColdWithoutHeartbeat(3_000, 2_400, 13_100));
-        assertTrue(leftMs(registry, 13_100) > 0);
+        assertTrue(remainingWarmupMs(registry, 13_100) > 0);
     }
 }
--- a/src/test/java/myrtleladder/controlplane/InstanceRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/InstanceRequestTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Heartbeats and departures of upstreams at a primary, and the upgrades that they make up. */
+/** Heartbeats and departures of upstreams at a primary, and the resulting upgrade status. */
 class InstanceRequestTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void drainingIsAcknowledgedOnceAnotherNodeHasItAndDepartureNotWithoutOne() {
+    void drainingIsAcknowledgedOnceReplicatedAndDepartureFailsWithoutReplication() {
         assertEquals(200, node.heartbeat("i", "ready", 1).status);
         node.sent.clear();
         assertEquals(200, node.heartbeat("i", "draining", 2).status);
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void departureIsOnTheDisksOfAllReplicasBeforeItIsAcknowledged() {
+    void departureIsDurableOnAllReplicasBeforeItIsAcknowledged() {
         node.heartbeat("i", "ready", 1);
         node.sent.clear();
         RecordedExchange departure = node.departure("i", 4);
-        assertEquals(0, departure.status, "the disk has not synced it yet");
+        assertEquals(0, departure.status, "not acknowledged before the disk has synced it");
         node.clock.run(20);
         assertEquals(200, departure.status);
-        assertEquals(Stage.GONE, node.stored.instances.get(0).stage);
+        assertEquals(Stage.GONE, node.storedState.instances.get(0).stage);
         long durably =
                 node.sent.stream()
                         .filter(m -> m instanceof ShareInstancesRequest s && s.syncRequired)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void drainingUpstreamStaysSoWhateverHeartbeatComesLate() {
+    void drainingUpstreamIgnoresLateReadyHeartbeats() {
         node.heartbeat("i", "ready", 1);
         node.heartbeat("i", "draining", 5);
         node.heartbeat("i", "ready", 4);
@@ -82,7 +82,7 @@
         return get.body;
     }
 
-    private void heartbeats(int firstSequence, int count, String... ids) {
+    private void sendHeartbeats(int firstSequence, int count, String... ids) {
         for (int i = 0; i < count; i++) {
             for (String id : ids) {
                 node.heartbeat(id, "ready", firstSequence + i);
@@ -97,7 +97,7 @@
 
     @Test
     void upgradeIsSettledOnceNothingIsInFlightAtDrainingUpstreams() {
-        heartbeats(1, 6, "i1", "i2");
+        sendHeartbeats(1, 6, "i1", "i2");
         assertTrue(upgradeStatus().contains("\"settled\":true"), upgradeStatus());
         node.heartbeat("i3", "ready", 1);
         assertTrue(upgradeStatus().contains("\"without_ordinal\":1"), upgradeStatus());
@@ -105,7 +105,7 @@
         reportInFlight(InFlightRequests.of("i1", 2));
         assertTrue(upgradeStatus().contains("\"draining\":1"), upgradeStatus());
         node.departure("i1", 0);
-        heartbeats(10, 1, "i2", "i3");
+        sendHeartbeats(10, 1, "i2", "i3");
         reportInFlight(InFlightRequests.of("i1", 2));
         assertTrue(upgradeStatus().startsWith("{\"settled\":false"), upgradeStatus());
         assertTrue(upgradeStatus().contains("\"under_way\":2"), upgradeStatus());
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void primaryThatWasSuspendedTakesNoUpstreamForLost() {
+    void resumedPrimaryMarksNoUpstreamAsLost() {
         node.heartbeat("i", "ready", 1);
         node.clock.run(3_500);
         node.heartbeat("i", "ready", 2);
--- a/src/test/java/myrtleladder/controlplane/LoadTableTest.java
+++ b/src/test/java/myrtleladder/controlplane/LoadTableTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Sums of the requests that all balancers have in flight. */
+/** Sums of the in-flight requests of all balancers. */
 class LoadTableTest {
     private static final int UPSTREAM = 7;
     private static final long START_MS = 10_000;
@@ -19,7 +19,7 @@
     private final LoadTable table = new LoadTable();
 
     @BeforeEach
-    void resetBeforeWarmUp() {
+    void completeTheCollectionPeriod() {
         table.reset(START_MS - LoadTable.COLLECTION_PERIOD_MS);
     }
 
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void responseHoldsTheBusiestOfVeryManyUpstreams() {
+    void responseIsLimitedToTheBusiestUpstreams() {
         LoadReport report = report("a", 1, 1, 0);
         for (int upstream = 1; upstream <= 5_000; upstream++) {
             report.loads.add(UpstreamLoad.of(upstream, 1, upstream));
--- a/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
+++ b/src/test/java/myrtleladder/controlplane/OrdinalAssignerTest.java
@@ -12,7 +12,7 @@
 import myrtleladder.protocol.InstanceRecord.Stage;
 import org.junit.jupiter.api.Test;
 
-/** Ordinals of the instances of a service as instances come, leave and are replaced. */
+/** Ordinals of the instances of a service while instances join, leave and are replaced. */
 class OrdinalAssignerTest {
     private static final long PREDECESSOR_WAIT_MS = 5_000;
     private static final long TICK_INTERVAL_MS = 100;
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void newInstancesGetAnOrdinalEachOnceTheyHaveWaited() {
+    void newInstancesGetDistinctOrdinalsAfterThePredecessorWait() {
         heartbeat("a1", "a", Stage.READY, 0);
         heartbeat("b1", "b", Stage.READY, 10);
         assertTrue(registry.assignOrdinals(PREDECESSOR_WAIT_MS - 1).isEmpty());
@@ -52,7 +52,9 @@
         assignFirstOrdinals("a1", "b1");
         heartbeat("b2", "b", Stage.READY, 6_000);
         heartbeat("a1", "a", Stage.DRAINING, 6_500);
-        assertTrue(registry.assignOrdinals(7_000).isEmpty(), "of another zone");
+        assertTrue(
+                registry.assignOrdinals(7_000).isEmpty(),
+                "a leaving instance of another zone is no predecessor");
         heartbeat("b1", "b", Stage.DRAINING, 7_100);
         assertEquals(List.of("b2"), ids(registry.assignOrdinals(7_200)));
         assertEquals(ordinal("b1"), ordinal("b2"));
@@ -84,15 +86,15 @@
         assertEquals(1, next.reportedRecord("a1").ordinal);
     }
 
-    /** Random upgrades, zone by zone: no two instances share an ordinal, and each has one. */
+    /** After random upgrades, zone by zone, each instance has an ordinal of its own. */
     @Test
     void upgradeOfAllZonesLeavesTheSameOrdinals() {
         for (int seed = 0; seed < 200; seed++) {
-            upgrade(new SplittableRandom(seed));
+            assertUpgradeKeepsOrdinals(new SplittableRandom(seed));
         }
     }
 
-    private static void upgrade(SplittableRandom random) {
+    private static void assertUpgradeKeepsOrdinals(SplittableRandom random) {
         InstanceRegistry registry = new InstanceRegistry();
         List<InstanceRecord> old = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
@@ -113,7 +115,7 @@
         Set<Integer> ordinals = new HashSet<>();
         for (InstanceRecord record : registry.reportedRecords()) {
             if (record.stage == Stage.READY) {
-                assertTrue(ordinals.add(record.ordinal), "shared: " + record.ordinal);
+                assertTrue(ordinals.add(record.ordinal), "shared ordinal: " + record.ordinal);
                 assertEquals(
                         registry.reportedRecord(record.id.replace("new", "old")).zone, record.zone);
             }
--- a/src/test/java/myrtleladder/controlplane/PollRequestBuilder.java
+++ b/src/test/java/myrtleladder/controlplane/PollRequestBuilder.java
@@ -4,7 +4,7 @@
 import myrtleladder.protocol.InFlightRequests;
 import myrtleladder.protocol.PollRequest;
 
-/** Builds a poll of balancer {@code e}; by default of one that has nothing yet. */
+/** Builds a poll of balancer {@code e}; by default its first poll, without known state. */
 final class PollRequestBuilder {
     private final PollRequest poll = new PollRequest();
 
--- a/src/test/java/myrtleladder/controlplane/PrimaryRelayTest.java
+++ b/src/test/java/myrtleladder/controlplane/PrimaryRelayTest.java
@@ -15,7 +15,7 @@
 import myrtleladder.protocol.View;
 import org.junit.jupiter.api.Test;
 
-/** A member that passes requests of balancers on to the primary, which they don't reach. */
+/** A member relays requests of balancers that cannot reach the primary themselves. */
 class PrimaryRelayTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void pollAndRequestForQuotaArePassedOnOnce() {
+    void pollAndQuotaRequestAreRelayedOnce() {
         followAnotherPrimary();
         QuotaRequest quota = QuotaRequest.of("t", 5);
         quota.relayWanted = true;
@@ -45,14 +45,14 @@
     }
 
     @Test
-    void requestThatDoesNotAskForItIsNotPassedOn() {
+    void requestWithoutTheRelayFieldIsNotRelayed() {
         followAnotherPrimary();
         node.receive(new PollRequestBuilder().build());
         assertFalse(node.hasSent(m -> m instanceof PollRequest));
     }
 
     @Test
-    void balancerIsToldIfThePrimaryDoesNotAnswer() {
+    void balancerGetsANegativeResponseIfThePrimaryDoesNotAnswer() {
         followAnotherPrimary();
         node.partitionPeers();
         List<Message> responses = node.receive(poll());
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void primaryAnswersItself() {
+    void primaryAnswersWithoutRelaying() {
         PollRequest poll = poll();
         poll.immediate = true;
         assertTrue(((PollResponse) node.receive(poll).get(0)).fromPrimary);
--- a/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/PromptDirectoryTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.protocol.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Prompts that upstreams have cached, as the balancers announced them. */
+/** Cached prompts of upstreams, as announced by the balancers. */
 class PromptDirectoryTest {
     private final PromptDirectory directory = new PromptDirectory();
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void repeatedAnnouncementIsKeptOnce() {
+    void repeatedAnnouncementIsStoredOnce() {
         directory.record(List.of(CachedPrompt.of(11, 1), CachedPrompt.of(12, 2)));
         directory.record(List.of(CachedPrompt.of(11, 1)));
         assertEquals(List.of(12L, 11L), prompts(changesSince(0)));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void revisionOfAnotherEpochDoesNotCount() {
+    void revisionOfAnotherEpochIsIgnored() {
         FleetLoadExchange exchange = new FleetLoadExchange();
         exchange.reset(0);
         LoadReport report = new LoadReport();
--- a/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
+++ b/src/test/java/myrtleladder/controlplane/QuotaAllocatorTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.protocol.QuotaResponse;
 import org.junit.jupiter.api.Test;
 
-/** Quotas that all balancers share. */
+/** Grants from tenant quotas that all balancers share. */
 class QuotaAllocatorTest {
     private static Configuration configuration(int rate, int burst) {
         String text =
@@ -34,8 +34,8 @@
             granted += grant.grantedUnits;
         }
         double allowed = (70_000 * 8 + 112_000) * 1.1 + 190_000;
-        assertTrue(granted <= allowed, granted + " of " + allowed);
-        assertTrue(granted >= 70_000 * 8 + 112_000, "too little: " + granted);
+        assertTrue(granted <= allowed, granted + " granted, allowed " + allowed);
+        assertTrue(granted >= 70_000 * 8 + 112_000, "granted too little: " + granted);
     }
 
     @Test
@@ -45,7 +45,7 @@
         assertEquals(5_000, quotas.grant(QuotaRequest.of("t", 5_000), 0).grantedUnits, 1_000);
         QuotaResponse empty = quotas.grant(QuotaRequest.of("t", 1), 100);
         assertEquals(0, empty.grantedUnits);
-        assertTrue(empty.waitMs > 3_000, "waits " + empty.waitMs);
+        assertTrue(empty.waitMs > 3_000, "waiting time " + empty.waitMs);
         assertEquals(1, quotas.grant(QuotaRequest.of("t", 1), 100 + empty.waitMs + 1).grantedUnits);
     }
 
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void advancesOfAllBalancersStayWithinTheirShareOfTheSlack() {
+    void advanceGrantsToAllBalancersStayWithinAQuarterOfTheSlack() {
         QuotaAllocator quotas = new QuotaAllocator(0.1, 190_000);
         quotas.setBalancerCount(56);
         quotas.configure(configuration(446_000, 446_000), true, 0);
@@ -72,11 +72,11 @@
             advance += quotas.grant(QuotaRequest.of("t", 1_000), 0).grantedUnits - 1_000;
         }
         assertTrue(advance <= 0.25 * 190_000 + 1, "advance " + advance);
-        assertTrue(advance > 0, "no advance");
+        assertTrue(advance > 0, "no balancer got an advance");
     }
 
     @Test
-    void unitsThatArePutBackAreGrantedAgain() {
+    void returnedUnitsAreGrantedAgain() {
         QuotaAllocator quotas = new QuotaAllocator(0, 0);
         quotas.configure(configuration(1_000, 1_000), true, 0);
         quotas.grant(QuotaRequest.of("t", 1_000), 0);
--- a/src/test/java/myrtleladder/controlplane/RecordedExchange.java
+++ b/src/test/java/myrtleladder/controlplane/RecordedExchange.java
@@ -4,9 +4,9 @@
 import myrtleladder.http.Headers;
 import myrtleladder.http.RequestHead;
 
-/** A request at the control address that records its response. */
+/** A request to the control address that records its response. */
 final class RecordedExchange extends FakeServerExchange {
-    /** The status of the response: 0 before it, -1 if the connection was aborted. */
+    /** The status of the response: 0 if there is none yet, -1 if the connection was aborted. */
     int status;
 
     Headers headers;
--- a/src/test/java/myrtleladder/controlplane/SoakRun.java
+++ b/src/test/java/myrtleladder/controlplane/SoakRun.java
@@ -20,23 +20,23 @@
 import myrtleladder.testbed.proxy.FaultProxy;
 
 /**
- * One run of a control plane of real processes under the schedule of a seed, with applications that
- * use tallies, and operators, balancers and upstreams. A node has settled once it answers reads of
- * tallies and has done so for the time to catch up.
+ * One run of control plane processes under the fault schedule of a seed, with applications that use
+ * tallies, and an operator, a balancer and upstreams. A node has caught up once it has answered
+ * reads of tallies for the catch-up time.
  */
 final class SoakRun implements AutoCloseable {
     static final long MERGE_MS = 3_000;
 
     private static final int APPLICATIONS_PER_ZONE = 2;
     private static final long CATCH_UP_NS = TimeUnit.SECONDS.toNanos(4);
-    private static final long SETTLE_TIMEOUT_MS = 45_000;
+    private static final long CATCH_UP_TIMEOUT_MS = 45_000;
 
-    /** How long a wipe may wait until enough nodes have settled; after it no disk is wiped. */
-    private static final long MAX_DELAY_MS = 10_000;
+    /** How long a wipe may wait until enough nodes have caught up; then it is skipped. */
+    private static final long MAX_STEP_DELAY_MS = 10_000;
 
-    private static final long LOOK_INTERVAL_MS = 50;
+    private static final long PROBE_INTERVAL_MS = 50;
 
-    /** More nodes than this never lead one after the other in a run; see ControlTraffic. */
+    /** Upper bound of the successive primaries in a run; see ControlTraffic. */
     private static final int MAX_PRIMARIES = 100;
 
     private final long seed;
@@ -46,23 +46,23 @@
     private final ControlProcesses processes;
     private final TallyHistory history = new TallyHistory(MERGE_MS);
     private final List<TallyApplication> applications = new ArrayList<>();
-    private final Map<String, AtomicInteger> lives = new ConcurrentHashMap<>();
+    private final Map<String, AtomicInteger> incarnations = new ConcurrentHashMap<>();
 
-    /** When a node that runs has begun to answer; nodes that are away are missing. */
-    private final Map<String, Long> answersSinceNs = new ConcurrentHashMap<>();
+    /** Since when each node has been responding; unavailable nodes are missing. */
+    private final Map<String, Long> respondingSinceNs = new ConcurrentHashMap<>();
 
-    /** Nodes that run but have not answered since they were started or resumed. */
-    private final Map<String, Boolean> returning = new ConcurrentHashMap<>();
+    /** Nodes that were started or resumed and have not responded since. */
+    private final Map<String, Boolean> restartedNodes = new ConcurrentHashMap<>();
 
-    /** Ends the nodes if the run is interrupted. */
-    private final Thread processEnd = new Thread(this::endProcesses);
+    /** Kills the nodes if the run is interrupted. */
+    private final Thread shutdownHook = new Thread(this::killProcesses);
 
-    private final Thread watcher = new Thread(this::watch, "watcher");
+    private final Thread watcher = new Thread(this::probeRestartedNodes, "watcher");
     private volatile boolean running = true;
     private long disruptedSinceNs;
     private boolean isDisrupted;
-    private long cutSinceNs;
-    private boolean isCut;
+    private long partitionedSinceNs;
+    private boolean isPartitioned;
 
     SoakRun(long seed, ControlTopology topology, long durationMs, Path folder) {
         this.seed = seed;
@@ -70,8 +70,8 @@
         this.steps = SoakSchedule.draw(seed, topology, durationMs);
         proxy = new FaultProxy(seed, LinkFault.NONE);
         processes = new ControlProcesses(folder, proxy, topology);
-        topology.names().forEach(name -> lives.put(name, new AtomicInteger()));
-        Runtime.getRuntime().addShutdownHook(processEnd);
+        topology.names().forEach(name -> incarnations.put(name, new AtomicInteger()));
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /** The schedule as text, one fault a line. */
@@ -81,29 +81,29 @@
         return text.toString();
     }
 
-    /** Plays the schedule; returns what was violated. */
-    List<String> play() throws Exception {
+    /** Runs the schedule; returns all violations. */
+    List<String> run() throws Exception {
         startAll();
         List<String> violations = new ArrayList<>();
         try (ControlTraffic traffic = new ControlTraffic(processes)) {
             history.start();
             startApplications();
-            playSteps();
-            long recoveredMs = awaitSettled();
+            applySteps();
+            long recoveredMs = awaitAllCaughtUp();
             Uninterruptibles.sleepUninterruptibly(MERGE_MS, TimeUnit.MILLISECONDS);
             applications.forEach(TallyApplication::close);
-            violations.addAll(traffic.violationsAtEnd(MAX_PRIMARIES));
+            violations.addAll(traffic.stopAndFindViolations(MAX_PRIMARIES));
             Uninterruptibles.sleepUninterruptibly(MERGE_MS, TimeUnit.MILLISECONDS);
-            violations.addAll(disagreements());
-            endIntervals();
+            violations.addAll(findDisagreements());
+            recordOpenDisruption();
             violations.addAll(history.violations());
             System.out.printf(
                     "seed %d: %s; settled %d ms after the end; configurations %d, departures %d%n",
                     seed,
                     history.summary(),
                     recoveredMs,
-                    traffic.newestAcknowledged(),
-                    traffic.departures());
+                    traffic.newestAcknowledgedGeneration(),
+                    traffic.acknowledgedDepartures());
         }
         return violations;
     }
@@ -111,12 +111,12 @@
     private void startAll() throws Exception {
         for (String name : topology.names()) {
             processes.start(name, true);
-            returning.put(name, true);
+            restartedNodes.put(name, true);
         }
         watcher.start();
-        processes.firstChange();
+        processes.awaitFirstChange();
         processes.awaitMembers(topology.names());
-        awaitSettled();
+        awaitAllCaughtUp();
     }
 
     private void startApplications() {
@@ -129,91 +129,91 @@
                                 topology,
                                 processes,
                                 history,
-                                node -> lives.get(node).get(),
+                                node -> incarnations.get(node).get(),
                                 seed));
             }
         }
     }
 
-    private void playSteps() throws Exception {
+    private void applySteps() throws Exception {
         long startNs = System.nanoTime();
         for (Step step : steps) {
             long dueNs = startNs + TimeUnit.MILLISECONDS.toNanos(step.atMs());
             Uninterruptibles.sleepUninterruptibly(dueNs - System.nanoTime(), TimeUnit.NANOSECONDS);
-            long waitedMs = waitForSettled(step.maxUnsettled(), MAX_DELAY_MS);
+            long waitedMs = awaitCaughtUp(step.maxNodesCatchingUp(), MAX_STEP_DELAY_MS);
             startNs += TimeUnit.MILLISECONDS.toNanos(waitedMs);
-            play(step, unsettled().size() <= step.maxUnsettled());
+            applyStep(step, nodesCatchingUp().size() <= step.maxNodesCatchingUp());
         }
     }
 
-    private void play(Step step, boolean mayWipe) throws Exception {
+    private void applyStep(Step step, boolean mayWipe) throws Exception {
         List<String> killed = new ArrayList<>();
         for (Fault fault : step.faults()) {
             if (fault instanceof Fault.Kill kill) {
                 killed.add(kill.process());
             } else {
-                play(fault);
+                applyFault(fault);
             }
         }
         kill(killed);
         for (String name : mayWipe ? step.wiped() : List.<String>of()) {
             history.record(new TallyHistory.Wipe(name, System.nanoTime()));
-            processes.wipe(name);
+            processes.wipeDisk(name);
         }
     }
 
-    private void play(Fault fault) throws Exception {
+    private void applyFault(Fault fault) throws Exception {
         if (fault instanceof Fault.Drain drain) {
-            leave(drain.process());
+            markUnavailable(drain.process());
             processes.signal(drain.process(), "TERM");
         } else if (fault instanceof Fault.Pause pause) {
-            leave(pause.process());
+            markUnavailable(pause.process());
             processes.suspend(pause.process());
         } else if (fault instanceof Fault.Resume resume) {
             processes.signal(resume.process(), "CONT");
-            returning.put(resume.process(), true);
+            restartedNodes.put(resume.process(), true);
         } else if (fault instanceof Fault.Restart restart) {
             if (processes.names().contains(restart.process())) {
                 kill(List.of(restart.process()));
             }
             processes.start(restart.process(), false);
-            returning.put(restart.process(), true);
+            restartedNodes.put(restart.process(), true);
         } else if (fault instanceof Fault.HealAll) {
             proxy.bring(fault);
-            updateCut(false);
+            setPartitioned(false);
         } else {
-            updateCut(true);
+            setPartitioned(true);
             proxy.bring(fault);
         }
     }
 
     private void kill(List<String> names) throws InterruptedException {
         for (String name : names) {
-            leave(name);
-            lives.get(name).incrementAndGet();
+            markUnavailable(name);
+            incarnations.get(name).incrementAndGet();
         }
         processes.kill(names);
     }
 
-    private synchronized void leave(String name) {
-        returning.remove(name);
-        answersSinceNs.remove(name);
+    private synchronized void markUnavailable(String name) {
+        restartedNodes.remove(name);
+        respondingSinceNs.remove(name);
         updateDisruption();
     }
 
-    private synchronized void updateCut(boolean isNowCut) {
+    private synchronized void setPartitioned(boolean isNowPartitioned) {
         long nowNs = System.nanoTime();
-        if (isCut && !isNowCut) {
-            history.recordCut(new Interval(cutSinceNs, nowNs));
-        } else if (!isCut && isNowCut) {
-            cutSinceNs = nowNs;
+        if (isPartitioned && !isNowPartitioned) {
+            history.recordPartition(new Interval(partitionedSinceNs, nowNs));
+        } else if (!isPartitioned && isNowPartitioned) {
+            partitionedSinceNs = nowNs;
         }
-        isCut = isNowCut;
+        isPartitioned = isNowPartitioned;
         updateDisruption();
     }
 
     private synchronized void updateDisruption() {
-        boolean isNowDisrupted = isCut || answersSinceNs.size() < topology.nodes();
+        boolean isNowDisrupted = isPartitioned || respondingSinceNs.size() < topology.nodes();
         long nowNs = System.nanoTime();
         if (isDisrupted && !isNowDisrupted) {
             history.recordDisruption(new Interval(disruptedSinceNs, nowNs));
@@ -223,70 +223,73 @@
         isDisrupted = isNowDisrupted;
     }
 
-    private synchronized void endIntervals() {
+    private synchronized void recordOpenDisruption() {
         if (isDisrupted) {
             history.recordDisruption(new Interval(disruptedSinceNs, System.nanoTime()));
         }
     }
 
-    /** Looks whether nodes that have returned answer. */
-    private void watch() {
+    /** Probes restarted nodes until they respond. */
+    private void probeRestartedNodes() {
         try {
             while (running) {
-                for (String name : returning.keySet()) {
+                for (String name : restartedNodes.keySet()) {
                     HttpResponse<String> answer =
                             processes.call(name, "GET", "/tallies/t0", "", "");
                     if (answer != null && answer.statusCode() == 200) {
-                        hasReturned(name);
+                        markResponding(name);
                     }
                 }
-                Thread.sleep(LOOK_INTERVAL_MS);
+                Thread.sleep(PROBE_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized void hasReturned(String name) {
-        if (returning.remove(name) != null) {
-            answersSinceNs.put(name, System.nanoTime());
+    private synchronized void markResponding(String name) {
+        if (restartedNodes.remove(name) != null) {
+            respondingSinceNs.put(name, System.nanoTime());
             updateDisruption();
         }
     }
 
-    private List<String> unsettled() {
+    private List<String> nodesCatchingUp() {
         long nowNs = System.nanoTime();
         return topology.names().stream()
                 .filter(
                         name -> {
-                            Long sinceNs = answersSinceNs.get(name);
+                            Long sinceNs = respondingSinceNs.get(name);
                             return sinceNs == null || nowNs - sinceNs < CATCH_UP_NS;
                         })
                 .toList();
     }
 
-    /** Waits until all have settled; returns how many ms that took. */
-    private long awaitSettled() throws InterruptedException {
-        long waitedMs = waitForSettled(0, SETTLE_TIMEOUT_MS);
+    /** Waits until all nodes have caught up; returns the waiting time in ms. */
+    private long awaitAllCaughtUp() throws InterruptedException {
+        long waitedMs = awaitCaughtUp(0, CATCH_UP_TIMEOUT_MS);
         assertTrue(
-                unsettled().isEmpty(),
-                () -> unsettled() + " don't answer GET /tallies/t0" + processes.logs());
+                nodesCatchingUp().isEmpty(),
+                () ->
+                        nodesCatchingUp()
+                                + " did not answer GET /tallies/t0 in time"
+                                + processes.logTails());
         return waitedMs;
     }
 
-    /** Waits until at most so many nodes have not settled, or for a time. */
-    private long waitForSettled(int maxUnsettled, long timeoutMs) throws InterruptedException {
+    /** Waits until at most that many nodes are catching up, or for the timeout. */
+    private long awaitCaughtUp(int maxNodesCatchingUp, long timeoutMs) throws InterruptedException {
         long startNs = System.nanoTime();
         long waitedMs = 0;
-        while (unsettled().size() > maxUnsettled && waitedMs < timeoutMs) {
-            Thread.sleep(LOOK_INTERVAL_MS);
+        while (nodesCatchingUp().size() > maxNodesCatchingUp && waitedMs < timeoutMs) {
+            Thread.sleep(PROBE_INTERVAL_MS);
             waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         }
         return waitedMs;
     }
 
-    /** Reads all tallies at all nodes; tells those on which the nodes don't agree. */
-    private List<String> disagreements() throws InterruptedException {
+    /** Reads all tallies at all nodes; returns a line for each tally on which they disagree. */
+    private List<String> findDisagreements() throws InterruptedException {
         List<String> found = new ArrayList<>();
         for (String tally : TallyApplication.TALLIES) {
             Map<String, String> totals = new TreeMap<>();
@@ -296,13 +299,13 @@
             }
             boolean isAnswered = !totals.containsValue("no answer");
             if (!isAnswered || totals.values().stream().distinct().count() > 1) {
-                found.add("in the end " + tally + " is " + totals);
+                found.add("at the end the nodes disagree on " + tally + ": " + totals);
             }
         }
         return found;
     }
 
-    private void endProcesses() {
+    private void killProcesses() {
         processes.close();
     }
 
@@ -311,7 +314,7 @@
         running = false;
         applications.forEach(TallyApplication::close);
         processes.close();
-        Runtime.getRuntime().removeShutdownHook(processEnd);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         proxy.close();
         Uninterruptibles.joinUninterruptibly(watcher);
     }
--- a/src/test/java/myrtleladder/controlplane/SoakSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/SoakSchedule.java
@@ -12,38 +12,44 @@
 import myrtleladder.testbed.fault.LinkFault;
 
 /**
- * Draws the faults of a run from its seed: faults of processes, wiped disks and cuts, one after the
- * other and overlapping. At most the tolerated number of machines is disturbed at once, cuts and
- * the end of all processes apart. The last fault kills all and wipes as many disks as may be lost.
+ * Draws the faults of a run from its seed: process faults, wiped disks and partitions, which may
+ * overlap. At most the tolerated number of machines is disturbed at once, except by partitions and
+ * by kills of all processes. The last fault kills all processes and wipes the tolerated number of
+ * disks.
  */
 final class SoakSchedule {
-    /** How long a node counts as lost after it was started or resumed; for slow starts. */
-    private static final long RETURN_MS = 7_000;
+    /** How long a node counts as disturbed after a start or resume; allows for slow starts. */
+    private static final long RESTART_RECOVERY_MS = 7_000;
 
     private static final long FIRST_FAULT_MS = 1_500;
     private static final long MAX_GAP_MS = 2_000;
     private static final long MAX_CUT_MS = 9_000;
     private static final long CALM_MS = 6_000;
 
-    /** How many kinds of faults are tried for one that is possible. */
-    private static final int MAX_DRAWS = 10;
+    /** How many kinds of faults are tried until one is possible. */
+    private static final int MAX_DRAW_ATTEMPTS = 10;
 
-    private static final int ANY_NUMBER = Integer.MAX_VALUE;
+    private static final int NO_LIMIT = Integer.MAX_VALUE;
 
     private final Random random;
     private final ControlTopology topology;
     private final List<Step> steps = new ArrayList<>();
-    private final Map<String, Long> lostUntilMs = new HashMap<>();
+    private final Map<String, Long> disturbedUntilMs = new HashMap<>();
     private long nowMs = FIRST_FAULT_MS;
     private long cutUntilMs;
 
     /**
-     * Faults that are brought about at once.
+     * Faults that are injected at once.
      *
      * @param wiped nodes whose disks are emptied after the faults
-     * @param maxUnsettled the step waits until at most so many nodes have not settled
+     * @param maxNodesCatchingUp the step waits until at most that many nodes are catching up
      */
-    record Step(long atMs, String text, List<Fault> faults, List<String> wiped, int maxUnsettled) {
+    record Step(
+            long atMs,
+            String text,
+            List<Fault> faults,
+            List<String> wiped,
+            int maxNodesCatchingUp) {
         @Override
         public String toString() {
             return "%6d ms  %s%s".formatted(atMs, text, wiped.isEmpty() ? "" : ", wiped " + wiped);
@@ -87,14 +93,14 @@
         while (schedule.nowMs < durationMs) {
             schedule.drawNext();
         }
-        schedule.drawEnd();
+        schedule.drawFinalFault();
         schedule.steps.sort(Comparator.comparingLong(Step::atMs));
         return schedule.steps;
     }
 
     private void drawNext() {
         int stepsBefore = steps.size();
-        for (int i = 0; i < MAX_DRAWS && steps.size() == stepsBefore; i++) {
+        for (int i = 0; i < MAX_DRAW_ATTEMPTS && steps.size() == stepsBefore; i++) {
             draw(pick(KINDS_BY_WEIGHT));
         }
         nowMs += 100 + random.nextLong(MAX_GAP_MS);
@@ -119,34 +125,34 @@
     }
 
     private void add(long atMs, String text, List<Fault> faults) {
-        steps.add(new Step(atMs, text, faults, List.of(), ANY_NUMBER));
+        steps.add(new Step(atMs, text, faults, List.of(), NO_LIMIT));
     }
 
-    /** A node that may be lost now, null if there is none. */
-    private String nodeToLose() {
+    /** Picks a node that may be disturbed now, null if there is none. */
+    private String pickNodeToDisturb() {
         List<String> present =
                 topology.names().stream()
-                        .filter(name -> lostUntilMs.getOrDefault(name, 0L) <= nowMs)
+                        .filter(name -> disturbedUntilMs.getOrDefault(name, 0L) <= nowMs)
                         .toList();
         int lost = topology.nodes() - present.size();
         return lost < topology.toleratedMachines() ? pick(present) : null;
     }
 
     private void killOne(long maxDownMs, boolean isWiped) {
-        String node = nodeToLose();
+        String node = pickNodeToDisturb();
         if (node == null) {
             return;
         }
         long restartMs = nowMs + 100 + random.nextLong(maxDownMs);
         List<String> wiped = isWiped ? List.of(node) : List.of();
-        int maxUnsettled = isWiped ? topology.toleratedMachines() - 1 : ANY_NUMBER;
+        int maxNodesCatchingUp = isWiped ? topology.toleratedMachines() - 1 : NO_LIMIT;
         List<Fault> faults = List.of(new Fault.Kill(node));
-        steps.add(new Step(nowMs, "kill " + node, faults, wiped, maxUnsettled));
+        steps.add(new Step(nowMs, "kill " + node, faults, wiped, maxNodesCatchingUp));
         restart(node, restartMs);
     }
 
     private void terminateOne() {
-        String node = nodeToLose();
+        String node = pickNodeToDisturb();
         if (node != null) {
             add(nowMs, "terminate " + node, List.of(new Fault.Drain(node)));
             restart(node, nowMs + 500 + random.nextLong(4_000));
@@ -154,17 +160,17 @@
     }
 
     private void suspendOne() {
-        String node = nodeToLose();
+        String node = pickNodeToDisturb();
         if (node != null) {
             long resumeMs = nowMs + 50 + random.nextLong(5_000);
             add(nowMs, "suspend " + node, List.of(new Fault.Pause(node)));
             add(resumeMs, "resume " + node, List.of(new Fault.Resume(node)));
-            lostUntilMs.put(node, resumeMs + RETURN_MS);
+            disturbedUntilMs.put(node, resumeMs + RESTART_RECOVERY_MS);
         }
     }
 
     private void killAll() {
-        if (lostUntilMs.values().stream().allMatch(until -> until <= nowMs)) {
+        if (disturbedUntilMs.values().stream().allMatch(until -> until <= nowMs)) {
             add(nowMs, "kill all", kills());
             topology.names().forEach(node -> restart(node, nowMs + random.nextLong(1_000)));
         }
@@ -176,7 +182,7 @@
 
     private void restart(String node, long atMs) {
         add(atMs, "start " + node, List.of(new Fault.Restart(node)));
-        lostUntilMs.put(node, atMs + RETURN_MS);
+        disturbedUntilMs.put(node, atMs + RESTART_RECOVERY_MS);
     }
 
     private void cut(long durationMs) {
@@ -200,16 +206,16 @@
         cutBetween(List.of(node), others, true);
     }
 
-    /** Some zones with their applications from the others, in both directions or in one. */
-    private void cutZones(int count, boolean isBothWays) {
+    /** Separates some zones and their applications from the others, in one or both directions. */
+    private void cutZones(int count, boolean isBidirectional) {
         List<String> zones = new ArrayList<>(topology.zoneNames());
         Collections.shuffle(zones, random);
         List<String> side = zones.subList(0, count);
         List<String> otherSide = zones.subList(count, zones.size());
-        cutBetween(endpoints(side), endpoints(otherSide), isBothWays);
+        cutBetween(endpoints(side), endpoints(otherSide), isBidirectional);
     }
 
-    /** The nodes in two groups that have nothing to do with zones. */
+    /** Splits the nodes into two groups regardless of zones. */
     private void cutHalves() {
         List<String> names = new ArrayList<>(topology.names());
         Collections.shuffle(names, random);
@@ -217,7 +223,7 @@
         cutBetween(names.subList(0, size), names.subList(size, names.size()), true);
     }
 
-    /** Two zones can't reach each other while the others reach both. */
+    /** Separates two zones from each other while the others reach both. */
     private void cutBridge() {
         List<String> zones = new ArrayList<>(topology.zoneNames());
         Collections.shuffle(zones, random);
@@ -233,17 +239,17 @@
         return endpoints;
     }
 
-    private void cutBetween(List<String> from, List<String> to, boolean isBothWays) {
+    private void cutBetween(List<String> from, List<String> to, boolean isBidirectional) {
         List<Fault> faults = new ArrayList<>();
         for (String one : from) {
             for (String other : to) {
                 faults.add(new Fault.Link(one, other, LinkFault.CUT));
-                if (isBothWays) {
+                if (isBidirectional) {
                     faults.add(new Fault.Link(other, one, LinkFault.CUT));
                 }
             }
         }
-        add(nowMs, "cut " + nodes(from) + (isBothWays ? " | " : " -> ") + nodes(to), faults);
+        add(nowMs, "cut " + nodes(from) + (isBidirectional ? " | " : " -> ") + nodes(to), faults);
     }
 
     private static String nodes(List<String> endpoints) {
@@ -254,13 +260,13 @@
     }
 
     private void waitForCalm() {
-        long endMs = lostUntilMs.values().stream().mapToLong(until -> until).max().orElse(0);
+        long endMs = disturbedUntilMs.values().stream().mapToLong(until -> until).max().orElse(0);
         nowMs = Math.max(nowMs, Math.max(endMs, cutUntilMs)) + CALM_MS;
     }
 
-    /** The last fault, in half of the runs during a cut. */
-    private void drawEnd() {
-        long endMs = lostUntilMs.values().stream().mapToLong(until -> until).max().orElse(0);
+    /** Draws the last fault; in half of the runs it happens during a partition. */
+    private void drawFinalFault() {
+        long endMs = disturbedUntilMs.values().stream().mapToLong(until -> until).max().orElse(0);
         nowMs = Math.max(nowMs, Math.max(endMs, cutUntilMs));
         boolean isCut = random.nextBoolean();
         if (isCut) {
@@ -271,8 +277,8 @@
         List<String> wiped = new ArrayList<>(topology.names());
         Collections.shuffle(wiped, random);
         wiped = wiped.subList(0, topology.toleratedMachines());
-        int maxUnsettled = isCut ? ANY_NUMBER : 0;
-        steps.add(new Step(nowMs, "final: kill all", kills(), wiped, maxUnsettled));
+        int maxNodesCatchingUp = isCut ? NO_LIMIT : 0;
+        steps.add(new Step(nowMs, "final: kill all", kills(), wiped, maxNodesCatchingUp));
         nowMs++;
         topology.names().forEach(node -> restart(node, nowMs + random.nextLong(1_000)));
     }
--- a/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreCompatibilityTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state files of three control nodes, two generations of each, against golden files that the
- * program has written. A node that is upgraded starts from the files of the version before it; so
- * the names, the table, the checksum and the message in the files may not change.
+ * The state files of three control nodes, two generations of each, compared with golden files that the
+ * program wrote. An upgraded node starts from the files of the previous version, so the file
+ * names, the table format, the checksum and the message encoding must not change.
  */
 class StateStoreCompatibilityTest {
     private static final Path GOLDEN = Path.of("src/test/resources/compatibility/state");
@@ -40,8 +40,8 @@
         return new StateStore(folder);
     }
 
-    private static List<Path> files(Path place) throws IOException {
-        try (Stream<Path> files = Files.list(place)) {
+    private static List<Path> files(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.sorted().toList();
         }
     }
@@ -113,7 +113,8 @@
 
     @ParameterizedTest
     @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
-    void aNodeSavesOnAndLoadsAgain(int node, long epoch, long generation) throws IOException {
+    void aNodeSavesTheNextGenerationAndLoadsItAgain(int node, long epoch, long generation)
+            throws IOException {
         StateStore store = copyOf("core-" + node);
         store.save(store.load().withPromisedEpoch(99));
         assertEquals(
@@ -126,7 +127,7 @@
 
     @ParameterizedTest
     @CsvSource({"1,11,5", "2,12,6", "3,13,7"})
-    void aDamagedFileIsSetAsideAndTheGenerationBeforeIsUsed(int node, long epoch, long generation)
+    void aDamagedFileIsRenamedAndThePreviousGenerationIsUsed(int node, long epoch, long generation)
             throws IOException {
         StateStore store = copyOf("core-" + node);
         Path newest = folder.resolve(name(generation));
@@ -135,9 +136,9 @@
         Files.write(newest, bytes);
         assertContents(node, epoch - 10, store.load());
         assertFalse(Files.exists(newest));
-        Path aside = folder.resolve(name(generation) + ".damaged");
-        assertTrue(Files.exists(aside));
-        assertArrayEquals(bytes, Files.readAllBytes(aside));
+        Path damagedFile = folder.resolve(name(generation) + ".damaged");
+        assertTrue(Files.exists(damagedFile));
+        assertArrayEquals(bytes, Files.readAllBytes(damagedFile));
     }
 
     @ParameterizedTest
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state on the disk with torn, missing and damaged files. */
+/** Loading and saving of the state with torn, missing and damaged files. */
 class StateStoreTest {
     @TempDir Path folder;
 
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void tornFileIsSetAsideAndThePreviousOneLoaded() throws Exception {
+    void tornFileIsRenamedAndThePreviousOneLoaded() throws Exception {
         StateStore store = new StateStore(folder);
         store.save(state(1, 30_000));
         store.save(state(2, 30_000));
@@ -110,9 +110,9 @@
             }
             Files.write(file, torn);
             long promised = new StateStore(folder).load().promisedEpoch;
-            Path aside = file.resolveSibling(file.getFileName() + ".damaged");
-            assertEquals(Files.exists(aside) ? 1 : 2, promised, "page at " + page);
-            Files.deleteIfExists(aside);
+            Path damagedFile = file.resolveSibling(file.getFileName() + ".damaged");
+            assertEquals(Files.exists(damagedFile) ? 1 : 2, promised, "page at " + page);
+            Files.deleteIfExists(damagedFile);
         }
     }
 
--- a/src/test/java/myrtleladder/controlplane/TallyApplication.java
+++ b/src/test/java/myrtleladder/controlplane/TallyApplication.java
@@ -22,8 +22,9 @@
 import myrtleladder.controlplane.TallyHistory.Outcome;
 
 /**
- * An application of a zone, on a thread of its own: it adds to tallies and reads them, each call at
- * the nearest nodes first and, if that fails, at others with the same id. It keeps its connections.
+ * An application in a zone, on its own thread, that adds to tallies and reads them. It calls nodes
+ * of its zone first and retries a failed addition with the same id at other nodes. It reuses its
+ * connections.
  */
 final class TallyApplication implements AutoCloseable {
     static final List<String> TALLIES = List.of("t0", "t1", "t2");
@@ -33,47 +34,47 @@
     private static final int MAX_AMOUNT = 9;
     private static final long PAUSE_MS = 40;
 
-    /** How many additions in a hundred are sent again after they were acknowledged. */
+    /** The percentage of additions that are sent again after they were acknowledged. */
     private static final int REPEATED_PERCENT = 5;
 
     private static final Pattern TOTAL = Pattern.compile("\"total\"\\s*:\\s*(\\d+)");
 
     private final String name;
     private final TallyHistory history;
-    private final ToIntFunction<String> lifeOf;
+    private final ToIntFunction<String> incarnationOf;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final List<String> near;
-    private final List<String> far = new ArrayList<>();
+    private final List<String> nearNodes;
+    private final List<String> farNodes = new ArrayList<>();
     private final Random random;
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final Thread thread;
     private volatile boolean running = true;
 
-    /** What a node answered; {@code life} is that of the process at both ends of the call. */
-    private record Answer(int status, String body, int life, long invokedNs, long endedNs) {}
+    /** The response of a node; {@code incarnation} is that of the process during the call. */
+    private record Answer(int status, String body, int incarnation, long invokedNs, long endedNs) {}
 
     private static final int NOT_SENT = -1;
     private static final int NO_ANSWER = 0;
 
-    /** Starts an application; {@code lifeOf} counts the processes of a node. */
+    /** Starts an application; {@code incarnationOf} returns how often a node was restarted. */
     TallyApplication(
             String name,
             String zone,
             ControlTopology topology,
             ControlProcesses processes,
             TallyHistory history,
-            ToIntFunction<String> lifeOf,
+            ToIntFunction<String> incarnationOf,
             long seed) {
         this.name = name;
         this.history = history;
-        this.lifeOf = lifeOf;
+        this.incarnationOf = incarnationOf;
         this.random = new Random(seed * 31 + name.hashCode());
-        near = new ArrayList<>(topology.namesIn(zone));
+        nearNodes = new ArrayList<>(topology.namesIn(zone));
         for (String node : topology.names()) {
             addresses.put(node, processes.addressFor(zone, node));
-            if (!near.contains(node)) {
-                far.add(node);
+            if (!nearNodes.contains(node)) {
+                farNodes.add(node);
             }
         }
         thread = new Thread(this::run, name);
@@ -103,10 +104,10 @@
     }
 
     private List<String> nodesByDistance() {
-        Collections.shuffle(near, random);
-        Collections.shuffle(far, random);
-        List<String> nodes = new ArrayList<>(near);
-        nodes.addAll(far);
+        Collections.shuffle(nearNodes, random);
+        Collections.shuffle(farNodes, random);
+        List<String> nodes = new ArrayList<>(nearNodes);
+        nodes.addAll(farNodes);
         return nodes;
     }
 
@@ -137,7 +138,7 @@
                         id,
                         amount,
                         node,
-                        answer.life,
+                        answer.incarnation,
                         answer.invokedNs,
                         answer.endedNs,
                         outcome));
@@ -152,7 +153,7 @@
         return isRefused || status == NOT_SENT ? Outcome.REFUSED : Outcome.UNKNOWN;
     }
 
-    /** The total at a node, empty if there is no answer with one. */
+    /** Reads the total at a node, empty if the node does not return one. */
     OptionalLong read(String node, String tally) throws InterruptedException {
         Answer answer = call(node, "GET", tally, "");
         Matcher total = TOTAL.matcher(answer.body);
@@ -162,7 +163,7 @@
         long value = Long.parseLong(total.group(1));
         history.record(
                 new TallyHistory.Reading(
-                        tally, node, answer.life, answer.invokedNs, answer.endedNs, value));
+                        tally, node, answer.incarnation, answer.invokedNs, answer.endedNs, value));
         return OptionalLong.of(value);
     }
 
@@ -178,7 +179,7 @@
                         .header("Content-Type", "application/json")
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
                         .build();
-        int lifeBefore = lifeOf.applyAsInt(node);
+        int incarnationBefore = incarnationOf.applyAsInt(node);
         long invokedNs = System.nanoTime();
         int status;
         String content = "";
@@ -193,12 +194,12 @@
             status = NO_ANSWER;
         }
         long endedNs = System.nanoTime();
-        boolean isSameLife = lifeBefore == lifeOf.applyAsInt(node);
-        int life = isSameLife ? lifeBefore : TallyHistory.UNKNOWN_LIFE;
-        return new Answer(status, content, life, invokedNs, endedNs);
+        boolean isSameIncarnation = incarnationBefore == incarnationOf.applyAsInt(node);
+        int incarnation = isSameIncarnation ? incarnationBefore : TallyHistory.UNKNOWN_INCARNATION;
+        return new Answer(status, content, incarnation, invokedNs, endedNs);
     }
 
-    /** Ends the calls; {@link #read} may still be called. */
+    /** Stops the thread; {@link #read} may still be called. */
     @Override
     public void close() {
         running = false;
--- a/src/test/java/myrtleladder/controlplane/TallyHistory.java
+++ b/src/test/java/myrtleladder/controlplane/TallyHistory.java
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * What applications saw of the tallies, with the faults, and the check of both: each total lies
- * between what was acknowledged and what may have been applied. Calls of one id may overlap.
+ * Records the tally calls of applications and the injected faults, and checks that each total lies
+ * between what was acknowledged and what may have been applied. Calls with the same id may overlap.
  *
- * <p>Thread-safe while it is recorded; checked once nothing is recorded any more. Times are those
- * of {@link System#nanoTime}.
+ * <p>The recording methods are thread-safe; {@link #violations} must be called after the last of
+ * them. Times are those of {@link System#nanoTime}.
  */
 final class TallyHistory {
-    /** The life of a node that ended during a call. */
-    static final int UNKNOWN_LIFE = -1;
+    /** The incarnation if the process ended during the call. */
+    static final int UNKNOWN_INCARNATION = -1;
 
     private static final int MAX_VIOLATIONS = 20;
 
@@ -26,34 +26,35 @@
     private final List<Addition> additions = Collections.synchronizedList(new ArrayList<>());
     private final List<Reading> readings = Collections.synchronizedList(new ArrayList<>());
     private final List<Interval> disruptions = Collections.synchronizedList(new ArrayList<>());
-    private final List<Interval> cuts = Collections.synchronizedList(new ArrayList<>());
+    private final List<Interval> partitions = Collections.synchronizedList(new ArrayList<>());
     private final List<Wipe> wipes = Collections.synchronizedList(new ArrayList<>());
     private final List<String> violations = new ArrayList<>();
     private long startNs;
 
-    /** What an application knows of an addition that it sent. */
+    /** The outcome of an addition as its sender knows it. */
     enum Outcome {
         ACKNOWLEDGED,
-        /** The answer promises that nothing was done, or nothing was sent. */
+        /** The response guarantees that nothing was applied, or the request was not sent. */
         REFUSED,
         UNKNOWN
     }
 
-    /** One call that adds; {@code life} counts the starts of the node's process. */
+    /** One call that adds; {@code incarnation} counts the restarts of the node's process. */
     record Addition(
             String tally,
             String id,
             long amount,
             String node,
-            int life,
+            int incarnation,
             long invokedNs,
             long endedNs,
             Outcome outcome) {}
 
-    /** One call that was answered with a total. */
-    record Reading(String tally, String node, int life, long invokedNs, long endedNs, long total) {}
+    /** One call that returned a total. */
+    record Reading(
+            String tally, String node, int incarnation, long invokedNs, long endedNs, long total) {}
 
-    /** A time during which something was the case. */
+    /** A time interval, both ends inclusive. */
     record Interval(long startNs, long endNs) {
         private boolean overlaps(long fromNs, long toNs) {
             return startNs <= toNs && endNs >= fromNs;
@@ -63,9 +64,9 @@
     /** The loss of a node's disk. */
     record Wipe(String node, long atNs) {}
 
-    private record Life(String node, int life, String tally) {}
+    private record TallyAtIncarnation(String node, int incarnation, String tally) {}
 
-    /** Amounts by the time from which they count. */
+    /** Amounts by the time from which each counts. */
     private static final class AmountsByTime {
         private final TreeMap<Long, Long> amounts = new TreeMap<>();
         private TreeMap<Long, Long> sums;
@@ -88,12 +89,12 @@
         }
     }
 
-    /** Creates an empty history; nodes agree after {@code mergeMs} without disruption. */
+    /** Creates an empty history; nodes must agree after {@code mergeMs} without disruption. */
     TallyHistory(long mergeMs) {
         this.mergeNs = mergeMs * 1_000_000;
     }
 
-    /** Begins the time that violations tell. */
+    /** Sets the time from which violations count their milliseconds. */
     void start() {
         startNs = System.nanoTime();
     }
@@ -114,79 +115,85 @@
         disruptions.add(interval);
     }
 
-    void recordCut(Interval interval) {
-        cuts.add(interval);
+    void recordPartition(Interval interval) {
+        partitions.add(interval);
     }
 
-    /** The calls by their outcome, and the readings. */
+    /** The number of calls by outcome, and of readings. */
     String summary() {
         Map<Outcome, Integer> counts = new TreeMap<>();
         additions.forEach(addition -> counts.merge(addition.outcome, 1, Integer::sum));
         long duringCuts =
                 additions.stream()
                         .filter(addition -> addition.outcome == Outcome.ACKNOWLEDGED)
-                        .filter(addition -> isIn(cuts, addition.endedNs, addition.endedNs))
+                        .filter(addition -> isIn(partitions, addition.endedNs, addition.endedNs))
                         .count();
         return "additions %s, acknowledged during cuts %d, readings %d, of these calm %d"
                 .formatted(
                         counts,
                         duringCuts,
                         readings.size(),
-                        readings.stream().filter(this::isCalm).count());
+                        readings.stream().filter(this::isUndisturbed).count());
     }
 
     private static boolean isIn(List<Interval> intervals, long fromNs, long toNs) {
         return intervals.stream().anyMatch(interval -> interval.overlaps(fromNs, toNs));
     }
 
-    private boolean isCalm(Reading reading) {
+    private boolean isUndisturbed(Reading reading) {
         return !isIn(disruptions, reading.invokedNs - mergeNs, reading.invokedNs);
     }
 
-    /** Checks all readings; returns what is violated. */
+    /** Checks all readings; returns the violations. */
     List<String> violations() {
-        Map<String, AmountsByTime> possible = new HashMap<>();
-        Map<String, AmountsByTime> owed = new HashMap<>();
-        Map<Life, AmountsByTime> ownByLife = new HashMap<>();
-        sumPossible(possible);
-        sumOwed(owed);
-        sumByLife(ownByLife);
+        Map<String, AmountsByTime> upperBounds = new HashMap<>();
+        Map<String, AmountsByTime> lowerBounds = new HashMap<>();
+        Map<TallyAtIncarnation, AmountsByTime> acknowledgedByIncarnation = new HashMap<>();
+        sumUpperBounds(upperBounds);
+        sumLowerBounds(lowerBounds);
+        sumByIncarnation(acknowledgedByIncarnation);
         AmountsByTime none = new AmountsByTime();
         for (Reading reading : readings) {
             String tally = reading.tally;
-            long most = possible.getOrDefault(tally, none).sumBefore(reading.endedNs);
-            if (reading.total > most) {
-                violated("TWICE", reading, "at most " + most);
+            long maximum = upperBounds.getOrDefault(tally, none).sumBefore(reading.endedNs);
+            if (reading.total > maximum) {
+                addViolation("TWICE", reading, "at most " + maximum);
             }
-            Life life = new Life(reading.node, reading.life, tally);
-            long own = ownByLife.getOrDefault(life, none).sumBefore(reading.invokedNs);
-            if (reading.total < own) {
-                violated("STALE", reading, "acknowledged by this process: " + own);
+            TallyAtIncarnation incarnation =
+                    new TallyAtIncarnation(reading.node, reading.incarnation, tally);
+            long acknowledgedByProcess =
+                    acknowledgedByIncarnation
+                            .getOrDefault(incarnation, none)
+                            .sumBefore(reading.invokedNs);
+            if (reading.total < acknowledgedByProcess) {
+                addViolation(
+                        "STALE", reading, "acknowledged by this process: " + acknowledgedByProcess);
             }
-            long merged = owed.getOrDefault(tally, none).sumBefore(reading.invokedNs - mergeNs);
-            if (isCalm(reading) && reading.total < merged) {
-                violated("LOST or not merged", reading, "acknowledged by all: " + merged);
+            long minimum =
+                    lowerBounds.getOrDefault(tally, none).sumBefore(reading.invokedNs - mergeNs);
+            if (isUndisturbed(reading) && reading.total < minimum) {
+                addViolation("LOST or not merged", reading, "acknowledged by all: " + minimum);
             }
         }
         return violations;
     }
 
-    private void violated(String rule, Reading reading, String bound) {
+    private void addViolation(String rule, Reading reading, String bound) {
         if (violations.size() < MAX_VIOLATIONS) {
             violations.add(
-                    "%s: %s of %s, life %d, is %d after %d ms, %s"
+                    "%s: %s of %s, incarnation %d, is %d after %d ms, %s"
                             .formatted(
                                     rule,
                                     reading.tally,
                                     reading.node,
-                                    reading.life,
+                                    reading.incarnation,
                                     reading.total,
                                     (reading.endedNs - startNs) / 1_000_000,
                                     bound));
         }
     }
 
-    private void sumPossible(Map<String, AmountsByTime> sums) {
+    private void sumUpperBounds(Map<String, AmountsByTime> sums) {
         Map<String, Addition> first = new HashMap<>();
         for (Addition addition : additions) {
             if (addition.outcome != Outcome.REFUSED) {
@@ -197,25 +204,25 @@
         first.values().forEach(a -> sum(sums, a.tally).add(a.invokedNs, a.amount));
     }
 
-    private void sumOwed(Map<String, AmountsByTime> sums) {
+    private void sumLowerBounds(Map<String, AmountsByTime> sums) {
         Map<String, Addition> first = new HashMap<>();
         for (Addition addition : additions) {
-            if (addition.outcome == Outcome.ACKNOWLEDGED && !isLostWithItsDisk(addition)) {
+            if (addition.outcome == Outcome.ACKNOWLEDGED && !mayBeLostWithItsDisk(addition)) {
                 first.merge(addition.id, addition, (a, b) -> a.endedNs - b.endedNs <= 0 ? a : b);
             }
         }
         first.values().forEach(a -> sum(sums, a.tally).add(a.endedNs, a.amount));
     }
 
-    /** Acknowledged during a cut by a node that lost its disk before it could tell all others. */
-    private boolean isLostWithItsDisk(Addition addition) {
+    /** Whether a node acknowledged it during a partition and lost its disk before the merge. */
+    private boolean mayBeLostWithItsDisk(Addition addition) {
         long acknowledgedNs = addition.endedNs;
-        for (Interval cut : cuts) {
+        for (Interval partition : partitions) {
             for (Wipe wipe : wipes) {
-                if (cut.overlaps(addition.invokedNs, acknowledgedNs)
+                if (partition.overlaps(addition.invokedNs, acknowledgedNs)
                         && wipe.node.equals(addition.node)
                         && wipe.atNs >= addition.invokedNs
-                        && wipe.atNs < cut.endNs + mergeNs) {
+                        && wipe.atNs < partition.endNs + mergeNs) {
                     return true;
                 }
             }
@@ -223,17 +230,19 @@
         return false;
     }
 
-    private void sumByLife(Map<Life, AmountsByTime> sums) {
+    private void sumByIncarnation(Map<TallyAtIncarnation, AmountsByTime> sums) {
         Set<String> counted = new HashSet<>();
         List<Addition> ordered = new ArrayList<>(additions);
         ordered.sort((a, b) -> Long.signum(a.endedNs - b.endedNs));
         for (Addition addition : ordered) {
-            if (addition.outcome != Outcome.ACKNOWLEDGED || addition.life == UNKNOWN_LIFE) {
+            if (addition.outcome != Outcome.ACKNOWLEDGED
+                    || addition.incarnation == UNKNOWN_INCARNATION) {
                 continue;
             }
-            if (counted.add(addition.node + "/" + addition.life + "/" + addition.id)) {
-                Life life = new Life(addition.node, addition.life, addition.tally);
-                sums.computeIfAbsent(life, key -> new AmountsByTime())
+            if (counted.add(addition.node + "/" + addition.incarnation + "/" + addition.id)) {
+                TallyAtIncarnation incarnation =
+                        new TallyAtIncarnation(addition.node, addition.incarnation, addition.tally);
+                sums.computeIfAbsent(incarnation, key -> new AmountsByTime())
                         .add(addition.endedNs, addition.amount);
             }
         }
--- a/src/test/java/myrtleladder/controlplane/TallyHistoryTest.java
+++ b/src/test/java/myrtleladder/controlplane/TallyHistoryTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.controlplane.TallyHistory.Wipe;
 import org.junit.jupiter.api.Test;
 
-/** The check of the soak runs sees each kind of fault, and none where there is none. */
+/** The checks of the soak runs detect each kind of violation and raise no false alarm. */
 class TallyHistoryTest {
     private static final int MERGE_MS = 3_000;
 
@@ -20,12 +20,13 @@
         return ms * 1_000_000L;
     }
 
-    private void add(String id, String node, int life, int atMs, Outcome outcome) {
-        history.record(new Addition("t", id, 5, node, life, ns(atMs), ns(atMs + 10), outcome));
+    private void add(String id, String node, int incarnation, int atMs, Outcome outcome) {
+        history.record(
+                new Addition("t", id, 5, node, incarnation, ns(atMs), ns(atMs + 10), outcome));
     }
 
-    private void read(String node, int life, int atMs, long total) {
-        history.record(new Reading("t", node, life, ns(atMs), ns(atMs + 10), total));
+    private void read(String node, int incarnation, int atMs, long total) {
+        history.record(new Reading("t", node, incarnation, ns(atMs), ns(atMs + 10), total));
     }
 
     private void assertViolations(String... rules) {
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void idThatCountedTwiceOrWasRefusedIsSeen() {
+    void idThatCountedTwiceOrWasRefusedIsDetected() {
         add("a", "n0", 1, 1_000, Outcome.ACKNOWLEDGED);
         add("a", "n1", 1, 2_000, Outcome.ACKNOWLEDGED);
         add("b", "n1", 1, 2_500, Outcome.REFUSED);
@@ -58,7 +59,7 @@
     }
 
     @Test
-    void totalWithoutWhatTheSameProcessAcknowledgedIsSeen() {
+    void totalWithoutAnAdditionOfTheSameProcessIsDetected() {
         history.recordDisruption(new Interval(ns(0), ns(10_000)));
         add("a", "n0", 1, 1_000, Outcome.ACKNOWLEDGED);
         read("n0", 2, 2_000, 0);
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void totalWithoutWhatAnotherNodeAcknowledgedIsSeenOnceItIsCalm() {
+    void totalWithoutAnAdditionOfAnotherNodeIsDetectedAfterTheMergePeriod() {
         history.recordDisruption(new Interval(ns(2_000), ns(5_000)));
         add("a", "n0", 1, 1_000, Outcome.ACKNOWLEDGED);
         read("n1", 1, 7_900, 0);
@@ -76,8 +77,8 @@
     }
 
     @Test
-    void acknowledgementDuringACutIsNotOwedOnceItsNodeLostTheDisk() {
-        history.recordCut(new Interval(ns(500), ns(2_000)));
+    void additionAcknowledgedDuringAPartitionMayBeLostWithTheDisk() {
+        history.recordPartition(new Interval(ns(500), ns(2_000)));
         history.record(new Wipe("n0", ns(4_000)));
         add("a", "n0", 1, 1_000, Outcome.ACKNOWLEDGED);
         read("n2", 1, 9_000, 0);
--- a/src/test/java/myrtleladder/controlplane/TallyLogTest.java
+++ b/src/test/java/myrtleladder/controlplane/TallyLogTest.java
@@ -22,14 +22,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The tallies' log with torn, missing and damaged ends, and on a disk that refuses writes. */
+/** The tally log with torn, missing and damaged ends, and on a disk that fails. */
 class TallyLogTest {
     @TempDir Path folder;
     private Path file;
     private final FailingLogFileAccess disk = new FailingLogFileAccess();
 
     @BeforeEach
-    void nameTheFile() {
+    void setLogFile() {
         file = folder.resolve("tally.log");
     }
 
@@ -59,8 +59,8 @@
         assertEquals(text(expected), text(actual), situation);
     }
 
-    /** Loads what is there, appends one addition more, and loads both. */
-    private void assertGoesOnAfter(List<TallyAddition> expected, String situation) {
+    /** Loads the expected additions, appends one more, and loads them all again. */
+    private void assertLoadsAndAppends(List<TallyAddition> expected, String situation) {
         TallyLog log = new TallyLog(folder);
         assertAdditions(expected, log.load(), situation);
         List<TallyAddition> all = new ArrayList<>(expected);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void logThatWasMadeOnALostDiskIsCompleteOnlyOnceItIsMarked() {
+    void logRecreatedAfterADiskLossIsCompleteOnlyOnceMarked() {
         TallyLog made = new TallyLog(folder);
         assertFalse(made.exists());
         made.create();
@@ -110,11 +110,11 @@
     @Test
     void emptyFileOfACrashBeforeTheFirstSyncIsALogWithoutAdditions() throws Exception {
         Files.createFile(file);
-        assertGoesOnAfter(List.of(), "empty file");
+        assertLoadsAndAppends(List.of(), "empty file");
     }
 
     @Test
-    void fileTornAtAnyByteHoldsThePrefixOfWholeAppends() throws Exception {
+    void fileTornAtAnyByteKeepsThePrefixOfCompleteAppends() throws Exception {
         TallyLog log = new TallyLog(folder);
         List<Integer> ends = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
@@ -131,7 +131,8 @@
                                 .filter(end -> Arrays.equals(torn, 0, end, complete, 0, end))
                                 .count();
                 Files.write(file, torn);
-                assertGoesOnAfter(additions(1, whole), length + " of " + torn.length + " bytes");
+                assertLoadsAndAppends(
+                        additions(1, whole), length + " of " + torn.length + " bytes");
             }
         }
     }
@@ -153,7 +154,7 @@
     }
 
     @Test
-    void lostFirstFrameOfAnAppendHidesItsSecondOne() throws Exception {
+    void lostFirstFrameOfAnAppendDiscardsItsSecondFrame() throws Exception {
         TallyLog log = new TallyLog(folder);
         log.append(additions(1, 1));
         int durable = (int) Files.size(file);
@@ -165,11 +166,11 @@
         assertAdditions(additions(1, 20_000), new TallyLog(folder).load(), "complete");
         Arrays.fill(bytes, durable, durable + frameLength, (byte) 0);
         Files.write(file, bytes);
-        assertGoesOnAfter(additions(1, 1), "first frame lost");
+        assertLoadsAndAppends(additions(1, 1), "first frame lost");
     }
 
     @Test
-    void failedWriteIsCutOffBeforeTheNextOne() throws Exception {
+    void failedWriteIsTruncatedBeforeTheNextOne() throws Exception {
         TallyLog log = new TallyLog(folder, disk);
         log.append(additions(1, 2));
         for (int written = 0; written < 30; written++) {
@@ -186,7 +187,7 @@
     }
 
     @Test
-    void appendsFailUntilTheFailedOneCanBeCutOff() throws Exception {
+    void appendsFailUntilTheFailedOneCanBeTruncated() throws Exception {
         TallyLog log = new TallyLog(folder, disk);
         log.append(additions(1, 2));
         disk.failsToForce = true;
@@ -200,7 +201,7 @@
     }
 
     @Test
-    void whatAKilledProcessHadNotSyncedIsSyncedByTheNextLoad() {
+    void loadSyncsTheUnsyncedAppendsOfAKilledProcess() {
         new TallyLog(folder).append(additions(1, 2));
         assertAdditions(additions(1, 2), new TallyLog(folder, disk).load(), "reopened");
         assertEquals(1, disk.forces);
@@ -208,11 +209,11 @@
         StorageException failure =
                 assertThrows(StorageException.class, () -> new TallyLog(folder, disk).load());
         assertEquals(ResultCode.DISK_WRITE, failure.code());
-        assertAdditions(additions(1, 2), new TallyLog(folder).load(), "nothing is cut off");
+        assertAdditions(additions(1, 2), new TallyLog(folder).load(), "nothing was truncated");
     }
 
     @Test
-    void fileOfAnUnknownFormatIsRefusedAndKept() throws Exception {
+    void fileOfAnUnknownFormatIsRefusedAndLeftUnchanged() throws Exception {
         new TallyLog(folder).append(additions(1, 2));
         byte[] known = Files.readAllBytes(file);
         for (byte[] content :
@@ -236,7 +237,7 @@
     }
 
     @Test
-    void unreadableFileIsReportedAndNotTakenForAnEmptyOne() throws Exception {
+    void unreadableFileIsReportedAndNotTreatedAsEmpty() throws Exception {
         Files.createDirectory(file);
         StorageException failure =
                 assertThrows(StorageException.class, () -> new TallyLog(folder).load());
--- a/src/test/java/myrtleladder/controlplane/TallyRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/TallyRequestTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Additions to tallies and their totals, as applications send and read them. */
+/** Tally additions and reads that applications send to a node. */
 class TallyRequestTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
--- a/src/test/java/myrtleladder/controlplane/TallySoakTest.java
+++ b/src/test/java/myrtleladder/controlplane/TallySoakTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real control processes under drawn faults: tallies stay between what was acknowledged and what
- * may have been applied, on all nodes, and so do configurations and departures.
+ * Control processes under random faults: on all nodes each tally stays between what was
+ * acknowledged and what may have been applied, and no acknowledged configuration or departure is
+ * lost.
  */
 class TallySoakTest {
     private static final long FIRST_SEED = Long.getLong("soak.first", 1);
@@ -25,21 +26,21 @@
         return new ControlTopology(nodes, Math.min(nodes / 2 + 1, 4), toleratedMachines, 1);
     }
 
-    private void play(long firstSeed, int seeds, int nodes, int seconds) throws Exception {
+    private void runSeeds(long firstSeed, int seeds, int nodes, int seconds) throws Exception {
         List<String> failures = new ArrayList<>();
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
-            failures.addAll(play(seed, nodes, seconds));
+            failures.addAll(runSeed(seed, nodes, seconds));
         }
         assertEquals(List.of(), failures);
     }
 
-    private List<String> play(long seed, int nodes, int seconds) throws Exception {
+    private List<String> runSeed(long seed, int nodes, int seconds) throws Exception {
         Path disks = Files.createDirectory(folder.resolve("seed-" + seed));
         List<String> failures = new ArrayList<>();
         try (SoakRun run = new SoakRun(seed, topology(nodes), seconds * 1_000L, disks)) {
             System.out.printf("seed %d, %d nodes:%n%s", seed, nodes, run.schedule());
             try {
-                run.play().forEach(violation -> failures.add("seed " + seed + ": " + violation));
+                run.run().forEach(violation -> failures.add("seed " + seed + ": " + violation));
             } catch (AssertionError e) {
                 failures.add("seed " + seed + ": " + e.getMessage());
             }
@@ -56,14 +57,14 @@
     }
 
     @Test
-    void talliesHoldThroughAShortScheduleOfFaults() throws Exception {
-        play(FIRST_SEED, 1, 5, 25);
+    void talliesStayConsistentUnderAShortScheduleOfFaults() throws Exception {
+        runSeeds(FIRST_SEED, 1, 5, 25);
     }
 
     @Test
     @Tag("long")
-    void talliesHoldThroughManySchedulesOfFaults() throws Exception {
-        play(
+    void talliesStayConsistentUnderManySchedulesOfFaults() throws Exception {
+        runSeeds(
                 FIRST_SEED,
                 Integer.getInteger("soak.seeds", 20),
                 NODES,
