--- a/src/test/java/myrtleladder/controlplane/ControlProcesses.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcesses.java
@@ -403,9 +403,9 @@
         long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
         while (System.nanoTime() < endNs) {
             for (String name : names()) {
-                HttpResponse<String> shown = call(name, "GET", "/config", "", "");
-                if (shown != null && shown.statusCode() == 200) {
-                    return shown.body();
+                HttpResponse<String> response = call(name, "GET", "/config", "", "");
+                if (response != null && response.statusCode() == 200) {
+                    return response.body();
                 }
             }
         }
--- a/src/test/java/myrtleladder/controlplane/SoakSchedule.java
+++ b/src/test/java/myrtleladder/controlplane/SoakSchedule.java
@@ -268,8 +268,8 @@
     private void drawFinalFault() {
         long endMs = disturbedUntilMs.values().stream().mapToLong(until -> until).max().orElse(0);
         nowMs = Math.max(nowMs, Math.max(endMs, cutUntilMs));
-        boolean isCut = random.nextBoolean();
-        if (isCut) {
+        boolean isDuringPartition = random.nextBoolean();
+        if (isDuringPartition) {
             steps.add(new Step(nowMs, "all have settled", List.of(), List.of(), 0));
             cut(4_000);
             nowMs = cutUntilMs - 1;
@@ -277,7 +277,7 @@
         List<String> wiped = new ArrayList<>(topology.names());
         Collections.shuffle(wiped, random);
         wiped = wiped.subList(0, topology.toleratedMachines());
-        int maxNodesCatchingUp = isCut ? NO_LIMIT : 0;
+        int maxNodesCatchingUp = isDuringPartition ? NO_LIMIT : 0;
         steps.add(new Step(nowMs, "final: kill all", kills(), wiped, maxNodesCatchingUp));
         nowMs++;
         topology.names().forEach(node -> restart(node, nowMs + random.nextLong(1_000)));
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -87,8 +87,8 @@
         Path file = newest();
         Path other = new StateStore(folder).files().get(1).path();
         byte[] before = Files.readAllBytes(other);
-        for (int cut = 0; cut < complete.length; cut += 4_096) {
-            Files.write(file, Arrays.copyOf(complete, cut));
+        for (int truncatedLength = 0; truncatedLength < complete.length; truncatedLength += 4_096) {
+            Files.write(file, Arrays.copyOf(complete, truncatedLength));
             assertLoads(1, 30_000);
             Files.deleteIfExists(file.resolveSibling(file.getFileName() + ".damaged"));
             Files.write(other, before);
--- a/src/test/java/myrtleladder/controlplane/TallyLogTest.java
+++ b/src/test/java/myrtleladder/controlplane/TallyLogTest.java
@@ -123,16 +123,16 @@
         }
         byte[] complete = Files.readAllBytes(file);
         for (int length = 0; length <= complete.length; length++) {
-            byte[] cut = Arrays.copyOf(complete, length);
-            for (byte[] torn : List.of(cut, Arrays.copyOf(cut, complete.length + 50))) {
-                long whole =
+            byte[] truncated = Arrays.copyOf(complete, length);
+            for (byte[] torn : List.of(truncated, Arrays.copyOf(truncated, complete.length + 50))) {
+                long completeAppends =
                         ends.stream()
                                 .filter(end -> end <= torn.length)
                                 .filter(end -> Arrays.equals(torn, 0, end, complete, 0, end))
                                 .count();
                 Files.write(file, torn);
                 assertLoadsAndAppends(
-                        additions(1, whole), length + " of " + torn.length + " bytes");
+                        additions(1, completeAppends), length + " of " + torn.length + " bytes");
             }
         }
     }
