--- a/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
+++ b/src/main/java/myrtleladder/controlplane/ConfigurationRequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import myrtleladder.configuration.Compression;
 import myrtleladder.configuration.ConfigurationDocument;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.replication.Replica;
 import myrtleladder.replication.StateChange;
@@ -90,7 +90,7 @@
     private void replicate(
             ConfigurationRequest request, ConfigurationDocument next, Runnable onProcessed) {
         replica.submit(
-                StateChange.toDocument(
+                StateChange.ofDocument(
                         Compression.deflate(next.bytes()), next.generation(), request.digest()),
                 isCommitted -> {
                     if (isCommitted) {
@@ -112,7 +112,7 @@
     }
 
     private void acknowledge(ConfigurationRequest request) {
-        byte[] body = Json.write(Map.of("generation", committed.generation()));
+        byte[] body = JsonCodec.serialize(Map.of("generation", committed.generation()));
         HttpResponses.sendJson(request.exchange(), HttpResponses.OK, body);
     }
 }
--- a/src/main/java/myrtleladder/controlplane/ControlPlane.java
+++ b/src/main/java/myrtleladder/controlplane/ControlPlane.java
@@ -14,7 +14,7 @@
 import myrtleladder.protocol.ShareInstancesRequest;
 import myrtleladder.protocol.TallySyncRequest;
 import myrtleladder.protocol.View;
-import myrtleladder.replication.Peers;
+import myrtleladder.replication.PeerTransport;
 import myrtleladder.replication.Replica;
 import myrtleladder.scheduler.Scheduler;
 import myrtleladder.tally.Tallies;
@@ -110,7 +110,7 @@
      */
     public ControlPlane(
             Scheduler scheduler,
-            Peers peers,
+            PeerTransport peers,
             long heartbeatIntervalMs,
             double quotaOverageRatio,
             double quotaSlackUnits,
@@ -373,7 +373,7 @@
         }
         for (InstanceRecord record : assigned) {
             LOG.info(
-                    "assigned to upstream {} in zone {} the ordinal {}",
+                    "upstream {} in zone {} has been assigned ordinal {}",
                     record.id,
                     record.zone,
                     record.ordinal);
--- a/src/main/java/myrtleladder/controlplane/HttpResponses.java
+++ b/src/main/java/myrtleladder/controlplane/HttpResponses.java
@@ -1,7 +1,7 @@
 package myrtleladder.controlplane;
 
 import java.util.Map;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.http.Headers;
 import myrtleladder.http.ServerExchange;
 import myrtleladder.protocol.Member;
@@ -50,12 +50,12 @@
 
     /** Responds with an error status and a JSON object that contains the reason. */
     static void sendError(ServerExchange exchange, int status, String reason) {
-        sendJson(exchange, status, Json.write(Map.of("error", reason)));
+        sendJson(exchange, status, JsonCodec.serialize(Map.of("error", reason)));
     }
 
     /** Acknowledges the request with an empty JSON object. */
     static void sendAcknowledgement(ServerExchange exchange) {
-        sendJson(exchange, OK, Json.write(Map.of()));
+        sendJson(exchange, OK, JsonCodec.serialize(Map.of()));
     }
 
     /** Responds with a JSON document. */
--- a/src/main/java/myrtleladder/controlplane/Main.java
+++ b/src/main/java/myrtleladder/controlplane/Main.java
@@ -41,10 +41,10 @@
         TallyLog tallyLog = new TallyLog(Path.of(settings.dataFolder()));
         Replica replica = ControlNode.start(settings, loop, store, tallyLog);
         CountDownLatch shutdownLatch = new CountDownLatch(1);
-        Signals.on(
+        Signals.setHandler(
                 "TERM",
                 () -> loop.execute(() -> leave(settings.bounds(), loop, replica, shutdownLatch)));
-        Signals.on(
+        Signals.setHandler(
                 "HUP",
                 () -> loop.execute(() -> LOG.info("ignoring SIGHUP: restart to reload settings")));
         LOG.info("control node {} listens on {}", settings.nodeName(), settings.control());
--- a/src/main/java/myrtleladder/dataplane/AdmissionController.java
+++ b/src/main/java/myrtleladder/dataplane/AdmissionController.java
@@ -57,7 +57,7 @@
     /** Longest wait that clients of a model service are assumed to accept. */
     private static long modelWaitLimitMs(Route route) {
         long byLatency = WAIT_LIMIT_TARGET_LATENCIES * route.targetLatencyMs();
-        long byGap = WAIT_LIMIT_EVENT_GAPS * route.gapAimMs();
+        long byGap = WAIT_LIMIT_EVENT_GAPS * route.targetEventGapMs();
         return Math.max(MIN_WAIT_LIMIT_MS, Math.max(byLatency, byGap));
     }
 
--- a/src/main/java/myrtleladder/dataplane/Main.java
+++ b/src/main/java/myrtleladder/dataplane/Main.java
@@ -22,30 +22,30 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The data plane's program: wires the components, and drains them at the end. All but {@link #main}
- * and {@link #serve} is confined to the event loop.
+ * The main class of the data plane: creates and connects the components, and drains requests before
+ * the process terminates. Confined to the event loop except for {@link #main} and {@link #serve}.
  */
 public final class Main {
     private static final Logger LOG = LogManager.getLogger(Main.class);
     private static final byte[] NO_BYTES = {};
 
-    /** Interval at which idle and slow client connections are looked for. */
+    /** Interval at which idle and slow client connections are checked. */
     private static final long IDLE_CHECK_INTERVAL_MS = 500;
 
-    /** Time beyond a client connection's announced timeouts before it is closed. */
+    /** How long after its announced timeout a client connection is closed. */
     private static final long CLIENT_TIMEOUT_MARGIN_MS = 1_000;
 
-    /** Time after SIGTERM for which new requests are still accepted. */
+    /** How long new requests are still accepted after SIGTERM. */
     private static final long ACCEPT_WHILE_DRAINING_MS = 2_500;
 
-    /** How long before the end of the grace period the process ends. */
+    /** How long before the end of the grace period the process terminates. */
     private static final long GRACE_MARGIN_MS = 700;
 
-    /** Interval at which the end of draining is looked for. */
+    /** Interval at which the progress of draining is checked. */
     private static final long DRAIN_CHECK_INTERVAL_MS = 50;
 
-    /** Time without requests in flight in which the last bytes reach clients. */
-    private static final long LAST_BYTES_MS = 150;
+    /** Time without requests in flight that is left for the last bytes to reach clients. */
+    private static final long FLUSH_MS = 150;
 
     private final NodeSettings settings;
     private final EventLoop loop;
@@ -62,25 +62,25 @@
         this.loop = loop;
     }
 
-    /** Runs the program; see {@link DataCommand} for its arguments. */
+    /** Runs a command of the data plane; see {@link DataCommand}. */
     public static void main(String[] arguments) {
         System.exit(DataCommand.run(arguments));
     }
 
-    /** Serves until SIGTERM and the end of requests in flight; does not return normally. */
+    /** Serves until SIGTERM, drains and terminates the process; does not return normally. */
     static void serve(NodeSettings settings)
             throws InterruptedException, ReflectiveOperationException {
         Main main = new Main(settings, new EventLoop());
         main.loop.start();
         main.loop.execute(main::start);
-        Signals.on("TERM", () -> main.loop.execute(main::drain));
-        Signals.on("HUP", () -> main.loop.execute(main::reloadSeeds));
+        Signals.setHandler("TERM", () -> main.loop.execute(main::drain));
+        Signals.setHandler("HUP", () -> main.loop.execute(main::reloadSeeds));
         main.terminated.await();
         Runtime.getRuntime().halt(0);
     }
 
-    /** Starts to serve on a running loop; called on the loop. */
-    static void startOn(NodeSettings settings, EventLoop loop) {
+    /** Starts to serve on a running event loop; called on that loop. */
+    static void startOnLoop(NodeSettings settings, EventLoop loop) {
         new Main(settings, loop).start();
     }
 
@@ -101,7 +101,7 @@
                                 settings.heartbeatMs()),
                         System.nanoTime());
         PeerClient peers = new PeerClient(loop, settings.internal()::callAddress);
-        HeartbeatAgent agent = new HeartbeatAgent(loop, peers, settings.nodeName());
+        HeartbeatAgent heartbeatAgent = new HeartbeatAgent(loop, peers, settings.nodeName());
         poller =
                 new ControlPoller(
                         loop,
@@ -109,44 +109,46 @@
                         dataPlane,
                         settings.nodeName(),
                         settings.ip() + ":" + settings.firstPort(),
-                        agent,
+                        heartbeatAgent,
                         this::readSeeds);
-        startServers(agent);
+        startServers(heartbeatAgent);
         dataPlane.start();
         poller.start();
         checkIdleConnections();
-        LOG.info("balancer {} at {}", settings.nodeName(), settings.frontend());
+        LOG.info("balancer {} listens at {}", settings.nodeName(), settings.frontend());
     }
 
-    private void startServers(HeartbeatAgent agent) {
+    private void startServers(HeartbeatAgent heartbeatAgent) {
         new MessageServer(
                 loop,
                 settings.internal().listen().host(),
                 settings.internal().listen().port(),
-                (message, callback) -> messageReceived(agent, message, callback));
-        agent.start();
+                (message, callback) -> handleMessage(heartbeatAgent, message, callback));
+        heartbeatAgent.start();
         Address readiness = settings.readiness();
-        new HttpServer(loop, readiness.host(), readiness.port(), this::answerReadiness);
+        new HttpServer(loop, readiness.host(), readiness.port(), this::handleReadinessProbe);
         Address clients = settings.frontend();
         frontend = new HttpServer(loop, clients.host(), clients.port(), dataPlane.router()::handle);
     }
 
-    private static void messageReceived(
-            HeartbeatAgent agent, Message message, Consumer<Message> callback) {
+    private static void handleMessage(
+            HeartbeatAgent heartbeatAgent, Message message, Consumer<Message> callback) {
         boolean isHeartbeat = message instanceof BalancerHeartbeat;
         if (message instanceof BalancerHeartbeat heartbeat) {
-            agent.onHeartbeat(heartbeat);
+            heartbeatAgent.onHeartbeat(heartbeat);
         }
         callback.accept(AcknowledgeResponse.of(isHeartbeat, 0, null));
     }
 
-    /** The seeds of the settings file, which may change without a signal. */
+    /** Reads the seeds from the settings file again; the file may change without a signal. */
     private List<String> readSeeds() {
         List<Address> seeds = settings.seeds();
         try {
             seeds = NodeSettings.fromEnvironment().seeds();
         } catch (ResultException e) {
-            LOG.warn("the settings file is left: {}", e.getMessage());
+            LOG.warn(
+                    "failed to reload the settings file, keeping the seeds from startup: {}",
+                    e.getMessage());
         }
         return seeds.stream().map(seed -> seed.host() + ":" + settings.firstPort()).toList();
     }
@@ -155,7 +157,7 @@
         poller.reloadSeeds();
     }
 
-    private void answerReadiness(ServerExchange exchange) {
+    private void handleReadinessProbe(ServerExchange exchange) {
         boolean isReady = poller.isReady() && !isDraining;
         exchange.respond(isReady ? 200 : 503, new Headers(), NO_BYTES);
     }
@@ -166,7 +168,8 @@
             return;
         }
         ClientLimits limits = dataPlane.configuration().limits();
-        // Clients keep connections by the timeout that they received last, so the longest holds.
+        // A client may reuse an idle connection until the timeout that it was sent last, which can
+        // be longer than the current one; so the longest timeout so far applies.
         longestIdleTimeoutMs = Math.max(longestIdleTimeoutMs, limits.idleTimeoutMs());
         frontend.limitBody(limits.maxBodyBytes());
         frontend.closeIdle(
@@ -179,7 +182,7 @@
             return;
         }
         isDraining = true;
-        LOG.info("draining with {} under way", dataPlane.activeRequests().size());
+        LOG.info("draining, {} requests in flight", dataPlane.activeRequests().size());
         long nowMs = loop.now();
         poller.announceLeaving();
         frontend.closeGracefully();
@@ -188,7 +191,10 @@
                 nowMs + settings.bounds().graceMs() - GRACE_MARGIN_MS);
     }
 
-    /** Ends the process once no request was in flight for a moment, between two points in time. */
+    /**
+     * Terminates the process once no request has been in flight for {@link #FLUSH_MS}, but not
+     * before {@code earliestMs} and at {@code latestMs} at the latest.
+     */
     private void awaitTermination(long earliestMs, long latestMs) {
         long nowMs = loop.now();
         if (frontend.unanswered() > 0) {
@@ -197,14 +203,14 @@
         if (nowMs >= earliestMs) {
             dataPlane.router().rejectNewRequests();
         }
-        boolean isIdle = nowMs - idleSinceMs >= LAST_BYTES_MS;
+        boolean isIdle = nowMs - idleSinceMs >= FLUSH_MS;
         if (nowMs >= latestMs || (nowMs >= earliestMs && isIdle)) {
             int inFlight = dataPlane.activeRequests().size();
             LOG.info(
-                    "ends with {} under way; {}; {}",
+                    "terminating, {} requests in flight; {}; {}",
                     inFlight,
                     dataPlane.counters(),
-                    dataPlane.warmup().counters());
+                    dataPlane.warmupContext().counters());
             terminated.countDown();
             return;
         }
--- a/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
+++ b/src/main/java/myrtleladder/dataplane/ProxiedRequest.java
@@ -13,24 +13,26 @@
 import myrtleladder.protocol.InstanceRecord;
 
 /**
- * A client's request from its admission to its one final response, over as many upstreams as that
- * takes: admission, pick, attempt, then response, retry or rejection.
+ * Processes a client's request from the time it has its quota to its final response. Picks an
+ * upstream, checks admission, makes an attempt, and then responds, retries at another upstream or
+ * rejects the request.
  *
- * <p>Invariants: at most one attempt is current, and events of others are ignored; in {@link
- * State#COMPLETED} there is none and nothing more is sent to the client. A response that says that
- * the request did not run (503) is given only if no attempt can have run it.
+ * <p>Invariants: at most one attempt is current, and events of other attempts are ignored. In
+ * {@link State#COMPLETED} there is no current attempt, and nothing more is sent to the client. A
+ * response that says that the request was not executed (503) is sent only if no attempt can have
+ * executed it.
  *
- * <p>Confined to the event loop. {@link RequestRouter} starts it, {@link ActiveRequests} checks its
- * timeouts, its attempts and the client's connection call back.
+ * <p>Confined to the event loop. {@link RequestRouter} starts the request, {@link ActiveRequests}
+ * checks its timeouts, and its attempts and the client's connection call back.
  */
 final class ProxiedRequest implements Attempt.Listener {
-    /** How long before the deadline a request ends, so that its answer arrives in time. */
+    /** How long before its deadline a request is ended, so that the response arrives in time. */
     private static final long DEADLINE_MARGIN_MS = 40;
 
-    /** Failures to connect after which a request is given up. */
+    /** Maximum number of attempts that could not be sent; then the request ends. */
     private static final int MAX_UNSENT_ATTEMPTS = 4;
 
-    /** Misdirected Request: the upstream is not the expected incarnation (RFC 9110, 15.5.20). */
+    /** Misdirected Request: the upstream is not the expected instance (RFC 9110, 15.5.20). */
     private static final int MISDIRECTED_REQUEST = 421;
 
     private static final int BAD_REQUEST = 400;
@@ -39,13 +41,13 @@
     private static final int GATEWAY_TIMEOUT = 504;
 
     private enum State {
-        /** No attempt was made yet. */
+        /** No attempt has been made yet. */
         PICKING_UPSTREAM,
-        /** An attempt was made; the client has received nothing. */
+        /** An attempt has been made; nothing has been sent to the client. */
         AWAITING_RESPONSE,
-        /** The client has received a head and events; other upstreams may resume the stream. */
+        /** A head and events have been sent to the client; a retry resumes the stream. */
         STREAMING_RESPONSE,
-        /** The final response was given, or the client has left. */
+        /** The final response has been sent, or the client has disconnected. */
         COMPLETED
     }
 
@@ -61,15 +63,15 @@
     private final ResponseAssembler response;
     private final Set<Upstream> triedUpstreams = new HashSet<>();
     private State state = State.PICKING_UPSTREAM;
-    private Attempt current;
-    private boolean mayHaveRun;
-    private int unsentAttempts;
+    private Attempt currentAttempt;
+    private boolean mayHaveExecuted;
+    private int unsentAttemptCount;
 
     /**
      * Creates the request.
      *
-     * @param tenant null on routes that need none
-     * @param quotaCost what the tenant's quota was charged, refunded if the request does not run
+     * @param tenant null on routes that need no tenant
+     * @param quotaCost cost charged to the tenant's quota, refunded if the request is not executed
      */
     ProxiedRequest(
             DataPlane dataPlane,
@@ -101,16 +103,16 @@
         }
     }
 
-    /** Makes the first attempt or answers at once; called once. */
+    /** Makes the first attempt, or responds at once if none is possible; called once. */
     void start() {
         tryNextUpstream();
     }
 
-    /** Sends the request to an upstream that was not tried yet, or ends it if none can take it. */
+    /** Sends the request to an upstream not tried yet, or ends it if none is available. */
     private void tryNextUpstream() {
         long nowMs = dataPlane.nowMs();
         if (isDeadlineReached(nowMs)) {
-            giveUp();
+            endWithoutRetry();
             return;
         }
         PickResult pick =
@@ -119,7 +121,7 @@
                         .pick(service, prompt, triedUpstreams, weightsVersionToResume(), nowMs);
         if (pick == null) {
             count(Event.NO_UPSTREAM);
-            giveUp();
+            endWithoutRetry();
             return;
         }
         if (isFirstAttempt()) {
@@ -138,9 +140,9 @@
         return triedUpstreams.isEmpty();
     }
 
-    /** To how many upstreams the request was sent, whatever came of it. */
-    private int sentAttempts() {
-        return triedUpstreams.size() - unsentAttempts;
+    /** Returns the number of attempts that sent the request, whatever their outcome. */
+    private int sentAttemptCount() {
+        return triedUpstreams.size() - unsentAttemptCount;
     }
 
     private boolean isDeadlineReached(long nowMs) {
@@ -163,8 +165,8 @@
         if (dataPlane.picker().shouldAnnounce(prompt)) {
             dataPlane.fleetLoads().recordPromptSent(prompt, upstream, nowMs);
         }
-        current = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
-        current.start(dataPlane.connections(), !route.repeatable());
+        currentAttempt = new Attempt(pick, head, client.body(), dataPlane.scheduler(), this);
+        currentAttempt.start(dataPlane.connections(), !route.isIdempotent());
     }
 
     private Headers upstreamHeaders(Upstream upstream, double prefillMs, long nowMs) {
@@ -188,14 +190,17 @@
         return headers;
     }
 
-    /** The weights that made the events which the client has, if it has any. */
+    /**
+     * Returns the version of the model weights that generated the forwarded events, {@link
+     * InstanceRecord#UNKNOWN_WEIGHTS_VERSION} if there are none.
+     */
     private long weightsVersionToResume() {
         return state == State.STREAMING_RESPONSE
                 ? response.weightsVersion()
                 : InstanceRecord.UNKNOWN_WEIGHTS_VERSION;
     }
 
-    /** Whether a stream is resumed at an upstream that reported the weights which began it. */
+    /** Returns whether an upstream has the weights that generated the forwarded events. */
     private boolean canResumeWithSameWeights(Upstream upstream) {
         long weightsVersion = weightsVersionToResume();
         return weightsVersion != InstanceRecord.UNKNOWN_WEIGHTS_VERSION
@@ -204,36 +209,36 @@
 
     @Override
     public void onNotSent(Attempt attempt) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
-        current = null;
+        currentAttempt = null;
         attempt.upstream().recordConnectFailure(dataPlane.nowMs());
         count(Event.NOT_SENT);
         retryUnsent();
     }
 
     private void retryUnsent() {
-        unsentAttempts++;
-        if (unsentAttempts < MAX_UNSENT_ATTEMPTS) {
+        unsentAttemptCount++;
+        if (unsentAttemptCount < MAX_UNSENT_ATTEMPTS) {
             tryNextUpstream();
         } else {
-            giveUp();
+            endWithoutRetry();
         }
     }
 
     @Override
     public void onWithdrawn(Attempt attempt) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
-        current = null;
+        currentAttempt = null;
         retryUnsent();
     }
 
     @Override
     public void onResponseHead(Attempt attempt, ResponseHead head) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
         attempt.upstream()
@@ -258,7 +263,7 @@
                 || head.headers().get(HeaderNames.NOT_EXECUTED) != null;
     }
 
-    /** Whether the response names this attempt and, if it is a success, has a signature. */
+    /** Checks for the id of the client's attempt and, in successful responses, for a signature. */
     private boolean isResponseToThisRequest(ResponseHead head) {
         if (attemptId != null && !attemptId.equals(head.headers().get(HeaderNames.ATTEMPT_ID))) {
             return false;
@@ -267,8 +272,9 @@
     }
 
     /**
-     * The upstream says that it did not run the request. Its 400 is the client's response, since
-     * others would answer the same, unless the client has received a part of another response.
+     * Handles a response that says that the upstream did not execute the request. A 400 is
+     * forwarded to the client, since other upstreams would respond the same, unless a part of
+     * another response has been forwarded already.
      */
     private void attemptRejected(Attempt attempt, ResponseHead head) {
         count(Event.REJECTED);
@@ -276,21 +282,21 @@
             response.acceptHead(head);
             return;
         }
-        current = null;
+        currentAttempt = null;
         attempt.cancel();
         if (head.status() == MISDIRECTED_REQUEST && !canResumeWithSameWeights(attempt.upstream())) {
             dataPlane.directory().removeGone(attempt.upstream());
         }
-        if (dataPlane.retryPolicy().shouldRetryRejection(route, service, sentAttempts())) {
+        if (dataPlane.retryPolicy().shouldRetryRejection(route, service, sentAttemptCount())) {
             tryNextUpstream();
         } else {
-            giveUp();
+            endWithoutRetry();
         }
     }
 
     @Override
     public void onResponseBody(Attempt attempt, byte[] bytes) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
         if (isEventStream()) {
@@ -305,11 +311,12 @@
     }
 
     private boolean isEventStream() {
-        return route.streaming() && (state == State.STREAMING_RESPONSE || response.status() < 300);
+        return route.isStreaming()
+                && (state == State.STREAMING_RESPONSE || response.status() < 300);
     }
 
     private void eventReceived(Attempt attempt, byte[] event, long eventId) {
-        if (attempt != current || state == State.COMPLETED) {
+        if (attempt != currentAttempt || state == State.COMPLETED) {
             return;
         }
         if (attempt.pendingPromptTokens() > 0 || !response.hasForwardedEvent()) {
@@ -331,18 +338,18 @@
         if (attempt.isWithoutBacklog()) {
             dataPlane.prefillTime().addSample(attempt.promptTokens(), timeToFirstEventMs);
         }
-        double unexplainedMs = Math.max(0, timeToFirstEventMs - attempt.explainedMs());
-        attempt.upstream().recordExtraDelay(unexplainedMs, nowMs);
-        attempt.markPromptRead();
+        double extraDelayMs = Math.max(0, timeToFirstEventMs - attempt.knownPrefillMs());
+        attempt.upstream().recordExtraDelay(extraDelayMs, nowMs);
+        attempt.markPromptProcessed();
         attempt.upstream().prefixCache().recordSent(prompt, nowMs);
     }
 
     @Override
     public void onResponseComplete(Attempt attempt) {
-        if (attempt != current) {
+        if (attempt != currentAttempt) {
             return;
         }
-        current = null;
+        currentAttempt = null;
         if (state == State.STREAMING_RESPONSE) {
             completeStream(attempt);
             return;
@@ -350,14 +357,14 @@
         boolean isServerError = response.status() >= 500;
         if (isServerError && shouldRetryFailure()) {
             attempt.upstream().recordFailure(dataPlane.nowMs());
-            response.keepFailure();
+            response.saveFailure();
             tryNextUpstream();
             return;
         }
         recordOutcome(attempt, isServerError);
         byte[] body =
-                route.streaming() && response.status() < 300
-                        ? response.eventlessBody()
+                route.isStreaming() && response.status() < 300
+                        ? response.bodyWithoutEvents()
                         : response.bufferedBody();
         transitionTo(State.COMPLETED);
         response.respond(body);
@@ -381,21 +388,21 @@
 
     @Override
     public void onConnectionLost(Attempt attempt) {
-        if (attempt == current) {
+        if (attempt == currentAttempt) {
             attemptFailed(attempt);
         }
     }
 
-    /** The request may have run and there is no complete response. */
+    /** Handles an attempt that may have executed the request but gave no complete response. */
     private void attemptFailed(Attempt attempt) {
-        current = null;
-        mayHaveRun = true;
+        currentAttempt = null;
+        mayHaveExecuted = true;
         attempt.upstream().recordFailure(dataPlane.nowMs());
         count(Event.ATTEMPT_FAILED);
         if (shouldRetryFailure()) {
             tryNextUpstream();
         } else {
-            giveUp();
+            endWithoutRetry();
         }
     }
 
@@ -403,7 +410,7 @@
         boolean deadlineReached = isDeadlineReached(dataPlane.nowMs());
         return dataPlane
                 .retryPolicy()
-                .shouldRetryFailure(route, service, sentAttempts(), deadlineReached);
+                .shouldRetryFailure(route, service, sentAttemptCount(), deadlineReached);
     }
 
     /** Ends the request at its deadline, or retries it if its upstream is unresponsive. */
@@ -412,53 +419,54 @@
             return;
         }
         if (isDeadlineReached(nowMs)) {
-            giveUp();
+            endWithoutRetry();
             return;
         }
-        if (current == null || current.state() == Attempt.State.CONNECTING) {
+        if (currentAttempt == null || currentAttempt.state() == Attempt.State.CONNECTING) {
             return;
         }
-        if (!dataPlane.unresponsiveDetector().isUnresponsive(current, service, nowMs)) {
+        if (!dataPlane.unresponsiveDetector().isUnresponsive(currentAttempt, service, nowMs)) {
             return;
         }
-        current.upstream().markUnresponsive(nowMs);
+        currentAttempt.upstream().markUnresponsive(nowMs);
         if (shouldRetryFailure()) {
             count(Event.UNRESPONSIVE);
-            Attempt unresponsive = current;
-            current = null;
-            mayHaveRun = true;
-            unresponsive.cancel();
+            Attempt unresponsiveAttempt = currentAttempt;
+            currentAttempt = null;
+            mayHaveExecuted = true;
+            unresponsiveAttempt.cancel();
             tryNextUpstream();
         }
     }
 
     /**
-     * Ends the request as it stands: a rejection if it never ran, else the failure that an upstream
-     * answered with, or an error if none did.
+     * Ends the request without a further attempt. Aborts a stream that has begun; otherwise
+     * responds with the saved failure of an upstream if there is one, with an error if the request
+     * may have been executed, or else with a rejection.
      */
-    private void giveUp() {
-        Attempt last = current;
-        current = null;
-        if (last != null) {
-            mayHaveRun |= last.state() != Attempt.State.CONNECTING;
-            last.cancel();
+    private void endWithoutRetry() {
+        Attempt lastAttempt = currentAttempt;
+        currentAttempt = null;
+        if (lastAttempt != null) {
+            mayHaveExecuted |= lastAttempt.state() != Attempt.State.CONNECTING;
+            lastAttempt.cancel();
         }
         if (state == State.STREAMING_RESPONSE) {
             transitionTo(State.COMPLETED);
             response.abortStream();
-        } else if (response.hasKeptFailure()) {
+        } else if (response.hasSavedFailure()) {
             transitionTo(State.COMPLETED);
-            response.respondKeptFailure();
-        } else if (mayHaveRun) {
-            boolean late = isDeadlineReached(dataPlane.nowMs());
+            response.respondWithSavedFailure();
+        } else if (mayHaveExecuted) {
+            boolean deadlineReached = isDeadlineReached(dataPlane.nowMs());
             transitionTo(State.COMPLETED);
-            response.respond(late ? GATEWAY_TIMEOUT : BAD_GATEWAY, new Headers());
+            response.respond(deadlineReached ? GATEWAY_TIMEOUT : BAD_GATEWAY, new Headers());
         } else {
             reject(dataPlane.admission().defaultRetryAfterMs());
         }
     }
 
-    /** Ends a request that never ran. */
+    /** Rejects a request that was not executed and refunds its quota. */
     private void reject(long retryAfterMs) {
         if (tenant != null) {
             dataPlane.quotas().refund(tenant, quotaCost);
@@ -473,10 +481,10 @@
         if (state == State.COMPLETED) {
             return;
         }
-        Attempt last = current;
-        current = null;
-        if (last != null) {
-            last.cancel();
+        Attempt lastAttempt = currentAttempt;
+        currentAttempt = null;
+        if (lastAttempt != null) {
+            lastAttempt.cancel();
         }
         transitionTo(State.COMPLETED);
     }
--- a/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/PeerLoadExchange.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * Balancers that share an upstream report to each other what they have in flight there. A message
- * has three bytes that name the upstream and one with the in-flight in eighths of a request.
+ * Exchanges the load in flight at an upstream between the balancers that share it. A message has
+ * three bytes that identify the upstream and one byte with the load in eighths of a request.
  */
 final class PeerLoadExchange {
-    /** Length of a message: three bytes name the upstream, one is in-flight. */
+    /** Length of a message: three bytes for the upstream, one for the load. */
     static final int MESSAGE_BYTES = 4;
 
-    /** Parts of a request in which messages count. */
+    /** Messages carry the load in this fraction of a request. */
     static final double UNITS_PER_REQUEST = 8;
 
     private static final int BYTE_MASK = 255;
-    private static final int GREATEST_UNITS = 255;
+    private static final int MAX_UNITS = 255;
 
     private final boolean isEnabled;
     private final int groupSize;
@@ -38,7 +38,7 @@
         this.actions = actions;
     }
 
-    /** Reports what we have in flight at an upstream to the others that use it. */
+    /** Reports this balancer's load at an upstream to the peers that share it. */
     void report(UpstreamState upstream) {
         if (!isEnabled || !upstreams.contains(upstream)) {
             return;
@@ -49,16 +49,16 @@
         byte[] body = encode(upstream.hash, loads.ownLoad(upstream));
         List<Integer> peers = upstream.sharingPeers;
         for (int i = 0; i < peers.size(); i++) {
-            actions.tell(peers.get(i), body);
+            actions.sendToPeer(peers.get(i), body);
         }
     }
 
     private static byte[] encode(int hash, double load) {
-        byte units = (byte) Math.min(GREATEST_UNITS, Math.round(load * UNITS_PER_REQUEST));
+        byte units = (byte) Math.min(MAX_UNITS, Math.round(load * UNITS_PER_REQUEST));
         return new byte[] {(byte) (hash >> 16), (byte) (hash >> 8), (byte) hash, units};
     }
 
-    /** Takes in a message. A malformed one, or one of an unknown upstream, changes nothing. */
+    /** Records a message. Ignores it if it is malformed or its upstream is unknown. */
     void receive(int from, byte[] body, long nowUs) {
         if (!isEnabled || body.length != MESSAGE_BYTES || from < 0 || from >= groupSize) {
             return;
--- a/src/main/java/myrtleladder/loadbalancer/policy/Prices.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/Prices.java
@@ -1,10 +1,19 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Prices in points of the result, for each unit of what they are charged on. */
+/**
+ * Prices of a balancer's actions, in points of the score. All are at least 0.
+ *
+ * @param crossZone price of a request sent to another zone
+ * @param wastedWork the setting {@code waste}; no decision depends on it
+ * @param probe price of a probe
+ * @param peerMessage price of each 256 bytes of messages to peers
+ * @param lateFailure the setting {@code late-fail}; no decision depends on it
+ * @param handshake the setting {@code handshake}; no decision depends on it
+ */
 public record Prices(
         double crossZone,
-        double waste,
+        double wastedWork,
         double probe,
-        double peer,
-        double lateFail,
+        double peerMessage,
+        double lateFailure,
         double handshake) {}
--- a/src/main/java/myrtleladder/loadbalancer/policy/Ratings.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package myrtleladder.loadbalancer.policy;
-
-/** What an upstream's rating means. */
-public enum Ratings {
-    NONE,
-    NOMINAL,
-    ROUGH,
-    LIVE
-}
--- a/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
+++ b/src/main/java/myrtleladder/loadbalancer/policy/ZonePreference.java
@@ -1,20 +1,23 @@
 package myrtleladder.loadbalancer.policy;
 
-/** Prefers upstreams of the own zone by what crossing to another one costs. */
+/**
+ * A factor by which upstreams of the balancer's own zone are preferred; it rises with the price of
+ * sending a request to another zone.
+ */
 final class ZonePreference {
-    /** Preference of the own zone for each point that crossing costs. */
+    /** Increase of the own zone's factor for each point of the cross-zone price. */
     private static final double PREFERENCE_PER_POINT = 80;
 
     private final int zone;
-    private final double ownZoneFactor;
+    private final double ownZonePreference;
 
     ZonePreference(Settings settings) {
         this.zone = settings.zone();
-        this.ownZoneFactor = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
+        this.ownZonePreference = 1 + PREFERENCE_PER_POINT * settings.prices().crossZone();
     }
 
-    /** A factor on the weight: 1 in other zones, 1 or more in the own. */
-    double factor(UpstreamState upstream) {
-        return upstream.endpoint.zone() == zone ? ownZoneFactor : 1;
+    /** The factor for an upstream: 1 in other zones, at least 1 in the own zone. */
+    double preference(UpstreamState upstream) {
+        return upstream.endpoint.zone() == zone ? ownZonePreference : 1;
     }
 }
--- a/src/main/java/myrtleladder/replication/ElectionTimer.java
+++ b/src/main/java/myrtleladder/replication/ElectionTimer.java
@@ -3,18 +3,18 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * When this node last had contact with a primary or candidate, and when it may become a candidate
- * itself. Survives changes of the role.
+ * Records when this node last had contact with a primary or candidate, and decides when it may
+ * become a candidate itself. One instance is kept across role changes.
  *
  * <p>Confined to the event loop. All times are in milliseconds of the scheduler's clock.
  */
 final class ElectionTimer {
-    /** Long before any time of the clock, without overflow in differences. */
+    /** Earlier than any clock time; half of the minimum so that differences do not overflow. */
     private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private final Scheduler scheduler;
     private long lastContactMs;
-    private long primaryHeardAtMs = NEVER_MS;
+    private long lastPrimaryContactMs = NEVER_MS;
     private long electionTimeoutMs = ReplicationTiming.INITIAL_ELECTION_TIMEOUT_MS;
     private long suppressedUntilMs;
 
@@ -22,35 +22,37 @@
         this.scheduler = scheduler;
     }
 
-    /** Counts the election timeout from now on. */
+    /** Restarts the election timeout. */
     void restart() {
         lastContactMs = scheduler.now();
     }
 
-    /** Takes note of a message from the primary of the current view. */
-    void onPrimaryHeard() {
+    /** Records a message from the primary of the current view. */
+    void onPrimaryContact() {
         restart();
-        primaryHeardAtMs = lastContactMs;
+        lastPrimaryContactMs = lastContactMs;
         useFullTimeout();
     }
 
-    /** Uses the election timeout of a group that had a primary. */
+    /** Selects the election timeout for a group that has had a primary. */
     void useFullTimeout() {
         electionTimeoutMs = ReplicationTiming.ELECTION_TIMEOUT_MS;
     }
 
-    /** Uses the short timeout after an attempt that may succeed if it is repeated. */
+    /**
+     * Selects the shorter timeout for a retry after an attempt that may succeed if it is repeated.
+     */
     void useRetryTimeout() {
         electionTimeoutMs = ReplicationTiming.ELECTION_RETRY_TIMEOUT_MS;
     }
 
-    /** Permits no candidacy for the given time from now on. */
-    void suppress(long durationMs) {
+    /** Forbids candidacies of this node for the given duration. */
+    void suppressCandidacy(long durationMs) {
         suppressedUntilMs = scheduler.now() + durationMs;
     }
 
-    /** Returns whether a candidacy is not permitted at the given time. */
-    boolean isSuppressed(long nowMs) {
+    /** Returns whether candidacies are forbidden at the given time. */
+    boolean isCandidacySuppressed(long nowMs) {
         return nowMs < suppressedUntilMs;
     }
 
@@ -59,13 +61,13 @@
         return millisSinceContact(nowMs) > electionTimeoutMs + additionalDelayMs;
     }
 
-    /** Returns the time since the last contact with a primary or candidate. */
+    /** Returns the milliseconds since the last contact with a primary or candidate. */
     long millisSinceContact(long nowMs) {
         return nowMs - lastContactMs;
     }
 
-    /** Returns whether a primary was heard less than the given time ago. */
-    boolean hasHeardPrimaryWithin(long durationMs) {
-        return scheduler.now() - primaryHeardAtMs < durationMs;
+    /** Returns whether the last message from a primary is more recent than the given duration. */
+    boolean hadPrimaryContactWithin(long durationMs) {
+        return scheduler.now() - lastPrimaryContactMs < durationMs;
     }
 }
--- a/src/main/java/myrtleladder/replication/LeaveRequester.java
+++ b/src/main/java/myrtleladder/replication/LeaveRequester.java
@@ -8,10 +8,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes this node out of the group before its process ends: asks the primary to be released until
- * neither its copy of the state nor its vote is needed, or until the deadline.
+ * Removes this node from the group before its process exits. It repeats a leave request to the
+ * primary until the primary releases the node, that is, until neither its copy of the state nor its
+ * vote is needed, or until the deadline.
  *
- * <p>Confined to the event loop. Started once, by {@link Replica#leave}; the callback runs exactly
+ * <p>Confined to the event loop. {@link Replica#leave} starts it once; the callback runs exactly
  * once.
  */
 final class LeaveRequester {
@@ -21,9 +22,9 @@
     private final QuorumState quorum;
     private final PeerAddressRotation addresses;
     private boolean started;
-    private boolean ended;
+    private boolean completed;
     private long deadlineMs;
-    private Consumer<Boolean> onEnded;
+    private Consumer<Boolean> onCompleted;
 
     LeaveRequester(ReplicaContext context, QuorumState quorum) {
         this.context = context;
@@ -31,51 +32,51 @@
         this.addresses = new PeerAddressRotation(context.self(), context.options().seedAddresses());
     }
 
-    /** Returns whether this node was asked to leave. */
+    /** Returns whether this node is leaving the group. */
     boolean isStarted() {
         return started;
     }
 
     /**
-     * Resigns if this node is the primary, then asks to be released; without effect if it was
-     * started before.
+     * Resigns if this node is the primary, then sends leave requests. Does nothing if already
+     * started.
      *
-     * @param timeoutMs after which the node ends even if the group has not released it
-     * @param whenEnded takes whether the group released this node
+     * @param timeoutMs after which it completes even if the group has not released the node
+     * @param completionCallback receives whether the group released this node
      */
-    void start(long timeoutMs, Consumer<Boolean> whenEnded) {
+    void start(long timeoutMs, Consumer<Boolean> completionCallback) {
         if (started) {
             return;
         }
         started = true;
         deadlineMs = context.nowMs() + timeoutMs;
-        onEnded = whenEnded;
+        onCompleted = completionCallback;
         if (quorum.isPrimary()) {
-            quorum.resign("asked to end");
+            quorum.resign("this node is shutting down");
         }
         requestRelease();
     }
 
     private void requestRelease() {
-        if (ended) {
+        if (completed) {
             return;
         }
         if (context.nowMs() >= deadlineMs) {
-            end(false);
+            complete(false);
             return;
         }
         Optional<String> address = addresses.next(context.view());
         if (address.isPresent()) {
             sendRequest(address.get());
         } else {
-            end(false); // no other node could take anything over
+            complete(false); // no other node exists to take over
         }
         context.scheduler()
                 .schedule(ReplicationTiming.LEAVE_RETRY_INTERVAL_MS, this::requestRelease);
     }
 
     private void sendRequest(String address) {
-        context.peers()
+        context.transport()
                 .call(
                         address,
                         LeaveRequest.of(context.self()),
@@ -88,7 +89,7 @@
     }
 
     private void onResponse(LeaveResponse response) {
-        if (ended) {
+        if (completed) {
             return;
         }
         if (response.view == null) {
@@ -96,19 +97,22 @@
         }
         quorum.onViewLearned(response.view);
         if (response.released && isLatestKnown(response.view.epoch)) {
-            end(true);
+            complete(true);
         }
     }
 
-    /** A primary that was deposed releases by a view which later ones may have replaced. */
+    /**
+     * Returns whether no later epoch is known. A deposed primary may release a node on the basis of
+     * a view that has been superseded.
+     */
     private boolean isLatestKnown(long epoch) {
-        return epoch >= context.views().highestEpoch()
+        return epoch >= context.viewTracker().highestEpoch()
                 && epoch >= context.storedState().promisedEpoch;
     }
 
-    private void end(boolean released) {
-        ended = true;
-        LOG.info("leaves; released by the group: {}", released);
-        onEnded.accept(released);
+    private void complete(boolean released) {
+        completed = true;
+        LOG.info("leaving the group, released={}", released);
+        onCompleted.accept(released);
     }
 }
--- a/src/main/java/myrtleladder/replication/ReplicaContext.java
+++ b/src/main/java/myrtleladder/replication/ReplicaContext.java
@@ -9,24 +9,24 @@
 import myrtleladder.scheduler.Scheduler;
 
 /**
- * What the roles of one replica share; it outlives every change of the role. Confined to the event
- * loop.
+ * The state and collaborators that the roles of one replica share, kept across role changes.
+ * Confined to the event loop.
  *
- * @param self this node, with the identity of its store
- * @param instances the upstreams that this node knows now
- * @param contacts when members last acknowledged a request of this node
- * @param membershipRequests who asked this node, as the primary, to join or to leave
+ * @param self this node, with its store id
+ * @param knownInstances supplies the upstream records that this node currently knows
+ * @param memberContacts when members last acknowledged a request from this node
+ * @param membershipRequests the join and leave requests that this node received as the primary
  */
 record ReplicaContext(
         ReplicaOptions options,
         Member self,
         Scheduler scheduler,
-        Peers peers,
-        Supplier<List<InstanceRecord>> instances,
-        ViewTracker views,
+        PeerTransport transport,
+        Supplier<List<InstanceRecord>> knownInstances,
+        ViewTracker viewTracker,
         PersistentState persistentState,
         ElectionTimer electionTimer,
-        MemberContacts contacts,
+        MemberContacts memberContacts,
         MembershipRequests membershipRequests,
         UnresponsiveReplicas unresponsiveReplicas) {
 
@@ -37,10 +37,10 @@
 
     /** Returns the latest view, null if none is known. */
     View view() {
-        return views.view();
+        return viewTracker.view();
     }
 
-    /** Returns the newest state, which may not be durable yet. */
+    /** Returns the latest state, which may not be durable yet. */
     StoredState storedState() {
         return persistentState.current();
     }
@@ -50,9 +50,7 @@
         return member.equals(self);
     }
 
-    /**
-     * Returns whether a member is neither leaving nor unresponsive, so a good choice of replica.
-     */
+    /** Returns whether a member is neither leaving nor unresponsive. */
     boolean isPreferredReplica(Member member) {
         return !membershipRequests.isLeaving(member) && !unresponsiveReplicas.contains(member);
     }
--- a/src/main/java/myrtleladder/replication/ReplicaSelection.java
+++ b/src/main/java/myrtleladder/replication/ReplicaSelection.java
@@ -7,24 +7,25 @@
 import myrtleladder.protocol.Member;
 
 /**
- * Chooses the replicas of a candidate's view among the members that promised: this node, then
- * preferred replicas of the base view, then other preferred members of the group, and only if these
- * are too few those that are leaving or unresponsive.
+ * Chooses the replicas of a candidate's view: this node, then members of the group that promised
+ * the candidate's epoch. Preferred members, those that are neither leaving nor unresponsive, come
+ * first, and among them the replicas of the base view. Other members are chosen only if there are
+ * too few preferred ones.
  */
 final class ReplicaSelection {
     private final ReplicaContext context;
-    private final Set<Member> promising;
+    private final Set<Member> promisedMembers;
 
-    ReplicaSelection(ReplicaContext context, Set<Member> promising) {
+    ReplicaSelection(ReplicaContext context, Set<Member> promisedMembers) {
         this.context = context;
-        this.promising = promising;
+        this.promisedMembers = promisedMembers;
     }
 
     /**
-     * Returns the replicas with this node first, empty if too few members promised.
+     * Returns the replicas, with this node first, or empty if too few group members promised.
      *
-     * @param baseReplicas the replicas of the view before
-     * @param group the group of the view
+     * @param baseReplicas the replicas of the base view
+     * @param group the group of the new view
      */
     Optional<List<Member>> select(List<Member> baseReplicas, List<Member> group) {
         List<Member> replicas = new ArrayList<>();
@@ -46,11 +47,11 @@
     }
 
     private void addIfEligible(
-            List<Member> replicas, Member member, List<Member> group, boolean includeNotPreferred) {
+            List<Member> replicas, Member member, List<Member> group, boolean allowNonPreferred) {
         boolean eligible =
-                promising.contains(member)
+                promisedMembers.contains(member)
                         && group.contains(member)
-                        && (includeNotPreferred || context.isPreferredReplica(member));
+                        && (allowNonPreferred || context.isPreferredReplica(member));
         if (eligible && !replicas.contains(member)) {
             replicas.add(member);
         }
--- a/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
+++ b/src/main/java/myrtleladder/replication/ViewChangeTrigger.java
@@ -7,9 +7,9 @@
 import myrtleladder.protocol.View;
 
 /**
- * Decides for a primary when another view is due, because a replica failed or because the group or
- * the replicas are to change, and starts it. Confined to the event loop; used by {@link
- * PrimaryState} and {@link ChangeReplicator}.
+ * Decides when a primary starts a view change: when a replica has timed out, when a group change
+ * has to be started or completed, or when a leaving replica can be replaced. Confined to the event
+ * loop; used by {@link PrimaryState} and {@link ChangeReplicator}.
  */
 final class ViewChangeTrigger {
     private final ReplicaContext context;
@@ -21,7 +21,8 @@
     }
 
     /**
-     * Returns the next group as far as it may change now: not before the last change is settled.
+     * Returns the group change that is to be made now. The plan leaves the group unchanged while
+     * the previous group change is incomplete, that is, while the group is not stable.
      */
     ReconfigurationPlan reconfigurationPlan() {
         View view = context.view();
@@ -38,11 +39,14 @@
                 context.options().minimumGroupSize());
     }
 
-    /** Returns the members without contact for too long, the longest first. */
+    /**
+     * Returns the members without contact for longer than the member timeout, those with the
+     * longest time without contact first.
+     */
     private List<Member> unresponsiveMembers(View view) {
         long nowMs = context.nowMs();
         long timeoutMs = context.options().memberTimeoutMs();
-        MemberContacts contacts = context.contacts();
+        MemberContacts contacts = context.memberContacts();
         return view.group.stream()
                 .filter(
                         member ->
@@ -54,30 +58,36 @@
                 .toList();
     }
 
-    /** Starts a view without a replica that has timed out; returns whether there was one. */
+    /**
+     * Starts a view change that replaces the first replica that has timed out, if there is one.
+     * Returns whether it started a view change.
+     */
     boolean replaceUnresponsiveReplica(long nowMs) {
         for (Member member : context.view().replicas) {
-            if (!context.isSelf(member) && hasTimedOut(member, nowMs)) {
+            if (!context.isSelf(member) && exceedsReplicaTimeout(member, nowMs)) {
                 context.unresponsiveReplicas().add(member);
-                quorum.transitionToCandidate(false, "replica " + member + " is silent");
+                quorum.transitionToCandidate(false, "replica " + member + " timed out");
                 return true;
             }
         }
         return false;
     }
 
-    /** Starts another view if the group or the replicas are to change. */
+    /**
+     * Starts a view change if this node is the primary and a group change has to be completed, the
+     * group has to change, or a leaving replica can be replaced.
+     */
     void changeViewIfDue() {
         if (!quorum.isPrimary()) {
             return;
         }
         View view = context.view();
         if (!view.isGroupStable()) {
-            quorum.transitionToCandidate(false, "the group settles");
-        } else if (reconfigurationPlan().isChange()) {
-            quorum.transitionToCandidate(false, "the group changes");
+            quorum.transitionToCandidate(false, "completing the previous group change");
+        } else if (reconfigurationPlan().changesGroup()) {
+            quorum.transitionToCandidate(false, "changing the group");
         } else if (canReplaceLeavingReplica(view)) {
-            quorum.transitionToCandidate(false, "a replica is about to end");
+            quorum.transitionToCandidate(false, "replacing a leaving replica");
         }
     }
 
@@ -91,11 +101,11 @@
     private boolean canBecomeReplica(Member member, View view, long nowMs) {
         return !view.replicas.contains(member)
                 && context.isPreferredReplica(member)
-                && !hasTimedOut(member, nowMs);
+                && !exceedsReplicaTimeout(member, nowMs);
     }
 
-    private boolean hasTimedOut(Member member, long nowMs) {
-        return context.contacts().millisSinceContact(member, nowMs)
+    private boolean exceedsReplicaTimeout(Member member, long nowMs) {
+        return context.memberContacts().millisSinceContact(member, nowMs)
                 > ReplicationTiming.REPLICA_TIMEOUT_MS;
     }
 }
--- a/src/main/java/myrtleladder/tally/TallyPeer.java
+++ b/src/main/java/myrtleladder/tally/TallyPeer.java
@@ -7,33 +7,33 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What this node knows of another one: whether it answers, and which additions it has. Confined to
- * the event loop.
+ * What this node knows about another node: whether it is reachable and which additions it has.
+ * Confined to the event loop.
  */
 final class TallyPeer {
     private static final Logger LOG = LogManager.getLogger(TallyPeer.class);
 
     /**
-     * Time without answer after which a peer is unreachable, in milliseconds: that of one exchange,
-     * or of several that are refused.
+     * Time without a response, in milliseconds, after which a peer is unreachable. It covers one
+     * request that times out or several that fail at once.
      */
-    static final long SILENCE_MS = 600;
+    static final long UNREACHABLE_TIMEOUT_MS = 600;
 
     /**
-     * The same for a peer that never answered, which may be starting as this node is, in
-     * milliseconds.
+     * The same for a peer that has never responded, in milliseconds. It is longer because the peer
+     * may be starting at the same time as this node.
      */
-    static final long FIRST_SILENCE_MS = 1_800;
+    static final long INITIAL_UNREACHABLE_TIMEOUT_MS = 1_800;
 
-    private static final long NONE = -1;
+    private static final long NO_FAILURE = -1;
 
-    /** Whether a peer answers. */
+    /** Whether a peer responds to requests. */
     enum Reachability {
-        /** Neither an answer nor a long enough silence so far. */
+        /** It has never responded, and the timeout has not passed yet. */
         UNKNOWN,
-        /** It has answered, and was not silent for long since. */
+        /** It has responded, and the timeout has not passed since. */
         REACHABLE,
-        /** It is silent. */
+        /** It has not responded within the timeout. */
         UNREACHABLE
     }
 
@@ -45,7 +45,7 @@
     private VersionVector known = new VersionVector();
     private VersionVector durable = new VersionVector();
     private Reachability reachability = Reachability.UNKNOWN;
-    private long silentSinceMs = NONE;
+    private long failingSinceMs = NO_FAILURE;
     private long lastContactMs;
 
     TallyPeer(String address, long nowMs) {
@@ -54,10 +54,11 @@
     }
 
     /**
-     * Takes what the peer tells of itself. A process that started anew may have lost its disk, so
-     * nothing is kept of what the one before said, nor taken from it any more.
+     * Applies the peer's summary of itself. A new process of the peer may have lost its disk, so
+     * the state reported by the previous process is discarded, and later summaries from that
+     * process are ignored.
      */
-    void learn(TallyStateSummary summary) {
+    void update(TallyStateSummary summary) {
         if (formerProcesses.contains(summary.process)) {
             return;
         }
@@ -75,44 +76,54 @@
 
     private static VersionVector durablePart(TallyStateSummary summary) {
         VersionVector behind = VersionVector.of(summary.durable);
-        Set<String> unsynced = new HashSet<>();
-        summary.durable.forEach(position -> unsynced.add(position.replica));
+        Set<String> behindReplicas = new HashSet<>();
+        summary.durable.forEach(position -> behindReplicas.add(position.replica));
         VersionVector part = new VersionVector();
         summary.known.forEach(
                 position -> {
                     String replica = position.replica;
-                    boolean isBehind = unsynced.contains(replica);
+                    boolean isBehind = behindReplicas.contains(replica);
                     part.raise(replica, isBehind ? behind.get(replica) : position.sequence);
                 });
         return part;
     }
 
-    /** Takes that the peer answered; returns whether its reachability changed. */
-    boolean onAnswered(long nowMs) {
+    /** Records a response of the peer. Returns whether its reachability changed. */
+    boolean onResponse(long nowMs) {
         lastContactMs = nowMs;
-        silentSinceMs = NONE;
+        failingSinceMs = NO_FAILURE;
         return transitionTo(Reachability.REACHABLE);
     }
 
-    /** Takes that a request got no answer; returns whether the peer's reachability changed. */
-    boolean onUnanswered(long sentAtMs, long nowMs) {
-        if (silentSinceMs == NONE) {
-            silentSinceMs = sentAtMs;
+    /**
+     * Records a request that failed or timed out. Returns whether the peer's reachability changed.
+     */
+    boolean onRequestFailed(long sentAtMs, long nowMs) {
+        if (failingSinceMs == NO_FAILURE) {
+            failingSinceMs = sentAtMs;
         }
-        long allowedMs = reachability == Reachability.UNKNOWN ? FIRST_SILENCE_MS : SILENCE_MS;
-        return nowMs - silentSinceMs >= allowedMs && transitionTo(Reachability.UNREACHABLE);
+        long unreachableTimeoutMs =
+                reachability == Reachability.UNKNOWN
+                        ? INITIAL_UNREACHABLE_TIMEOUT_MS
+                        : UNREACHABLE_TIMEOUT_MS;
+        return nowMs - failingSinceMs >= unreachableTimeoutMs
+                && transitionTo(Reachability.UNREACHABLE);
     }
 
-    /** Forgets a silence: this process may have caused it itself, or the peer was heard since. */
-    void forgiveSilence() {
-        silentSinceMs = NONE;
+    /**
+     * Discards failed requests, because this process may have caused them by being suspended, or
+     * because the peer has sent a request since.
+     */
+    void resetFailures() {
+        failingSinceMs = NO_FAILURE;
     }
 
     private boolean transitionTo(Reachability next) {
         if (reachability == next) {
             return false;
         }
-        LOG.info("tallies: {} in {} is {}, was {}", address, zone, next, reachability);
+        LOG.info(
+                "tallies: peer {} in zone {} is now {}, was {}", address, zone, next, reachability);
         reachability = next;
         return true;
     }
@@ -125,12 +136,12 @@
         return zone;
     }
 
-    /** Identity of the process that told last, empty before the first. */
+    /** Returns the identity of the process that reported last, empty before the first report. */
     String process() {
         return process;
     }
 
-    /** Whether its process serves, as far as it told. */
+    /** Returns whether its process has caught up, as of its last report. */
     boolean hasCaughtUp() {
         return hasCaughtUp;
     }
@@ -143,17 +154,17 @@
         return reachability == Reachability.REACHABLE;
     }
 
-    /** The last time at which it answered, or was made known, in milliseconds. */
+    /** Returns the time at which it last responded, or at which it was added if it never did. */
     long lastContactMs() {
         return lastContactMs;
     }
 
-    /** The additions that its process has in memory, as far as it told. */
+    /** Returns the additions that its process is known to have in memory. */
     VersionVector known() {
         return known;
     }
 
-    /** The additions on its disk, as far as it told. */
+    /** Returns the additions that are known to be on its disk. */
     VersionVector durable() {
         return durable;
     }
--- a/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
+++ b/src/test/java/myrtleladder/dataplane/ControlPollerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which control node a balancer polls, and which responses it applies. */
+/** Selection of the control node to poll, and of the responses to apply. */
 class ControlPollerTest {
     private final ManualScheduler clock = new ManualScheduler();
     private final List<String> polledNodes = new ArrayList<>();
@@ -32,7 +32,8 @@
 
     @BeforeEach
     void start() {
-        HeartbeatAgent agent = new HeartbeatAgent(clock, (to, message, timeout, back) -> {}, "e");
+        HeartbeatAgent agent =
+                new HeartbeatAgent(clock, (to, message, timeout, callback) -> {}, "e");
         poller =
                 new ControlPoller(
                         clock,
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void pollerIsReadyOnceAConfigurationIsInForce() {
+    void pollerIsReadyOnceAConfigurationIsApplied() {
         assertFalse(poller.isReady());
         pendingCallback.accept(response(3, 0));
         assertFalse(poller.isReady());
@@ -91,7 +92,7 @@
     }
 
     @Test
-    void unresponsiveNodeIsAvoidedButOneThatRefusesIsPolledAgain() {
+    void unresponsiveNodeIsAvoidedButOneThatRefusesConnectionsIsPolledAgain() {
         assertEquals("a:1", lastPolledNode());
         pendingCallback.accept(null);
         clock.run(60);
@@ -119,16 +120,17 @@
         return response;
     }
 
-    private void timeOut() {
+    /** Lets a poll time out after 750 ms, and the next one be sent after the backoff of 50 ms. */
+    private void timeOutPoll() {
         clock.run(750);
         pendingCallback.accept(null);
         clock.run(60);
     }
 
     @Test
-    void avoidedNodeIsPolledOnceItIsNamedPrimaryOfALaterEpoch() {
+    void unresponsiveNodeIsPolledOnceItIsReportedAsPrimaryOfALaterEpoch() {
         assertEquals("a:1", lastPolledNode());
-        timeOut(); // its machine was about to start
+        timeOutPoll(); // its machine is still starting
         assertEquals("b:1", lastPolledNode());
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
@@ -136,10 +138,10 @@
     }
 
     @Test
-    void avoidedPrimaryIsNotPolledWhenItIsNamedForTheKnownEpoch() {
+    void unresponsivePrimaryIsNotPolledWhenItIsReportedForTheKnownEpoch() {
         pendingCallback.accept(response(3, 7));
         assertEquals("a:1", lastPolledNode());
-        timeOut();
+        timeOutPoll();
         assertEquals("b:1", lastPolledNode());
         pendingCallback.accept(redirection("a:1", 3));
         clock.run(60);
@@ -152,9 +154,9 @@
     }
 
     @Test
-    void primaryOutOfReachIsPolledThroughAnotherNodeAndLaterDirectlyAgain() {
+    void unreachablePrimaryIsPolledThroughARelayAndLaterDirectlyAgain() {
         pendingCallback.accept(response(3, 7));
-        timeOut();
+        timeOutPoll();
         pendingCallback.accept(redirection("a:1", 3));
         clock.run(60);
         pendingCallback.accept(response(3, 8));
@@ -168,48 +170,48 @@
     }
 
     @Test
-    void deadPrimaryCostsAStartingBalancerTwoPollsAtMost() {
-        timeOut();
+    void failedPrimaryCostsAStartingBalancerAtMostTwoPolls() {
+        timeOutPoll();
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
         assertEquals("a:1", lastPolledNode());
-        timeOut();
+        timeOutPoll();
         pendingCallback.accept(redirection("a:1", 4));
         clock.run(60);
         assertTrue(List.of("b:1", "c:1").contains(lastPolledNode()));
     }
 
     @Test
-    void drainedZonesAreAppliedAndKeptWhenAnEarlierPrimaryDoesNotKnowThem() {
-        PollResponse draining = response(3, 7);
-        draining.drainedZones = DrainedZones.of(List.of("z"));
-        pendingCallback.accept(draining);
+    void drainedZonesAreAppliedAndKeptWhenAnotherPrimaryDoesNotKnowThem() {
+        PollResponse withDrainedZone = response(3, 7);
+        withDrainedZone.drainedZones = DrainedZones.of(List.of("z"));
+        pendingCallback.accept(withDrainedZone);
         assertEquals(List.of("z"), polls.get(polls.size() - 1).drainedZones.names);
         pendingCallback.accept(response(4, 7));
         assertEquals(List.of("z"), dataPlane.directory().drainedZones());
-        PollResponse takenBack = response(4, 7);
-        takenBack.drainedZones = DrainedZones.of(List.of());
-        pendingCallback.accept(takenBack);
+        PollResponse withEmptyDrainedZones = response(4, 7);
+        withEmptyDrainedZones.drainedZones = DrainedZones.of(List.of());
+        pendingCallback.accept(withEmptyDrainedZones);
         assertEquals(List.of(), dataPlane.directory().drainedZones());
     }
 
     @Test
     void backupRedirectsToThePrimary() {
-        PollResponse other = new PollResponse();
-        other.primaryAddress = "c:1";
-        pendingCallback.accept(other);
+        PollResponse redirection = new PollResponse();
+        redirection.primaryAddress = "c:1";
+        pendingCallback.accept(redirection);
         clock.run(60);
         assertEquals("c:1", lastPolledNode());
     }
 
     @Test
-    void listOfAPrimaryThatHasNotHeardAllBalancersGivesNoShareOfColdUpstreams() {
+    void nonAuthoritativeBalancerListGivesNoBudgetForColdUpstreams() {
         PollResponse response = response(3, 0);
         response.balancerList = List.of(BalancerAddress.of("e", "e:1"));
         pendingCallback.accept(response);
-        assertEquals(0, dataPlane.warmup().ownership().balancerCount());
+        assertEquals(0, dataPlane.warmupContext().ownership().balancerCount());
         response.authoritative = true;
         pendingCallback.accept(response);
-        assertEquals(1, dataPlane.warmup().ownership().balancerCount());
+        assertEquals(1, dataPlane.warmupContext().ownership().balancerCount());
     }
 }
--- a/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
+++ b/src/test/java/myrtleladder/dataplane/PrefillPriorityTest.java
@@ -4,14 +4,14 @@
 
 import java.nio.charset.StandardCharsets;
 import myrtleladder.configuration.Configuration;
-import myrtleladder.configuration.Json;
+import myrtleladder.configuration.JsonCodec;
 import myrtleladder.configuration.Route;
 import org.junit.jupiter.api.Test;
 
-/** Prefill classes of prompts by target latency. */
+/** Prefill classes of prompts, by expected prefill time and the route's target latency. */
 class PrefillPriorityTest {
     private static Route route(int targetLatencyMs, int priority) {
-        String text =
+        String document =
                 "{\"generation\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
                         + "\"path_prefix\":\"/r/\",\"type\":\"streaming\",\"backend\":\"m\","
                         + "\"timeout_ms\":8000,\"target_latency_ms\":"
@@ -19,8 +19,8 @@
                         + ",\"priority\":"
                         + priority
                         + "}],\"services\":[{\"name\":\"m\"}]}";
-        return Configuration.read(Json.readObject(text.getBytes(StandardCharsets.UTF_8)))
-                .route("h", "/r/1");
+        return Configuration.parse(JsonCodec.parseObject(document.getBytes(StandardCharsets.UTF_8)))
+                .matchRoute("h", "/r/1");
     }
 
     @Test
--- a/src/test/java/myrtleladder/replication/CoreQuotaTest.java
+++ b/src/test/java/myrtleladder/replication/CpuQuotaTest.java
@@ -8,25 +8,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Machines whose share of a core is a quota: the processes run for a while and then stand still for
- * the rest of each tenth of a second. That alone makes nobody suspect anybody.
+ * Processes under a CPU quota, which run for 10 ms and are then throttled for the rest of each 100
+ * ms period. Throttling alone must not cause an election.
  */
-class CoreQuotaTest {
+class CpuQuotaTest {
     private static final long PERIOD_MS = 100;
     private static final long STARTUP_MS = 3_000;
     private static final int PERIODS = 300;
 
-    /** The processes stand still at the same time, or one after the other. */
+    /** The processes are throttled at the same time, or with a phase shift. */
     @ParameterizedTest
     @ValueSource(longs = {0, 30, 50})
-    void processesThatStandStillForNineTenthsOfEachPeriodKeepTheirPrimary(long phaseMs) {
+    void throttlingForNineTenthsOfEachPeriodCausesNoElection(long phaseMs) {
         VirtualCluster cluster = VirtualCluster.builder().nodes(5).toleratedFailures(2).start();
         cluster.clock.run(STARTUP_MS);
         VirtualNode primary = cluster.primary();
         assertNotNull(primary);
         long epoch = primary.replica.epoch();
         for (VirtualNode node : cluster.nodes.values()) {
-            standStillInEachPeriod(cluster, node);
+            throttleInEachPeriod(cluster, node);
             cluster.clock.run(phaseMs);
         }
         for (int i = 0; i < PERIODS; i++) {
@@ -35,14 +35,14 @@
                 cluster.submitChange();
             }
         }
-        assertEquals(epoch, primary.replica.epoch(), "no other primary was needed");
+        assertEquals(epoch, primary.replica.epoch(), "throttling caused a view change");
         assertTrue(
                 cluster.acknowledged.size() > PERIODS / 15,
                 cluster.acknowledged.size() + " changes were acknowledged");
     }
 
-    private void standStillInEachPeriod(VirtualCluster cluster, VirtualNode node) {
+    private void throttleInEachPeriod(VirtualCluster cluster, VirtualNode node) {
         node.pause(PERIOD_MS * 9 / 10);
-        cluster.clock.schedule(PERIOD_MS, () -> standStillInEachPeriod(cluster, node));
+        cluster.clock.schedule(PERIOD_MS, () -> throttleInEachPeriod(cluster, node));
     }
 }
--- a/src/test/java/myrtleladder/replication/VirtualNode.java
+++ b/src/test/java/myrtleladder/replication/VirtualNode.java
@@ -8,17 +8,21 @@
 import myrtleladder.protocol.Message;
 import myrtleladder.scheduler.Scheduler;
 
-/** A process with a replica, which can be killed, paused and started again, and its disk. */
-final class VirtualNode implements Peers, Replica.Listener {
+/**
+ * A simulated node: a disk, and a process that runs a replica. The process can be killed, paused
+ * and restarted; the disk outlives it.
+ */
+final class VirtualNode implements PeerTransport, Replica.Listener {
+    /** See {@link ReplicaOptions#catchUpMs}. */
     private static final long CATCH_UP_MS = 4_000;
 
     final String address;
     final VirtualDisk disk;
 
-    /** The replica of the process that was started last. */
+    /** The replica that the latest process runs or, if it was killed, ran. */
     Replica replica;
 
-    /** Until when the process is paused, in milliseconds of the clock. */
+    /** The process is paused while the time of the cluster's clock is before this. */
     long pausedUntilMs;
 
     private final VirtualCluster cluster;
@@ -33,12 +37,16 @@
         this.disk = new VirtualDisk(cluster.random);
     }
 
-    /** Starts a process; {@code bootstrap} says that it is the first start of the system. */
+    /**
+     * Starts a process.
+     *
+     * @param bootstrap whether this is the first start of the system
+     */
     void start(boolean bootstrap) {
         incarnation++;
         running = true;
-        Scheduler process = new ProcessScheduler(incarnation);
-        disk.attach(process);
+        Scheduler processScheduler = new ProcessScheduler(incarnation);
+        disk.attach(processScheduler);
         ReplicaOptions options =
                 new ReplicaOptions(
                         Member.of(address, controlAddress, ""),
@@ -51,7 +59,7 @@
                         options,
                         disk.load(),
                         cluster.newStoreIdentity(),
-                        process,
+                        processScheduler,
                         disk,
                         this,
                         this,
@@ -59,24 +67,24 @@
         replica.start();
     }
 
-    /** Ends the process at once; its disk keeps what was saved. */
+    /** Kills the process. The disk keeps all completed saves. */
     void kill() {
         running = false;
         incarnation++;
     }
 
-    /** Ends the process at once and loses its disk. */
+    /** Kills the process and erases the disk. */
     void killAndWipe() {
         kill();
         disk.wipe();
     }
 
-    /** Pauses the process for a time. */
+    /** Pauses the process for the given duration. */
     void pause(long durationMs) {
         pausedUntilMs = cluster.clock.now() + durationMs;
     }
 
-    /** Ends a pause and all faults of the disk, and starts the process if it does not run. */
+    /** Ends a pause and all disk faults, and starts the process if it is not running. */
     void repair() {
         pausedUntilMs = 0;
         disk.repair();
@@ -93,17 +101,20 @@
         return cluster.clock.now() < pausedUntilMs;
     }
 
-    /** Returns whether the process believes to be the primary. */
+    /** Returns whether the process believes that it is primary. */
     boolean isPrimary() {
         return replica.state() == Replica.State.PRIMARY;
     }
 
-    /** Returns the number of the process among those of this node. */
+    /** Returns a number that increases with each start and each kill of the process. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Runs a task of a process: after its pause, and not at all once the process has ended. */
+    /**
+     * Runs a task of the process with the given incarnation: now, or after the pause if the process
+     * is paused. Does nothing if that process has ended by then.
+     */
     void execute(int ofIncarnation, Runnable task) {
         if (!running || incarnation != ofIncarnation) {
             return;
@@ -128,15 +139,15 @@
 
     @Override
     public void onInstancesReceived(Collection<InstanceRecord> instances) {
-        // There are no upstreams here.
+        // The simulation has no upstreams.
     }
 
     @Override
     public void onPrimacyLost() {
-        // The client looks at the role itself.
+        // The simulated client reads the role of the replica instead.
     }
 
-    /** Timers of one process. */
+    /** The scheduler of one process. Its timers have no effect once the process has ended. */
     private final class ProcessScheduler implements Scheduler {
         private final int ofIncarnation;
 
