--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminClient.java
@@ -12,9 +12,9 @@
 import myrtleladder.error.OperatorError.PeerOverloaded;
 import myrtleladder.error.OperatorError.ProcessUnreachable;
 
-/** Asks the admin server of a process. */
+/** HTTP client for the admin server of one process. */
 final class AdminClient {
-    /** Longer than the admin server waits for its event loop. */
+    /** Longer than {@link EventLoopQueries} waits, so that a busy process can still answer 503. */
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
     private static final int OK = 200;
@@ -23,15 +23,21 @@
     private final HttpClient http = HttpClient.newHttpClient();
     private final String address;
 
-    /** Asks the process whose {@code admin.listen} is at an address and port. */
+    /**
+     * Creates a client.
+     *
+     * @param address {@code admin.listen} of the process, as {@code 127.0.0.1:9464}
+     */
     AdminClient(String address) {
         this.address = address;
     }
 
     /**
-     * The answer to a path; empty where the process has no such part.
+     * Gets a path and blocks until the response arrives. Returns its body, or empty if the process
+     * answers 404, that is, has the requested component not configured.
      *
-     * @throws OperatorError if the address is none, nobody answers or the process is too busy
+     * @throws OperatorError if the address is invalid, the process is unreachable, or its status is
+     *     neither 200 nor 404
      */
     Optional<String> get(String path) throws OperatorError, InterruptedException {
         HttpResponse<String> response = send(path);
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminHttpHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminHttpHandler.java
@@ -47,7 +47,7 @@
         ctx.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** A client that goes away is not reported. */
+    /** Closes the connection without logging: a client may disconnect at any time. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         ctx.close();
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminRequestRouter.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminRequestRouter.java
@@ -16,8 +16,8 @@
 import myrtleladder.error.OperatorError.UnknownMachine;
 
 /**
- * Answers the requests of operators by method and path. It runs on the thread of the admin server
- * and may block it until the event loop has answered.
+ * Routes admin requests by method and path. It runs on the admin server's thread and may block it
+ * until the event loop has answered.
  */
 final class AdminRequestRouter {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
@@ -29,7 +29,7 @@
     private final ConsensusRuntime consensus;
     private final MaintenanceRequestHandler maintenance;
 
-    /** What is not configured is null. */
+    /** Creates a router; all parameters but {@code metrics} are null if not configured. */
     AdminRequestRouter(
             BalancerMetrics metrics,
             MembershipRuntime membership,
@@ -56,14 +56,14 @@
         };
     }
 
-    /** The status of a part, null if it is not configured. */
-    private static AdminResponse status(Supplier<? extends Future<?>> part, String whatIsMissing)
+    /** Responds with the result of a status query; null if the component is not configured. */
+    private static AdminResponse status(Supplier<? extends Future<?>> query, String whatIsMissing)
             throws JsonProcessingException {
-        if (part == null) {
+        if (query == null) {
             return AdminResponse.message(
                     HttpResponseStatus.NOT_FOUND, "no " + whatIsMissing + " configured");
         }
-        Optional<?> status = EventLoopQueries.await(part.get());
+        Optional<?> status = EventLoopQueries.await(query.get());
         return status.isEmpty()
                 ? AdminResponse.busy()
                 : AdminResponse.json(HttpResponseStatus.OK, JSON.writeValueAsString(status.get()));
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminResponse.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminResponse.java
@@ -2,12 +2,12 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** An answer of the admin server. */
+/** A response of the admin server. */
 record AdminResponse(HttpResponseStatus status, String contentType, String body) {
     private static final String JSON = "application/json";
     private static final String PLAIN_TEXT = "text/plain";
 
-    /** The text format of Prometheus, version 0.0.4. */
+    /** Content type of the Prometheus text format, version 0.0.4. */
     private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4; charset=utf-8";
 
     static AdminResponse json(HttpResponseStatus status, String body) {
@@ -18,7 +18,7 @@
         return new AdminResponse(HttpResponseStatus.OK, PROMETHEUS_TEXT, body);
     }
 
-    /** A message for an operator, as one line. */
+    /** A plain-text message for an operator, followed by a line feed. */
     static AdminResponse message(HttpResponseStatus status, String message) {
         return new AdminResponse(status, PLAIN_TEXT, message + "\n");
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminServer.java
@@ -20,15 +20,15 @@
 
 /**
  * HTTP server for operators on the loopback interface: metrics of one load balancer ({@code
- * /metrics}) and what the process knows of its fleet ({@code /members}), of the consensus ({@code
- * /agreement}) and of the maintenance of machines ({@code /work}), which also takes requests.
+ * /metrics}) and this process's status of fleet membership ({@code /members}), consensus ({@code
+ * /agreement}) and machine maintenance ({@code /work}). {@code /work} also accepts POST requests.
  *
- * <p>It has one thread of its own, which blocks while it waits for the event loop of the load
- * balancer; that one spends one event on each request. If it does not answer in time, the status is
- * 503.
+ * <p>The server has its own single thread, which blocks while it waits for the load balancer's
+ * event loop. Each query is one task on that loop. If the loop does not answer in time, the
+ * response status is 503.
  */
 final class AdminServer implements AutoCloseable {
-    /** A maintenance plan of 1,000 machines is smaller. */
+    /** Limit of a request body; the largest allowed plan, of 1,000 machines, fits. */
     private static final int MAX_BODY_BYTES = 256 * 1_024;
 
     private final EventLoopGroup group =
@@ -39,11 +39,11 @@
     private final Channel channel;
 
     /**
-     * Starts to answer.
+     * Binds the address and starts to serve requests.
      *
-     * @param listen address on the loopback interface; port 0 takes any free one
+     * @param listen address on the loopback interface; port 0 selects any free port
      * @param process name of this process in its metrics
-     * @param balancer reads the status of the load balancer on its event loop
+     * @param balancer queries the status of the load balancer on its event loop
      * @param membership null if no fleet is configured
      * @param consensus null if no voting members are configured
      * @param maintenance null if no voting members are configured
@@ -82,7 +82,7 @@
                 .channel();
     }
 
-    /** The address that it listens at. */
+    /** The address that the server is bound to. */
     InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/BalancerMetrics.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/BalancerMetrics.java
@@ -20,17 +20,18 @@
 import myrtleladder.loadbalancer.server.BalancerStatus;
 
 /**
- * Metrics of one load balancer in the text format of Prometheus. The load balancer counts in plain
- * fields on its event loop; a scrape reads them by one event.
+ * Metrics of one load balancer in the text format of Prometheus. The load balancer keeps its
+ * counters in plain fields on its event loop; a scrape reads all of them in one task on that loop.
  *
- * <p>Scraped by the thread of the admin server.
+ * <p>Scrapes run on the admin server's thread.
  */
 final class BalancerMetrics implements AutoCloseable {
-    /** Each metric has both names: dashboards and alerts still read the former one. */
+    /** Each metric is exported under both prefixes: dashboards and alerts still use the first. */
     private static final List<String> PREFIXES = List.of("yewyoke.", "myrtleladder.");
 
-    private static final List<String> ANSWERS = List.of("served", "refused", "failed", "left");
-    private static final BalancerStatus NOT_READ_YET =
+    private static final List<String> ANSWER_LABEL_VALUES =
+            List.of("served", "refused", "failed", "left");
+    private static final BalancerStatus INITIAL_STATUS =
             new BalancerStatus(false, 0, 0, 0, 0, 0, Map.of(), Map.of());
 
     private final PrometheusMeterRegistry registry =
@@ -40,14 +41,17 @@
     /** Null if no consensus is configured. */
     private final Supplier<Future<ConsensusStatus>> consensus;
 
-    /** As last read; an older one stays while the event loop is busy, since counters grow. */
-    private volatile BalancerStatus balancerStatus = NOT_READ_YET;
+    /**
+     * As last read. The previous value is kept while the event loop is busy, since counters must
+     * not decrease.
+     */
+    private volatile BalancerStatus balancerStatus = INITIAL_STATUS;
 
-    /** As last read, null if the event loop did not answer. */
+    /** As last read; null if the event loop did not answer in time. */
     private volatile ConsensusStatus consensusStatus;
 
     /**
-     * Registers all metrics.
+     * Registers all metrics. Blocks while it queries the status for the first time.
      *
      * @param process value of the label {@code process}
      * @param consensus null if it is not configured
@@ -86,7 +90,7 @@
                 Tags.empty(),
                 BalancerStatus::connects);
         counter("requests", "Requests taken", Tags.empty(), BalancerStatus::requests);
-        for (String answer : ANSWERS) {
+        for (String answer : ANSWER_LABEL_VALUES) {
             counter(
                     "answers",
                     "Requests by how they ended",
@@ -95,7 +99,7 @@
         }
     }
 
-    /** Registers a counter for each way in which attempts end, as the first status names them. */
+    /** Registers a counter for each outcome of an attempt that the first status names. */
     private void registerAttemptMetrics() {
         for (String end : balancerStatus.attempts().keySet()) {
             counter(
@@ -142,7 +146,9 @@
         }
     }
 
-    /** A gauge of the consensus; not a number while the event loop does not answer. */
+    /**
+     * Registers a gauge of the consensus; its value is NaN while the event loop does not answer.
+     */
     private void consensusGauge(
             String name, String description, ToDoubleFunction<ConsensusStatus> value) {
         for (String prefix : PREFIXES) {
@@ -157,7 +163,7 @@
         return status == null ? Double.NaN : value.applyAsDouble(status);
     }
 
-    /** All metrics as text; empty if the load balancer did not answer in time. */
+    /** Returns all metrics as text; empty if the load balancer did not answer in time. */
     Optional<String> scrape() {
         return refresh() ? Optional.of(registry.scrape()) : Optional.empty();
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ConfigCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Checks and shows the operators' configuration without starting anything. */
+/** Checks and prints the operators' configuration without starting a server. */
 @Command(
         name = "config",
         description = "Checks and shows our own configuration.",
@@ -18,7 +18,7 @@
 final class ConfigCommand {
     ConfigCommand() {}
 
-    /** Reports what is wrong with a file. */
+    /** Validates a file and reports the first error in it. */
     @Command(
             name = "check",
             description = "Says what is wrong with a file, by line and key.",
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Shows the configuration in force with a file, or without one. */
+    /** Prints the effective configuration of a file, or the defaults without one. */
     @Command(
             name = "show",
             description = "Shows what is in force with a file, defaults filled in.",
--- a/src/main/java/myrtleladder/loadbalancer/admin/FleetCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/FleetCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Asks the admin server of a process what it knows of its fleet. */
+/** Queries the admin server of a process for the status of its fleet. */
 @Command(
         name = "fleet",
         description = "Asks a process what it holds of its fleet.",
@@ -20,7 +20,7 @@
 final class FleetCommand {
     FleetCommand() {}
 
-    /** Shows the members of the fleet. */
+    /** Prints the members of the fleet and, if it is configured, the status of the consensus. */
     @Command(
             name = "members",
             description = "Shows who is there, as the process that is asked holds it.",
--- a/src/main/java/myrtleladder/loadbalancer/admin/JsonLogFormatter.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/JsonLogFormatter.java
@@ -16,8 +16,8 @@
  * Formats each log record as one JSON object: time, level, process, subsystem, event, the event's
  * fields, and an exception's message and stack trace (docs/command.md).
  *
- * <p>The layout is Log4j's, called by the JDK's logging, which the program writes to: so no second
- * logging system has to be started.
+ * <p>It calls Log4j's layout from a JDK formatter. The program logs by the JDK's logging, so no
+ * second logging system has to be started.
  */
 final class JsonLogFormatter extends Formatter {
     private static final String TEMPLATE =
@@ -32,13 +32,13 @@
              "error": {"$resolver": "exception", "field": "message"},
              "stack": {"$resolver": "exception", "field": "stackTrace"}}""";
 
-    /** Characters after which a text is cut, long enough for a stack trace. */
+    /** Characters after which a string is truncated; long enough for a stack trace. */
     private static final int MAX_STRING_LENGTH = 16_384;
 
     private final JsonTemplateLayout layout;
 
     /**
-     * Formats lines.
+     * Creates a formatter.
      *
      * @param process name of this process in each line
      */
@@ -59,21 +59,22 @@
     }
 
     @Override
-    public String format(LogRecord line) {
+    public String format(LogRecord logRecord) {
         MutableInstant time = new MutableInstant();
-        time.initFromEpochSecond(line.getInstant().getEpochSecond(), line.getInstant().getNano());
+        time.initFromEpochSecond(
+                logRecord.getInstant().getEpochSecond(), logRecord.getInstant().getNano());
         return layout.toSerializable(
                 Log4jLogEvent.newBuilder()
                         .setInstant(time)
-                        .setLevel(level(line.getLevel()))
-                        .setLoggerName(Subsystems.of(line.getLoggerName()))
-                        .setMessage(new SimpleMessage(formatMessage(line)))
-                        .setContextData(fields(line.getParameters()))
-                        .setThrown(line.getThrown())
+                        .setLevel(level(logRecord.getLevel()))
+                        .setLoggerName(Subsystems.forLogger(logRecord.getLoggerName()))
+                        .setMessage(new SimpleMessage(formatMessage(logRecord)))
+                        .setContextData(fields(logRecord.getParameters()))
+                        .setThrown(logRecord.getThrown())
                         .build());
     }
 
-    /** Collects the fields of an event, which are maps among the parameters of its line. */
+    /** Collects the fields of an event from the maps among the parameters of its log record. */
     private static SortedArrayStringMap fields(Object[] parameters) {
         SortedArrayStringMap collected = new SortedArrayStringMap();
         if (parameters == null) {
@@ -87,7 +88,7 @@
         return collected;
     }
 
-    /** Numbers and booleans as such, anything else as text. */
+    /** Keeps numbers and booleans; converts other values to strings. */
     private static Object json(Object value) {
         return value instanceof Number || value instanceof Boolean ? value : String.valueOf(value);
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/LoadBalancerAdapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/LoadBalancerAdapter.java
@@ -9,12 +9,15 @@
 import myrtleladder.loadbalancer.server.TrafficControl;
 
 /**
- * Connects the load balancer with the maintenance of machines, so that neither package depends on
- * the other. All methods but {@link #admitAttemptsBy} are called on the event loop.
+ * Connects the load balancer to machine maintenance, so that neither package depends on the other.
+ * All methods but {@link #admitAttemptsBy} are called on the event loop.
  */
 record LoadBalancerAdapter(TrafficControl trafficControl) implements LoadBalancerControl {
 
-    /** From now on maintenance admits each attempt and learns how it ended. */
+    /**
+     * Makes the load balancer ask maintenance before each attempt and report its outcome. Takes
+     * effect asynchronously; may be called on any thread.
+     */
     static void admitAttemptsBy(MaintenanceRuntime maintenance, RunningBalancer balancer) {
         MaintenanceAdmission admission = new MaintenanceAdmission(maintenance);
         balancer.loop().execute(() -> balancer.trafficControl().setAdmission(admission));
@@ -46,8 +49,14 @@
     @Override
     public List<Upstream> upstreams() {
         List<Upstream> upstreams = new ArrayList<>();
-        for (TrafficControl.ListedEndpoint e : trafficControl.listedEndpoints()) {
-            upstreams.add(new Upstream(e.id(), e.zone(), e.kind(), e.cell(), e.isReady()));
+        for (TrafficControl.ListedEndpoint endpoint : trafficControl.listedEndpoints()) {
+            upstreams.add(
+                    new Upstream(
+                            endpoint.id(),
+                            endpoint.zone(),
+                            endpoint.kind(),
+                            endpoint.cell(),
+                            endpoint.isReady()));
         }
         return upstreams;
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/LogConfigurator.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/LogConfigurator.java
@@ -9,13 +9,16 @@
 
 /** Applies the configured format and levels to the JDK's logging. */
 final class LogConfigurator {
-    /** Keeps the loggers with a level: the JDK holds them by weak references alone. */
-    private static final List<Logger> CONFIGURED = new ArrayList<>();
+    /**
+     * Strong references to the configured loggers. The JDK's log manager has weak references only,
+     * so a logger's level would be lost on garbage collection.
+     */
+    private static final List<Logger> CONFIGURED_LOGGERS = new ArrayList<>();
 
     private LogConfigurator() {}
 
     /**
-     * Configures the log, which goes to standard error.
+     * Configures the log, which is written to standard error.
      *
      * @param process name of this process in each line
      */
@@ -37,7 +40,7 @@
 
     private static void setLevel(String name, OperatorConfiguration.LogLevel level) {
         Logger logger = Logger.getLogger(name);
-        CONFIGURED.add(logger);
+        CONFIGURED_LOGGERS.add(logger);
         logger.setLevel(
                 switch (level) {
                     case ERROR -> Level.SEVERE;
--- a/src/main/java/myrtleladder/loadbalancer/admin/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Main.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command line with all that the program can do. {@code java -jar myrtleladder-loadbalancer.jar
- * serve} bypasses it: the platform's start loads no class of a library that only this needs.
+ * The command line with all subcommands. {@code java -jar myrtleladder-loadbalancer.jar serve}
+ * bypasses it, so that a start by the platform loads no library that only the command line needs.
  */
 @Command(
         name = "myrtleladder",
@@ -27,12 +27,12 @@
             myrtleladder.testbed.Main.class
         })
 public final class Main {
-    /** Exit status of a command that can't be carried out (docs/command.md). */
-    private static final int FAILED_STATUS = 2;
+    /** Exit status of a command that failed (docs/command.md). */
+    private static final int FAILURE_EXIT_STATUS = 2;
 
     Main() {}
 
-    /** Runs one command and exits with its status; a server runs on until SIGTERM. */
+    /** Runs one command and exits with its status; a started server keeps running until SIGTERM. */
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
         int status = commandLine().execute(args);
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The command line; an error is printed as one line that names what is at fault. */
+    /** Creates the command line, which prints each error as one line that names its cause. */
     static CommandLine commandLine() {
         return new CommandLine(new Main())
                 .setCaseInsensitiveEnumValuesAllowed(true)
@@ -54,7 +54,7 @@
                         command.getCommandSpec().qualifiedName()
                                 + ": "
                                 + operatorError(error).getMessage());
-        return FAILED_STATUS;
+        return FAILURE_EXIT_STATUS;
     }
 
     private static OperatorError operatorError(Exception error) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Decides for the simulator. */
+    /** Serves decisions to the simulator over standard input and output. */
     @Command(
             name = "adapter",
             description = "Makes the decisions on the simulator's wire, by standard input.",
@@ -94,7 +94,7 @@
         }
     }
 
-    /** A warm-up run, which records the class archive. */
+    /** Starts the load balancer for a warm-up run, in which the class archive is recorded. */
     @Command(
             name = "rehearse",
             description = "Starts as to serve, and ends when it could.",
--- a/src/main/java/myrtleladder/loadbalancer/admin/MaintenancePlanReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MaintenancePlanReader.java
@@ -15,34 +15,34 @@
 import myrtleladder.maintenance.OperatorCommand;
 import myrtleladder.maintenance.PlanTerms;
 
-/** Checks a maintenance plan as operators write it and makes the commands that enter it. */
+/** Validates a maintenance plan of an operator and converts it to consensus commands. */
 final class MaintenancePlanReader {
-    /** Characters of a name; as many as the datagrams of the fleet allow. */
+    /** Maximum characters of a name, as in the datagrams of the fleet. */
     private static final int MAX_NAME_LENGTH = 64;
 
-    /** Bounds the commands of one plan. */
+    /** Maximum machines of a plan, which bounds the commands proposed for it. */
     private static final int MAX_MACHINES = 1_000;
 
     private static final int MAX_PERCENT = 100;
 
-    /** Machines of a plan that are out at the same time. */
+    /** Machines of a plan that may be out of service at the same time. */
     private static final int DEFAULT_AT_ONCE = 1;
 
-    /** Share of the upstreams that stays in service. */
+    /** Percentage of the upstreams that has to stay in service. */
     private static final int DEFAULT_KEEP_PERCENT = 50;
 
     private static final int DEFAULT_PRIORITY = 0;
 
-    /** In place of the Unix time of a deadline. */
-    private static final long NO_DEADLINE = 0;
+    /** Stands for no deadline, in place of its Unix time in milliseconds. */
+    private static final long NO_DEADLINE_MS = 0;
 
     private final List<Upstream> upstreams;
     private final long longestWorkS;
 
     /**
-     * A plan as operators write it; what may be left out is null.
+     * A plan as operators write it; optional fields are null if left out.
      *
-     * @param deadline an instant as of ISO 8601
+     * @param deadline an instant in ISO 8601
      */
     record PlanRequest(
             @JsonProperty(required = true) String name,
@@ -57,10 +57,10 @@
     /**
      * One machine of a plan.
      *
-     * @param name null for that of the upstream or, without one, of the member
-     * @param upstream that runs on the machine, null if none does
-     * @param member of the fleet that runs on the machine, null if none does
-     * @param seconds that the work takes at most
+     * @param name of the machine; null for the name of the upstream or, without one, of the member
+     * @param upstream ID of the upstream that runs on the machine; null if none does
+     * @param member name of the fleet member that runs on the machine; null if none does
+     * @param seconds maximum duration of the maintenance
      */
     record MachineRequest(
             String name,
@@ -69,36 +69,41 @@
             @JsonProperty(required = true) Long seconds) {}
 
     /**
-     * Reads plans.
+     * Creates a reader.
      *
-     * @param upstreams that discovery has reported
-     * @param longestWorkS seconds that the work on a machine may take
+     * @param upstreams those that discovery has reported
+     * @param longestWorkS maximum seconds for the maintenance of a machine
      */
     MaintenancePlanReader(List<Upstream> upstreams, long longestWorkS) {
         this.upstreams = upstreams;
         this.longestWorkS = longestWorkS;
     }
 
+    /**
+     * Validates a plan and returns the commands that add it.
+     *
+     * @throws OperatorError naming the invalid field or unknown upstream
+     */
     List<OperatorCommand> read(PlanRequest request) throws OperatorError {
         List<MachineSpec> machines = machines(request.machines());
-        int keepPercent = orDefault(request.keepPercent(), DEFAULT_KEEP_PERCENT);
+        int keepPercent = valueOrDefault(request.keepPercent(), DEFAULT_KEEP_PERCENT);
         if (machines.size() > MAX_MACHINES) {
             throw new InvalidPlan("machine", "is not within 0 and " + MAX_MACHINES);
         }
         if (keepPercent < 0 || keepPercent > MAX_PERCENT) {
             throw new InvalidPlan("keep-percent", "is not within 0 and " + MAX_PERCENT);
         }
-        int atOnce = orDefault(request.atOnce(), DEFAULT_AT_ONCE);
+        int atOnce = valueOrDefault(request.atOnce(), DEFAULT_AT_ONCE);
         PlanTerms terms =
                 new PlanTerms(
                         request.name(),
                         machines.size(),
                         atOnce,
-                        orDefault(request.perZone(), atOnce),
+                        valueOrDefault(request.perZone(), atOnce),
                         request.apart() == null ? PlanTerms.Apart.NOTHING : request.apart(),
                         keepPercent,
                         upstreams.size(),
-                        orDefault(request.priority(), DEFAULT_PRIORITY),
+                        valueOrDefault(request.priority(), DEFAULT_PRIORITY),
                         deadlineMs(request.deadline()));
         if (terms.never() != null) {
             throw new InvalidPlan(request.name(), terms.never());
@@ -160,7 +165,7 @@
         throw new UnknownMachine(id, "is not on discovery's list");
     }
 
-    /** Checks a name that has to be there; returns it. */
+    /** Returns a mandatory name, or throws if it is missing, blank or too long. */
     static String requireName(String field, String name) throws InvalidPlan {
         if (name == null || name.isBlank() || name.length() > MAX_NAME_LENGTH) {
             throw new InvalidPlan(field, "is missing or too long");
@@ -168,13 +173,13 @@
         return name;
     }
 
-    private static int orDefault(Integer value, int defaultValue) {
+    private static int valueOrDefault(Integer value, int defaultValue) {
         return value == null ? defaultValue : value;
     }
 
     private static long deadlineMs(String text) throws InvalidPlan {
         if (text == null) {
-            return NO_DEADLINE;
+            return NO_DEADLINE_MS;
         }
         try {
             return Instant.parse(text).toEpochMilli();
--- a/src/main/java/myrtleladder/loadbalancer/admin/MaintenanceRequestHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MaintenanceRequestHandler.java
@@ -24,43 +24,43 @@
 import myrtleladder.toml.TomlFile;
 
 /**
- * Handles requests of operators and workers on the maintenance of machines. An accepted request is
- * proposed to the consensus and not committed yet; {@code GET /work} shows what becomes of it.
+ * Handles requests of operators and workers for machine maintenance. An accepted request has been
+ * proposed to the consensus but not committed; {@code GET /work} shows its result.
  *
- * <p>Called by the thread of the admin server, which it blocks until the event loop has answered.
+ * <p>Called on the admin server's thread, which it blocks until the event loop has answered.
  */
 final class MaintenanceRequestHandler {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
-    /** Stands for a file in errors on the body of a request. */
-    private static final Path BODY = Path.of("body");
+    /** Shown in place of a file name in errors about a request body. */
+    private static final Path BODY_SOURCE = Path.of("body");
 
-    /** The same for a plan. */
-    private static final Path PLAN = Path.of("plan");
+    /** Shown in place of a file name in errors about a plan. */
+    private static final Path PLAN_SOURCE = Path.of("plan");
 
     private final MaintenanceRuntime maintenance;
     private final String process;
     private final long longestWorkS;
 
     /**
-     * The body of a request on something that is known; each action needs some of its fields, the
-     * others are null.
+     * The body of a request other than a new plan. Each action needs some of the fields; the others
+     * may be null.
      *
-     * @param machine that the request is about
-     * @param plan that the request is about
-     * @param process that has ended
-     * @param why shown to operators
-     * @param epoch of the machine's permit
-     * @param index of the machine's permit
+     * @param machine name of the machine that the request is about
+     * @param plan name of the plan that the request is about
+     * @param process name of the process that has ended
+     * @param why reason shown to operators
+     * @param epoch first part of the machine's permit, which is a fencing token
+     * @param index second part of the machine's permit
      */
     record Request(
             String machine, String plan, String process, String why, Long epoch, Long index) {}
 
     /**
-     * Handles requests at one process.
+     * Creates a handler for one process.
      *
      * @param process its name, for errors
-     * @param longestWorkS seconds that the maintenance of a machine may take
+     * @param longestWorkS maximum seconds for the maintenance of a machine
      */
     MaintenanceRequestHandler(MaintenanceRuntime maintenance, String process, long longestWorkS) {
         this.maintenance = maintenance;
@@ -73,11 +73,13 @@
     }
 
     /**
-     * Handles a request.
+     * Validates a request and proposes its commands to the consensus.
      *
-     * @param action last part of the path; empty for a new plan
-     * @param body TOML
+     * @param action last segment of the path; empty for a new plan
+     * @param body in TOML
      * @return a JSON object with the number of commands proposed
+     * @throws OperatorError if the request is invalid, the event loop is busy, or this process has
+     *     no majority
      */
     String handle(String action, String body) throws OperatorError, JsonProcessingException {
         List<OperatorCommand> commands = commands(action, body);
@@ -119,7 +121,7 @@
     }
 
     private static Request parse(String body) throws OperatorError {
-        return TomlFile.parse(BODY, body, Request.class);
+        return TomlFile.parse(BODY_SOURCE, body, Request.class);
     }
 
     private static String machineOrPlan(Request request) throws InvalidPlan {
@@ -129,13 +131,15 @@
 
     private List<OperatorCommand> plan(String body) throws OperatorError {
         MaintenancePlanReader.PlanRequest request =
-                TomlFile.parse(PLAN, body, MaintenancePlanReader.PlanRequest.class);
+                TomlFile.parse(PLAN_SOURCE, body, MaintenancePlanReader.PlanRequest.class);
         MaintenancePlanReader.requireName("name", request.name());
         return new MaintenancePlanReader(onEventLoop(maintenance::upstreams), longestWorkS)
                 .read(request);
     }
 
-    /** A worker reports the end of its work, with the permit under which it did it. */
+    /**
+     * Converts a worker's report of finished work; its permit has to be the machine's current one.
+     */
     private OperatorCommand done(Request request) throws OperatorError {
         String machine = MaintenancePlanReader.requireName("machine", request.machine());
         if (request.epoch() == null || request.index() == null) {
--- a/src/main/java/myrtleladder/loadbalancer/admin/MembersPrinter.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/MembersPrinter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Prints the status of membership and consensus as text for operators. */
+/** Formats the status of membership and consensus as text for operators. */
 final class MembersPrinter {
     private final PrintWriter out;
 
@@ -14,7 +14,7 @@
         this.out = out;
     }
 
-    /** Prints an answer to {@code GET /members}. */
+    /** Prints a response to {@code GET /members}. */
     void printMembers(JsonNode status) {
         out.printf(
                 Locale.ROOT,
@@ -66,7 +66,7 @@
                                         reason.getKey()));
     }
 
-    /** Prints an answer to {@code GET /agreement}. */
+    /** Prints a response to {@code GET /agreement}. */
     void printConsensus(JsonNode status) {
         List<String> members = new ArrayList<>();
         status.at("/view/lives").fieldNames().forEachRemaining(members::add);
--- a/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfiguration.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfiguration.java
@@ -6,31 +6,32 @@
 import java.util.Map;
 
 /**
- * What operators configure in a TOML file (docs/command.md). The platform's JSON file is separate.
- * The components are named by the keys of the file. {@link OperatorConfigurationReader} reads and
- * checks it; what the file leaves out has the value of {@link #DEFAULTS}.
+ * The operators' configuration, a TOML file (docs/command.md). The platform's JSON file is
+ * separate. Record components have the names of the file's keys. {@link
+ * OperatorConfigurationReader} reads and validates the file; keys that it leaves out have the
+ * values of {@link #DEFAULTS}.
  *
  * @param fleet null if this process belongs to no fleet
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record OperatorConfiguration(LogSection log, AdminSection admin, FleetSection fleet) {
 
-    /** In force without a file. */
+    /** The configuration used without a file. */
     static final OperatorConfiguration DEFAULTS =
             new OperatorConfiguration(
                     new LogSection(LogFormat.TEXT, LogLevel.INFO, Map.of()),
                     new AdminSection(null),
                     null);
 
-    /** Format of a line of the log. */
+    /** Format of the log. */
     enum LogFormat {
-        /** As the JDK's logger writes it. */
+        /** The JDK's default format. */
         TEXT,
-        /** One JSON object a line. */
+        /** One JSON object per line. */
         JSON
     }
 
-    /** Least severity that is logged. */
+    /** Minimum severity that is logged. */
     enum LogLevel {
         ERROR,
         WARNING,
@@ -41,15 +42,15 @@
     /**
      * The log.
      *
-     * @param level of all subsystems that {@code levels} does not name
-     * @param levels by subsystem (see {@link Subsystems})
+     * @param level default level of subsystems not listed in {@code levels}
+     * @param levels level by name of the subsystem (see {@link Subsystems})
      */
     record LogSection(LogFormat format, LogLevel level, Map<String, LogLevel> levels) {}
 
     /**
      * The HTTP server for operators.
      *
-     * @param listen address and port on the loopback interface; null switches it off
+     * @param listen address and port on the loopback interface; null disables the server
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     record AdminSection(String listen) {}
@@ -57,15 +58,16 @@
     /**
      * The fleet that this process belongs to.
      *
-     * @param name of the fleet
-     * @param process name of this process in it; null for the name in the log
+     * @param name name of the fleet
+     * @param process name of this process in the fleet; null for the name used in the log
      * @param listen address and port for datagrams
-     * @param seeds addresses at which other members may be found; null for none
-     * @param via addresses to send to, by the addresses that members publish; null for none
-     * @param zone published to other members; null for none
-     * @param council names of the voting members; null switches consensus and maintenance off
-     * @param configuredLongestWorkS seconds that the maintenance of a machine may take; null for
-     *     the default
+     * @param seeds addresses of other members to contact at the start; null for none
+     * @param via address translation: the address to send to, by the address that a member
+     *     publishes; null for none
+     * @param zone zone published to other members; null for none
+     * @param council names of the voting members; null disables consensus and maintenance
+     * @param configuredLongestWorkS maximum seconds for the maintenance of a machine; null for the
+     *     default
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     record FleetSection(
@@ -77,10 +79,10 @@
             String zone,
             List<String> council,
             @JsonProperty("longest-work-s") Long configuredLongestWorkS) {
-        /** A quarter of an hour. */
+        /** 15 minutes. */
         private static final long DEFAULT_LONGEST_WORK_S = 900;
 
-        /** Seconds that the maintenance of a machine may take. */
+        /** Maximum seconds for the maintenance of a machine, with the default applied. */
         long longestWorkS() {
             return configuredLongestWorkS == null ? DEFAULT_LONGEST_WORK_S : configuredLongestWorkS;
         }
--- a/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/OperatorConfigurationReader.java
@@ -18,15 +18,15 @@
 import myrtleladder.loadbalancer.admin.OperatorConfiguration.LogSection;
 import myrtleladder.toml.TomlFile;
 
-/** Reads an {@link OperatorConfiguration}, checks each value and fills in the defaults. */
+/** Reads an {@link OperatorConfiguration}, validates each value and applies the defaults. */
 final class OperatorConfigurationReader {
     private static final Pattern SUBSYSTEM = Pattern.compile("[a-z]+(\\.[a-z]+)*");
     private static final int MAX_PORT = 65_535;
 
-    /** Characters of a name; as many as the datagrams of the fleet allow. */
+    /** Maximum characters of a name, as in the datagrams of the fleet. */
     private static final int MAX_NAME_LENGTH = 64;
 
-    /** The maintenance of one machine takes a day at most. */
+    /** Upper bound of {@code fleet.longest-work-s}: one day. */
     private static final int MAX_LONGEST_WORK_S = 86_400;
 
     private final Path file;
@@ -36,18 +36,18 @@
     }
 
     /**
-     * Reads a file.
+     * Reads and validates a file.
      *
-     * @throws OperatorError naming file, line and key of what is wrong
+     * @throws OperatorError if the file is unreadable or invalid, naming file, line and key
      */
     static OperatorConfiguration read(Path file) throws OperatorError {
         OperatorConfiguration read = TomlFile.read(file, OperatorConfiguration.class);
         return new OperatorConfigurationReader(file)
-                .complete(read == null ? new OperatorConfiguration(null, null, null) : read);
+                .withDefaults(read == null ? new OperatorConfiguration(null, null, null) : read);
     }
 
-    private OperatorConfiguration complete(OperatorConfiguration read) throws OperatorError {
-        LogSection log = complete(read.log());
+    private OperatorConfiguration withDefaults(OperatorConfiguration read) throws OperatorError {
+        LogSection log = withDefaults(read.log());
         AdminSection admin =
                 read.admin() == null ? OperatorConfiguration.DEFAULTS.admin() : read.admin();
         check(admin);
@@ -57,7 +57,7 @@
         return new OperatorConfiguration(log, admin, read.fleet());
     }
 
-    private LogSection complete(LogSection read) throws InvalidConfigurationFile {
+    private LogSection withDefaults(LogSection read) throws InvalidConfigurationFile {
         LogSection defaults = OperatorConfiguration.DEFAULTS.log();
         if (read == null) {
             return defaults;
@@ -93,7 +93,7 @@
             checkName("fleet.process", fleet.process());
         }
         if (fleet.zone() != null && fleet.zone().length() > MAX_NAME_LENGTH) {
-            throw badName("fleet.zone", fleet.zone());
+            throw invalidName("fleet.zone", fleet.zone());
         }
         parseAddress(file, "fleet.listen", fleet.listen());
         TomlFile.checkRange(
@@ -126,21 +126,21 @@
 
     private void checkName(String key, String name) throws InvalidConfigurationFile {
         if (name.isBlank() || name.length() > MAX_NAME_LENGTH) {
-            throw badName(key, name);
+            throw invalidName(key, name);
         }
     }
 
-    private InvalidConfigurationFile badName(String key, String name) {
+    private InvalidConfigurationFile invalidName(String key, String name) {
         return new InvalidConfigurationFile(file, 0, key, "\"" + name + "\" is empty or too long");
     }
 
     /**
-     * Parses an address and port, as {@code 127.0.0.1:9464}. The address has to be numeric, since
-     * no name is ever resolved.
+     * Parses an address and port, as {@code 127.0.0.1:9464}. The address has to be numeric: host
+     * names are never resolved.
      *
-     * @param file that the text is from, for the error
-     * @param key that has the text as its value, for the error
-     * @throws BadFile if the text is no address and port
+     * @param file file that contains the text, for the error
+     * @param key key whose value is the text, for the error
+     * @throws InvalidConfigurationFile if the text is not an address and port
      */
     static InetSocketAddress parseAddress(Path file, String key, String text)
             throws InvalidConfigurationFile {
@@ -150,18 +150,18 @@
                         ? null
                         : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (host == null) {
-            throw badAddress(file, key, text);
+            throw invalidAddress(file, key, text);
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             TomlFile.checkRange(file, key, port, 0, MAX_PORT);
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (NumberFormatException | UnknownHostException e) {
-            throw badAddress(file, key, text);
+            throw invalidAddress(file, key, text);
         }
     }
 
-    private static InvalidConfigurationFile badAddress(Path file, String key, String text) {
+    private static InvalidConfigurationFile invalidAddress(Path file, String key, String text) {
         return new InvalidConfigurationFile(
                 file, 0, key, text + " is not an address and port as 127.0.0.1:9464");
     }
--- a/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
@@ -23,13 +23,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one load balancer, with the parts that the operators' configuration switches on. */
+/** Runs one load balancer and the components that the operators' configuration enables. */
 @Command(
         name = "serve",
         description = "Runs one balancer until SIGTERM; NODE_CONFIG names the platform's file.",
         mixinStandardHelpOptions = true)
 final class ServeCommand implements Callable<Integer> {
-    /** Returned while the load balancer serves on its own threads; no command exits with it. */
+    /** Returned while the load balancer serves on its own threads; never used as an exit status. */
     static final int SERVING = -1;
 
     private static final System.Logger LOG = System.getLogger(ServeCommand.class.getName());
@@ -40,16 +40,16 @@
     /** Environment variable with the path of the platform's configuration. */
     private static final String CONFIGURATION_VARIABLE = "NODE_CONFIG";
 
-    /** What this process can do, as other members see it. */
+    /** Capabilities of this process that it publishes to other members. */
     private static final List<String> CAPABILITIES = List.of("serve");
 
-    /** The longest deadline of a request that counts. */
+    /** Longest request deadline that maintenance takes into account. */
     private static final long LONGEST_ATTEMPT_US = 3_000_000;
 
-    /** The platform does not wait for long until a load balancer serves. */
+    /** Limit of the wait for registration: the platform expects a load balancer to serve soon. */
     private static final long REGISTRATION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** Interval at which the registration is looked for, in nanoseconds. */
+    /** Interval at which the registration is polled. */
     private static final long REGISTRATION_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     @Option(names = "--config", paramLabel = "FILE", description = "our own configuration, as TOML")
@@ -119,9 +119,9 @@
     }
 
     /**
-     * The parts that run beside the load balancer; what is not configured is null.
+     * The components that run beside the load balancer; those not configured are null.
      *
-     * @param name of this process in metrics and errors
+     * @param name name of this process in metrics and errors
      */
     private record Attachments(
             String name,
@@ -130,7 +130,7 @@
             FleetConfiguration fleet,
             ConsensusSettings consensusSettings) {
 
-        /** Starts all of them, before the load balancer serves. */
+        /** Starts the configured components, before the load balancer serves. */
         void start(RunningBalancer balancer) {
             MembershipRuntime membership =
                     fleet == null ? null : MembershipRuntime.start(balancer.loop(), fleet);
@@ -189,12 +189,12 @@
         }
 
         /**
-         * Waits until the fleet knows of this process, but not for long: before that it might send
-         * to a machine that is out for maintenance.
+         * Blocks until this process is registered with the fleet or the timeout has passed. Before
+         * registration it might send requests to a machine that is out for maintenance.
          */
         private static void awaitRegistration(MaintenanceRuntime maintenance) {
-            long endNanos = System.nanoTime() + REGISTRATION_TIMEOUT_NANOS;
-            while (System.nanoTime() < endNanos
+            long deadlineNanos = System.nanoTime() + REGISTRATION_TIMEOUT_NANOS;
+            while (System.nanoTime() < deadlineNanos
                     && !maintenance.isRegistered().syncUninterruptibly().getNow()) {
                 LockSupport.parkNanos(REGISTRATION_POLL_NANOS);
             }
--- a/src/main/java/myrtleladder/loadbalancer/admin/Subsystems.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/Subsystems.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * Names of the subsystems as log lines and the key {@code log.levels} have them. They are part of
- * what operators filter by, so they stay when a package is renamed.
+ * Maps packages to the subsystem names used in log lines and the key {@code log.levels}. Operators
+ * filter by these names, so they stay the same when a package is renamed.
  */
 final class Subsystems {
     private static final String ROOT = "myrtleladder.";
 
-    /** Package below the root, by the name of the subsystem. */
+    /** Package name relative to {@link #ROOT}, by the name of the subsystem. */
     private static final Map<String, String> PACKAGES =
             Map.ofEntries(
                     Map.entry("decisions", "loadbalancer.policy"),
@@ -34,8 +34,11 @@
 
     private Subsystems() {}
 
-    /** The subsystem that a logger belongs to; the whole name for a logger of a library. */
-    static String of(String logger) {
+    /**
+     * Returns the subsystem of a logger, by its package; the full name of the logger if it belongs
+     * to a library.
+     */
+    static String forLogger(String logger) {
         if (logger == null || !logger.startsWith(ROOT)) {
             return String.valueOf(logger);
         }
@@ -49,7 +52,7 @@
         return name;
     }
 
-    /** The loggers of a subsystem and of those below it; a package's own name is taken as well. */
+    /** Returns the loggers of a subsystem and its children; also accepts the name of a package. */
     static List<String> loggers(String subsystem) {
         List<String> loggers = new ArrayList<>();
         PACKAGES.forEach(
--- a/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/AdminCompatibilityTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Pins what operators' tools read: names, labels and values of the figures, answers to each path,
- * and lines of the log. Dashboards, alerts and searches go by these names.
+ * Pins what operators' tools read: names, labels and values of metrics, the response to each path,
+ * and log lines. Dashboards, alerts and searches depend on these names.
  */
 @Timeout(60)
 class AdminCompatibilityTest {
@@ -52,17 +52,17 @@
                 attempts);
     }
 
-    private static AdminServer admin(Supplier<Future<BalancerStatus>> balancer) {
+    private static AdminServer startServer(Supplier<Future<BalancerStatus>> balancer) {
         return new AdminServer(
                 new InetSocketAddress("127.0.0.1", 0), "b0", balancer, null, null, null);
     }
 
-    private static Future<BalancerStatus> known() {
+    private static Future<BalancerStatus> completedStatus() {
         return new DefaultPromise<BalancerStatus>(GlobalEventExecutor.INSTANCE)
                 .setSuccess(status());
     }
 
-    private static HttpResponse<String> ask(AdminServer admin, String method, String path)
+    private static HttpResponse<String> send(AdminServer admin, String method, String path)
             throws Exception {
         HttpRequest request =
                 HttpRequest.newBuilder(
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void figuresHaveTheirNamesLabelsAndValues() throws Exception {
-        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
-            HttpResponse<String> answer = ask(admin, "GET", "/metrics");
+    void metricNamesLabelsAndValuesStay() throws Exception {
+        try (AdminServer admin = startServer(AdminCompatibilityTest::completedStatus)) {
+            HttpResponse<String> answer = send(admin, "GET", "/metrics");
             StringBuilder lines = new StringBuilder();
             lines.append(answer.headers().firstValue("content-type").orElse("")).append('\n');
             answer.body()
@@ -86,13 +86,13 @@
         }
     }
 
-    /** The names that dashboards read stay; each metric has its name of today beside. */
+    /** Each metric keeps the name that dashboards use and also has its current name. */
     @Test
     void eachMetricIsServedUnderBothNames() throws Exception {
-        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
+        try (AdminServer admin = startServer(AdminCompatibilityTest::completedStatus)) {
             List<String> former = new ArrayList<>();
             List<String> names = new ArrayList<>();
-            for (String line : ask(admin, "GET", "/metrics").body().lines().toList()) {
+            for (String line : send(admin, "GET", "/metrics").body().lines().toList()) {
                 if (line.startsWith("yewyoke_")) {
                     former.add(line.substring("yewyoke_".length()));
                 } else if (line.startsWith("myrtleladder_")) {
@@ -104,15 +104,12 @@
         }
     }
 
-    /**
-     * The figures of the process itself: their names and types alone, since their values are the
-     * JVM's.
-     */
+    /** Pins only names and types of the process metrics, since their values depend on the JVM. */
     @Test
-    void figuresOfTheProcessHaveTheirNames() throws Exception {
-        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
+    void processMetricNamesAndTypesStay() throws Exception {
+        try (AdminServer admin = startServer(AdminCompatibilityTest::completedStatus)) {
             TreeSet<String> names = new TreeSet<>();
-            ask(admin, "GET", "/metrics")
+            send(admin, "GET", "/metrics")
                     .body()
                     .lines()
                     .filter(l -> l.startsWith("# TYPE"))
@@ -122,8 +119,8 @@
     }
 
     @Test
-    void everyPathAnswersAsItDid() throws Exception {
-        try (AdminServer admin = admin(AdminCompatibilityTest::known)) {
+    void responseToEachPathStays() throws Exception {
+        try (AdminServer admin = startServer(AdminCompatibilityTest::completedStatus)) {
             StringBuilder lines = new StringBuilder();
             for (String asked :
                     new String[] {
@@ -135,7 +132,7 @@
                         "POST /work",
                         "POST /other"
                     }) {
-                HttpResponse<String> answer = ask(admin, asked.split(" ")[0], asked.split(" ")[1]);
+                HttpResponse<String> answer = send(admin, asked.split(" ")[0], asked.split(" ")[1]);
                 lines.append(asked)
                         .append(": ")
                         .append(answer.statusCode())
@@ -149,16 +146,17 @@
     }
 
     @Test
-    void aBalancerThatIsBusyIsAnsweredAsItWas() throws Exception {
-        try (AdminServer admin = admin(() -> new DefaultPromise<>(GlobalEventExecutor.INSTANCE))) {
-            HttpResponse<String> answer = ask(admin, "GET", "/metrics");
+    void responseWhileEventLoopIsBusyStays() throws Exception {
+        try (AdminServer admin =
+                startServer(() -> new DefaultPromise<>(GlobalEventExecutor.INSTANCE))) {
+            HttpResponse<String> answer = send(admin, "GET", "/metrics");
             Golden.assertMatches(
                     "command/admin-busy.txt", answer.statusCode() + " " + answer.body());
         }
     }
 
     @Test
-    void aLineOfTheLogHasItsFields() throws Exception {
+    void logLineFieldsStay() throws Exception {
         StringBuilder lines = new StringBuilder();
         for (String logger :
                 new String[] {
@@ -178,9 +176,9 @@
         Golden.assertMatches("command/log-lines.txt", lines.toString());
     }
 
-    /** An exception's fields; of the stack only that it is there, since it has lines of the JVM. */
+    /** Pins only the JSON type of the stack trace, since its lines depend on the JVM. */
     @Test
-    void aLineOfTheLogHasTheFieldsOfAnException() throws Exception {
+    void logLineFieldsOfAnExceptionStay() throws Exception {
         LogRecord line = new LogRecord(Level.WARNING, "gone");
         line.setLoggerName("myrtleladder.loadbalancer.server.Driver");
         line.setInstant(Instant.ofEpochSecond(1_700_000_000L));
--- a/src/test/java/myrtleladder/loadbalancer/admin/CommandLineCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/CommandLineCompatibilityTest.java
@@ -13,13 +13,13 @@
 import picocli.CommandLine;
 
 /**
- * Pins the command lines: options, what is printed, and the status that each ends with. Deployment
- * files and operators' scripts call them and branch on the status.
+ * Pins the options, output and exit status of each command. Deployment files and operators' scripts
+ * call the commands and branch on the exit status.
  */
 class CommandLineCompatibilityTest {
     @TempDir Path folder;
 
-    private String say(String... args) {
+    private String execute(String... args) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         CommandLine line =
@@ -34,7 +34,7 @@
                 .replace(folder.toString(), "FOLDER");
     }
 
-    private String serve(String config, String... args) {
+    private String runServer(String config, String... args) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int status =
                 myrtleladder.loadbalancer.server.Main.run(
@@ -52,13 +52,13 @@
     void helpOfTheBalancersCommandsNamesTheSameOptions() throws Exception {
         Golden.assertMatches(
                 "command/help.txt",
-                say("--help")
-                        + say("serve", "--help")
-                        + say("adapter", "--help")
-                        + say("rehearse", "--help")
-                        + say("config", "--help")
-                        + say("config", "check", "--help")
-                        + say("config", "show", "--help"));
+                execute("--help")
+                        + execute("serve", "--help")
+                        + execute("adapter", "--help")
+                        + execute("rehearse", "--help")
+                        + execute("config", "--help")
+                        + execute("config", "check", "--help")
+                        + execute("config", "show", "--help"));
     }
 
     @Test
@@ -67,17 +67,17 @@
         Path bad = Files.writeString(folder.resolve("bad.toml"), "[log]\nlevl = \"info\"\n");
         Golden.assertMatches(
                 "command/statuses.txt",
-                say()
-                        + say("config", "check", good.toString())
-                        + say("config", "show", good.toString())
-                        + say("config", "show")
-                        + say("config", "check", bad.toString())
-                        + say("config", "check", folder.resolve("none.toml").toString())
-                        + say("config", "check", folder.toString())
-                        + say("config", "check")
-                        + say("serve", "--confg", "x")
-                        + say("serve", "--config", bad.toString())
-                        + say("nonsense"));
+                execute()
+                        + execute("config", "check", good.toString())
+                        + execute("config", "show", good.toString())
+                        + execute("config", "show")
+                        + execute("config", "check", bad.toString())
+                        + execute("config", "check", folder.resolve("none.toml").toString())
+                        + execute("config", "check", folder.toString())
+                        + execute("config", "check")
+                        + execute("serve", "--confg", "x")
+                        + execute("serve", "--config", bad.toString())
+                        + execute("nonsense"));
     }
 
     @Test
@@ -85,12 +85,12 @@
         Path cut = Files.writeString(folder.resolve("cut.json"), "{\"listen\":\n\"127.0.0.1:0\",");
         Golden.assertMatches(
                 "command/serve-statuses.txt",
-                serve(null, "serve")
-                        + serve(null)
-                        + serve(null, "help")
-                        + serve(null, "serve", "more")
-                        + serve(null, "rehearse")
-                        + serve(folder.resolve("none.json").toString(), "serve")
-                        + serve(cut.toString(), "serve"));
+                runServer(null, "serve")
+                        + runServer(null)
+                        + runServer(null, "help")
+                        + runServer(null, "serve", "more")
+                        + runServer(null, "rehearse")
+                        + runServer(folder.resolve("none.json").toString(), "serve")
+                        + runServer(cut.toString(), "serve"));
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/admin/CommandTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/CommandTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** The command line as operators see it: what it prints, and the status it ends with. */
+/** Tests the output and exit status of commands. */
 class CommandTest {
     private static final String GOOD =
             """
@@ -35,9 +35,9 @@
 
     @TempDir Path folder;
 
-    private record Said(int status, String out, String err) {}
+    private record CommandResult(int status, String out, String err) {}
 
-    private static Said say(String... args) {
+    private static CommandResult execute(String... args) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         CommandLine line =
@@ -45,7 +45,7 @@
                         .setOut(new PrintWriter(out, true))
                         .setErr(new PrintWriter(err, true));
         int status = line.execute(args);
-        return new Said(status, out.toString(), err.toString());
+        return new CommandResult(status, out.toString(), err.toString());
     }
 
     @ParameterizedTest
@@ -62,28 +62,29 @@
                 "127.0.0.1:0|127.0.0.1:http|admin.listen: ",
                 "127.0.0.1:0|127.0.0.1:65536|admin.listen: "
             })
-    void aBadFileIsRefusedByFileLineAndKey(String good, String bad, String complaint)
+    void errorNamesFileLineAndKey(String good, String bad, String expectedPosition)
             throws Exception {
         Path file = Files.writeString(folder.resolve("ours.toml"), GOOD.replace(good, bad));
-        Said said = say("config", "check", file.toString());
-        assertEquals(2, said.status());
-        String named = file + (complaint.startsWith(":") ? "" : ": ") + complaint;
-        assertTrue(said.err().contains(named), said.err());
+        CommandResult result = execute("config", "check", file.toString());
+        assertEquals(2, result.status());
+        String named = file + (expectedPosition.startsWith(":") ? "" : ": ") + expectedPosition;
+        assertTrue(result.err().contains(named), result.err());
     }
 
     /**
-     * What is shown can be read again and means the same; what a file leaves out has its default.
+     * The printed configuration reads back as the same values; keys that a file leaves out have
+     * their defaults.
      */
     @Test
-    void whatIsInForceIsShownWithItsDefaults() throws Exception {
+    void showPrintsConfigurationWithDefaults() throws Exception {
         Path ours =
                 Files.writeString(
                         folder.resolve("ours.toml"),
                         GOOD.replace("level = \"warning\"", "")
                                 .replace("listen = \"127.0.0.1:0\"", ""));
-        Said said = say("config", "show", ours.toString());
-        assertEquals(0, said.status(), said.err());
-        Path shown = Files.writeString(folder.resolve("shown.toml"), said.out());
+        CommandResult result = execute("config", "show", ours.toString());
+        assertEquals(0, result.status(), result.err());
+        Path shown = Files.writeString(folder.resolve("shown.toml"), result.out());
         assertEquals(
                 new OperatorConfiguration(
                         new OperatorConfiguration.LogSection(
@@ -94,7 +95,7 @@
                         null),
                 OperatorConfigurationReader.read(shown));
         Path nothing =
-                Files.writeString(folder.resolve("nothing.toml"), say("config", "show").out());
+                Files.writeString(folder.resolve("nothing.toml"), execute("config", "show").out());
         assertEquals(OperatorConfiguration.DEFAULTS, OperatorConfigurationReader.read(nothing));
     }
 
@@ -107,14 +108,14 @@
                 "lab runn|runn",
                 "lab run x.toml --plays many|--plays"
             })
-    void aWrongCommandLineIsNamed(String args, String named) {
-        Said said = say(args.split(" "));
-        assertEquals(2, said.status());
-        assertTrue(said.err().contains(named), said.err());
+    void errorNamesInvalidArgument(String args, String named) {
+        CommandResult result = execute(args.split(" "));
+        assertEquals(2, result.status());
+        assertTrue(result.err().contains(named), result.err());
     }
 
     @Test
-    void aLineOfTheLogIsOneObjectWithItsFields() throws Exception {
+    void logRecordIsFormattedAsOneJsonObject() throws Exception {
         LogRecord line = new LogRecord(Level.WARNING, "member lost\nb3");
         line.setLoggerName("myrtleladder.loadbalancer.server.Driver");
         line.setParameters(new Object[] {Map.of("view", 7L, "why", "\"silent\"")});
--- a/src/test/java/myrtleladder/loadbalancer/admin/ConsensusProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ConsensusProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,19 +18,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five processes of the program that agree on who belongs to them, with faults between them. */
+/** Five load balancer processes agree on their membership by consensus, with injected faults. */
 @Timeout(300)
 class ConsensusProcessesTest {
-    private static final String COUNCIL = "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n";
-    private static final long MS = 1_000;
+    private static final String COUNCIL_SETTING =
+            "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n";
+    private static final long US_PER_MS = 1_000;
     private static final LinkFault LOSSY = new LinkFault(false, 0, 0, 0.2, 0);
-    private static final LinkFault SLOW = new LinkFault(false, 150 * MS, 50 * MS, 0, 0);
+    private static final LinkFault SLOW =
+            new LinkFault(false, 150 * US_PER_MS, 50 * US_PER_MS, 0, 0);
 
     @TempDir Path folder;
-    private FleetProcesses all;
+    private FleetProcesses processes;
 
-    /** A view of just these, behind which a majority stands. */
-    private static Predicate<JsonNode> view(List<String> names) {
+    /** Matches a view of exactly these members that has a majority. */
+    private static Predicate<JsonNode> hasMajorityView(List<String> names) {
         return l -> {
             TreeSet<String> lives = new TreeSet<>();
             l.at("/view/lives").fieldNames().forEachRemaining(lives::add);
@@ -38,127 +40,179 @@
         };
     }
 
-    private static Predicate<JsonNode> life(String name, Predicate<Long> expected) {
+    private static Predicate<JsonNode> lifeMatches(String name, Predicate<Long> expected) {
         return l -> expected.test(l.at("/view/lives/" + name).asLong());
     }
 
     private static List<String> without(String name) {
-        List<String> others = new ArrayList<>(ALL);
+        List<String> others = new ArrayList<>(PROCESS_NAMES);
         others.remove(name);
         return others;
     }
 
-    private void agreed(String what, List<String> observers, Predicate<JsonNode> expected)
+    private void awaitConsensus(String what, List<String> observers, Predicate<JsonNode> expected)
             throws Exception {
-        all.await(what, observers, "agreement", expected);
+        processes.await(what, observers, "agreement", expected);
     }
 
-    private String leader() throws Exception {
-        agreed("a leader", List.of("b0"), l -> !l.at("/leader/name").asText().isEmpty());
-        return all.look("b0", "agreement").at("/leader/name").asText();
+    private String awaitLeader() throws Exception {
+        awaitConsensus(
+                "a leader is known", List.of("b0"), l -> !l.at("/leader/name").asText().isEmpty());
+        return processes.fetchStatus("b0", "agreement").at("/leader/name").asText();
     }
 
-    private long number(String process) throws Exception {
-        return all.look(process, "agreement").at("/view/number").asLong();
+    private long fetchViewNumber(String process) throws Exception {
+        return processes.fetchStatus(process, "agreement").at("/view/number").asLong();
     }
 
-    private long epoch(String process) throws Exception {
-        return all.look(process, "agreement").at("/view/epoch").asLong();
+    private long fetchEpoch(String process) throws Exception {
+        return processes.fetchStatus(process, "agreement").at("/view/epoch").asLong();
     }
 
     @Test
-    void processesAgreeOnOneViewThroughKillsPausesCutsLossAndSlowPeers() throws Exception {
-        all = new FleetProcesses(folder, ALL, COUNCIL);
-        all.run(
-                all.layout(),
-                (fleet, relay) -> {
-                    agreed("a first view", ALL, view(ALL));
-                    long epoch = epoch("b0");
-
-                    String killed = leader();
-                    long life = all.look(killed, "agreement").at("/self/life").asLong();
+    void processesAgreeOnOneViewAfterKillsPausesLinkCutsLossAndDelay() throws Exception {
+        processes = new FleetProcesses(folder, PROCESS_NAMES, COUNCIL_SETTING);
+        processes.run(
+                processes.layout(),
+                (fleet, proxy) -> {
+                    awaitConsensus("the first view", PROCESS_NAMES, hasMajorityView(PROCESS_NAMES));
+                    long epoch = fetchEpoch("b0");
+
+                    String killed = awaitLeader();
+                    long life =
+                            processes.fetchStatus(killed, "agreement").at("/self/life").asLong();
                     fleet.bring(new Fault.Kill(killed));
-                    agreed("without its leader", without(killed), view(without(killed)));
+                    awaitConsensus(
+                            "a view without the killed leader",
+                            without(killed),
+                            hasMajorityView(without(killed)));
                     fleet.bring(new Fault.Restart(killed));
-                    agreed(
-                            "with the leader's next life",
-                            ALL,
-                            view(ALL).and(life(killed, l -> l != life)));
+                    awaitConsensus(
+                            "a view with the restarted leader",
+                            PROCESS_NAMES,
+                            hasMajorityView(PROCESS_NAMES)
+                                    .and(lifeMatches(killed, l -> l != life)));
 
-                    String paused = without(leader()).get(0);
+                    String paused = without(awaitLeader()).get(0);
                     fleet.bring(new Fault.Pause(paused));
-                    agreed("without one that stands still", without(paused), view(without(paused)));
+                    awaitConsensus(
+                            "a view without the paused process",
+                            without(paused),
+                            hasMajorityView(without(paused)));
                     fleet.bring(new Fault.Resume(paused));
-                    agreed("with it again", ALL, view(ALL));
+                    awaitConsensus(
+                            "a view with the resumed process",
+                            PROCESS_NAMES,
+                            hasMajorityView(PROCESS_NAMES));
 
-                    throughCuts(relay, epoch);
-                    throughLossAndSlowness(fleet, relay);
-                    assertEquals(epoch, epoch("b0"), "somebody began anew");
+                    cutAndHealLinks(proxy, epoch);
+                    restartWithLossAndSlowLinks(fleet, proxy);
+                    assertEquals(epoch, fetchEpoch("b0"), "a process started a new epoch");
 
-                    List<String> most = List.of("b0", "b1", "b2", "b3");
-                    for (String name : most) {
+                    List<String> majority = List.of("b0", "b1", "b2", "b3");
+                    for (String name : majority) {
                         fleet.bring(new Fault.Kill(name));
                     }
-                    agreed("one that is left", List.of("b4"), l -> !l.path("decides").asBoolean());
-                    for (String name : most) {
+                    awaitConsensus(
+                            "a single process has no majority",
+                            List.of("b4"),
+                            l -> !l.path("decides").asBoolean());
+                    for (String name : majority) {
                         fleet.bring(new Fault.Restart(name));
                     }
-                    agreed(
-                            "founded anew",
-                            ALL,
-                            view(ALL).and(l -> l.at("/view/epoch").asLong() > epoch));
-                    assertTrue(all.shown("b0").contains("view"), () -> "operators see the view");
-                    assertEquals(ALL.size(), all.figure("b0", "yewyoke_agreement_members"));
+                    awaitConsensus(
+                            "a new epoch after the loss of the majority",
+                            PROCESS_NAMES,
+                            hasMajorityView(PROCESS_NAMES)
+                                    .and(l -> l.at("/view/epoch").asLong() > epoch));
+                    assertTrue(
+                            processes.printMembers("b0").contains("view"),
+                            () -> "the command prints the view");
+                    assertEquals(
+                            PROCESS_NAMES.size(),
+                            processes.fetchMetric("b0", "yewyoke_agreement_members"));
                 });
     }
 
-    private void throughCuts(FaultProxy relay, long epoch) throws Exception {
-        // It hears the others and is not heard, then the reverse.
-        String cut = leader();
-        without(cut).forEach(n -> relay.bring(new Fault.Link(cut, n, LinkFault.CUT)));
-        agreed("a leader that is not heard", without(cut), view(without(cut)));
-        relay.bring(new Fault.HealAll());
-        agreed("heard again", ALL, view(ALL));
-        String deaf = leader();
-        without(deaf).forEach(n -> relay.bring(new Fault.Link(n, deaf, LinkFault.CUT)));
-        agreed("a leader that hears nobody", without(deaf), view(without(deaf)));
-        relay.bring(new Fault.HealAll());
-        agreed("it hears again", ALL, view(ALL));
-
-        FleetProcesses.cut(relay, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
-        agreed("the larger part", List.of("b2", "b3", "b4"), view(List.of("b2", "b3", "b4")));
-        long number = number("b0");
-        agreed("the smaller part knows", List.of("b0", "b1"), l -> !l.get("decides").asBoolean());
-        FleetProcesses.cut(relay, List.of("b2", "b3"), List.of("b4"));
-        agreed("three parts", ALL, l -> !l.get("decides").asBoolean());
-        assertEquals(number, number("b0"), "the smaller part decided");
-        relay.bring(new Fault.HealAll());
-        agreed("one again", ALL, view(ALL));
-        assertEquals(epoch, epoch("b0"), "somebody began anew");
+    private void cutAndHealLinks(FaultProxy proxy, long epoch) throws Exception {
+        // First the leader receives messages but its own are dropped, then the reverse.
+        String notSending = awaitLeader();
+        without(notSending).forEach(n -> proxy.bring(new Fault.Link(notSending, n, LinkFault.CUT)));
+        awaitConsensus(
+                "a view without the leader whose messages are dropped",
+                without(notSending),
+                hasMajorityView(without(notSending)));
+        proxy.bring(new Fault.HealAll());
+        awaitConsensus(
+                "all members after the link is restored",
+                PROCESS_NAMES,
+                hasMajorityView(PROCESS_NAMES));
+        String notReceiving = awaitLeader();
+        without(notReceiving)
+                .forEach(n -> proxy.bring(new Fault.Link(n, notReceiving, LinkFault.CUT)));
+        awaitConsensus(
+                "a view without the leader that receives nothing",
+                without(notReceiving),
+                hasMajorityView(without(notReceiving)));
+        proxy.bring(new Fault.HealAll());
+        awaitConsensus(
+                "all members after the leader receives again",
+                PROCESS_NAMES,
+                hasMajorityView(PROCESS_NAMES));
+
+        FleetProcesses.cutLinks(proxy, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
+        awaitConsensus(
+                "the majority partition",
+                List.of("b2", "b3", "b4"),
+                hasMajorityView(List.of("b2", "b3", "b4")));
+        long number = fetchViewNumber("b0");
+        awaitConsensus(
+                "the minority partition has no majority",
+                List.of("b0", "b1"),
+                l -> !l.get("decides").asBoolean());
+        FleetProcesses.cutLinks(proxy, List.of("b2", "b3"), List.of("b4"));
+        awaitConsensus(
+                "no majority in three partitions",
+                PROCESS_NAMES,
+                l -> !l.get("decides").asBoolean());
+        assertEquals(number, fetchViewNumber("b0"), "the minority partition changed its view");
+        proxy.bring(new Fault.HealAll());
+        awaitConsensus(
+                "all members after the partitions are healed",
+                PROCESS_NAMES,
+                hasMajorityView(PROCESS_NAMES));
+        assertEquals(epoch, fetchEpoch("b0"), "a process started a new epoch");
     }
 
-    private void throughLossAndSlowness(BalancerFleet fleet, FaultProxy relay) throws Exception {
-        for (String from : ALL) {
-            without(from).forEach(to -> relay.bring(new Fault.Link(from, to, LOSSY)));
+    private void restartWithLossAndSlowLinks(BalancerFleet fleet, FaultProxy proxy)
+            throws Exception {
+        for (String from : PROCESS_NAMES) {
+            without(from).forEach(to -> proxy.bring(new Fault.Link(from, to, LOSSY)));
         }
-        String lossy = leader();
+        String lossy = awaitLeader();
         fleet.bring(new Fault.Restart(lossy));
-        agreed("a restart at 20% loss", ALL, view(ALL).and(life(lossy, l -> l == life(lossy))));
-        relay.bring(new Fault.HealAll());
+        awaitConsensus(
+                "a restart at 20% loss",
+                PROCESS_NAMES,
+                hasMajorityView(PROCESS_NAMES).and(lifeMatches(lossy, l -> l == fetchLife(lossy))));
+        proxy.bring(new Fault.HealAll());
         without("b4")
                 .forEach(
                         n -> {
-                            relay.bring(new Fault.Link("b4", n, SLOW));
-                            relay.bring(new Fault.Link(n, "b4", SLOW));
+                            proxy.bring(new Fault.Link("b4", n, SLOW));
+                            proxy.bring(new Fault.Link(n, "b4", SLOW));
                         });
         fleet.bring(new Fault.Restart("b1"));
-        agreed("a restart beside a slow one", ALL, view(ALL).and(life("b1", l -> l == life("b1"))));
-        relay.bring(new Fault.HealAll());
+        awaitConsensus(
+                "a restart with slow links to one member",
+                PROCESS_NAMES,
+                hasMajorityView(PROCESS_NAMES).and(lifeMatches("b1", l -> l == fetchLife("b1"))));
+        proxy.bring(new Fault.HealAll());
     }
 
-    private long life(String process) {
+    private long fetchLife(String process) {
         try {
-            return all.look(process, "agreement").at("/self/life").asLong();
+            return processes.fetchStatus(process, "agreement").at("/self/life").asLong();
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ErrorsTest.java
@@ -41,22 +41,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Each error that reaches an operator, as he meets it: its code, where it happened, and what he can
- * do.
+ * Provokes the errors that operators see and checks that each message has its code, its cause and a
+ * remedy.
  */
 class ErrorsTest {
     @TempDir Path folder;
 
-    /** What a command prints when it fails. */
-    private static String failed(String... args) {
+    /** Runs a command that has to fail and returns its error output. */
+    private static String runFailingCommand(String... args) {
         StringWriter err = new StringWriter();
         int status = Main.commandLine().setErr(new PrintWriter(err, true)).execute(args);
         assertEquals(2, status, err::toString);
         return err.toString();
     }
 
-    /** What a balancer prints that can't start. */
-    private static String notServed(Path config) {
+    /** Starts a load balancer that has to fail and returns its error output. */
+    private static String runFailingServer(Path config) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertNotEquals(
                 0,
@@ -68,23 +68,23 @@
         return err.toString(StandardCharsets.UTF_8);
     }
 
-    private static void says(String said, String code, String remedy, String... parts) {
-        assertTrue(said.contains(code + " ") && said.contains(remedy), said);
+    private static void assertError(String message, String code, String remedy, String... parts) {
+        assertTrue(message.contains(code + " ") && message.contains(remedy), message);
         for (String part : parts) {
-            assertTrue(said.contains(part), () -> part + " is missing in " + said);
+            assertTrue(message.contains(part), () -> part + " is missing in " + message);
         }
-        assertEquals(1, said.strip().lines().count(), said);
+        assertEquals(1, message.strip().lines().count(), message);
     }
 
-    private Path file(String name, String text) throws Exception {
+    private Path writeFile(String name, String text) throws Exception {
         Path file = folder.resolve(name);
         Files.createDirectories(file.getParent());
         return Files.writeString(file, text);
     }
 
-    /** The platform's file with an address and limits. */
-    private Path config(String listen, String limits) throws Exception {
-        return file(
+    /** Writes a platform's configuration file with an address and limits. */
+    private Path writePlatformFile(String listen, String limits) throws Exception {
+        return writeFile(
                 "config.json",
                 Files.readString(Path.of("deploy", "rehearsal.json"))
                         .replaceFirst(
@@ -94,82 +94,91 @@
     }
 
     @Test
-    void filesAreNamedWithLineAndKey() throws Exception {
+    void fileErrorsNameLineAndKey() throws Exception {
         String missing = folder.resolve("none.toml").toString();
-        says(
-                failed("config", "check", missing),
+        assertError(
+                runFailingCommand("config", "check", missing),
                 UnreadableFile.CODE,
                 UnreadableFile.REMEDY,
                 missing);
-        Path bad = file("bad.toml", "[log]\nlevl = \"info\"\n");
-        says(
-                failed("config", "check", bad.toString()),
+        Path bad = writeFile("bad.toml", "[log]\nlevl = \"info\"\n");
+        assertError(
+                runFailingCommand("config", "check", bad.toString()),
                 InvalidConfigurationFile.CODE,
                 InvalidConfigurationFile.REMEDY,
                 bad + ":2: log.levl");
         Path council =
-                file(
+                writeFile(
                         "council.toml",
                         "[fleet]\nname = \"f\"\nlisten = \"127.0.0.1:1\"\n"
                                 + "council = [\"b0\", \"b0\"]\n");
-        says(
-                failed("config", "check", council.toString()),
+        assertError(
+                runFailingCommand("config", "check", council.toString()),
                 InvalidConfigurationFile.CODE,
                 "each once",
                 "fleet.council");
     }
 
     @Test
-    void whatThePlatformTellsWrongIsNamed() throws Exception {
-        says(
-                notServed(null),
+    void platformConfigurationErrorsAreReported() throws Exception {
+        assertError(
+                runFailingServer(null),
                 MissingEnvironmentVariable.CODE,
                 MissingEnvironmentVariable.REMEDY,
                 "NODE_CONFIG");
-        says(
-                notServed(folder.resolve("none.json")),
+        assertError(
+                runFailingServer(folder.resolve("none.json")),
                 UnreadableFile.CODE,
                 UnreadableFile.REMEDY,
                 "none.json");
-        Path cut = file("cut.json", "{\"listen\":\n\"127.0.0.1:0\",");
-        says(
-                notServed(cut),
+        Path cut = writeFile("cut.json", "{\"listen\":\n\"127.0.0.1:0\",");
+        assertError(
+                runFailingServer(cut),
                 InvalidPlatformFile.CODE,
                 InvalidPlatformFile.REMEDY,
                 cut + ": line 2");
         Path without =
-                file("without.json", "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"}");
-        says(notServed(without), InvalidPlatformFile.CODE, "settings");
+                writeFile(
+                        "without.json",
+                        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"}");
+        assertError(runFailingServer(without), InvalidPlatformFile.CODE, "settings");
         Path wrong =
-                file(
+                writeFile(
                         "wrong.json",
-                        Files.readString(config("127.0.0.1:0", ""))
+                        Files.readString(writePlatformFile("127.0.0.1:0", ""))
                                 .replaceFirst("\"group-size\"\\s*:\\s*\\d+", "\"group-size\":0"));
-        says(notServed(wrong), InvalidPlatformFile.CODE, "group-size");
+        assertError(runFailingServer(wrong), InvalidPlatformFile.CODE, "group-size");
     }
 
-    /** It warns of limits that are too small, and tries; here it then finds its address taken. */
+    /**
+     * Limits that are too small cause warnings only; the start then fails at the address in use.
+     */
     @Test
-    void limitsThatAreTooSmallAndAddressesThatAreTakenAreNamed() throws Exception {
+    void smallLimitsAndAddressInUseAreReported() throws Exception {
         try (LogCapture lines = new LogCapture(myrtleladder.loadbalancer.server.Main.class);
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + taken.getLocalPort();
-            says(
-                    notServed(config(address, "\"memory_mb\":32,\"sockets\":100")),
+            assertError(
+                    runFailingServer(
+                            writePlatformFile(address, "\"memory_mb\":32,\"sockets\":100")),
                     AddressTaken.CODE,
                     AddressTaken.REMEDY,
                     address);
-            says(
+            assertError(
                     lines.next(),
                     LimitsTooSmall.CODE,
                     LimitsTooSmall.REMEDY,
                     "limits.memory_mb is 32");
-            says(lines.next(), LimitsTooSmall.CODE, LimitsTooSmall.REMEDY, "limits.sockets is 100");
+            assertError(
+                    lines.next(),
+                    LimitsTooSmall.CODE,
+                    LimitsTooSmall.REMEDY,
+                    "limits.sockets is 100");
         }
     }
 
     @Test
-    void aLineOfInputIsNamed() {
+    void invalidInputLineIsReported() {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(
                 1,
@@ -179,18 +188,18 @@
                                 "{\"moment-s\":\n".getBytes(StandardCharsets.UTF_8)),
                         new ByteArrayOutputStream(),
                         new PrintStream(err, true)));
-        says(
+        assertError(
                 err.toString(StandardCharsets.UTF_8),
                 InvalidInput.CODE,
                 InvalidInput.REMEDY,
                 "line 1");
     }
 
-    /** Processes that are asked: nobody there, one without that part, one too busy to answer. */
+    /** Queries an invalid address, a closed port, a process without a fleet and a busy process. */
     @Test
-    void whoIsAskedInVainIsNamed() throws Exception {
-        says(
-                failed("fleet", "members", "--at", "here there"),
+    void unansweredQueriesAreReported() throws Exception {
+        assertError(
+                runFailingCommand("fleet", "members", "--at", "here there"),
                 InvalidOption.CODE,
                 InvalidOption.REMEDY,
                 "--at");
@@ -198,8 +207,8 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             nobody = "127.0.0.1:" + free.getLocalPort();
         }
-        says(
-                failed("fleet", "members", "--at", nobody),
+        assertError(
+                runFailingCommand("fleet", "members", "--at", nobody),
                 ProcessUnreachable.CODE,
                 ProcessUnreachable.REMEDY,
                 nobody);
@@ -212,8 +221,8 @@
                         null,
                         null)) {
             String at = "127.0.0.1:" + admin.address().getPort();
-            says(
-                    failed("fleet", "members", "--at", at),
+            assertError(
+                    runFailingCommand("fleet", "members", "--at", at),
                     PartNotConfigured.CODE,
                     PartNotConfigured.REMEDY,
                     at,
@@ -231,8 +240,8 @@
         busy.start();
         try {
             String at = "127.0.0.1:" + busy.getAddress().getPort();
-            says(
-                    failed("fleet", "members", "--at", at),
+            assertError(
+                    runFailingCommand("fleet", "members", "--at", at),
                     PeerOverloaded.CODE,
                     PeerOverloaded.REMEDY,
                     at,
@@ -243,34 +252,34 @@
     }
 
     @Test
-    void anExperimentThatCannotBePlayedSaysWhy() throws Exception {
+    void experimentStartErrorsAreReported() throws Exception {
         String calm = Path.of("experiments", "calm.toml").toString();
-        says(
-                failed("lab", "run", calm, "--plays", "0"),
+        assertError(
+                runFailingCommand("lab", "run", calm, "--plays", "0"),
                 InvalidOption.CODE,
                 InvalidOption.REMEDY,
                 "--plays");
-        says(
-                failed("lab", "run", calm, "--build", folder.toString()),
+        assertError(
+                runFailingCommand("lab", "run", calm, "--build", folder.toString()),
                 MissingBuild.CODE,
                 MissingBuild.REMEDY,
                 folder.toString());
-        file("deploy/balancer.toml", "run = \"exit 1\"\n");
-        says(
-                failed("lab", "run", calm, "--build", folder.toString()),
+        writeFile("deploy/balancer.toml", "run = \"exit 1\"\n");
+        assertError(
+                runFailingCommand("lab", "run", calm, "--build", folder.toString()),
                 MissingBuild.CODE,
                 MissingBuild.REMEDY,
                 "myrtleladder-loadbalancer.jar");
-        file("target/myrtleladder-loadbalancer.jar", "");
+        writeFile("target/myrtleladder-loadbalancer.jar", "");
         String out = folder.resolve("plays").toString();
-        says(
-                failed("lab", "run", calm, "--build", folder.toString(), "--out", out),
+        assertError(
+                runFailingCommand("lab", "run", calm, "--build", folder.toString(), "--out", out),
                 StartFailed.CODE,
                 StartFailed.REMEDY,
                 out);
-        Path inTheWay = file("in-the-way", "");
-        says(
-                failed(
+        Path inTheWay = writeFile("in-the-way", "");
+        assertError(
+                runFailingCommand(
                         "lab",
                         "run",
                         calm,
@@ -284,7 +293,7 @@
     }
 
     @Test
-    void theListOfErrorsIsTheOneInTheDocuments() throws Exception {
+    void documentedErrorsMatchErrorTypes() throws Exception {
         List<String> known =
                 Arrays.stream(OperatorError.class.getPermittedSubclasses())
                         .map(
--- a/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
@@ -17,8 +17,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Five processes, of which the first that comes to a point crashes there or stands still. Which one
- * that is, and when, is chance; the same points are failed at exact passes in virtual time.
+ * Five processes, of which the first to reach a fault point crashes or hangs there. Which process
+ * that is, and when, is not deterministic; tests in virtual time inject faults at the same points
+ * at exact passes.
  */
 @Timeout(180)
 class FaultPointProcessesTest {
@@ -26,8 +27,8 @@
 
     @ParameterizedTest
     @CsvSource({"ENTRIES_KEPT, CRASH", "VOTE_PROMISED, STAND"})
-    void aProcessThatFailsAtAPointBreaksNothing(FaultPoint point, String kind) throws Exception {
-        fail(point, kind);
+    void fleetRecoversFromFailureAtAPoint(FaultPoint point, String kind) throws Exception {
+        failAtPoint(point, kind);
     }
 
     @Tag("long")
@@ -43,20 +44,20 @@
                 "COMMAND_NOTED",
                 "COMMAND_TAKEN"
             })
-    void aProcessThatFailsAtAnyPointOfAViewBreaksNothing(FaultPoint point) throws Exception {
+    void fleetRecoversFromFailureAtEachPointOfAView(FaultPoint point) throws Exception {
         for (String kind : List.of("CRASH", "STAND")) {
-            fail(point, kind);
+            failAtPoint(point, kind);
             System.out.println("point with processes | " + point + " | " + kind + " | held |");
         }
     }
 
-    private void fail(FaultPoint point, String kind) throws Exception {
-        Path here = Files.createDirectory(folder.resolve(point + "-" + kind));
-        Path failed = here.resolve("failed");
-        FleetProcesses all =
+    private void failAtPoint(FaultPoint point, String kind) throws Exception {
+        Path directory = Files.createDirectory(folder.resolve(point + "-" + kind));
+        Path failedProcessFile = directory.resolve("failed");
+        FleetProcesses processes =
                 new FleetProcesses(
-                        here,
-                        ALL,
+                        directory,
+                        PROCESS_NAMES,
                         "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n",
                         "-D"
                                 + FaultPointTrigger.PROPERTY
@@ -65,47 +66,52 @@
                                 + ":1:"
                                 + kind
                                 + ":{name}:"
-                                + failed);
-        all.run(
-                all.layout(),
-                (fleet, relay) -> {
-                    all.await(
-                            "the fault",
-                            ALL,
+                                + failedProcessFile);
+        processes.run(
+                processes.layout(),
+                (fleet, proxy) -> {
+                    processes.await(
+                            "all members or the fault",
+                            PROCESS_NAMES,
                             "members",
-                            l -> Files.exists(failed) || l.path("members").size() == ALL.size());
-                    all.await(
-                            "the point",
+                            l ->
+                                    Files.exists(failedProcessFile)
+                                            || l.path("members").size() == PROCESS_NAMES.size());
+                    processes.await(
+                            "the fault point is reached",
                             List.of("b0"),
                             "agreement",
-                            l -> Files.exists(failed) || l.path("decides").asBoolean());
-                    if (!Files.exists(failed)) {
+                            l -> Files.exists(failedProcessFile) || l.path("decides").asBoolean());
+                    if (!Files.exists(failedProcessFile)) {
                         fleet.bring(new Fault.Restart("b4"));
-                        all.await(
-                                "the point", List.of("b0"), "agreement", l -> Files.exists(failed));
+                        processes.await(
+                                "the fault point is reached",
+                                List.of("b0"),
+                                "agreement",
+                                l -> Files.exists(failedProcessFile));
                     }
                     if (kind.equals("CRASH")) {
-                        fleet.bring(new Fault.Restart(named(failed)));
+                        fleet.bring(new Fault.Restart(awaitFailedProcessName(failedProcessFile)));
                     }
-                    all.await(
+                    processes.await(
                             point + " " + kind,
-                            ALL,
+                            PROCESS_NAMES,
                             "agreement",
                             l ->
                                     l.path("decides").asBoolean()
-                                            && l.at("/view/lives").size() == ALL.size()
+                                            && l.at("/view/lives").size() == PROCESS_NAMES.size()
                                             && l.at("/view/lives/" + l.at("/self/name").asText())
                                                             .asLong()
                                                     == l.at("/self/life").asLong());
-                    all.awaitOne(ALL, "agreement", "/view");
+                    processes.awaitEqual(PROCESS_NAMES, "agreement", "/view");
                 });
-        assertTrue(ALL.contains(named(failed)));
+        assertTrue(PROCESS_NAMES.contains(awaitFailedProcessName(failedProcessFile)));
     }
 
-    private static String named(Path failed) throws Exception {
-        String name = Files.readString(failed);
-        while (name.isEmpty()) { // it is being written
-            name = Files.readString(failed);
+    private static String awaitFailedProcessName(Path failedProcessFile) throws Exception {
+        String name = Files.readString(failedProcessFile);
+        while (name.isEmpty()) { // created but not written yet
+            name = Files.readString(failedProcessFile);
         }
         return name;
     }
--- a/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
@@ -37,49 +37,52 @@
 import myrtleladder.testbed.proxy.FaultProxy;
 
 /**
- * Starts processes of the program as one fleet, with fault-injecting proxies between them, and
- * reads what each of them knows.
+ * Starts load balancer processes as one fleet, with a fault-injecting proxy on the links between
+ * them, and queries their admin servers.
  */
 final class FleetProcesses {
-    static final List<String> ALL = List.of("b0", "b1", "b2", "b3", "b4");
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000 * MS;
+    static final List<String> PROCESS_NAMES = List.of("b0", "b1", "b2", "b3", "b4");
+    private static final long US_PER_MS = 1_000;
+    private static final long US_PER_SECOND = 1_000 * US_PER_MS;
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
     /**
-     * A machine that runs all tests at once is slower than a fleet's; the figures are measured
-     * elsewhere.
+     * Generous, since a machine that runs all tests at once is slow. Durations are
+     * measured elsewhere.
      */
-    private static final Duration PATIENCE = Duration.ofSeconds(40);
+    private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
     private static final int OK = 200;
 
     private final HttpClient http = HttpClient.newHttpClient();
-    private final Map<String, InetSocketAddress> udp = new TreeMap<>();
-    private final Map<String, String> admin = new TreeMap<>();
-    private final Map<String, JsonNode> last = new TreeMap<>();
+    private final Map<String, InetSocketAddress> udpAddresses = new TreeMap<>();
+    private final Map<String, String> adminAddresses = new TreeMap<>();
+    private final Map<String, JsonNode> lastAnswers = new TreeMap<>();
     private final Path folder;
-    private final String more;
-    private final List<String> options;
+    private final String extraFleetSettings;
+    private final List<String> jvmOptions;
 
     /**
-     * Addresses for some processes; {@code more} goes into the part on the fleet of their files.
+     * Chooses addresses for the processes of a fleet.
+     *
+     * @param extraFleetSettings lines to add to the section {@code [fleet]} of their configuration
+     * @param jvmOptions options to add to their command line
      */
-    FleetProcesses(Path folder, List<String> names, String more, String... options)
+    FleetProcesses(Path folder, List<String> names, String extraFleetSettings, String... jvmOptions)
             throws IOException {
         this.folder = folder;
-        this.more = more;
-        this.options = List.of(options);
+        this.extraFleetSettings = extraFleetSettings;
+        this.jvmOptions = List.of(jvmOptions);
         for (String name : names) {
-            udp.put(name, free(udp.size()));
-            admin.put(name, text(free(10 + udp.size())));
+            udpAddresses.put(name, findFreeAddress(udpAddresses.size()));
+            adminAddresses.put(name, format(findFreeAddress(10 + udpAddresses.size())));
         }
     }
 
-    /** A free port of an address that only this test of this process uses. */
-    private static InetSocketAddress free(int position) throws IOException {
+    /** Finds a free port on a loopback address derived from the PID, so that test JVMs differ. */
+    private static InetSocketAddress findFreeAddress(int position) throws IOException {
         long pid = ProcessHandle.current().pid();
-        InetAddress own =
+        InetAddress loopbackAddress =
                 InetAddress.getByName(
                         "127."
                                 + (1 + pid / 250 % 250)
@@ -87,57 +90,58 @@
                                 + (1 + pid % 250)
                                 + "."
                                 + (100 + position));
-        try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(own, 0))) {
+        try (DatagramSocket socket =
+                new DatagramSocket(new InetSocketAddress(loopbackAddress, 0))) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** What is done with a fleet that runs. */
-    interface Body {
-        void with(BalancerFleet fleet, FaultProxy relay) throws Exception;
+    /** Steps to run against a started fleet. */
+    interface Scenario {
+        void run(BalancerFleet fleet, FaultProxy proxy) throws Exception;
     }
 
-    /** Starts all with a relay between each two of them, and ends them after. */
-    void run(BalancerFleet.Layout layout, Body body) throws Exception {
-        try (FaultProxy relay = new FaultProxy(5, LinkFault.NONE)) {
-            for (String name : udp.keySet()) {
-                configure(name, name.equals("twin") ? ALL.get(0) : name, relay);
+    /** Starts all processes with a proxy between each pair, runs a scenario and stops them. */
+    void run(BalancerFleet.Layout layout, Scenario requestBody) throws Exception {
+        try (FaultProxy proxy = new FaultProxy(5, LinkFault.NONE)) {
+            for (String name : udpAddresses.keySet()) {
+                configure(name, name.equals("twin") ? PROCESS_NAMES.get(0) : name, proxy);
             }
             try (BalancerFleet fleet = new BalancerFleet(layout)) {
-                body.with(fleet, relay);
+                requestBody.run(fleet, proxy);
             }
         }
     }
 
-    private void configure(String file, String name, FaultProxy relay) throws IOException {
+    private void configure(String file, String name, FaultProxy proxy) throws IOException {
         StringBuilder via = new StringBuilder();
-        for (Map.Entry<String, InetSocketAddress> other : udp.entrySet()) {
+        for (Map.Entry<String, InetSocketAddress> other : udpAddresses.entrySet()) {
             if (!other.getKey().equals(file)) {
                 via.append("\"")
-                        .append(text(other.getValue()))
+                        .append(format(other.getValue()))
                         .append("\" = \"")
-                        .append(text(relay.datagrams(file, other.getKey(), other.getValue())))
+                        .append(format(proxy.datagrams(file, other.getKey(), other.getValue())))
                         .append("\"\n");
             }
         }
         Files.writeString(
                 folder.resolve(file + ".toml"),
                 "[log]\nformat = \"json\"\n[admin]\nlisten = \""
-                        + admin.get(file)
+                        + adminAddresses.get(file)
                         + "\"\n[fleet]\nname = \"dhaka\"\nprocess = \""
                         + name
                         + "\"\nlisten = \""
-                        + text(udp.get(file))
+                        + format(udpAddresses.get(file))
                         + "\"\nseeds = [\""
-                        + text(udp.get("b0"))
+                        + format(udpAddresses.get("b0"))
                         + "\", \""
-                        + text(udp.get("b1"))
+                        + format(udpAddresses.get("b1"))
                         + "\"]\nzone = \"z1\"\n"
-                        + more
+                        + extraFleetSettings
                         + "[fleet.via]\n"
                         + via);
     }
@@ -150,7 +154,7 @@
                                 "-XX:TieredStopAtLevel=1",
                                 "-XX:+UseSerialGC",
                                 "-Xmx64m"));
-        command.addAll(options);
+        command.addAll(jvmOptions);
         command.addAll(
                 List.of(
                         "-cp",
@@ -166,20 +170,45 @@
         return layout(2, 1);
     }
 
-    /** The same with some upstreams and so many requests a second. */
+    /** Same as {@link #layout()} with a number of upstreams and of requests per second. */
     BalancerFleet.Layout layout(int upstreams, double perSecond) {
-        Rules rules = new Rules(500 * MS, 2 * SECOND, 0.3, 4 * SECOND, 2.5, SECOND);
-        UpstreamProfile kind =
+        Rules rules =
+                new Rules(
+                        500 * US_PER_MS,
+                        2 * US_PER_SECOND,
+                        0.3,
+                        4 * US_PER_SECOND,
+                        2.5,
+                        US_PER_SECOND);
+        UpstreamProfile profile =
                 new UpstreamProfile(
-                        2, 1, 40, 200, 5 * SECOND, 100, 0.4, SECOND / 2, SECOND / 10, 0, rules);
-        RequestClass look =
-                new RequestClass("look", Repeat.FREE, 1, 8 * MS, 600 * MS, 1_500 * MS, 1, 0);
+                        2,
+                        1,
+                        40,
+                        200,
+                        5 * US_PER_SECOND,
+                        100,
+                        0.4,
+                        US_PER_SECOND / 2,
+                        US_PER_SECOND / 10,
+                        0,
+                        rules);
+        RequestClass status =
+                new RequestClass(
+                        "look",
+                        Repeat.FREE,
+                        1,
+                        8 * US_PER_MS,
+                        600 * US_PER_MS,
+                        1_500 * US_PER_MS,
+                        1,
+                        0);
         return new BalancerFleet.Layout(
-                ALL.size(),
+                PROCESS_NAMES.size(),
                 upstreams,
-                kind,
+                profile,
                 rules,
-                new TrafficProfile(perSecond, List.of(look), 10, 0),
+                new TrafficProfile(perSecond, List.of(status), 10, 0),
                 new FakeClients.Retries(0, 1, 0),
                 LinkFault.NONE,
                 7,
@@ -190,46 +219,57 @@
     }
 
     /**
-     * What a process holds of a part; nothing, while it does not answer yet or is too busy for
-     * that.
+     * Gets a status from a process; an empty object if the process is not reachable or does not
+     * answer 200.
      */
-    JsonNode look(String process, String part) throws Exception {
-        JsonNode look;
+    JsonNode fetchStatus(String process, String path) throws Exception {
+        JsonNode status;
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     http.send(
                             HttpRequest.newBuilder(
-                                            URI.create("http://" + admin.get(process) + "/" + part))
-                                    .timeout(PATIENCE)
+                                            URI.create(
+                                                    "http://"
+                                                            + adminAddresses.get(process)
+                                                            + "/"
+                                                            + path))
+                                    .timeout(TIMEOUT)
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            look = JSON.readTree(answer.statusCode() == OK ? answer.body() : "{}");
+            status = JSON.readTree(response.statusCode() == OK ? response.body() : "{}");
         } catch (IOException e) {
-            look = JSON.createObjectNode(); // it has just been killed, or is not up
+            status = JSON.createObjectNode(); // killed or not started yet
         }
-        last.put(process, look);
-        return look;
+        lastAnswers.put(process, status);
+        return status;
     }
 
-    /** Posts something to a process; what it answered, the status first. */
-    String post(String process, String part, String body) throws Exception {
-        HttpResponse<String> answer =
+    /** Posts a request to a process and returns the response status and body. */
+    String post(String process, String path, String requestBody) throws Exception {
+        HttpResponse<String> response =
                 http.send(
                         HttpRequest.newBuilder(
-                                        URI.create("http://" + admin.get(process) + "/" + part))
-                                .timeout(PATIENCE)
-                                .POST(HttpRequest.BodyPublishers.ofString(body))
+                                        URI.create(
+                                                "http://"
+                                                        + adminAddresses.get(process)
+                                                        + "/"
+                                                        + path))
+                                .timeout(TIMEOUT)
+                                .POST(HttpRequest.BodyPublishers.ofString(requestBody))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
-        return answer.statusCode() + " " + answer.body();
+        return response.statusCode() + " " + response.body();
     }
 
-    /** A figure of a process, as its metrics tell it. */
-    double figure(String process, String name) throws Exception {
+    /** Returns the value of a metric of a process; NaN if it has no such metric. */
+    double fetchMetric(String process, String name) throws Exception {
         return http.send(
                         HttpRequest.newBuilder(
-                                        URI.create("http://" + admin.get(process) + "/metrics"))
-                                .timeout(PATIENCE)
+                                        URI.create(
+                                                "http://"
+                                                        + adminAddresses.get(process)
+                                                        + "/metrics"))
+                                .timeout(TIMEOUT)
                                 .build(),
                         HttpResponse.BodyHandlers.ofString())
                 .body()
@@ -240,55 +280,56 @@
                 .orElse(Double.NaN);
     }
 
-    /** What a process holds of who is there. */
-    JsonNode look(String process) throws Exception {
-        return look(process, "members");
+    /** Gets the membership status of a process. */
+    JsonNode fetchMembers(String process) throws Exception {
+        return fetchStatus(process, "members");
     }
 
-    /** Waits until each of some processes holds what is expected. */
+    /** Waits until the membership status of each observer matches. */
     void await(String what, List<String> observers, Predicate<JsonNode> expected) throws Exception {
         await(what, observers, "members", expected);
     }
 
-    /** The same of what they hold of a part. */
-    void await(String what, List<String> observers, String part, Predicate<JsonNode> expected)
+    /** Waits until the status at a path matches at each observer. */
+    void await(String what, List<String> observers, String path, Predicate<JsonNode> expected)
             throws Exception {
-        long until = System.nanoTime() + PATIENCE.toNanos();
+        long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
         for (String observer : observers) {
-            while (!expected.test(look(observer, part))) {
+            while (!expected.test(fetchStatus(observer, path))) {
                 assertTrue(
-                        System.nanoTime() < until,
-                        () -> what + ": " + observer + " holds " + last.get(observer));
+                        System.nanoTime() < deadlineNanos,
+                        () -> what + ": " + observer + " has status " + lastAnswers.get(observer));
             }
         }
     }
 
-    /** Waits until some processes hold the same at a place of a part. */
-    void awaitOne(List<String> observers, String part, String place) throws Exception {
-        long until = System.nanoTime() + PATIENCE.toNanos();
-        TreeSet<String> held = new TreeSet<>();
+    /** Waits until the value at a JSON pointer of a status is the same at all observers. */
+    void awaitEqual(List<String> observers, String path, String jsonPointer) throws Exception {
+        long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
+        TreeSet<String> values = new TreeSet<>();
         do {
-            assertTrue(System.nanoTime() < until, () -> place + " differs: " + held);
-            held.clear();
+            assertTrue(
+                    System.nanoTime() < deadlineNanos, () -> jsonPointer + " differs: " + values);
+            values.clear();
             for (String observer : observers) {
-                held.add(look(observer, part).at(place).toString());
+                values.add(fetchStatus(observer, path).at(jsonPointer).toString());
             }
-        } while (held.size() > 1);
+        } while (values.size() > 1);
     }
 
-    static JsonNode claim(JsonNode look, String name) {
-        for (JsonNode held : look.path("members")) {
-            if (held.at("/claim/name").asText().equals(name)) {
-                return held.get("claim");
+    static JsonNode claim(JsonNode status, String name) {
+        for (JsonNode values : status.path("members")) {
+            if (values.at("/claim/name").asText().equals(name)) {
+                return values.get("claim");
             }
         }
         return JSON.createObjectNode();
     }
 
-    static Predicate<JsonNode> alive(String... names) {
-        return look -> {
+    static Predicate<JsonNode> hasExactlyAlive(String... names) {
+        return status -> {
             TreeSet<String> alive = new TreeSet<>();
-            look.path("members")
+            status.path("members")
                     .forEach(
                             m -> {
                                 if (m.at("/claim/state").asText().equals("ALIVE")) {
@@ -299,44 +340,45 @@
         };
     }
 
-    static Predicate<JsonNode> is(String name, String state) {
-        return look -> claim(look, name).path("state").asText().equals(state);
+    static Predicate<JsonNode> hasMemberState(String name, String state) {
+        return status -> claim(status, name).path("state").asText().equals(state);
     }
 
-    static void cut(FaultProxy relay, List<String> some, List<String> others) {
+    static void cutLinks(FaultProxy proxy, List<String> some, List<String> others) {
         some.forEach(
                 a ->
                         others.forEach(
                                 b -> {
-                                    relay.bring(new Fault.Link(a, b, LinkFault.CUT));
-                                    relay.bring(new Fault.Link(b, a, LinkFault.CUT));
+                                    proxy.bring(new Fault.Link(a, b, LinkFault.CUT));
+                                    proxy.bring(new Fault.Link(b, a, LinkFault.CUT));
                                 }));
     }
 
-    /** Another process that is configured with the name of the first, as after a careless copy. */
-    BalancerProcess twin() throws IOException {
+    /** Creates another process configured with the name of the first, as by a copied file. */
+    BalancerProcess createDuplicateOfFirst() throws IOException {
         Path config = folder.resolve("twin.json");
         Files.writeString(
                 config,
                 Files.readString(folder.resolve("b0.json"))
                         .replaceFirst(
-                                "\"listen\":\"[^\"]*\"", "\"listen\":\"" + text(free(130)) + "\""));
+                                "\"listen\":\"[^\"]*\"",
+                                "\"listen\":\"" + format(findFreeAddress(130)) + "\""));
         List<String> command = command().stream().map(a -> a.replace("{name}", "twin")).toList();
         return new BalancerProcess(
                 "twin",
-                free(131),
+                findFreeAddress(131),
                 command,
                 Path.of("").toAbsolutePath(),
                 config,
                 folder.resolve("twin.log"));
     }
 
-    /** What an operator sees. */
-    String shown(String process) {
+    /** Returns the output of {@code fleet members} for a process. */
+    String printMembers(String process) {
         StringWriter out = new StringWriter();
         Main.commandLine()
                 .setOut(new PrintWriter(out, true))
-                .execute("fleet", "members", "--at", admin.get(process));
+                .execute("fleet", "members", "--at", adminAddresses.get(process));
         return out.toString();
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -29,19 +29,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Five processes that take eight upstreams out for work under traffic, with faults between them.
- */
+/** Five processes take eight upstreams out for maintenance under traffic, with injected faults. */
 @Timeout(240)
 class MaintenanceProcessesTest {
-    private static final String FLEET =
+    private static final String FLEET_SETTINGS =
             "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n" + "longest-work-s = 3\n";
-    private static final long SECOND = 1_000_000;
+    private static final long US_PER_SECOND = 1_000_000;
     private static final int MACHINES = 8;
     private static final LinkFault LOSSY = new LinkFault(false, 0, 0, 0.2, 0);
 
     @TempDir Path folder;
-    private FleetProcesses all;
+    private FleetProcesses processes;
 
     private static String plan(int machines, int atOnce, int seconds) {
         StringBuilder plan = new StringBuilder("name = \"patch\"\nat-once = " + atOnce + "\n");
@@ -55,47 +53,51 @@
         return plan.toString();
     }
 
-    /** Does the work on whatever has a permit, by what any process says, until all is over. */
+    /**
+     * Works on each machine that has a permit, by the status of any process, until all are done.
+     */
     private final class Worker {
         final BalancerFleet fleet;
-        final Map<String, String> going = new HashMap<>();
-        final Set<String> done = new TreeSet<>();
+        final Map<String, String> startedPermits = new HashMap<>();
+        final Set<String> finishedMachines = new TreeSet<>();
 
-        /** Long past what it takes; a play that hangs says what for. */
-        final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(100);
+        /** Far longer than needed, so that a run that hangs fails with the status it waits on. */
+        final long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(100);
 
         Worker(BalancerFleet fleet) {
             this.fleet = fleet;
         }
 
-        boolean look(String process) throws Exception {
-            JsonNode work = all.look(process, "work");
-            boolean over = work.path("jobs").size() == MACHINES;
-            int missing = 0;
+        boolean poll(String process) throws Exception {
+            JsonNode work = processes.fetchStatus(process, "work");
+            boolean isFinished = work.path("jobs").size() == MACHINES;
+            int outOfService = 0;
             for (JsonNode job : work.path("jobs")) {
                 String machine = job.get("machine").asText();
                 String state = job.get("state").asText();
-                over &= state.equals("IN");
-                missing += Set.of("OUT", "OVERDUE", "WARMING").contains(state) ? 1 : 0;
+                isFinished &= state.equals("IN");
+                outOfService += Set.of("OUT", "OVERDUE", "WARMING").contains(state) ? 1 : 0;
                 if (state.equals("OUT") || state.equals("OVERDUE")) {
-                    work(process, machine, job.get("permit"));
+                    doWork(process, machine, job.get("permit"));
                 }
             }
-            assertTrue(missing <= 2, work::toString);
-            assertTrue(System.nanoTime() < until, () -> "not over: " + work);
-            return over;
+            assertTrue(outOfService <= 2, work::toString);
+            assertTrue(
+                    System.nanoTime() < deadlineNanos,
+                    () -> "maintenance has not finished: " + work);
+            return isFinished;
         }
 
-        private void work(String process, String machine, JsonNode permit) throws Exception {
-            String its = permit.get("epoch").asText() + "." + permit.get("index").asText();
-            if (!its.equals(going.put(machine, its))) {
+        private void doWork(String process, String machine, JsonNode permit) throws Exception {
+            String permitId = permit.get("epoch").asText() + "." + permit.get("index").asText();
+            if (!permitId.equals(startedPermits.put(machine, permitId))) {
                 fleet.out(machine, true);
-                LockSupport.parkNanos(200_000_000); // the work
+                LockSupport.parkNanos(200_000_000); // the maintenance itself
                 fleet.out(machine, false);
-                done.add(machine);
+                finishedMachines.add(machine);
             }
-            String said =
-                    all.post(
+            String response =
+                    processes.post(
                             process,
                             "work/done",
                             "{\"machine\":\""
@@ -106,98 +108,112 @@
                                     + permit.get("index")
                                     + "}");
             assertTrue(
-                    said.startsWith("202") || said.startsWith("409") || said.startsWith("503"),
-                    said);
+                    response.startsWith("202")
+                            || response.startsWith("409")
+                            || response.startsWith("503"),
+                    response);
         }
     }
 
-    /** Whether all belong to the fleet: with two of five away the loss of a third stops it. */
-    private boolean whole(String process) throws Exception {
-        JsonNode look = all.look(process, "agreement");
-        return look.path("decides").asBoolean() && look.at("/view/lives").size() == ALL.size();
+    /**
+     * Whether all five processes are in the view. If two were missing, the loss of a third would
+     * stop the consensus.
+     */
+    private boolean hasAllMembers(String process) throws Exception {
+        JsonNode status = processes.fetchStatus(process, "agreement");
+        return status.path("decides").asBoolean()
+                && status.at("/view/lives").size() == PROCESS_NAMES.size();
     }
 
     /**
-     * Work goes on while a process fails, until it is voted out, and until it is taken in again.
+     * Keeps the worker going while a process fails and is removed from the view, and until it has
+     * returned and rejoined.
      */
-    private void outAndBack(
+    private void failAndRecover(
             BalancerFleet fleet,
             Worker worker,
-            String who,
-            String asked,
+            String failing,
+            String observer,
             Fault fails,
             Fault returns)
             throws Exception {
         fleet.bring(fails);
-        while (all.look(asked, "agreement").at("/view/lives").has(who)) {
-            worker.look(asked);
+        while (processes.fetchStatus(observer, "agreement").at("/view/lives").has(failing)) {
+            worker.poll(observer);
         }
         fleet.bring(returns);
-        while (!whole(asked)) {
-            worker.look(asked);
+        while (!hasAllMembers(observer)) {
+            worker.poll(observer);
         }
     }
 
     @Test
-    void machinesAreTakenOutUnderTrafficThroughKillsPausesCutsAndLoss() throws Exception {
-        all = new FleetProcesses(folder, ALL, FLEET);
-        all.run(
-                all.layout(MACHINES, 250),
-                (fleet, relay) -> {
+    void maintenanceCompletesUnderTrafficWithKillsPausesLinkCutsAndLoss() throws Exception {
+        processes = new FleetProcesses(folder, PROCESS_NAMES, FLEET_SETTINGS);
+        processes.run(
+                processes.layout(MACHINES, 250),
+                (fleet, proxy) -> {
                     awaitReadyForWork();
                     AtomicReference<BalancerFleet.Result> result = new AtomicReference<>();
                     CompletableFuture<Void> play =
                             CompletableFuture.runAsync(
                                     () -> {
                                         try {
-                                            result.set(fleet.play(60 * SECOND, FaultPlan.QUIET));
+                                            result.set(
+                                                    fleet.play(
+                                                            60 * US_PER_SECOND, FaultPlan.QUIET));
                                         } catch (InterruptedException e) {
                                             throw new IllegalStateException(e);
                                         }
                                     });
-                    assertTrue(all.post("b3", "work", plan(MACHINES, 2, 3)).startsWith("202"));
+                    assertTrue(
+                            processes.post("b3", "work", plan(MACHINES, 2, 3)).startsWith("202"));
                     Worker worker = new Worker(fleet);
-                    while (worker.done.size() < 1) {
-                        worker.look("b0");
+                    while (worker.finishedMachines.size() < 1) {
+                        worker.poll("b0");
                     }
-                    String leader = all.look("b0", "agreement").at("/leader/name").asText();
-                    List<String> others = ALL.stream().filter(n -> !n.equals(leader)).toList();
-                    String asked = others.get(0);
-                    outAndBack(
+                    String leader =
+                            processes.fetchStatus("b0", "agreement").at("/leader/name").asText();
+                    List<String> others =
+                            PROCESS_NAMES.stream().filter(n -> !n.equals(leader)).toList();
+                    String observer = others.get(0);
+                    failAndRecover(
                             fleet,
                             worker,
                             leader,
-                            asked,
+                            observer,
                             new Fault.Kill(leader),
                             new Fault.Restart(leader));
-                    outAndBack(
+                    failAndRecover(
                             fleet,
                             worker,
                             others.get(1),
-                            asked,
+                            observer,
                             new Fault.Pause(others.get(1)),
                             new Fault.Resume(others.get(1)));
-                    cutOff(relay, worker, others.get(2), asked);
-                    bringLossToAllLinks(relay);
-                    while (!worker.look(asked)) {
-                        assertEquals(MACHINES, all.look(asked, "work").path("jobs").size());
+                    isolateUntilRemoved(proxy, worker, others.get(2), observer);
+                    addLossToAllLinks(proxy);
+                    while (!worker.poll(observer)) {
+                        assertEquals(
+                                MACHINES,
+                                processes.fetchStatus(observer, "work").path("jobs").size());
                     }
-                    relay.bring(new Fault.HealAll());
-                    all.awaitOne(ALL, "work", "/jobs");
+                    proxy.bring(new Fault.HealAll());
+                    processes.awaitEqual(PROCESS_NAMES, "work", "/jobs");
                     play.get();
                     assertEquals(
                             List.of(),
                             result.get().violations().stream()
                                     .filter(v -> v.kind() != Violation.Kind.LOST)
                                     .toList());
-                    assertEquals(MACHINES, worker.done.size());
+                    assertEquals(MACHINES, worker.finishedMachines.size());
                 });
     }
 
     private void awaitReadyForWork() throws Exception {
-        all.await(
-                "the fleet is one and nothing older can be going on",
-                ALL,
+        processes.await(
+                "all processes may grant maintenance and no earlier work can be in progress",
+                PROCESS_NAMES,
                 "work",
                 l ->
                         l.path("safe").asBoolean()
@@ -205,92 +221,108 @@
                                 && l.path("leave").asBoolean());
     }
 
-    /** Cuts a process off until the others vote it out: it grants nothing meanwhile. */
-    private void cutOff(FaultProxy relay, Worker worker, String cut, String asked)
-            throws Exception {
-        FleetProcesses.cut(relay, List.of(cut), ALL.stream().filter(n -> !n.equals(cut)).toList());
-        all.await(
-                "it knows that it is cut off",
-                List.of(cut),
+    /**
+     * Isolates a process until the others remove it from the view; it rejects requests meanwhile.
+     */
+    private void isolateUntilRemoved(
+            FaultProxy proxy, Worker worker, String isolated, String observer) throws Exception {
+        FleetProcesses.cutLinks(
+                proxy,
+                List.of(isolated),
+                PROCESS_NAMES.stream().filter(n -> !n.equals(isolated)).toList());
+        processes.await(
+                "the isolated process has no majority",
+                List.of(isolated),
                 "agreement",
                 l -> !l.path("decides").asBoolean());
-        all.await("it has no leave", List.of(cut), "work", l -> !l.path("leave").asBoolean());
-        String refused = all.post(cut, "work", plan(1, 1, 3));
+        processes.await(
+                "the isolated process has no permission to send",
+                List.of(isolated),
+                "work",
+                l -> !l.path("leave").asBoolean());
+        String refused = processes.post(isolated, "work", plan(1, 1, 3));
         assertTrue(refused.startsWith("503") && refused.contains(NoMajority.CODE), refused);
-        while (all.look(asked, "agreement").at("/view/lives").has(cut)) {
-            worker.look(asked);
+        while (processes.fetchStatus(observer, "agreement").at("/view/lives").has(isolated)) {
+            worker.poll(observer);
         }
-        relay.bring(new Fault.HealAll());
+        proxy.bring(new Fault.HealAll());
     }
 
-    private static void bringLossToAllLinks(FaultProxy relay) {
-        ALL.forEach(
+    private static void addLossToAllLinks(FaultProxy proxy) {
+        PROCESS_NAMES.forEach(
                 a ->
-                        ALL.stream()
+                        PROCESS_NAMES.stream()
                                 .filter(b -> !b.equals(a))
-                                .forEach(b -> relay.bring(new Fault.Link(a, b, LOSSY))));
+                                .forEach(b -> proxy.bring(new Fault.Link(a, b, LOSSY))));
     }
 
     @Test
-    void whatCannotBeTakenIsRefusedByItsType() throws Exception {
-        all = new FleetProcesses(folder, ALL, FLEET);
-        all.run(
-                all.layout(),
-                (fleet, relay) -> {
-                    all.await("the fleet is one", ALL, "work", l -> l.path("safe").asBoolean());
-                    refused("400", InvalidPlan.CODE, "work", plan(2, 1, 30), "longest-work-s");
-                    refused(
+    void invalidRequestIsRejectedWithStatusAndCode() throws Exception {
+        processes = new FleetProcesses(folder, PROCESS_NAMES, FLEET_SETTINGS);
+        processes.run(
+                processes.layout(),
+                (fleet, proxy) -> {
+                    processes.await(
+                            "the fleet is ready for maintenance",
+                            PROCESS_NAMES,
+                            "work",
+                            l -> l.path("safe").asBoolean());
+                    assertRejected(
+                            "400", InvalidPlan.CODE, "work", plan(2, 1, 30), "longest-work-s");
+                    assertRejected(
                             "400",
                             "Y103",
                             "work",
                             "name = \"x\"\nat-onse = 1\n[[machine]]\nupstream = \"u0\"\n"
                                     + "seconds = 1\n",
                             "plan:2: at-onse");
-                    refused(
+                    assertRejected(
                             "400",
                             InvalidPlan.CODE,
                             "work",
                             "name = \"x\"\nkeep-percent = 100\n[[machine]]\n"
                                     + "upstream = \"u0\"\nseconds = 1\n",
                             "none to spare");
-                    refused("404", UnknownMachine.CODE, "work", plan(3, 1, 1), "u2");
-                    refused(
+                    assertRejected("404", UnknownMachine.CODE, "work", plan(3, 1, 1), "u2");
+                    assertRejected(
                             "404",
                             UnknownMachine.CODE,
                             "work/done",
                             "machine = \"u0\"\nepoch = 1\nindex = 1\n",
                             "u0");
-                    assertTrue(all.post("b1", "work", plan(1, 1, 3)).startsWith("202"));
-                    all.await(
+                    assertTrue(processes.post("b1", "work", plan(1, 1, 3)).startsWith("202"));
+                    processes.await(
                             "a permit",
                             List.of("b2"),
                             "work",
                             l -> l.at("/jobs/0/state").asText().equals("OUT"));
-                    refused(
+                    assertRejected(
                             "409",
                             StalePermit.CODE,
                             "work/done",
                             "machine = \"u0\"\nepoch = 1\nindex = 1\n",
                             "u0");
                     fleet.out("u0", true);
-                    String permit = all.look("b2", "work").at("/jobs/0/permit/epoch").asText();
-                    String index = all.look("b2", "work").at("/jobs/0/permit/index").asText();
+                    String permit =
+                            processes.fetchStatus("b2", "work").at("/jobs/0/permit/epoch").asText();
+                    String index =
+                            processes.fetchStatus("b2", "work").at("/jobs/0/permit/index").asText();
                     String done =
                             "machine = \"u0\"\nepoch = " + permit + "\nindex = " + index + "\n";
                     fleet.out("u0", false);
-                    assertTrue(all.post("b2", "work/done", done).startsWith("202"));
-                    all.await(
-                            "it is known to be done",
-                            ALL,
+                    assertTrue(processes.post("b2", "work/done", done).startsWith("202"));
+                    processes.await(
+                            "all processes see the work as done",
+                            PROCESS_NAMES,
                             "work",
                             l -> !l.at("/jobs/0/state").asText().equals("OUT"));
-                    refused("409", StalePermit.CODE, "work/done", done, "u0");
+                    assertRejected("409", StalePermit.CODE, "work/done", done, "u0");
                 });
     }
 
-    private void refused(String status, String code, String part, String body, String why)
+    private void assertRejected(String status, String code, String part, String body, String why)
             throws Exception {
-        String said = all.post("b0", part, body);
-        assertTrue(said.startsWith(status + " " + code) && said.contains(why), said);
+        String response = processes.post("b0", part, body);
+        assertTrue(response.startsWith(status + " " + code) && response.contains(why), response);
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/admin/MembershipProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MembershipProcessesTest.java
@@ -1,9 +1,9 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.ALL;
-import static myrtleladder.loadbalancer.admin.FleetProcesses.alive;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
 import static myrtleladder.loadbalancer.admin.FleetProcesses.claim;
-import static myrtleladder.loadbalancer.admin.FleetProcesses.is;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.hasExactlyAlive;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.hasMemberState;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
@@ -17,80 +17,110 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five processes of the program that know each other by UDP, with faults between them. */
+/** Membership of five load balancer processes over UDP, with injected faults. */
 @Timeout(120)
 class MembershipProcessesTest {
     @TempDir Path folder;
 
     @Test
-    void processesKnowWhoIsThereThroughKillsPausesCutsAndNamesHeldTwice() throws Exception {
-        FleetProcesses all =
+    void membershipConvergesAfterKillsPausesLinkCutsAndDuplicateNames() throws Exception {
+        FleetProcesses processes =
                 new FleetProcesses(folder, List.of("b0", "b1", "b2", "b3", "b4", "twin"), "");
-        all.run(
-                all.layout(),
-                (fleet, relay) -> {
-                    all.await("all are there", ALL, alive("b0", "b1", "b2", "b3", "b4"));
-                    killAndRestart(all, fleet);
-                    pauseAndResume(all, fleet);
-                    cutAndHeal(all, relay);
-                    holdANameTwice(all);
+        processes.run(
+                processes.layout(),
+                (fleet, proxy) -> {
+                    processes.await(
+                            "all members are alive",
+                            PROCESS_NAMES,
+                            hasExactlyAlive("b0", "b1", "b2", "b3", "b4"));
+                    killAndRestart(processes, fleet);
+                    pauseAndResume(processes, fleet);
+                    cutAndHeal(processes, proxy);
+                    startProcessWithDuplicateName(processes);
                     fleet.bring(new Fault.Drain("b1"));
-                    all.await(
-                            "who goes says so", List.of("b0", "b2", "b3", "b4"), is("b1", "LEFT"));
+                    processes.await(
+                            "a drained process announces that it left",
+                            List.of("b0", "b2", "b3", "b4"),
+                            hasMemberState("b1", "LEFT"));
                     assertTrue(
-                            all.shown("b0")
+                            processes
+                                    .printMembers("b0")
                                     .lines()
                                     .anyMatch(l -> l.startsWith("b1 ") && l.contains(" left ")));
                 });
     }
 
-    private static void killAndRestart(FleetProcesses all, BalancerFleet fleet) throws Exception {
-        long life = claim(all.look("b0"), "b4").get("life").asLong();
+    private static void killAndRestart(FleetProcesses processes, BalancerFleet fleet)
+            throws Exception {
+        long life = claim(processes.fetchMembers("b0"), "b4").get("life").asLong();
         fleet.bring(new Fault.Kill("b4"));
-        all.await("a kill", List.of("b0", "b1", "b2", "b3"), is("b4", "DEAD"));
+        processes.await(
+                "a killed process is dead",
+                List.of("b0", "b1", "b2", "b3"),
+                hasMemberState("b4", "DEAD"));
         fleet.bring(new Fault.Restart("b4"));
-        all.await(
-                "a restart is another life",
+        processes.await(
+                "a restarted process has a new life",
                 List.of("b0", "b1", "b2", "b3"),
-                is("b4", "ALIVE").and(l -> claim(l, "b4").get("life").asLong() != life));
+                hasMemberState("b4", "ALIVE")
+                        .and(l -> claim(l, "b4").get("life").asLong() != life));
     }
 
-    private static void pauseAndResume(FleetProcesses all, BalancerFleet fleet) throws Exception {
-        long incarnation = claim(all.look("b0"), "b3").get("incarnation").asLong();
+    private static void pauseAndResume(FleetProcesses processes, BalancerFleet fleet)
+            throws Exception {
+        long incarnation = claim(processes.fetchMembers("b0"), "b3").get("incarnation").asLong();
         fleet.bring(new Fault.Pause("b3"));
-        all.await("a pause", List.of("b0", "b1", "b2", "b4"), is("b3", "DEAD"));
+        processes.await(
+                "a paused process is dead",
+                List.of("b0", "b1", "b2", "b4"),
+                hasMemberState("b3", "DEAD"));
         fleet.bring(new Fault.Resume("b3"));
-        all.await(
-                "after the pause",
-                ALL,
-                alive("b0", "b1", "b2", "b3", "b4")
+        processes.await(
+                "a resumed process is alive",
+                PROCESS_NAMES,
+                hasExactlyAlive("b0", "b1", "b2", "b3", "b4")
                         .and(l -> claim(l, "b3").get("incarnation").asLong() > incarnation));
     }
 
-    private static void cutAndHeal(FleetProcesses all, FaultProxy relay) throws Exception {
-        ALL.stream()
+    private static void cutAndHeal(FleetProcesses processes, FaultProxy proxy) throws Exception {
+        PROCESS_NAMES.stream()
                 .filter(n -> !n.equals("b2"))
-                .forEach(n -> relay.bring(new Fault.Link("b2", n, LinkFault.CUT)));
-        all.await("one that is not heard", List.of("b0", "b1", "b3", "b4"), is("b2", "DEAD"));
-        relay.bring(new Fault.HealAll());
-        all.await("heard again", ALL, alive("b0", "b1", "b2", "b3", "b4"));
+                .forEach(n -> proxy.bring(new Fault.Link("b2", n, LinkFault.CUT)));
+        processes.await(
+                "a process whose messages are dropped is dead",
+                List.of("b0", "b1", "b3", "b4"),
+                hasMemberState("b2", "DEAD"));
+        proxy.bring(new Fault.HealAll());
+        processes.await(
+                "alive after the link is restored",
+                PROCESS_NAMES,
+                hasExactlyAlive("b0", "b1", "b2", "b3", "b4"));
 
-        FleetProcesses.cut(relay, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
-        all.await("the smaller part", List.of("b0", "b1"), alive("b0", "b1"));
-        all.await("the larger part", List.of("b2", "b3", "b4"), alive("b2", "b3", "b4"));
-        relay.bring(new Fault.HealAll());
-        all.await("one again", ALL, alive("b0", "b1", "b2", "b3", "b4"));
+        FleetProcesses.cutLinks(proxy, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
+        processes.await("the minority partition", List.of("b0", "b1"), hasExactlyAlive("b0", "b1"));
+        processes.await(
+                "the majority partition",
+                List.of("b2", "b3", "b4"),
+                hasExactlyAlive("b2", "b3", "b4"));
+        proxy.bring(new Fault.HealAll());
+        processes.await(
+                "all alive after the partitions are healed",
+                PROCESS_NAMES,
+                hasExactlyAlive("b0", "b1", "b2", "b3", "b4"));
     }
 
-    private static void holdANameTwice(FleetProcesses all) throws Exception {
-        try (BalancerProcess twin = all.twin()) {
-            twin.start();
-            all.await("a name held twice", ALL, l -> claim(l, "b0").get("rival").asBoolean());
-            twin.kill();
-            all.await(
-                    "held once again",
-                    ALL,
-                    alive("b0", "b1", "b2", "b3", "b4")
+    private static void startProcessWithDuplicateName(FleetProcesses processes) throws Exception {
+        try (BalancerProcess duplicate = processes.createDuplicateOfFirst()) {
+            duplicate.start();
+            processes.await(
+                    "a duplicate name is detected",
+                    PROCESS_NAMES,
+                    l -> claim(l, "b0").get("rival").asBoolean());
+            duplicate.kill();
+            processes.await(
+                    "the duplicate is gone",
+                    PROCESS_NAMES,
+                    hasExactlyAlive("b0", "b1", "b2", "b3", "b4")
                             .and(l -> !claim(l, "b0").get("rival").asBoolean()));
         }
     }
--- a/src/test/java/myrtleladder/loadbalancer/admin/OperatorConfigurationCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/OperatorConfigurationCompatibilityTest.java
@@ -9,14 +9,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Pins our own configuration: every key, its default, what is shown of it, and the message for each
- * wrong line. Operators keep these files, and one that was good has to stay good and mean the same.
+ * Pins the operators' configuration: every key, its default, its printed form, and the message for
+ * each invalid line. A file that was valid has to stay valid with the same meaning.
  */
 class OperatorConfigurationCompatibilityTest {
     @TempDir Path folder;
 
     /**
-     * Values, or the message; a type's name in it is the library's doing, and may change with ours.
+     * Returns the values read, or the error message. The parser puts Java type names into messages;
+     * they are masked, since they change when a type is renamed.
      */
     private String read(String text) throws Exception {
         Path file = Files.writeString(folder.resolve("ours.toml"), text);
@@ -46,13 +47,13 @@
                 read("") + "\n" + TomlFile.write(OperatorConfiguration.DEFAULTS));
     }
 
-    /** Each line by itself left out, mistyped, and with wrong values. */
+    /** Changes one line at a time: removes it, misspells its key, or gives it an invalid value. */
     @Test
-    void eachLineByItselfMeansWhatItMeant() throws Exception {
+    void effectOfEachChangedLineStays() throws Exception {
         String[] lines = Golden.read("command/own.toml").split("\n");
-        StringBuilder said = new StringBuilder();
+        StringBuilder results = new StringBuilder();
         for (int i = 0; i < lines.length; i++) {
-            String[] wrong =
+            String[] replacements =
                     lines[i].startsWith("[")
                             ? new String[] {"[x" + lines[i].substring(1)}
                             : new String[] {
@@ -65,18 +66,18 @@
                                 lines[i].replaceFirst("=.*", "= \"\""),
                                 lines[i].replaceFirst("=.*", "")
                             };
-            for (String instead : wrong) {
+            for (String replacement : replacements) {
                 String[] changed = lines.clone();
-                changed[i] = instead;
-                said.append(lines[i])
+                changed[i] = replacement;
+                results.append(lines[i])
                         .append(" -> ")
-                        .append(instead)
+                        .append(replacement)
                         .append('\n')
                         .append("    ")
                         .append(read(String.join("\n", changed)))
                         .append('\n');
             }
         }
-        Golden.assertMatches("command/own-lines.txt", said.toString());
+        Golden.assertMatches("command/own-lines.txt", results.toString());
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/admin/ServeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ServeTest.java
@@ -28,52 +28,62 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A balancer as a process, started by the command line with a configuration of ours, under traffic.
+ * Runs a load balancer as a process, started by the command line with an operators' configuration,
+ * under traffic.
  */
 @Timeout(60)
 class ServeTest {
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000 * MS;
-    private static final String AT = "operators are answered at /127.0.0.1:";
+    private static final long US_PER_MS = 1_000;
+    private static final long US_PER_SECOND = 1_000 * US_PER_MS;
+    private static final String ADDRESS_LOG_PREFIX = "operators are answered at /127.0.0.1:";
 
     @TempDir Path folder;
 
-    /** What it counts is what clients saw, and each line that it logs is an object. */
+    /** Metrics match the results that clients saw, and each log line is a JSON object. */
     @Test
-    void figuresAndLogLinesAreAsConfigured() throws Exception {
-        Path ours =
+    void metricsMatchClientResultsAndLogIsJson() throws Exception {
+        Path configuration =
                 Files.writeString(
                         folder.resolve("ours.toml"),
                         "[log]\nformat = \"json\"\n[admin]\nlisten = \"127.0.0.1:0\"\n");
-        Rules rules = new Rules(500 * MS, 2 * SECOND, 0.3, 4 * SECOND, 2.5, SECOND);
-        try (BalancerFleet fleet = fleet(rules, serveCommand(ours))) {
-            BalancerFleet.Result result = fleet.play(2 * SECOND, FaultPlan.QUIET);
-            List<JsonNode> log = logOf("b0");
-            String at =
+        Rules rules =
+                new Rules(
+                        500 * US_PER_MS,
+                        2 * US_PER_SECOND,
+                        0.3,
+                        4 * US_PER_SECOND,
+                        2.5,
+                        US_PER_SECOND);
+        try (BalancerFleet fleet = fleet(rules, serveCommand(configuration))) {
+            BalancerFleet.Result result = fleet.play(2 * US_PER_SECOND, FaultPlan.QUIET);
+            List<JsonNode> log = readLog("b0");
+            String port =
                     log.stream()
                             .map(l -> l.get("event").asText())
-                            .filter(e -> e.startsWith(AT))
+                            .filter(e -> e.startsWith(ADDRESS_LOG_PREFIX))
                             .findFirst()
                             .orElseThrow()
-                            .substring(AT.length());
+                            .substring(ADDRESS_LOG_PREFIX.length());
             assertTrue(
                     log.stream().anyMatch(l -> l.get("subsystem").asText().equals("node")),
                     "" + log);
-            String figures = get("http://127.0.0.1:" + at + "/metrics", 200);
-            double seen =
+            String metrics = get("http://127.0.0.1:" + port + "/metrics", 200);
+            double servedToClients =
                     result.ended().size()
                             * (result.part(Outcome.SERVED) + result.part(Outcome.LATE));
-            double served = figure(figures, "yewyoke_answers_total{answer=\"served\"");
-            assertTrue(seen > 100, "seen: " + seen);
-            assertTrue(served >= seen - 0.5, served + " served, clients saw " + seen);
-            assertEquals(served, figure(figures, "yewyoke_attempts_total{end=\"ok\""), 1);
-            assertTrue(figure(figures, "yewyoke_requests_total") >= served, figures);
-            assertEquals(3, figure(figures, "yewyoke_upstreams{"));
-            get("http://127.0.0.1:" + at + "/other", 404);
+            double served = metric(metrics, "yewyoke_answers_total{answer=\"served\"");
+            assertTrue(servedToClients > 100, "served to clients: " + servedToClients);
+            assertTrue(
+                    served >= servedToClients - 0.5,
+                    served + " served, clients saw " + servedToClients);
+            assertEquals(served, metric(metrics, "yewyoke_attempts_total{end=\"ok\""), 1);
+            assertTrue(metric(metrics, "yewyoke_requests_total") >= served, metrics);
+            assertEquals(3, metric(metrics, "yewyoke_upstreams{"));
+            get("http://127.0.0.1:" + port + "/other", 404);
         }
     }
 
-    private static List<String> serveCommand(Path ours) {
+    private static List<String> serveCommand(Path configuration) {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -83,13 +93,23 @@
                 "myrtleladder.loadbalancer.admin.Main",
                 "serve",
                 "--config",
-                ours.toString());
+                configuration.toString());
     }
 
     private BalancerFleet fleet(Rules rules, List<String> command) throws Exception {
-        UpstreamProfile kind =
+        UpstreamProfile profile =
                 new UpstreamProfile(
-                        2, 1, 40, 200, 5 * SECOND, 100, 0.4, SECOND / 2, SECOND / 10, 0, rules);
+                        2,
+                        1,
+                        40,
+                        200,
+                        5 * US_PER_SECOND,
+                        100,
+                        0.4,
+                        US_PER_SECOND / 2,
+                        US_PER_SECOND / 10,
+                        0,
+                        rules);
         TrafficProfile traffic =
                 new TrafficProfile(
                         60,
@@ -98,9 +118,9 @@
                                         "look",
                                         Repeat.FREE,
                                         1,
-                                        8 * MS,
-                                        600 * MS,
-                                        1_500 * MS,
+                                        8 * US_PER_MS,
+                                        600 * US_PER_MS,
+                                        1_500 * US_PER_MS,
                                         1,
                                         0)),
                         300,
@@ -109,10 +129,10 @@
                 new BalancerFleet.Layout(
                         1,
                         3,
-                        kind,
+                        profile,
                         rules,
                         traffic,
-                        new FakeClients.Retries(2, 0.65, 100 * MS),
+                        new FakeClients.Retries(2, 0.65, 100 * US_PER_MS),
                         LinkFault.NONE,
                         5,
                         0,
@@ -121,10 +141,11 @@
                         folder));
     }
 
-    private List<JsonNode> logOf(String process) throws Exception {
+    private List<JsonNode> readLog(String process) throws Exception {
         List<JsonNode> log = new ArrayList<>();
         for (String line : Files.readAllLines(folder.resolve(process + ".log"))) {
-            if (!line.startsWith("SLF4J")) { // a library of the tests that the program lacks
+            if (!line.startsWith(
+                    "SLF4J")) { // logged by a test dependency that the program does not have
                 log.add(JsonMapper.builder().build().readTree(line));
             }
         }
@@ -141,8 +162,8 @@
         return answer.body();
     }
 
-    private static double figure(String figures, String name) {
-        return figures.lines()
+    private static double metric(String metrics, String name) {
+        return metrics.lines()
                 .filter(l -> l.startsWith(name))
                 .findFirst()
                 .map(l -> Double.parseDouble(l.substring(l.lastIndexOf(' ') + 1)))
--- a/src/test/java/myrtleladder/loadbalancer/admin/SubsystemsTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/SubsystemsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Names of subsystems, which stay when packages are renamed. */
+/** Tests the names of subsystems, which stay the same when packages are renamed. */
 class SubsystemsTest {
     @ParameterizedTest
     @CsvSource({
@@ -19,11 +19,11 @@
         "io.netty.channel.Channel,io.netty.channel.Channel"
     })
     void aLoggerIsShownUnderItsSubsystem(String logger, String subsystem) {
-        assertEquals(subsystem, Subsystems.of(logger));
+        assertEquals(subsystem, Subsystems.forLogger(logger));
     }
 
     @Test
-    void aSubsystemHasTheLoggersOfThoseBelowIt() {
+    void subsystemIncludesLoggersOfItsChildren() {
         assertEquals(
                 Set.of(
                         "myrtleladder.gossip",
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aPackagesOwnNameIsTakenAsWell() {
+    void packageNameIsAccepted() {
         assertEquals(java.util.List.of("myrtleladder.gossip"), Subsystems.loggers("gossip"));
     }
 }
