--- a/src/main/java/myrtleladder/error/package-info.java
+++ b/src/main/java/myrtleladder/error/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Errors of the load balancer and its tools for operators: one family of types, each with a
- * permanent code.
+ * Errors that the load balancer and its tools report to operators, each type with a permanent error
+ * code.
  */
 package myrtleladder.error;
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -21,12 +21,11 @@
 import myrtleladder.loadbalancer.policy.Tenant;
 
 /**
- * Reads the settings that an instance of the decision module is created with. Keys that it does not
- * know are skipped, and a missing key has its default. All methods are safe for use by several
- * threads.
+ * Parses the settings of an instance of the decision module from JSON. Unknown keys are ignored, and
+ * a missing key gets its default. Thread-safe.
  */
 public final class SettingsReader {
-    /** Names of the values in a load report, in the order of the fields of {@link LoadReport}. */
+    /** Names of the load report values, in the field order of {@link LoadReport}. */
     public static final List<String> REPORTED =
             List.of("cpu", "active", "waiting", "avg_ms", "rps", "err_rps");
 
@@ -68,11 +67,12 @@
     private SettingsReader() {}
 
     /**
-     * The settings of the decision module, and names. The simulator's protocol gives classes,
-     * tenants, zones and kinds by their index in these lists, HTTP by name. Immutable.
+     * The settings of the decision module, and the names that they define. The simulator's protocol
+     * identifies request classes, tenants, zones and machine kinds by their index in these lists,
+     * HTTP by name. Immutable.
      *
      * @param balancer settings of the decision module
-     * @param reportNames names of the values in the simulator's load reports
+     * @param reportNames names of the values in the simulator's load reports, in their order
      */
     public record ParsedSettings(
             Settings balancer,
@@ -83,9 +83,9 @@
             List<String> kinds) {}
 
     /**
-     * One JSON object of the settings, its fields by type: numbers, with booleans as 0 and 1;
-     * strings; objects; and lists of objects, where a scalar is an object with the one field {@code
-     * ""}.
+     * A JSON object, its fields grouped by type: numbers (booleans are stored as 0 and 1), strings,
+     * objects, and lists of objects. A scalar in a list is stored as an object with a single field
+     * named {@code ""}.
      */
     private static final class JsonObject {
         final Map<String, Double> numbers = new HashMap<>();
@@ -97,30 +97,30 @@
             return numbers.getOrDefault(name, defaultValue);
         }
 
-        /** A time in seconds, as microseconds; 0 if it is missing. */
+        /** Converts a field in seconds to microseconds; returns 0 if the field is missing. */
         long timeUs(String name) {
             return toMicros(number(name, 0));
         }
 
-        /** False if it is missing. */
+        /** Returns false if the field is missing. */
         boolean flag(String name) {
             return number(name, 0) != 0;
         }
 
-        /** Empty if it is missing. */
+        /** Returns an empty object if the field is missing. */
         JsonObject object(String name) {
             return objects.getOrDefault(name, new JsonObject());
         }
 
-        /** Empty if it is missing. */
+        /** Returns an empty list if the field is missing. */
         List<JsonObject> list(String name) {
             return lists.getOrDefault(name, List.of());
         }
 
         /**
-         * The value that a string stands for.
+         * Looks up the value that a string field names; returns the default if the field is missing.
          *
-         * @throws BadInput if it stands for none
+         * @throws InvalidInput if the string is not a key of {@code values}
          */
         <T> T choice(String name, Map<String, T> values, T defaultValue) throws InvalidInput {
             String text = strings.get(name);
@@ -135,10 +135,10 @@
     }
 
     /**
-     * Reads one object of settings; the parser is at its start.
+     * Reads one settings object. The parser must be at its {@code START_OBJECT} token.
      *
-     * @throws BadInput if a string is none of its choices
-     * @throws IOException if it is not JSON
+     * @throws InvalidInput if a string field has an unknown value
+     * @throws IOException if the input is not valid JSON
      */
     public static ParsedSettings read(JsonParser json) throws InvalidInput, IOException {
         JsonObject root = readObject(json);
@@ -281,14 +281,14 @@
         }
     }
 
-    /** Microseconds of a time in seconds, rounded; 0 for one that is not a number. */
+    /** Converts seconds to microseconds, rounded to the nearest; returns 0 for NaN. */
     public static long toMicros(double seconds) {
         return Math.round(seconds * 1e6);
     }
 
     /**
-     * A load report of values that are in the order of {@link #REPORTED}; a missing one is NaN.
-     * Milliseconds become microseconds.
+     * Creates a load report from values in the order of {@link #LOAD_REPORT_FIELDS}; a missing value
+     * is NaN. Converts the average duration from milliseconds to microseconds.
      */
     public static LoadReport toLoadReport(double[] values) {
         return new LoadReport(
--- a/src/main/java/myrtleladder/loadbalancer/settings/package-info.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings of the decision module as users write them, for the server's configuration file and
- * the simulator's protocol alike.
+ * Parses the settings of the decision module. The server's configuration file and the simulator's
+ * protocol use the same format.
  */
 package myrtleladder.loadbalancer.settings;
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
@@ -8,19 +8,19 @@
 import myrtleladder.error.OperatorError.InvalidInput;
 
 /**
- * The command {@code adapter}: reads batches of events on standard input, a line each, and writes
- * the decisions on each as a line.
+ * The command {@code adapter}: reads one batch of events per line of standard input and writes the
+ * decisions for each batch as one line.
  */
 public final class Adapter {
     private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
 
     private static final int EXIT_OK = 0;
-    private static final int EXIT_BAD_INPUT = 1;
+    private static final int EXIT_INVALID_INPUT = 1;
     private static final int EXIT_USAGE = 2;
 
     private Adapter() {}
 
-    /** Runs until the end of input; returns 0, 1 after bad input, 2 after a wrong command line. */
+    /** Runs until the end of input. Returns exit status 0, 1 for invalid input or 2 for wrong usage. */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println("usage: java -jar myrtleladder-loadbalancer.jar adapter");
@@ -42,7 +42,7 @@
             return EXIT_OK;
         } catch (InvalidInput | IOException e) {
             err.println("line " + Math.max(lineNumber, 1) + ": " + e.getMessage());
-            return EXIT_BAD_INPUT;
+            return EXIT_INVALID_INPUT;
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
@@ -10,17 +10,17 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * Reads one batch, a line of JSON with the time and an array of events, and dispatches its events
- * in their order. Confined to the adapter's thread.
+ * Parses one batch, a line of JSON with the current time and an array of events, and dispatches the
+ * events in order. Confined to the adapter's thread.
  */
 final class BatchReader {
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION).build();
 
-    /** Field with the time in seconds. */
+    /** Name of the field with the current time in seconds. */
     private static final String TIME_FIELD = "moment-s";
 
-    /** Field with the events. */
+    /** Name of the field with the events. */
     private static final String EVENTS_FIELD = "input";
 
     private final EventDispatcher dispatcher;
@@ -30,10 +30,11 @@
     }
 
     /**
-     * Reads the batch in the first {@code length} bytes of {@code line}.
+     * Parses the batch in the first {@code length} bytes of {@code line}.
      *
-     * @throws BadInput if it is malformed; events before the malformed one have been dispatched
-     * @throws IOException never for bytes in memory, but by the parser's interface
+     * @throws InvalidInput if the batch is malformed; events before the malformed one have already been
+     *     dispatched
+     * @throws IOException declared by the parser; does not occur for input in memory
      */
     void read(byte[] line, int length) throws InvalidInput, IOException {
         double nowS = Double.NaN;
@@ -78,7 +79,8 @@
         }
     }
 
-    /** The time came after the events: reads these now that it is known. */
+    /** Dispatches the events of a batch whose time field comes after them. The first pass skipped
+     * them, because the time was not known yet. */
     private void dispatchSkippedEvents(byte[] line, int length, long nowUs)
             throws InvalidInput, IOException {
         try (JsonParser json = JSON.createParser(line, 0, length)) {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -10,22 +10,22 @@
 import myrtleladder.loadbalancer.policy.LoadBalancer;
 
 /**
- * Writes the actions of all instances as one line of decisions for each batch. Confined to the
+ * Writes the actions of all instances in reply to a batch as one line of JSON. Confined to the
  * adapter's thread.
  */
 final class DecisionWriter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Room for most replies, in bytes. */
+    /** Initial buffer size in bytes; large enough for most replies. */
     private static final int INITIAL_REPLY_BYTES = 1 << 14;
 
-    /** Decimal places of a microsecond in a number of seconds. */
+    /** Number of decimal places that express a duration in seconds to the microsecond. */
     private static final int MICROSECOND_SCALE = 6;
 
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
     private JsonGenerator json;
 
-    /** Begins the reply to a batch; actions may be written from here on. */
+    /** Begins the reply to a batch; actions may be written until {@link #end}. */
     void begin() throws IOException {
         reply.reset();
         json = JSON.createGenerator(reply);
@@ -33,7 +33,7 @@
         json.writeArrayFieldStart("decisions");
     }
 
-    /** Ends the reply. Returns it with its line feed, valid until the next {@link #begin}. */
+    /** Ends the reply and returns it with its line feed. The returned buffer is valid until the next {@link #begin}. */
     ByteArrayOutputStream end() throws IOException {
         json.writeEndArray();
         json.writeEndObject();
@@ -42,12 +42,12 @@
         return reply;
     }
 
-    /** The actions of one instance. */
+    /** Returns a writer for the actions of one instance. */
     LoadBalancer.Actions forInstance(int instance) {
         return new InstanceWriter(instance);
     }
 
-    /** Writes that an instance has thrown an exception. */
+    /** Reports an exception thrown by an instance. */
     void bug(int instance, String text) {
         new InstanceWriter(instance).action("bug", () -> json.writeStringField("msg", text));
     }
@@ -73,7 +73,7 @@
                 fields.write();
                 json.writeEndObject();
             } catch (IOException e) {
-                throw new UncheckedIOException(e); // never: the reply is in memory
+                throw new UncheckedIOException(e); // unreachable: the reply is in memory
             }
         }
 
@@ -83,26 +83,26 @@
         }
 
         @Override
-        public void send(String request, String upstream, long timeout) {
+        public void send(String request, String upstream, long timeoutUs) {
             action(
                     "relay",
                     () -> {
                         json.writeStringField("corr", request);
                         json.writeStringField("upstream", upstream);
-                        if (timeout != 0) {
-                            seconds("allow-for-s", timeout);
+                        if (timeoutUs != 0) {
+                            seconds("allow-for-s", timeoutUs);
                         }
                     });
         }
 
         @Override
-        public void reject(String request, long retryAfter) {
+        public void reject(String request, long retryAfterUs) {
             action(
                     "turn-away",
                     () -> {
                         json.writeStringField("corr", request);
-                        if (retryAfter != 0) {
-                            seconds("come-back-s", retryAfter);
+                        if (retryAfterUs != 0) {
+                            seconds("come-back-s", retryAfterUs);
                         }
                     });
         }
@@ -123,12 +123,12 @@
         }
 
         @Override
-        public void setTimer(String token, long delay) {
+        public void setTimer(String token, long delayUs) {
             action(
                     "remind",
                     () -> {
                         json.writeStringField("ctx", token);
-                        seconds("sleep-for-s", delay);
+                        seconds("sleep-for-s", delayUs);
                     });
         }
 
@@ -143,8 +143,8 @@
         }
 
         @Override
-        public void setSubscribed(boolean on) {
-            action("tail", () -> json.writeBooleanField("want", on));
+        public void setSubscribed(boolean subscribed) {
+            action("tail", () -> json.writeBooleanField("want", subscribed));
         }
 
         @Override
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
@@ -17,7 +17,7 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * Checks events of the simulator and hands each to its instance as a call of the decision module.
+ * Validates events of the simulator and delivers each to its instance of the decision module.
  * Confined to the adapter's thread.
  */
 final class EventDispatcher {
@@ -48,19 +48,19 @@
     private final InstanceRegistry instances;
     private final PrintStream err;
 
-    /** Names of the values in a load report, by instance. */
+    /** Names of the load report values, by instance number. */
     private final Map<Integer, List<String>> reportNames = new HashMap<>();
 
-    /** Notes on events that are skipped go to {@code err}, a line each. */
+    /** Writes one line to {@code err} for each event that is skipped. */
     EventDispatcher(InstanceRegistry instances, PrintStream err) {
         this.instances = instances;
         this.err = err;
     }
 
     /**
-     * Dispatches one event at a time in microseconds; one of an unknown kind is skipped.
+     * Dispatches one event at the time {@code nowUs}. An event of an unknown kind is skipped.
      *
-     * @throws BadInput if a field is missing or malformed, or the instance does not exist
+     * @throws InvalidInput if a field is missing or malformed, or the instance does not exist
      */
     void dispatch(SimulatorEvent event, long nowUs) throws InvalidInput {
         EventReader.require(event.kind != null, "kind");
@@ -179,7 +179,7 @@
         return OUTCOMES[ordinal];
     }
 
-    /** Null without a report, or where the settings of the instance are not known. */
+    /** Returns null if the event has no load report or the settings of the instance are not known. */
     private LoadReport loadReport(SimulatorEvent event, int instance) {
         List<String> names = reportNames.get(instance);
         if (event.loadValues == null || names == null) {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
@@ -12,9 +12,9 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
-/** Reads events from JSON. Fields that it does not know, and fields that are null, are skipped. */
+/** Parses events from JSON. Unknown fields and null fields are skipped. */
 final class EventReader {
-    /** Most values of a load report that are read; the settings name no more. */
+    /** Maximum number of load report values to read; the settings name no more than this. */
     private static final int MAX_LOAD_VALUES = 8;
 
     private static final Map<String, State> STATES =
@@ -23,10 +23,10 @@
     private EventReader() {}
 
     /**
-     * Reads one event; the parser is at the start of its object.
+     * Reads one event. The parser must be at its {@code START_OBJECT} token.
      *
-     * @throws BadInput if a field is malformed
-     * @throws IOException if it is not JSON
+     * @throws InvalidInput if a field is malformed
+     * @throws IOException if the input is not valid JSON
      */
     static SimulatorEvent read(JsonParser json) throws InvalidInput, IOException {
         SimulatorEvent event = new SimulatorEvent();
@@ -129,7 +129,7 @@
         return json.getDoubleValue();
     }
 
-    /** A value that is no number is NaN. */
+    /** Reads load report values; a value that is not a number becomes NaN. */
     private static double[] loadValues(JsonParser json) throws IOException {
         double[] values = new double[MAX_LOAD_VALUES];
         int count = 0;
@@ -183,9 +183,9 @@
     }
 
     /**
-     * Checks a field.
+     * Checks a condition on a field.
      *
-     * @throws BadInput with the name of the field, unless it is present and valid
+     * @throws InvalidInput naming the field, if {@code isValid} is false
      */
     static void require(boolean isValid, String field) throws InvalidInput {
         if (!isValid) {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -9,8 +9,8 @@
 import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 
 /**
- * The instances of the decision module, by their numbers; they share nothing. What one throws is
- * written as a decision {@code bug} and goes no further. Confined to the adapter's thread.
+ * The instances of the decision module by number. Instances share no state. An exception thrown by
+ * one is caught and reported as a decision of kind {@code bug}. Confined to the adapter's thread.
  */
 final class InstanceRegistry {
     private final Map<Integer, LoadBalancer> instances = new HashMap<>();
@@ -20,7 +20,7 @@
         this.decisions = decisions;
     }
 
-    /** Creates and starts an instance, in place of one that has the number already. */
+    /** Creates and starts an instance, replacing any instance with the same number. */
     void create(int instance, long nowUs, long seed, Settings settings) {
         runReporting(
                 instance,
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Hands an event to an instance.
+     * Delivers an event to an instance.
      *
-     * @throws BadInput if it does not exist
+     * @throws InvalidInput if the instance does not exist
      */
     void deliver(int instance, Consumer<LoadBalancer> event) throws InvalidInput {
         LoadBalancer balancer = instances.get(instance);
@@ -55,7 +55,7 @@
         try {
             event.run();
         } catch (RuntimeException e) {
-            // The simulator counts bugs; the other instances go on.
+            // Reported rather than rethrown: the simulator counts bugs, and other instances continue.
             StackTraceElement[] trace = e.getStackTrace();
             decisions.bug(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/LineReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/LineReader.java
@@ -4,21 +4,21 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Splits a stream into lines without making a string of each. Not safe for several threads. */
+/** Splits a stream into lines without creating a string for each. Not thread-safe. */
 final class LineReader {
-    /** Size of the buffer in bytes at first; it doubles for longer lines. */
+    /** Initial buffer size in bytes. The buffer doubles when a line does not fit. */
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
-    /** Start of the current line in the buffer. */
+    /** Index of the first byte of the current line in the buffer. */
     private int start;
 
-    /** End of the current line, where its line feed is. */
+    /** Index of the line feed that ends the current line. */
     private int end;
 
-    /** End of what has been read. */
+    /** Number of valid bytes in the buffer. */
     private int filled;
 
     private boolean hasEnded;
@@ -27,7 +27,8 @@
         this.in = in;
     }
 
-    /** Moves on to the next line; returns false at the end. The last line needs no line feed. */
+    /** Advances to the next line; returns false at the end of the stream. The last line may lack a
+     * line feed. */
     boolean next() throws IOException {
         start = end == 0 ? 0 : Math.min(end + 1, filled);
         int scanned = start;
@@ -49,7 +50,8 @@
         }
     }
 
-    /** Makes room behind what has been read. Returns by how much that has moved to the front. */
+    /** Frees space at the end of the buffer: moves the current line to the front and doubles the
+     * buffer if it is full. Returns the number of bytes by which the line moved. */
     private int compact() {
         int moved = start;
         System.arraycopy(buffer, start, buffer, 0, filled - start);
@@ -62,12 +64,12 @@
         return moved;
     }
 
-    /** The current line, from the start of the array; valid until {@link #next}. */
+    /** Returns an array that begins with the current line; valid until {@link #next}. */
     byte[] bytes() {
         return start == 0 ? buffer : Arrays.copyOfRange(buffer, start, end);
     }
 
-    /** The length of the current line in bytes. */
+    /** Returns the length of the current line in bytes. */
     int length() {
         return end - start;
     }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/SimulatorEvent.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/SimulatorEvent.java
@@ -5,8 +5,9 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * The fields of one event, whatever its kind. A text, list or object that is absent is null, a
- * number NaN, a flag false. Filled by {@link EventReader}; confined to the adapter's thread.
+ * The fields of an event of any kind; each is commented with its name on the wire. An absent string,
+ * list or object is null, an absent number is NaN, and an absent flag is false, except for {@link
+ * #isConcluded}, which is null. Filled by {@link EventReader}; confined to the adapter's thread.
  */
 final class SimulatorEvent {
     /** {@code kind}. */
@@ -15,28 +16,28 @@
     /** {@code who}: the instance that the event is for. */
     double instance = Double.NaN;
 
-    /** {@code init-seed}, as far as a double has it; tells whether it is there. */
+    /** {@code init-seed}, rounded to a double; NaN if the field is missing. */
     double seed = Double.NaN;
 
-    /** {@code init-seed}, its low 64 bits. */
+    /** Low 64 bits of {@code init-seed}. */
     long seedBits;
 
     /** {@code facts}: the settings of a new instance. */
     SettingsReader.ParsedSettings settings;
 
-    /** {@code corr}. */
+    /** {@code corr}: request identifier. */
     String requestId;
 
     /** {@code upstream}. */
     String upstream;
 
-    /** {@code attempt}: the number of the attempt in its request. */
+    /** {@code attempt}: number of the attempt within its request. */
     double attempt = Double.NaN;
 
-    /** {@code ending}: the ordinal of an outcome. */
+    /** {@code ending}: ordinal of an {@code Outcome}. */
     double outcome = Double.NaN;
 
-    /** {@code took-s}, in seconds. */
+    /** {@code took-s}: duration in seconds. */
     double tookS = Double.NaN;
 
     /** {@code last}: whether the request is concluded. */
@@ -54,22 +55,22 @@
     /** {@code effort-s}: hint of the expected work in seconds. */
     double expectedWorkS = Double.NaN;
 
-    /** {@code time-budget-s}, in seconds. */
+    /** {@code time-budget-s}: time until the deadline in seconds. */
     double timeLeftS = Double.NaN;
 
-    /** {@code lane}. */
+    /** {@code lane}: index of the request class. */
     double classIndex = Double.NaN;
 
-    /** {@code party}. */
+    /** {@code party}: index of the tenant. */
     double tenant = Double.NaN;
 
-    /** {@code entity}. */
+    /** {@code entity}: affinity key. */
     String affinityKey;
 
-    /** {@code ctx}. */
+    /** {@code ctx}: token of a timer. */
     String timerToken;
 
-    /** {@code form}: what the list of upstreams is. */
+    /** {@code form}: kind of the upstream list. */
     String listForm;
 
     /** {@code elements}. */
@@ -78,6 +79,6 @@
     /** {@code from}: the balancer that sent a peer message. */
     double peer = Double.NaN;
 
-    /** {@code body} of a peer message, in hexadecimal digits. */
+    /** {@code body}: a peer message as hexadecimal digits. */
     String peerMessage;
 }
--- a/src/main/java/myrtleladder/toml/TomlFile.java
+++ b/src/main/java/myrtleladder/toml/TomlFile.java
@@ -20,8 +20,8 @@
 import myrtleladder.error.OperatorError.UnreadableFile;
 
 /**
- * Reads TOML into records. Unknown keys are rejected, so that a mistyped one is not taken for a
- * missing one with a default. Thread-safe.
+ * Deserialises TOML into records. Unknown keys are rejected: a mistyped key would otherwise be
+ * ignored and its setting left at the default. Thread-safe.
  */
 public final class TomlFile {
     private static final TomlMapper TOML =
@@ -45,10 +45,11 @@
     private TomlFile() {}
 
     /**
-     * Reads a file as one record.
+     * Reads a file into a record.
      *
-     * @throws NoFile if it is missing, can't be read or is not UTF-8
-     * @throws BadFile if it is no TOML or does not fit the record
+     * @throws UnreadableFile if the file is missing, can't be read or is not UTF-8
+     * @throws InvalidConfigurationFile if it is neither valid TOML nor JSON, or does not match the
+     *     record
      */
     public static <T> T read(Path file, Class<T> type) throws OperatorError {
         String text;
@@ -65,10 +66,10 @@
     }
 
     /**
-     * Reads a text as one record, as JSON if it begins with a brace, else as TOML.
+     * Parses text into a record, as JSON if it begins with a brace, else as TOML.
      *
-     * @param file the name of the text in errors
-     * @throws BadFile if it is neither or does not fit the record
+     * @param file the file name to use in error messages
+     * @throws InvalidConfigurationFile if the text is malformed or does not match the record
      */
     public static <T> T parse(Path file, String text, Class<T> type)
             throws InvalidConfigurationFile {
@@ -99,9 +100,9 @@
     }
 
     /**
-     * Checks that a value is within its range, both ends included.
+     * Checks that a value is between {@code min} and {@code max}, inclusive.
      *
-     * @throws BadFile with the key if it is not, or is NaN
+     * @throws InvalidConfigurationFile naming the key, if the value is out of range or NaN
      */
     public static void checkRange(Path file, String key, double value, double min, double max)
             throws InvalidConfigurationFile {
@@ -111,14 +112,14 @@
         }
     }
 
-    /** Writes a record as TOML. */
+    /** Serialises a record as TOML. */
     public static String write(Object value) throws IOException {
         return TOML.writeValueAsString(value);
     }
 
     /**
-     * Returns the line of a key, counted from 1, or 0 if it is not found. Searched for in the text
-     * because Jackson's TOML parser does not keep positions.
+     * Returns the line number of a key, counted from 1, or 0 if the key is not found. Searches the
+     * text because Jackson's TOML parser does not record positions.
      */
     private static int lineOf(String text, List<JsonMappingException.Reference> path) {
         String[] lines = text.split("\\R");
--- a/src/main/java/myrtleladder/toml/package-info.java
+++ b/src/main/java/myrtleladder/toml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads TOML files into records, with errors that name file, line and key. Not loaded when the load
- * balancer starts on the platform's configuration.
+ * Deserialises TOML files into records; errors name the file, line and key. These classes are not
+ * loaded when the load balancer starts from the platform's configuration file.
  */
 package myrtleladder.toml;
--- a/src/test/java/myrtleladder/error/ErrorCodesCompatibilityTest.java
+++ b/src/test/java/myrtleladder/error/ErrorCodesCompatibilityTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the table of error codes: each code once, with the whole message. Logs are searched for the
- * codes and runbooks refer to them, so a code keeps its meaning and is never given away again.
+ * Compares all error codes and their messages with a recorded table. Log searches and runbooks
+ * depend on the codes, so a code must keep its meaning and never be reused.
  */
 class ErrorCodesCompatibilityTest {
 
-    /** Stands for an argument of its type, at its place among the arguments. */
-    private static Object sample(Class<?> type, int place) {
+    /** Returns a sample constructor argument of the given type; its index makes it distinct. */
+    private static Object sample(Class<?> type, int index) {
         if (type == int.class) {
-            return 10 + place;
+            return 10 + index;
         } else if (type == long.class) {
-            return 10L + place;
+            return 10L + index;
         } else if (type == Path.class) {
             return Path.of("file");
         } else if (type == SocketAddress.class) {
@@ -29,20 +29,20 @@
         } else if (type == Throwable.class) {
             return new IllegalStateException("cause");
         }
-        return "text" + place;
+        return "text" + index;
     }
 
     @Test
     void eachCodeHasItsMessage() throws Exception {
         List<String> lines = new ArrayList<>();
         for (Class<?> type : OperatorError.class.getPermittedSubclasses()) {
-            Constructor<?> made = type.getConstructors()[0];
-            Class<?>[] types = made.getParameterTypes();
+            Constructor<?> constructor = type.getConstructors()[0];
+            Class<?>[] types = constructor.getParameterTypes();
             Object[] arguments = new Object[types.length];
             for (int i = 0; i < types.length; i++) {
                 arguments[i] = sample(types[i], i);
             }
-            OperatorError error = (OperatorError) made.newInstance(arguments);
+            OperatorError error = (OperatorError) constructor.newInstance(arguments);
             lines.add(
                     error.code()
                             + "|"
--- a/src/test/java/myrtleladder/loadbalancer/simulator/AdapterCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/simulator/AdapterCompatibilityTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the simulator's lines: the same input gets the same output, byte by byte, and a bad line the
- * same message and status. The simulator is not ours and reads what it always read.
+ * Guards the simulator's protocol against incompatible changes: the same input must produce the
+ * same output byte for byte, and an invalid line the same message and exit status. The simulator is
+ * an external program that can't be adapted.
  */
 class AdapterCompatibilityTest {
     private record Result(int exit, String out, String err) {}
@@ -30,22 +31,22 @@
     }
 
     @Test
-    void aRecordedInputGetsTheRecordedOutput() throws Exception {
+    void recordedInputProducesRecordedOutput() throws Exception {
         Result result = run(Golden.read("adapter/input.jsonl"), "adapter");
         assertEquals(0, result.exit, result.err);
-        // the class and line that refused a setting move with the code
+        // The class and line that rejected a setting change with the code.
         String out = result.out.replaceAll("at [\\w.$]+\\(\\w+[.]java:\\d+\\)", "at SOURCE");
         Golden.assertMatches("adapter/output.jsonl", out);
         Golden.assertMatches("adapter/messages.txt", result.err);
     }
 
-    /** Each line by itself: its message and the status. */
+    /** Runs each line separately and compares its message and exit status. */
     @Test
-    void badLinesGetTheSameMessages() throws Exception {
-        StringBuilder said = new StringBuilder();
+    void invalidLinesProduceRecordedMessages() throws Exception {
+        StringBuilder messages = new StringBuilder();
         for (String line : Golden.read("adapter/bad-lines.txt").split("\n")) {
             Result result = run(line + "\n", "adapter");
-            said.append(line)
+            messages.append(line)
                     .append('\n')
                     .append("    ")
                     .append(result.exit)
@@ -55,11 +56,11 @@
                     .append(result.err.strip())
                     .append('\n');
         }
-        Golden.assertMatches("adapter/bad-lines-answers.txt", said.toString());
+        Golden.assertMatches("adapter/bad-lines-answers.txt", messages.toString());
     }
 
     @Test
-    void aWrongCommandLineGetsTheSameUsage() throws Exception {
+    void wrongCommandLinePrintsRecordedUsage() throws Exception {
         Result result = run("", "adapter", "more");
         Golden.assertMatches("adapter/usage.txt", result.exit + " " + result.err);
     }
--- a/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: every event and action, and every kind of bad line. */
+/** Tests the simulator's protocol: every event, every action and every kind of invalid line. */
 class AdapterTest {
-    private static final String FACTS =
+    private static final String SETTINGS =
             "{\"az\":0,\"later\":{\"x\":[1,{}]},\"classes\":[{\"aim-s\":0.5,"
                 + "\"give-up-s\":2,\"repeat\":\"free\",\"worth\":1,\"late-worth\":0,\"name\":\"a\"}],"
                 + "\"ceilings\":{\"try-limit\":3,\"cancel\":true,\"probes\":true},\"group-size\":1,"
@@ -24,11 +24,11 @@
     private static final String CREATE =
             "{\"kind\":\"create\",\"who\":1,\"init-seed\":18446744073709551615,"
                     + "\"facts\":"
-                    + FACTS
+                    + SETTINGS
                     + "},{\"kind\":\"sync\",\"who\":1,\"form\":\"restored\",\"stamp\":1,\"elements\":"
                     + "[{\"upstream\":\"h:1\",\"failure-domain\":0,\"type\":0,\"block\":0,"
                     + "\"readiness\":\"Ready\",\"rating\":1,\"launched-s\":null}]}";
-    private static final String ITEM =
+    private static final String REQUEST =
             "{\"kind\":\"work-item\",\"who\":1,\"corr\":\"é-1\",\"is-write\":false,"
                 + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,\"entity\":null,"
                 + "\"party\":null,\"new-field\":[1]}";
@@ -48,23 +48,23 @@
                 exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
-    private static String batch(String clock, String... events) {
-        return "{\"moment-s\":" + clock + ",\"input\":[" + String.join(",", events) + "]}\n";
+    private static String batch(String timeS, String... events) {
+        return "{\"moment-s\":" + timeS + ",\"input\":[" + String.join(",", events) + "]}\n";
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReply() {
+    void emptyBatchProducesEmptyReply() {
         Result r = run(batch("8.41225"));
         assertEquals("{\"decisions\":[]}\n", r.out);
         assertEquals(0, r.exit);
     }
 
     @Test
-    void aRequestIsRelayedAndServed() {
+    void requestIsForwardedAndCompleted() {
         Result r =
                 run(
                         batch("10", CREATE)
-                                + batch("10.000001", ITEM)
+                                + batch("10.000001", REQUEST)
                                 + batch(
                                         "10.1",
                                         "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,"
@@ -83,19 +83,19 @@
     }
 
     @Test
-    void theClockMayComeAfterTheEvents() {
-        Result r = run("{\"input\":[" + CREATE + "],\"moment-s\":10}\n" + batch("10", ITEM));
+    void timeFieldMayFollowEvents() {
+        Result r = run("{\"input\":[" + CREATE + "],\"moment-s\":10}\n" + batch("10", REQUEST));
         assertTrue(r.out.contains("relay"), r.out + r.err);
     }
 
     @Test
-    void everyEventKindIsRead() {
+    void everyEventKindIsAccepted() {
         Result r =
                 run(
                         batch(
                                 "10",
                                 CREATE,
-                                ITEM,
+                                REQUEST,
                                 "{\"kind\":\"opened\",\"who\":1,\"corr\":\"é-1\",\"took-s\":0.1,"
                                         + "\"upstream\":\"h:1\",\"attempt\":0}",
                                 "{\"kind\":\"client-gone\",\"who\":1,\"corr\":\"é-1\"}",
@@ -115,23 +115,23 @@
 
     @Test
     void everyActionIsWritten() throws Exception {
-        DecisionWriter replies = new DecisionWriter();
-        replies.begin();
-        myrtleladder.loadbalancer.policy.LoadBalancer.Actions a = replies.forInstance(4);
-        a.send("r", "u", 80_000);
-        a.reject("r", 1_500_000);
-        a.fail("r");
-        a.cancelAttempt("r", 2);
-        a.setTimer("t", 1);
-        a.probe("u");
-        a.closeIdleConnections("u");
-        a.setSubscribed(false);
-        a.fetchEndpointList();
-        a.sendToPeer(-1, new byte[] {0x0f});
-        a.sendToPeer(3, new byte[] {(byte) 0xa0});
-        a.log("two \"words\"");
-        replies.bug(4, "broken");
-        assertEquals(everyDecision(), replies.end().toString(StandardCharsets.UTF_8));
+        DecisionWriter decisions = new DecisionWriter();
+        decisions.begin();
+        myrtleladder.loadbalancer.policy.LoadBalancer.Actions actions = decisions.forInstance(4);
+        actions.send("r", "u", 80_000);
+        actions.reject("r", 1_500_000);
+        actions.fail("r");
+        actions.cancelAttempt("r", 2);
+        actions.setTimer("t", 1);
+        actions.probe("u");
+        actions.closeIdleConnections("u");
+        actions.setSubscribed(false);
+        actions.fetchEndpointList();
+        actions.sendToPeer(-1, new byte[] {0x0f});
+        actions.sendToPeer(3, new byte[] {(byte) 0xa0});
+        actions.log("two \"words\"");
+        decisions.bug(4, "broken");
+        assertEquals(everyDecision(), decisions.end().toString(StandardCharsets.UTF_8));
     }
 
     private static String everyDecision() {
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void aRefusedSettingIsABugOfThatInstance() {
+    void rejectedSettingIsReportedAsBugOfTheInstance() {
         Result r =
                 run(
                         batch(
@@ -208,7 +208,7 @@
                 "{\"moment-s\":1,\"input\":[]} {}|text after the end",
                 "{\"moment-s\":1,\"input\":[|not JSON"
             })
-    void badLinesEndWithOnePlainMessage(String line, String message) {
+    void invalidLineProducesOneLineMessage(String line, String message) {
         Result r = run(batch("0.5") + line + "\n");
         assertEquals(1, r.exit);
         assertEquals("{\"decisions\":[]}\n", r.out);
@@ -218,15 +218,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"corr", "time-budget-s", "lane"})
-    void aRequiredFieldThatIsMissingIsNamed(String field) {
-        Result r = run(batch("10", CREATE, ITEM.replace("\"" + field + "\"", "\"other\"")));
+    void missingRequiredFieldIsNamed(String field) {
+        Result r = run(batch("10", CREATE, REQUEST.replace("\"" + field + "\"", "\"other\"")));
         assertEquals(1, r.exit);
         assertTrue(r.err.contains(field), r.err);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "adapter more", "help"})
-    void aWrongCommandLinePrintsUsage(String args) {
+    void wrongCommandLinePrintsUsage(String args) {
         Result r = run("", args.split(" "));
         assertEquals(2, r.exit);
         assertTrue(r.err.startsWith("usage:"));
