--- a/src/main/java/myrtleladder/error/OperatorError.java
+++ b/src/main/java/myrtleladder/error/OperatorError.java
@@ -13,13 +13,13 @@
     private static final long serialVersionUID = 1L;
 
     private final String code;
-    private final String what;
+    private final String description;
     private final String remedy;
 
-    private OperatorError(String code, String what, String remedy, Throwable cause) {
-        super(code + " " + what + " (" + remedy + ")", cause);
+    private OperatorError(String code, String description, String remedy, Throwable cause) {
+        super(code + " " + description + " (" + remedy + ")", cause);
         this.code = code;
-        this.what = what;
+        this.description = description;
         this.remedy = remedy;
     }
 
@@ -29,8 +29,8 @@
     }
 
     /** What failed and where, without the code and the remedy. */
-    public final String what() {
-        return what;
+    public final String description() {
+        return description;
     }
 
     /** What an operator can do to fix the problem. */
@@ -48,6 +48,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** Creates the error for the variable of this name. */
         public MissingEnvironmentVariable(String variable) {
             super(CODE, "the environment does not say " + variable, REMEDY, null);
         }
@@ -62,8 +63,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public UnreadableFile(Path file, String why) {
-            super(CODE, file + ": " + why, REMEDY, null);
+        /** Creates the error; {@code reason} says why the file is unreadable. */
+        public UnreadableFile(Path file, String reason) {
+            super(CODE, file + ": " + reason, REMEDY, null);
         }
     }
 
@@ -80,14 +82,15 @@
 
         private static final long serialVersionUID = 1L;
 
-        public InvalidConfigurationFile(Path file, int line, String key, String why) {
+        /** Creates the error; {@code reason} describes the invalid content. */
+        public InvalidConfigurationFile(Path file, int line, String key, String reason) {
             super(
                     CODE,
                     file
                             + (line > 0 ? ":" + line : "")
                             + ": "
                             + (key.isEmpty() ? "" : key + ": ")
-                            + why,
+                            + reason,
                     REMEDY,
                     null);
         }
@@ -103,8 +106,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public InvalidPlatformFile(Path file, String why) {
-            super(CODE, file + ": " + why, REMEDY, null);
+        /** Creates the error; {@code reason} describes the invalid content. */
+        public InvalidPlatformFile(Path file, String reason) {
+            super(CODE, file + ": " + reason, REMEDY, null);
         }
     }
 
@@ -118,10 +122,13 @@
 
         private static final long serialVersionUID = 1L;
 
-        public LimitsTooSmall(Path file, String field, long given, long needed) {
+        /**
+         * Creates the error for the limit in {@code field}, with its actual and required values.
+         */
+        public LimitsTooSmall(Path file, String field, long actual, long required) {
             super(
                     CODE,
-                    file + ": " + field + " is " + given + ", and " + needed + " are needed",
+                    file + ": " + field + " is " + actual + ", and " + required + " are needed",
                     REMEDY,
                     null);
         }
@@ -135,8 +142,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public InvalidOption(String option, String why) {
-            super(CODE, option + ": " + why, REMEDY, null);
+        /** Creates the error; {@code reason} describes what is wrong with the value. */
+        public InvalidOption(String option, String reason) {
+            super(CODE, option + ": " + reason, REMEDY, null);
         }
     }
 
@@ -150,8 +158,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public InvalidInput(String why) {
-            super(CODE, why, REMEDY, null);
+        /** Creates the error; {@code reason} names the violation of the protocol. */
+        public InvalidInput(String reason) {
+            super(CODE, reason, REMEDY, null);
         }
     }
 
@@ -164,8 +173,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public AddressTaken(SocketAddress address, String why) {
-            super(CODE, "can't listen at " + address + ": " + why, REMEDY, null);
+        /** Creates the error; {@code reason} describes why binding failed. */
+        public AddressTaken(SocketAddress address, String reason) {
+            super(CODE, "can't listen at " + address + ": " + reason, REMEDY, null);
         }
     }
 
@@ -179,6 +189,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** Creates the error for the process at this address. */
         public ProcessUnreachable(String address, Throwable cause) {
             super(CODE, address + ": nobody answers there", REMEDY, cause);
         }
@@ -193,8 +204,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public PartNotConfigured(String address, String part) {
-            super(CODE, address + ": " + part + " is not switched on there", REMEDY, null);
+        /** Creates the error for a component of the process at an address. */
+        public PartNotConfigured(String address, String component) {
+            super(CODE, address + ": " + component + " is not switched on there", REMEDY, null);
         }
     }
 
@@ -207,8 +219,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public PeerOverloaded(String address, String why) {
-            super(CODE, address + ": " + why, REMEDY, null);
+        /** Creates the error; {@code reason} says why the request was not carried out. */
+        public PeerOverloaded(String address, String reason) {
+            super(CODE, address + ": " + reason, REMEDY, null);
         }
     }
 
@@ -221,10 +234,11 @@
 
         private static final long serialVersionUID = 1L;
 
-        public InvalidEndpointList(SocketAddress discovery, String why) {
+        /** Creates the error; {@code reason} describes the parse error. */
+        public InvalidEndpointList(SocketAddress discovery, String reason) {
             super(
                     CODE,
-                    "discovery at " + discovery + " sent a line that can't be read: " + why,
+                    "discovery at " + discovery + " sent a line that can't be read: " + reason,
                     REMEDY,
                     null);
         }
@@ -238,8 +252,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public MissingBuild(Path file, String why) {
-            super(CODE, file + ": " + why, REMEDY, null);
+        /** Creates the error; {@code file} is the build file that was expected. */
+        public MissingBuild(Path file, String reason) {
+            super(CODE, file + ": " + reason, REMEDY, null);
         }
     }
 
@@ -252,6 +267,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** Creates the error; {@code logs} is the path of the log of the exited process. */
         public StartFailed(Path logs) {
             super(CODE, "a balancer has ended at its start; its log is in " + logs, REMEDY, null);
         }
@@ -266,8 +282,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public InvalidPlan(String field, String why) {
-            super(CODE, field + ": " + why, REMEDY, null);
+        /** Creates the error for the invalid field of the plan. */
+        public InvalidPlan(String field, String reason) {
+            super(CODE, field + ": " + reason, REMEDY, null);
         }
     }
 
@@ -280,8 +297,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public UnknownMachine(String machine, String why) {
-            super(CODE, machine + ": " + why, REMEDY, null);
+        /** Creates the error for the machine of this name. */
+        public UnknownMachine(String machine, String reason) {
+            super(CODE, machine + ": " + reason, REMEDY, null);
         }
     }
 
@@ -294,8 +312,9 @@
 
         private static final long serialVersionUID = 1L;
 
-        public StalePermit(String machine, String why) {
-            super(CODE, machine + ": " + why, REMEDY, null);
+        /** Creates the error; {@code reason} describes the current state of the machine. */
+        public StalePermit(String machine, String reason) {
+            super(CODE, machine + ": " + reason, REMEDY, null);
         }
     }
 
@@ -309,6 +328,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** Creates the error for the process that has no quorum. */
         public NoMajority(String process) {
             super(CODE, process + " hears no majority of the council", REMEDY, null);
         }
@@ -323,6 +343,7 @@
 
         private static final long serialVersionUID = 1L;
 
+        /** Creates the error from the exception that was not handled. */
         public UnexpectedError(Throwable cause) {
             super(CODE, "not foreseen: " + cause, REMEDY, cause);
         }
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
@@ -63,7 +63,7 @@
         try (JsonParser json = JSON.createParser(text)) {
             return read(json);
         } catch (InvalidInput e) {
-            throw new InvalidPlatformFile(file, e.what());
+            throw new InvalidPlatformFile(file, e.description());
         } catch (JsonProcessingException e) {
             throw new InvalidPlatformFile(
                     file,
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -230,7 +230,7 @@
             long waitedUs = balancer.clock().nowUs() - pending.receivedUs();
             request = server.parse(message, uri, waitedUs);
         } catch (InvalidInput e) {
-            respondBadRequest(message, e.what());
+            respondBadRequest(message, e.description());
             return;
         } catch (IllegalArgumentException e) {
             respondBadRequest(message, e.getMessage());
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryCall.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryCall.java
@@ -96,7 +96,7 @@
             }
             list = EndpointList.read(json);
         } catch (InvalidInput e) {
-            listener.malformedList(e.what());
+            listener.malformedList(e.description());
             return;
         } catch (IOException e) {
             listener.malformedList(e.getMessage());
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
@@ -32,7 +32,7 @@
         if (text == null || text.isBlank() || !areReportsExpected) {
             return null;
         }
-        double[] values = new double[SettingsReader.REPORTED.size()];
+        double[] values = new double[SettingsReader.LOAD_REPORT_FIELDS.size()];
         Arrays.fill(values, Double.NaN);
         boolean isParsed = parseInto(values, text);
         if (!isParsed && !isBadReportLogged) {
@@ -51,7 +51,7 @@
             for (String field : text.trim().split(",")) {
                 int equals = field.indexOf('=');
                 String name = field.substring(0, Math.max(0, equals)).trim();
-                int index = SettingsReader.REPORTED.indexOf(name);
+                int index = SettingsReader.LOAD_REPORT_FIELDS.indexOf(name);
                 if (index >= 0) {
                     values[index] = Double.parseDouble(field.substring(equals + 1));
                     hasValue = true;
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -21,15 +21,15 @@
 import myrtleladder.loadbalancer.policy.Tenant;
 
 /**
- * Parses the settings of an instance of the decision module from JSON. Unknown keys are ignored, and
- * a missing key gets its default. Thread-safe.
+ * Parses the settings of an instance of the decision module from JSON. Unknown keys are ignored,
+ * and a missing key gets its default. Thread-safe.
  */
 public final class SettingsReader {
     /** Names of the load report values, in the field order of {@link LoadReport}. */
-    public static final List<String> REPORTED =
+    public static final List<String> LOAD_REPORT_FIELDS =
             List.of("cpu", "active", "waiting", "avg_ms", "rps", "err_rps");
 
-    private static final Map<String, Idempotency> EFFECTS =
+    private static final Map<String, Idempotency> IDEMPOTENCY_BY_NAME =
             Map.of(
                     "free",
                     Idempotency.IDEMPOTENT,
@@ -37,7 +37,7 @@
                     Idempotency.IDEMPOTENT_BY_KEY,
                     "single_shot",
                     Idempotency.NON_IDEMPOTENT);
-    private static final Map<String, DeduplicationScope> SCOPES =
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE_BY_NAME =
             Map.of(
                     "all",
                     DeduplicationScope.ALL,
@@ -45,7 +45,7 @@
                     DeduplicationScope.ZONE,
                     "cell",
                     DeduplicationScope.CELL);
-    private static final Map<String, LoadReportSource> REPORT_SOURCES =
+    private static final Map<String, LoadReportSource> LOAD_REPORT_SOURCE_BY_NAME =
             Map.of(
                     "piggyback",
                     LoadReportSource.RESPONSES,
@@ -53,7 +53,7 @@
                     LoadReportSource.PROBES,
                     "silent",
                     LoadReportSource.NONE);
-    private static final Map<String, CapacityRatingKind> RATINGS =
+    private static final Map<String, CapacityRatingKind> CAPACITY_RATING_KIND_BY_NAME =
             Map.of(
                     "silent",
                     CapacityRatingKind.NONE,
@@ -118,7 +118,8 @@
         }
 
         /**
-         * Looks up the value that a string field names; returns the default if the field is missing.
+         * Looks up the value that a string field names; returns the default if the field is
+         * missing.
          *
          * @throws InvalidInput if the string is not a key of {@code values}
          */
@@ -156,8 +157,9 @@
                         limits(root.object("ceilings")),
                         rules(root.object("rules")),
                         prices(root.object("prices")),
-                        report.choice("via", REPORT_SOURCES, LoadReportSource.NONE),
-                        root.choice("weights", RATINGS, CapacityRatingKind.NONE),
+                        report.choice("via", LOAD_REPORT_SOURCE_BY_NAME, LoadReportSource.NONE),
+                        root.choice(
+                                "weights", CAPACITY_RATING_KIND_BY_NAME, CapacityRatingKind.NONE),
                         "on_request".equals(root.strings.get("discovery")),
                         root.object("extra").flag("warm-keys"),
                         root.timeUs("tick-s"));
@@ -180,8 +182,12 @@
                             object.timeUs("give-up-s"),
                             object.number("worth", 1),
                             object.number("late-worth", 0),
-                            object.choice("repeat", EFFECTS, Idempotency.NON_IDEMPOTENT),
-                            object.choice("dedup-scope", SCOPES, DeduplicationScope.CELL),
+                            object.choice(
+                                    "repeat", IDEMPOTENCY_BY_NAME, Idempotency.NON_IDEMPOTENT),
+                            object.choice(
+                                    "dedup-scope",
+                                    DEDUPLICATION_SCOPE_BY_NAME,
+                                    DeduplicationScope.CELL),
                             object.timeUs("memory-span-s"),
                             object.flag("stream")));
         }
@@ -252,16 +258,16 @@
 
     private static List<JsonObject> readList(JsonParser json) throws IOException {
         List<JsonObject> list = new ArrayList<>();
-        for (JsonToken t = json.nextToken();
-                t != null && t != JsonToken.END_ARRAY;
-                t = json.nextToken()) {
-            if (t == JsonToken.START_OBJECT) {
+        for (JsonToken token = json.nextToken();
+                token != null && token != JsonToken.END_ARRAY;
+                token = json.nextToken()) {
+            if (token == JsonToken.START_OBJECT) {
                 list.add(readObject(json));
-            } else if (t == JsonToken.START_ARRAY) {
+            } else if (token == JsonToken.START_ARRAY) {
                 json.skipChildren();
             } else {
                 JsonObject scalar = new JsonObject();
-                readValue(scalar, "", json, t);
+                readValue(scalar, "", json, token);
                 list.add(scalar);
             }
         }
@@ -287,8 +293,8 @@
     }
 
     /**
-     * Creates a load report from values in the order of {@link #LOAD_REPORT_FIELDS}; a missing value
-     * is NaN. Converts the average duration from milliseconds to microseconds.
+     * Creates a load report from values in the order of {@link #LOAD_REPORT_FIELDS}; a missing
+     * value is NaN. Converts the average duration from milliseconds to microseconds.
      */
     public static LoadReport toLoadReport(double[] values) {
         return new LoadReport(
--- a/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/Adapter.java
@@ -20,7 +20,9 @@
 
     private Adapter() {}
 
-    /** Runs until the end of input. Returns exit status 0, 1 for invalid input or 2 for wrong usage. */
+    /**
+     * Runs until the end of input. Returns exit status 0, 1 for invalid input or 2 for wrong usage.
+     */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println("usage: java -jar myrtleladder-loadbalancer.jar adapter");
--- a/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/BatchReader.java
@@ -32,8 +32,8 @@
     /**
      * Parses the batch in the first {@code length} bytes of {@code line}.
      *
-     * @throws InvalidInput if the batch is malformed; events before the malformed one have already been
-     *     dispatched
+     * @throws InvalidInput if the batch is malformed; events before the malformed one have already
+     *     been dispatched
      * @throws IOException declared by the parser; does not occur for input in memory
      */
     void read(byte[] line, int length) throws InvalidInput, IOException {
@@ -79,8 +79,10 @@
         }
     }
 
-    /** Dispatches the events of a batch whose time field comes after them. The first pass skipped
-     * them, because the time was not known yet. */
+    /**
+     * Dispatches the events of a batch whose time field comes after them. The first pass skipped
+     * them, because the time was not known yet.
+     */
     private void dispatchSkippedEvents(byte[] line, int length, long nowUs)
             throws InvalidInput, IOException {
         try (JsonParser json = JSON.createParser(line, 0, length)) {
--- a/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -33,7 +33,10 @@
         json.writeArrayFieldStart("decisions");
     }
 
-    /** Ends the reply and returns it with its line feed. The returned buffer is valid until the next {@link #begin}. */
+    /**
+     * Ends the reply and returns it with its line feed. The returned buffer is valid until the next
+     * {@link #begin}.
+     */
     ByteArrayOutputStream end() throws IOException {
         json.writeEndArray();
         json.writeEndObject();
@@ -48,8 +51,8 @@
     }
 
     /** Reports an exception thrown by an instance. */
-    void bug(int instance, String text) {
-        new InstanceWriter(instance).action("bug", () -> json.writeStringField("msg", text));
+    void writeBug(int instance, String text) {
+        new InstanceWriter(instance).writeAction("bug", () -> json.writeStringField("msg", text));
     }
 
     /** Writes the fields of one kind of action. */
@@ -65,7 +68,7 @@
             this.instance = instance;
         }
 
-        private void action(String kind, FieldsWriter fields) {
+        private void writeAction(String kind, FieldsWriter fields) {
             try {
                 json.writeStartObject();
                 json.writeStringField("kind", kind);
@@ -77,44 +80,44 @@
             }
         }
 
-        private void seconds(String field, long durationUs) throws IOException {
+        private void writeSeconds(String field, long durationUs) throws IOException {
             json.writeFieldName(field);
             json.writeNumber(BigDecimal.valueOf(durationUs, MICROSECOND_SCALE).toPlainString());
         }
 
         @Override
         public void send(String request, String upstream, long timeoutUs) {
-            action(
+            writeAction(
                     "relay",
                     () -> {
                         json.writeStringField("corr", request);
                         json.writeStringField("upstream", upstream);
                         if (timeoutUs != 0) {
-                            seconds("allow-for-s", timeoutUs);
+                            writeSeconds("allow-for-s", timeoutUs);
                         }
                     });
         }
 
         @Override
         public void reject(String request, long retryAfterUs) {
-            action(
+            writeAction(
                     "turn-away",
                     () -> {
                         json.writeStringField("corr", request);
                         if (retryAfterUs != 0) {
-                            seconds("come-back-s", retryAfterUs);
+                            writeSeconds("come-back-s", retryAfterUs);
                         }
                     });
         }
 
         @Override
         public void fail(String request) {
-            action("surrender", () -> json.writeStringField("corr", request));
+            writeAction("surrender", () -> json.writeStringField("corr", request));
         }
 
         @Override
         public void cancelAttempt(String request, int attempt) {
-            action(
+            writeAction(
                     "cancel",
                     () -> {
                         json.writeStringField("corr", request);
@@ -124,37 +127,37 @@
 
         @Override
         public void setTimer(String token, long delayUs) {
-            action(
+            writeAction(
                     "remind",
                     () -> {
                         json.writeStringField("ctx", token);
-                        seconds("sleep-for-s", delayUs);
+                        writeSeconds("sleep-for-s", delayUs);
                     });
         }
 
         @Override
         public void probe(String upstream) {
-            action("ask-load", () -> json.writeStringField("upstream", upstream));
+            writeAction("ask-load", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
         public void closeIdleConnections(String upstream) {
-            action("shut-idle", () -> json.writeStringField("upstream", upstream));
+            writeAction("shut-idle", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
         public void setSubscribed(boolean subscribed) {
-            action("tail", () -> json.writeBooleanField("want", subscribed));
+            writeAction("tail", () -> json.writeBooleanField("want", subscribed));
         }
 
         @Override
         public void fetchEndpointList() {
-            action("reload", () -> {});
+            writeAction("reload", () -> {});
         }
 
         @Override
         public void sendToPeer(int peer, byte[] body) {
-            action(
+            writeAction(
                     "share",
                     () -> {
                         if (peer < 0) {
@@ -168,7 +171,7 @@
 
         @Override
         public void log(String text) {
-            action("record", () -> json.writeStringField("msg", text));
+            writeAction("record", () -> json.writeStringField("msg", text));
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventDispatcher.java
@@ -34,7 +34,7 @@
                     "reminder",
                     "whisper");
     private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final Map<String, EndpointListKind> LIST_KINDS =
+    private static final Map<String, EndpointListKind> LIST_KIND_BY_FORM =
             Map.of(
                     "update",
                     EndpointListKind.CHANGES,
@@ -46,15 +46,15 @@
                     EndpointListKind.UNAVAILABLE);
 
     private final InstanceRegistry instances;
-    private final PrintStream err;
+    private final PrintStream errorOutput;
 
     /** Names of the load report values, by instance number. */
     private final Map<Integer, List<String>> reportNames = new HashMap<>();
 
-    /** Writes one line to {@code err} for each event that is skipped. */
-    EventDispatcher(InstanceRegistry instances, PrintStream err) {
+    /** Writes one line to {@code errorOutput} for each event that is skipped. */
+    EventDispatcher(InstanceRegistry instances, PrintStream errorOutput) {
         this.instances = instances;
-        this.err = err;
+        this.errorOutput = errorOutput;
     }
 
     /**
@@ -65,57 +65,67 @@
     void dispatch(SimulatorEvent event, long nowUs) throws InvalidInput {
         EventReader.require(event.kind != null, "kind");
         if (!EVENT_KINDS.contains(event.kind)) {
-            err.println("skipped an event of unknown kind " + event.kind);
+            errorOutput.println("skipped an event of unknown kind " + event.kind);
             return;
         }
-        int instance = integer(event.instance, "who");
+        int instance = requireInteger(event.instance, "who");
         switch (event.kind) {
-            case "create" -> create(event, instance, nowUs);
+            case "create" -> dispatchCreate(event, instance, nowUs);
             case "destroy" -> {
                 instances.destroy(instance);
                 reportNames.remove(instance);
             }
-            case "sync" -> upstreams(event, instance, nowUs);
-            case "work-item" -> request(event, instance, nowUs);
-            case "answer" -> attemptEnd(event, instance, nowUs);
-            case "ping-result" -> probeResult(event, instance, nowUs);
+            case "sync" -> dispatchEndpointList(event, instance, nowUs);
+            case "work-item" -> dispatchRequest(event, instance, nowUs);
+            case "answer" -> dispatchAttemptEnd(event, instance, nowUs);
+            case "ping-result" -> dispatchProbeResult(event, instance, nowUs);
             case "client-gone" -> {
                 EventReader.require(event.requestId != null, "corr");
-                instances.deliver(instance, b -> b.onClientDisconnected(nowUs, event.requestId));
+                instances.deliver(
+                        instance,
+                        balancer -> balancer.onClientDisconnected(nowUs, event.requestId));
             }
             case "opened" -> {
                 EventReader.require(event.requestId != null, "corr");
-                int attempt = integer(event.attempt, "attempt");
-                instances.deliver(instance, b -> b.onStreamOpened(nowUs, event.requestId, attempt));
+                int attempt = requireInteger(event.attempt, "attempt");
+                instances.deliver(
+                        instance,
+                        balancer -> balancer.onStreamOpened(nowUs, event.requestId, attempt));
             }
             case "reminder" -> {
                 EventReader.require(event.timerToken != null, "ctx");
-                instances.deliver(instance, b -> b.onTimer(nowUs, event.timerToken));
+                instances.deliver(instance, balancer -> balancer.onTimer(nowUs, event.timerToken));
             }
-            default -> peerMessage(event, instance, nowUs);
+            default -> dispatchPeerMessage(event, instance, nowUs);
         }
     }
 
-    private void create(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
+    private void dispatchCreate(SimulatorEvent event, int instance, long nowUs)
+            throws InvalidInput {
         EventReader.require(event.settings != null, "facts");
-        integer(event.seed, "init-seed");
+        requireInteger(event.seed, "init-seed");
         reportNames.put(instance, event.settings.reportNames());
         instances.create(instance, nowUs, event.seedBits, event.settings.balancer());
     }
 
-    private void upstreams(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
-        EndpointListKind kind = event.listForm == null ? null : LIST_KINDS.get(event.listForm);
+    private void dispatchEndpointList(SimulatorEvent event, int instance, long nowUs)
+            throws InvalidInput {
+        EndpointListKind kind =
+                event.endpointListForm == null
+                        ? null
+                        : LIST_KIND_BY_FORM.get(event.endpointListForm);
         EventReader.require(kind != null, "form");
         EventReader.require(
                 event.upstreams != null || kind == EndpointListKind.UNAVAILABLE, "elements");
         List<Upstream> upstreams = event.upstreams == null ? List.of() : event.upstreams;
-        instances.deliver(instance, b -> b.onEndpointList(nowUs, kind, upstreams));
+        instances.deliver(instance, balancer -> balancer.onEndpointList(nowUs, kind, upstreams));
     }
 
-    private void request(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
+    private void dispatchRequest(SimulatorEvent event, int instance, long nowUs)
+            throws InvalidInput {
         EventReader.require(event.requestId != null, "corr");
-        EventReader.require(!Double.isNaN(event.timeLeftS), "time-budget-s");
-        int classIndex = integer(event.classIndex, "lane");
+        EventReader.require(!Double.isNaN(event.timeToDeadlineS), "time-budget-s");
+        int classIndex = requireInteger(event.classIndex, "lane");
         Request request =
                 new Request(
                         event.requestId,
@@ -125,37 +135,41 @@
                         Double.isNaN(event.expectedWorkS)
                                 ? 0
                                 : SettingsReader.toMicros(event.expectedWorkS),
-                        SettingsReader.toMicros(event.timeLeftS),
+                        SettingsReader.toMicros(event.timeToDeadlineS),
                         event.isWrite,
                         event.isRetry);
-        instances.deliver(instance, b -> b.onRequest(nowUs, request));
+        instances.deliver(instance, balancer -> balancer.onRequest(nowUs, request));
     }
 
-    private void attemptEnd(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
+    private void dispatchAttemptEnd(SimulatorEvent event, int instance, long nowUs)
+            throws InvalidInput {
         EventReader.require(event.requestId != null, "corr");
         EventReader.require(event.upstream != null, "upstream");
         EventReader.require(event.isConcluded != null, "last");
         AttemptEnd end =
                 new AttemptEnd(
                         event.requestId,
-                        integer(event.attempt, "attempt"),
+                        requireInteger(event.attempt, "attempt"),
                         event.upstream,
-                        outcome(event),
-                        tookUs(event),
+                        requireOutcome(event),
+                        requireDurationUs(event),
                         event.isConcluded,
                         loadReport(event, instance));
-        instances.deliver(instance, b -> b.onAttemptEnd(nowUs, end));
+        instances.deliver(instance, balancer -> balancer.onAttemptEnd(nowUs, end));
     }
 
-    private void probeResult(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
+    private void dispatchProbeResult(SimulatorEvent event, int instance, long nowUs)
+            throws InvalidInput {
         EventReader.require(event.upstream != null, "upstream");
-        Outcome outcome = outcome(event);
+        Outcome outcome = requireOutcome(event);
         LoadReport load = loadReport(event, instance);
-        instances.deliver(instance, b -> b.onProbeResult(nowUs, event.upstream, outcome, load));
+        instances.deliver(
+                instance, balancer -> balancer.onProbeResult(nowUs, event.upstream, outcome, load));
     }
 
-    private void peerMessage(SimulatorEvent event, int instance, long nowUs) throws InvalidInput {
-        int peer = integer(event.peer, "from");
+    private void dispatchPeerMessage(SimulatorEvent event, int instance, long nowUs)
+            throws InvalidInput {
+        int peer = requireInteger(event.peer, "from");
         EventReader.require(event.peerMessage != null, "body");
         byte[] message;
         try {
@@ -163,32 +177,34 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidInput("field body is not hex digits");
         }
-        instances.deliver(instance, b -> b.onPeerMessage(nowUs, peer, message));
+        instances.deliver(instance, balancer -> balancer.onPeerMessage(nowUs, peer, message));
     }
 
-    private static long tookUs(SimulatorEvent event) throws InvalidInput {
-        EventReader.require(!Double.isNaN(event.tookS), "took-s");
-        return SettingsReader.toMicros(event.tookS);
+    private static long requireDurationUs(SimulatorEvent event) throws InvalidInput {
+        EventReader.require(!Double.isNaN(event.durationS), "took-s");
+        return SettingsReader.toMicros(event.durationS);
     }
 
-    private static Outcome outcome(SimulatorEvent event) throws InvalidInput {
-        int ordinal = integer(event.outcome, "ending");
+    private static Outcome requireOutcome(SimulatorEvent event) throws InvalidInput {
+        int ordinal = requireInteger(event.outcome, "ending");
         if (ordinal < 0 || ordinal >= OUTCOMES.length) {
             throw new InvalidInput("field ending has no outcome " + ordinal);
         }
         return OUTCOMES[ordinal];
     }
 
-    /** Returns null if the event has no load report or the settings of the instance are not known. */
+    /**
+     * Returns null if the event has no load report or the settings of the instance are not known.
+     */
     private LoadReport loadReport(SimulatorEvent event, int instance) {
         List<String> names = reportNames.get(instance);
         if (event.loadValues == null || names == null) {
             return null;
         }
-        double[] values = new double[SettingsReader.REPORTED.size()];
+        double[] values = new double[SettingsReader.LOAD_REPORT_FIELDS.size()];
         Arrays.fill(values, Double.NaN);
         for (int i = 0; i < names.size() && i < event.loadValues.length; i++) {
-            int index = SettingsReader.REPORTED.indexOf(names.get(i));
+            int index = SettingsReader.LOAD_REPORT_FIELDS.indexOf(names.get(i));
             if (index >= 0) {
                 values[index] = event.loadValues[i];
             }
@@ -196,7 +212,7 @@
         return SettingsReader.toLoadReport(values);
     }
 
-    private static int integer(double value, String field) throws InvalidInput {
+    private static int requireInteger(double value, String field) throws InvalidInput {
         EventReader.require(!Double.isNaN(value), field);
         return (int) value;
     }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/EventReader.java
@@ -17,7 +17,7 @@
     /** Maximum number of load report values to read; the settings name no more than this. */
     private static final int MAX_LOAD_VALUES = 8;
 
-    private static final Map<String, State> STATES =
+    private static final Map<String, State> STATE_BY_NAME =
             Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
     private EventReader() {}
@@ -56,7 +56,7 @@
             case "upstream" -> event.upstream = json.getText();
             case "entity" -> event.affinityKey = json.getText();
             case "ctx" -> event.timerToken = json.getText();
-            case "form" -> event.listForm = json.getText();
+            case "form" -> event.endpointListForm = json.getText();
             case "body" -> event.peerMessage = json.getText();
             default -> {
                 return false;
@@ -81,15 +81,15 @@
     private static boolean readNumber(SimulatorEvent event, String name, JsonParser json)
             throws InvalidInput, IOException {
         switch (name) {
-            case "who" -> event.instance = number(json, name);
-            case "attempt" -> event.attempt = number(json, name);
-            case "ending" -> event.outcome = number(json, name);
-            case "took-s" -> event.tookS = number(json, name);
-            case "effort-s" -> event.expectedWorkS = number(json, name);
-            case "time-budget-s" -> event.timeLeftS = number(json, name);
-            case "lane" -> event.classIndex = number(json, name);
-            case "party" -> event.tenant = number(json, name);
-            case "from" -> event.peer = number(json, name);
+            case "who" -> event.instance = requireNumber(json, name);
+            case "attempt" -> event.attempt = requireNumber(json, name);
+            case "ending" -> event.outcome = requireNumber(json, name);
+            case "took-s" -> event.durationS = requireNumber(json, name);
+            case "effort-s" -> event.expectedWorkS = requireNumber(json, name);
+            case "time-budget-s" -> event.timeToDeadlineS = requireNumber(json, name);
+            case "lane" -> event.classIndex = requireNumber(json, name);
+            case "party" -> event.tenant = requireNumber(json, name);
+            case "from" -> event.peer = requireNumber(json, name);
             case "init-seed" -> readSeed(event, name, json);
             default -> {
                 return false;
@@ -100,7 +100,7 @@
 
     private static void readSeed(SimulatorEvent event, String name, JsonParser json)
             throws InvalidInput, IOException {
-        event.seed = number(json, name);
+        event.seed = requireNumber(json, name);
         event.seedBits =
                 json.currentToken() == JsonToken.VALUE_NUMBER_INT
                         ? json.getBigIntegerValue().longValue()
@@ -113,16 +113,17 @@
         if (name.equals("facts") && value == JsonToken.START_OBJECT) {
             event.settings = SettingsReader.read(json);
         } else if (name.equals("feedback") && value == JsonToken.START_ARRAY) {
-            event.loadValues = loadValues(json);
+            event.loadValues = readLoadValues(json);
         } else if (name.equals("elements") && value == JsonToken.START_ARRAY) {
-            event.upstreams = upstreams(json);
+            event.upstreams = readUpstreams(json);
         } else {
             return false;
         }
         return true;
     }
 
-    private static double number(JsonParser json, String name) throws InvalidInput, IOException {
+    private static double requireNumber(JsonParser json, String name)
+            throws InvalidInput, IOException {
         if (!json.currentToken().isNumeric()) {
             throw new InvalidInput("field " + name + " is not a number");
         }
@@ -130,29 +131,29 @@
     }
 
     /** Reads load report values; a value that is not a number becomes NaN. */
-    private static double[] loadValues(JsonParser json) throws IOException {
+    private static double[] readLoadValues(JsonParser json) throws IOException {
         double[] values = new double[MAX_LOAD_VALUES];
         int count = 0;
-        for (JsonToken t = json.nextToken();
-                t != null && t != JsonToken.END_ARRAY;
-                t = json.nextToken()) {
+        for (JsonToken token = json.nextToken();
+                token != null && token != JsonToken.END_ARRAY;
+                token = json.nextToken()) {
             if (count < values.length) {
-                values[count++] = t.isNumeric() ? json.getDoubleValue() : Double.NaN;
+                values[count++] = token.isNumeric() ? json.getDoubleValue() : Double.NaN;
             }
             json.skipChildren();
         }
         return Arrays.copyOf(values, count);
     }
 
-    private static List<Upstream> upstreams(JsonParser json) throws InvalidInput, IOException {
+    private static List<Upstream> readUpstreams(JsonParser json) throws InvalidInput, IOException {
         List<Upstream> upstreams = new ArrayList<>();
         while (json.nextToken() == JsonToken.START_OBJECT) {
-            upstreams.add(upstream(json));
+            upstreams.add(readUpstream(json));
         }
         return upstreams;
     }
 
-    private static Upstream upstream(JsonParser json) throws InvalidInput, IOException {
+    private static Upstream readUpstream(JsonParser json) throws InvalidInput, IOException {
         String id = null;
         int zone = 0;
         int kind = 0;
@@ -167,12 +168,12 @@
             }
             switch (name) {
                 case "upstream" -> id = json.getText();
-                case "failure-domain" -> zone = (int) number(json, name);
-                case "type" -> kind = (int) number(json, name);
-                case "block" -> cell = (int) number(json, name);
-                case "readiness" -> state = STATES.get(json.getText());
-                case "rating" -> rating = number(json, name);
-                case "launched-s" -> startedS = number(json, name);
+                case "failure-domain" -> zone = (int) requireNumber(json, name);
+                case "type" -> kind = (int) requireNumber(json, name);
+                case "block" -> cell = (int) requireNumber(json, name);
+                case "readiness" -> state = STATE_BY_NAME.get(json.getText());
+                case "rating" -> rating = requireNumber(json, name);
+                case "launched-s" -> startedS = requireNumber(json, name);
                 default -> json.skipChildren();
             }
         }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -22,7 +22,7 @@
 
     /** Creates and starts an instance, replacing any instance with the same number. */
     void create(int instance, long nowUs, long seed, Settings settings) {
-        runReporting(
+        runAndReportException(
                 instance,
                 () -> {
                     LoadBalancer balancer =
@@ -48,16 +48,17 @@
         if (balancer == null) {
             throw new InvalidInput("an event for instance " + instance + ", which does not exist");
         }
-        runReporting(instance, () -> event.accept(balancer));
+        runAndReportException(instance, () -> event.accept(balancer));
     }
 
-    private void runReporting(int instance, Runnable event) {
+    private void runAndReportException(int instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
-            // Reported rather than rethrown: the simulator counts bugs, and other instances continue.
+            // Reported rather than rethrown: the simulator counts bugs, and other instances
+            // continue.
             StackTraceElement[] trace = e.getStackTrace();
-            decisions.bug(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            decisions.writeBug(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/simulator/LineReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/LineReader.java
@@ -19,46 +19,50 @@
     private int end;
 
     /** Number of valid bytes in the buffer. */
-    private int filled;
+    private int validBytes;
 
-    private boolean hasEnded;
+    private boolean isEndOfStream;
 
     LineReader(InputStream in) {
         this.in = in;
     }
 
-    /** Advances to the next line; returns false at the end of the stream. The last line may lack a
-     * line feed. */
+    /**
+     * Advances to the next line; returns false at the end of the stream. The last line may lack a
+     * line feed.
+     */
     boolean next() throws IOException {
-        start = end == 0 ? 0 : Math.min(end + 1, filled);
+        start = end == 0 ? 0 : Math.min(end + 1, validBytes);
         int scanned = start;
         while (true) {
-            for (; scanned < filled; scanned++) {
+            for (; scanned < validBytes; scanned++) {
                 if (buffer[scanned] == '\n') {
                     end = scanned;
                     return true;
                 }
             }
-            if (hasEnded) {
-                end = filled;
-                return filled > start;
+            if (isEndOfStream) {
+                end = validBytes;
+                return validBytes > start;
             }
             scanned -= compact();
-            int count = in.read(buffer, filled, buffer.length - filled);
-            hasEnded = count < 0;
-            filled += Math.max(count, 0);
+            int count = in.read(buffer, validBytes, buffer.length - validBytes);
+            isEndOfStream = count < 0;
+            validBytes += Math.max(count, 0);
         }
     }
 
-    /** Frees space at the end of the buffer: moves the current line to the front and doubles the
-     * buffer if it is full. Returns the number of bytes by which the line moved. */
+    /**
+     * Frees space at the end of the buffer: moves the current line to the front and doubles the
+     * buffer if it is full. Returns the number of bytes by which the line moved.
+     */
     private int compact() {
         int moved = start;
-        System.arraycopy(buffer, start, buffer, 0, filled - start);
-        filled -= start;
+        System.arraycopy(buffer, start, buffer, 0, validBytes - start);
+        validBytes -= start;
         start = 0;
         end = 0;
-        if (filled == buffer.length) {
+        if (validBytes == buffer.length) {
             buffer = Arrays.copyOf(buffer, 2 * buffer.length);
         }
         return moved;
--- a/src/main/java/myrtleladder/loadbalancer/simulator/SimulatorEvent.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/SimulatorEvent.java
@@ -5,9 +5,10 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * The fields of an event of any kind; each is commented with its name on the wire. An absent string,
- * list or object is null, an absent number is NaN, and an absent flag is false, except for {@link
- * #isConcluded}, which is null. Filled by {@link EventReader}; confined to the adapter's thread.
+ * The fields of an event of any kind; each is commented with its name on the wire. An absent
+ * string, list or object is null, an absent number is NaN, and an absent flag is false, except for
+ * {@link #isConcluded}, which is null. Filled by {@link EventReader}; confined to the adapter's
+ * thread.
  */
 final class SimulatorEvent {
     /** {@code kind}. */
@@ -38,7 +39,7 @@
     double outcome = Double.NaN;
 
     /** {@code took-s}: duration in seconds. */
-    double tookS = Double.NaN;
+    double durationS = Double.NaN;
 
     /** {@code last}: whether the request is concluded. */
     Boolean isConcluded;
@@ -56,7 +57,7 @@
     double expectedWorkS = Double.NaN;
 
     /** {@code time-budget-s}: time until the deadline in seconds. */
-    double timeLeftS = Double.NaN;
+    double timeToDeadlineS = Double.NaN;
 
     /** {@code lane}: index of the request class. */
     double classIndex = Double.NaN;
@@ -71,7 +72,7 @@
     String timerToken;
 
     /** {@code form}: kind of the upstream list. */
-    String listForm;
+    String endpointListForm;
 
     /** {@code elements}. */
     List<Upstream> upstreams;
--- a/src/test/java/myrtleladder/error/ErrorCodesCompatibilityTest.java
+++ b/src/test/java/myrtleladder/error/ErrorCodesCompatibilityTest.java
@@ -46,7 +46,7 @@
             lines.add(
                     error.code()
                             + "|"
-                            + error.what()
+                            + error.description()
                             + "|"
                             + error.remedy()
                             + "\n    "
--- a/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/simulator/AdapterTest.java
@@ -130,7 +130,7 @@
         actions.sendToPeer(-1, new byte[] {0x0f});
         actions.sendToPeer(3, new byte[] {(byte) 0xa0});
         actions.log("two \"words\"");
-        decisions.bug(4, "broken");
+        decisions.writeBug(4, "broken");
         assertEquals(everyDecision(), decisions.end().toString(StandardCharsets.UTF_8));
     }
 
--- a/src/test/java/myrtleladder/testbed/experiment/ExperimentTest.java
+++ b/src/test/java/myrtleladder/testbed/experiment/ExperimentTest.java
@@ -80,8 +80,8 @@
             throws Exception {
         Path file = file(GOOD.replace(good, bad));
         var e = assertThrows(InvalidConfigurationFile.class, () -> Experiment.read(file));
-        assertTrue(e.what().startsWith(file.toString()), e.what());
-        assertTrue(e.what().contains(complaint), e.what());
+        assertTrue(e.description().startsWith(file.toString()), e.description());
+        assertTrue(e.description().contains(complaint), e.description());
     }
 
     @Test
--- a/src/test/java/myrtleladder/testbed/process/EndsTest.java
+++ b/src/test/java/myrtleladder/testbed/process/EndsTest.java
@@ -77,7 +77,7 @@
                 assertThrows(
                         StartFailed.class,
                         () -> new BalancerFleet(layout("echo port taken; exit 1")));
-        assertTrue(e.what().contains(folder.toString()), e.getMessage());
+        assertTrue(e.description().contains(folder.toString()), e.getMessage());
     }
 
     /**
