--- a/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/DecisionWriter.java
@@ -10,22 +10,22 @@
 import myrtleladder.loadbalancer.policy.LoadBalancer;
 
 /**
- * Writes the actions of all instances as one line of decisions for each batch. Confined to the
+ * Writes the actions of all instances in reply to a batch as one line of JSON. Confined to the
  * adapter's thread.
  */
 final class DecisionWriter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Room for most replies, in bytes. */
+    /** Initial buffer size in bytes; large enough for most replies. */
     private static final int INITIAL_REPLY_BYTES = 1 << 14;
 
-    /** Decimal places of a microsecond in a number of seconds. */
+    /** Number of decimal places that express a duration in seconds to the microsecond. */
     private static final int MICROSECOND_SCALE = 6;
 
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
     private JsonGenerator json;
 
-    /** Begins the reply to a batch; actions may be written from here on. */
+    /** Begins the reply to a batch; actions may be written until {@link #end}. */
     void begin() throws IOException {
         reply.reset();
         json = JSON.createGenerator(reply);
@@ -33,7 +33,10 @@
         json.writeArrayFieldStart("decisions");
     }
 
-    /** Ends the reply. Returns it with its line feed, valid until the next {@link #begin}. */
+    /**
+     * Ends the reply and returns it with its line feed. The returned buffer is valid until the next
+     * {@link #begin}.
+     */
     ByteArrayOutputStream end() throws IOException {
         json.writeEndArray();
         json.writeEndObject();
@@ -42,14 +45,14 @@
         return reply;
     }
 
-    /** The actions of one instance. */
+    /** Returns a writer for the actions of one instance. */
     LoadBalancer.Actions forInstance(int instance) {
         return new InstanceWriter(instance);
     }
 
-    /** Writes that an instance has thrown an exception. */
-    void bug(int instance, String text) {
-        new InstanceWriter(instance).action("bug", () -> json.writeStringField("msg", text));
+    /** Reports an exception thrown by an instance. */
+    void writeBug(int instance, String text) {
+        new InstanceWriter(instance).writeAction("bug", () -> json.writeStringField("msg", text));
     }
 
     /** Writes the fields of one kind of action. */
@@ -65,7 +68,7 @@
             this.instance = instance;
         }
 
-        private void action(String kind, FieldsWriter fields) {
+        private void writeAction(String kind, FieldsWriter fields) {
             try {
                 json.writeStartObject();
                 json.writeStringField("kind", kind);
@@ -73,48 +76,48 @@
                 fields.write();
                 json.writeEndObject();
             } catch (IOException e) {
-                throw new UncheckedIOException(e); // never: the reply is in memory
+                throw new UncheckedIOException(e); // unreachable: the reply is in memory
             }
         }
 
-        private void seconds(String field, long durationUs) throws IOException {
+        private void writeSeconds(String field, long durationUs) throws IOException {
             json.writeFieldName(field);
             json.writeNumber(BigDecimal.valueOf(durationUs, MICROSECOND_SCALE).toPlainString());
         }
 
         @Override
-        public void send(String request, String upstream, long timeout) {
-            action(
+        public void send(String request, String upstream, long timeoutUs) {
+            writeAction(
                     "relay",
                     () -> {
                         json.writeStringField("corr", request);
                         json.writeStringField("upstream", upstream);
-                        if (timeout != 0) {
-                            seconds("allow-for-s", timeout);
+                        if (timeoutUs != 0) {
+                            writeSeconds("allow-for-s", timeoutUs);
                         }
                     });
         }
 
         @Override
-        public void reject(String request, long retryAfter) {
-            action(
+        public void reject(String request, long retryAfterUs) {
+            writeAction(
                     "turn-away",
                     () -> {
                         json.writeStringField("corr", request);
-                        if (retryAfter != 0) {
-                            seconds("come-back-s", retryAfter);
+                        if (retryAfterUs != 0) {
+                            writeSeconds("come-back-s", retryAfterUs);
                         }
                     });
         }
 
         @Override
         public void fail(String request) {
-            action("surrender", () -> json.writeStringField("corr", request));
+            writeAction("surrender", () -> json.writeStringField("corr", request));
         }
 
         @Override
         public void cancelAttempt(String request, int attempt) {
-            action(
+            writeAction(
                     "cancel",
                     () -> {
                         json.writeStringField("corr", request);
@@ -123,38 +126,38 @@
         }
 
         @Override
-        public void setTimer(String token, long delay) {
-            action(
+        public void setTimer(String token, long delayUs) {
+            writeAction(
                     "remind",
                     () -> {
                         json.writeStringField("ctx", token);
-                        seconds("sleep-for-s", delay);
+                        writeSeconds("sleep-for-s", delayUs);
                     });
         }
 
         @Override
         public void probe(String upstream) {
-            action("ask-load", () -> json.writeStringField("upstream", upstream));
+            writeAction("ask-load", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
         public void closeIdleConnections(String upstream) {
-            action("shut-idle", () -> json.writeStringField("upstream", upstream));
+            writeAction("shut-idle", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
-        public void setSubscribed(boolean on) {
-            action("tail", () -> json.writeBooleanField("want", on));
+        public void setSubscribed(boolean subscribed) {
+            writeAction("tail", () -> json.writeBooleanField("want", subscribed));
         }
 
         @Override
         public void fetchEndpointList() {
-            action("reload", () -> {});
+            writeAction("reload", () -> {});
         }
 
         @Override
         public void sendToPeer(int peer, byte[] body) {
-            action(
+            writeAction(
                     "share",
                     () -> {
                         if (peer < 0) {
@@ -168,7 +171,7 @@
 
         @Override
         public void log(String text) {
-            action("record", () -> json.writeStringField("msg", text));
+            writeAction("record", () -> json.writeStringField("msg", text));
         }
     }
 }
