--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerConfig.java
@@ -18,40 +18,41 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * The configuration of one balancer, as its file has it. Immutable.
+ * The configuration of one load balancer, as read from its file. Immutable.
  *
- * @param listen address for clients
- * @param discovery address of discovery
- * @param seed of the decision module's random numbers
- * @param sockets limit of file descriptors
- * @param memoryMb limit of memory in megabytes
- * @param known the endpoint list known before the start
- * @param settings of the decision module, and names
+ * @param listen address on which clients are accepted
+ * @param discovery address of the discovery service
+ * @param seed seed of the decision module's random number generator
+ * @param maxFileDescriptors file descriptor limit of the process
+ * @param memoryMb memory limit in megabytes
+ * @param initialEndpoints the endpoint list to use until discovery responds
+ * @param settings settings of the decision module, with the names of zones, kinds, classes and
+ *     tenants
  */
 record BalancerConfig(
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxFileDescriptors,
         int memoryMb,
-        EndpointList known,
+        EndpointList initialEndpoints,
         SettingsReader.ParsedSettings settings) {
     static final JsonFactory JSON = new JsonFactory();
 
-    /** Limit of file descriptors where the file has none. */
-    private static final int DEFAULT_SOCKETS = 1024;
+    /** File descriptor limit if the file does not set one. */
+    private static final int DEFAULT_MAX_FILE_DESCRIPTORS = 1024;
 
-    /** Limit of memory where the file has none. */
+    /** Memory limit if the file does not set one. */
     private static final int DEFAULT_MEMORY_MB = 192;
 
-    /** The machine's limits. */
+    /** Resource limits of the process. */
     private record MachineLimits(int sockets, int memoryMb) {}
 
     /**
      * Reads and checks a configuration file.
      *
-     * @throws NoFile if it can't be read
-     * @throws BadConfiguration if it is malformed or a setting is invalid
+     * @throws UnreadableFile if the file can't be read
+     * @throws InvalidPlatformFile if the file is malformed or a setting is invalid
      */
     static BalancerConfig read(Path file) throws OperatorError {
         byte[] text;
@@ -80,7 +81,7 @@
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         long seed = 0;
-        MachineLimits limits = new MachineLimits(DEFAULT_SOCKETS, DEFAULT_MEMORY_MB);
+        MachineLimits limits = new MachineLimits(DEFAULT_MAX_FILE_DESCRIPTORS, DEFAULT_MEMORY_MB);
         EndpointList known = EndpointList.EMPTY;
         SettingsReader.ParsedSettings settings = null;
         if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -99,7 +100,7 @@
                 default -> json.skipChildren();
             }
             if (!isObject) {
-                json.skipChildren(); // of an array; a scalar has none
+                json.skipChildren(); // skips an array; no effect on a scalar
             }
         }
         EndpointList.require(listen != null, "listen");
@@ -110,7 +111,7 @@
                 listen, discovery, seed, limits.sockets(), limits.memoryMb(), known, settings);
     }
 
-    /** Reads the limits that are there; the others stay as they were. */
+    /** Reads the limits present in the object; missing ones take the defaults. */
     private static MachineLimits readLimits(JsonParser json, MachineLimits defaults)
             throws IOException {
         int sockets = defaults.sockets();
@@ -137,9 +138,9 @@
     }
 
     /**
-     * Parses {@code host:port}; there is no DNS, so the host must be an IP address.
+     * Parses {@code host:port}. The host must be an IP address, since no DNS is available.
      *
-     * @throws BadInput if it is not an address
+     * @throws InvalidInput if the text is not an address
      */
     static InetSocketAddress parseAddress(String text) throws InvalidInput {
         int colon = text.lastIndexOf(':');
@@ -150,7 +151,7 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // A malformed port; the message below serves for it too.
+            // The port is malformed; reported below.
         }
         throw new InvalidInput("not an address: " + text);
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -13,19 +13,16 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * Runs the decision module on sockets and timers: owns it, hands it its events one at a time, and
- * carries out its actions.
+ * Connects the decision module to sockets and timers: delivers events to it one at a time and
+ * executes its actions.
  *
- * <p>Confined to the event loop. Actions come from within events alone.
+ * <p>Confined to the event loop. The module calls the actions only while it handles an event.
  */
 final class BalancerRuntime implements LoadBalancer.Actions, TrafficControl {
     private static final System.Logger LOG = System.getLogger(BalancerRuntime.class.getName());
 
-    /**
-     * How long to wait for a list from discovery before serving from the one known before the
-     * start.
-     */
-    private static final long KNOWN_LIST_DELAY_MS = 1_000;
+    /** How long to wait for a list from discovery before serving from the configured list. */
+    private static final long INITIAL_LIST_DELAY_MS = 1_000;
 
     private final EventLoop loop;
     private final SettingsReader.ParsedSettings settings;
@@ -44,7 +41,7 @@
 
     BalancerRuntime(EventLoop loop, BalancerConfig config, UpstreamConnectionPool connections) {
         this.loop = loop;
-        // A timer that is set now is looked at in the next turn of the loop, after its reads.
+        // A timer scheduled now runs in the next iteration of the loop, after its reads.
         this.lag =
                 new EventLoopLag(
                         clock::nowUs, task -> loop.schedule(task, 0, TimeUnit.MICROSECONDS));
@@ -74,7 +71,7 @@
                         balancer);
     }
 
-    /** Starts the module with the list known before the start, and begins to follow discovery. */
+    /** Starts the module with the configured endpoint list and starts to watch discovery. */
     void start(DiscoveryClient source, EndpointList known) {
         discovery = source;
         events.run(() -> balancer.start(clock.nowUs()));
@@ -87,17 +84,17 @@
                     () -> {
                         isReady = true;
                     },
-                    KNOWN_LIST_DELAY_MS,
+                    INITIAL_LIST_DELAY_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Takes over what may change at run time: the address of discovery. */
+    /** Applies the only setting that can change at run time: the address of discovery. */
     void reload(BalancerConfig config) {
-        discovery.moveTo(config.discovery());
+        discovery.setAddress(config.discovery());
     }
 
-    /** A snapshot of counters and gauges. */
+    /** Returns a snapshot of counters and gauges. */
     BalancerStatus status() {
         return new BalancerStatus(
                 isReady,
@@ -115,24 +112,24 @@
         return isReady;
     }
 
-    /** The clock that the module and all times of this balancer are in. */
+    /** The clock for all timestamps of the module and this balancer. */
     MonotonicClock clock() {
         return clock;
     }
 
-    /** How late the event loop is. */
+    /** The measured lag of the event loop. */
     EventLoopLag lag() {
         return lag;
     }
 
-    /** Discovery has sent a list or changes of it, or the list known before the start is used. */
+    /** Applies an endpoint list or changes from discovery, or the configured list at the start. */
     void endpointsListed(EndpointListKind kind, EndpointList list) {
         EndpointList effective = endpoints.update(list);
         isReady |= kind == EndpointListKind.COMPLETE || kind == EndpointListKind.CHANGES;
         apply(kind, effective);
     }
 
-    /** A call to discovery has failed. */
+    /** Notifies the module that a call to discovery has failed. */
     void listUnavailable() {
         events.run(
                 () ->
@@ -156,19 +153,19 @@
     }
 
     /**
-     * Takes over a request and the reference to its message; exactly one response follows unless
-     * the client leaves first.
+     * Takes ownership of a request and of the reference to its message. The observer gets exactly
+     * one response unless the client disconnects first.
      */
     void dispatch(Request request, FullHttpRequest message, ResponseObserver observer) {
         requests.dispatch(request, message, observer);
     }
 
-    /** The client of a request has closed its connection. */
+    /** Handles the disconnect of a request's client. */
     void clientDisconnected(String id) {
         requests.clientDisconnected(id);
     }
 
-    /** Fails all requests that are open: a graceful shutdown has run out of time. */
+    /** Fails all open requests at the end of the graceful shutdown period. */
     void failAll() {
         requests.failAll();
     }
@@ -245,10 +242,12 @@
 
     @Override
     public void fetchEndpointList() {
-        discovery.fetch();
+        discovery.fetchFullList();
     }
 
-    /** Does nothing: there is no channel between balancers, and the settings tell the module so. */
+    /**
+     * Does nothing: balancers have no connection to each other, and the settings disable the use.
+     */
     @Override
     public void sendToPeer(int peer, byte[] body) {}
 
--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerStatus.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerStatus.java
@@ -6,14 +6,14 @@
  * A snapshot of a balancer's gauges, and of its counters since the start. Immutable.
  *
  * @param isReady whether there is an endpoint list to serve from
- * @param upstreams number on the list
- * @param openRequests requests received and not ended yet
- * @param connections to upstreams, open or coming up
- * @param connects connections to upstreams begun so far
- * @param requests received so far
- * @param answers so far, by result: {@code served}, {@code refused}, {@code failed}, and {@code
- *     left} for clients that left before the response
- * @param attempts ended so far, by outcome
+ * @param upstreams number of upstreams in the endpoint list
+ * @param openRequests requests received and not completed yet
+ * @param connections connections to upstreams, open or being established
+ * @param connects connection attempts to upstreams since the start
+ * @param requests requests received since the start
+ * @param answers responses since the start, by result: {@code served}, {@code refused}, {@code
+ *     failed}, and {@code left} for clients that disconnected before the response
+ * @param attempts ended attempts since the start, by outcome
  */
 public record BalancerStatus(
         boolean isReady,
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSession.java
@@ -30,8 +30,8 @@
 
 /**
  * One client connection, and the last handler of its pipeline. Pipelined requests are processed one
- * after another and answered in their order (RFC 9112, 9.3.2). The session holds the reference to
- * each message that waits, until the balancer takes it over.
+ * after another and answered in order (RFC 9112, 9.3.2). The session owns the reference to each
+ * queued message until it passes the message to the balancer.
  *
  * <p>Confined to the event loop.
  */
@@ -41,15 +41,16 @@
     private static final String HEALTH_PATH = "/healthz";
 
     /**
-     * How long the receipt of a request may take. Clients that send none must see the end of their
-     * connection within 3 s.
+     * Maximum time to receive a request. Connections without a request must be closed within 3 s.
      */
     private static final long RECEIVE_TIMEOUT_MS = 2_000;
 
-    /** How long a connection that we end is still read, so that its client sees our end. */
+    /**
+     * How long a connection is read after its output was shut down, so that the client sees that.
+     */
     private static final long LINGER_MS = 250;
 
-    /** How long a client may leave responses unread before its connection is closed. */
+    /** Time after which the connection of a client that does not read responses is closed. */
     private static final long WRITE_TIMEOUT_MS = 10_000;
 
     private final LoadBalancerServer server;
@@ -61,13 +62,13 @@
     private final Deque<PendingRequest> pendingRequests = new ArrayDeque<>();
     private long pendingBytes;
 
-    /** The id of the request that the balancer has; null if it has none. */
+    /** Id of the request that the balancer is processing, or null. */
     private String currentRequestId;
 
-    /** Null while the client reads its responses. */
+    /** Null while the channel is writable. */
     private ScheduledFuture<?> writeTimeout;
 
-    /** The connection was accepted beyond the limit; those accepted before it are served. */
+    /** Whether the connection was accepted when the connection limit was already reached. */
     private boolean isBeyondLimit;
 
     private boolean isProcessing;
@@ -76,12 +77,13 @@
     private boolean isClosing;
 
     /**
-     * A request that has been read and waits for its turn.
+     * A request that has been read and is queued.
      *
-     * @param receivedUs when it can have come at the earliest, by the balancer's clock
+     * @param receivedUs earliest time at which the request may have arrived, by the balancer's
+     *     clock
      */
     private record PendingRequest(FullHttpRequest message, long receivedUs) {
-        /** Memory that a request takes beside its body, in bytes. */
+        /** Memory per request in addition to its body, in bytes. */
         private static final long OVERHEAD_BYTES = 2_048;
 
         long bytes() {
@@ -134,9 +136,9 @@
     }
 
     /**
-     * Only queues a request: it is processed after all that has come in this turn of the loop is
-     * read. The end of its connection may be behind it, or that of another one for which an attempt
-     * would be sent.
+     * Only queues the request. It is processed after all reads of this event loop iteration,
+     * because these may reveal that this client, or the client of another request about to be sent,
+     * has disconnected.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
@@ -157,11 +159,12 @@
     }
 
     /**
-     * After a lag of the loop the next turn reads first: the end of this connection may have come.
+     * Schedules the first queued request. If the event loop lags, the next iteration reads first,
+     * since the client may have disconnected in the meantime.
      */
     private void scheduleFirst() {
         if (balancer.lag().isLagging()) {
-            // Set from a task, a timer runs behind the reads of the next turn.
+            // A timer scheduled from a task runs after the reads of the next iteration.
             channel.eventLoop()
                     .execute(
                             () ->
@@ -172,7 +175,7 @@
         }
     }
 
-    /** Stops reading while too much waits; a client that pipelines more waits for its responses. */
+    /** Adjusts the size of the queued requests, and stops reading while it exceeds the limit. */
     private void addPendingBytes(long bytes) {
         pendingBytes += bytes;
         sessions.addPendingBytes(bytes);
@@ -212,7 +215,7 @@
     private void process(PendingRequest pending) {
         FullHttpRequest message = pending.message();
         if (message.decoderResult().isFailure()) {
-            // Where the next request on this connection begins is unknown.
+            // The start of the next request on this connection can't be found.
             isLastRequest = true;
             respondBadRequest(message, "malformed request");
             return;
@@ -221,7 +224,7 @@
         Request request;
         try {
             QueryStringDecoder uri = new QueryStringDecoder(message.uri());
-            // Throws on an escape that can't be decoded, which is answered below.
+            // path() throws on an invalid percent escape, which is handled below.
             if (uri.path().equals(HEALTH_PATH)) {
                 message.release();
                 respondHealth();
@@ -236,7 +239,7 @@
             respondBadRequest(message, e.getMessage());
             return;
         }
-        if (server.rejectsAll() || (isBeyondLimit && sessions.isOverLimit())) {
+        if (server.rejectsRequests() || (isBeyondLimit && sessions.isOverLimit())) {
             message.release();
             onRejected(0);
             return;
@@ -246,7 +249,8 @@
     }
 
     /**
-     * A request that has been received is answered first. A plain close may cross with the next.
+     * Closes the connection unless a received request is still to be answered. Closing can race
+     * with the next request.
      */
     private void receiveTimedOut() {
         if (!isProcessing) {
@@ -284,7 +288,7 @@
         respond(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
     }
 
-    /** Writes the response to the current request; takes over the reference to {@code body}. */
+    /** Writes the response to the current request; takes ownership of {@code body}. */
     private void respond(HttpResponseStatus status, ByteBuf body, long retryAfterUs) {
         currentRequestId = null;
         DefaultFullHttpResponse response =
@@ -294,9 +298,9 @@
             String seconds = BigDecimal.valueOf(retryAfterUs, 6).toPlainString();
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
         }
-        // What has been read is answered before the connection may end.
+        // Requests already read are answered before the connection is closed.
         boolean isLast =
-                isLastRequest || (pendingRequests.isEmpty() && server.closesWithResponses());
+                isLastRequest || (pendingRequests.isEmpty() && server.closesAfterResponse());
         HttpUtil.setKeepAlive(response, !isLast);
         channel.writeAndFlush(response)
                 .addListener(
@@ -308,12 +312,12 @@
                             }
                         });
         if (!isLast) {
-            // Not from within the module's event: the next request is an event of its own.
+            // Not called directly: the module may still be handling the event that led here.
             channel.eventLoop().execute(this::processNext);
         }
     }
 
-    /** A client that reads no responses is given no more of them, and is closed at last. */
+    /** Stops responding to a client that reads no responses, and closes it after a timeout. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         cancelWriteTimeout();
@@ -336,10 +340,10 @@
     }
 
     /**
-     * Ends the connection between requests (RFC 9112, 9.6). Closed at once, with bytes unread or in
-     * flight, it would be reset, and a reset discards what the client has not read yet; so only our
-     * side is shut down first, and for a moment what still comes is read and dropped. A client
-     * retries a request that crossed with the end.
+     * Closes the connection between requests (RFC 9112, 9.6). Closing a socket with unread or
+     * in-flight bytes resets it, and a reset discards data that the client has not read yet.
+     * Therefore only the output is shut down first, and input is read and discarded for a short
+     * time. A client retries a request that was in flight at that time.
      */
     void close() {
         if (isClosing) {
@@ -364,7 +368,7 @@
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Releases what comes. */
+    /** Releases every message received. */
     private static final class DiscardHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -372,11 +376,14 @@
         }
     }
 
-    /** Closes the connection. What neither the network nor the codec explains is logged. */
+    /** Closes the connection; logs exceptions that are neither I/O nor codec errors. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
-            LOG.log(System.Logger.Level.ERROR, "closed a client connection after a failure", cause);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "closed a client connection after an unexpected exception",
+                    cause);
         }
         channel.close();
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/ClientSessions.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ClientSessions.java
@@ -6,38 +6,38 @@
 import java.util.Set;
 
 /**
- * The client connections: keeps their number within the descriptors, and the memory of their
- * pending requests within its limit.
+ * The set of client connections. Limits their number to the available file descriptors, and the
+ * memory of their queued requests.
  *
  * <p>Confined to the event loop.
  */
 final class ClientSessions {
     /**
-     * Part of the connections that are kept between requests. With more, a response closes its
-     * connection: to close one that looks idle can cross with the next request on it, which is then
-     * lost.
+     * Fraction of the maximum number of connections up to which keep-alive is allowed. Beyond it,
+     * each response closes its connection: closing a connection that looks idle can race with the
+     * next request on it, which is then lost.
      */
-    private static final double KEPT_PART = 0.5;
+    private static final double KEEP_ALIVE_FRACTION = 0.5;
 
     /**
-     * Clients beyond the limit that are accepted in order to be rejected; with more, upstreams
-     * would lack descriptors.
+     * Number of connections beyond the limit that are accepted only to reject their requests. More
+     * of them would take the file descriptors needed for upstreams.
      */
     private static final int MAX_REJECTED_SESSIONS = 24;
 
     /**
-     * Memory of the pending requests of one connection, in bytes. Up to there a connection is read
-     * on, since its end is seen in no other way.
+     * Maximum memory of the queued requests of one connection, in bytes. A connection is read up to
+     * this limit, since only reading detects its end.
      */
     private static final long MAX_PENDING_BYTES_PER_SESSION = 96 * 1024;
 
-    /** The same of all connections. */
+    /** Maximum memory of the queued requests of all connections, in bytes. */
     private static final long MAX_PENDING_BYTES = 4 * 1024 * 1024;
 
     private final int maxSessions;
-    private final Set<ClientSession> all = new LinkedHashSet<>();
+    private final Set<ClientSession> sessions = new LinkedHashSet<>();
 
-    /** The connections between requests. */
+    /** Idle connections, the one idle longest first. */
     private final Set<ClientSession> idle = new LinkedHashSet<>();
 
     private long pendingBytes;
@@ -46,69 +46,69 @@
         this.maxSessions = maxSessions;
     }
 
-    /** A new session, of a connection that this listener accepted. */
+    /** Adds the session of a connection that the listener has accepted. */
     void opened(ClientSession session, Channel listener) {
-        all.add(session);
+        sessions.add(session);
         idle.add(session);
         acceptWhileNotFull(listener);
     }
 
-    /** The connection of a session is closed. */
+    /** Removes a session whose connection is closed. */
     void closed(ClientSession session, Channel listener) {
-        all.remove(session);
+        sessions.remove(session);
         idle.remove(session);
         acceptWhileNotFull(listener);
     }
 
-    /** It sends nothing more; it keeps its descriptor until its client has seen that. */
+    /** Marks a session as closing; it uses its file descriptor until {@link #closed}. */
     void closing(ClientSession session) {
         idle.remove(session);
     }
 
-    /** It has answered all its requests. */
+    /** Marks a session as idle: all its requests are answered. */
     void idle(ClientSession session) {
         idle.add(session);
     }
 
-    /** It has a request. */
+    /** Marks a session as busy with a request. */
     void busy(ClientSession session) {
         idle.remove(session);
     }
 
-    /** The session that has been idle longest. */
-    Optional<ClientSession> firstIdle() {
+    /** Returns the session that has been idle longest. */
+    Optional<ClientSession> longestIdle() {
         return idle.stream().findFirst();
     }
 
     private void acceptWhileNotFull(Channel listener) {
-        listener.config().setAutoRead(all.size() < maxSessions + MAX_REJECTED_SESSIONS);
+        listener.config().setAutoRead(sessions.size() < maxSessions + MAX_REJECTED_SESSIONS);
     }
 
     boolean isEmpty() {
-        return all.isEmpty();
+        return sessions.isEmpty();
     }
 
-    /** Whether there are as many connections as are served. */
+    /** Whether the number of connections has reached the limit. */
     boolean isFull() {
-        return all.size() >= maxSessions;
+        return sessions.size() >= maxSessions;
     }
 
-    /** Whether there are more connections than are served. */
+    /** Whether the number of connections is above the limit. */
     boolean isOverLimit() {
-        return all.size() > maxSessions;
+        return sessions.size() > maxSessions;
     }
 
-    /** Whether there are more connections than are kept between requests. */
-    boolean isOverKeptLimit() {
-        return all.size() > KEPT_PART * maxSessions;
+    /** Whether there are too many connections for keep-alive. */
+    boolean isOverKeepAliveLimit() {
+        return sessions.size() > KEEP_ALIVE_FRACTION * maxSessions;
     }
 
-    /** Counts memory of pending requests; negative once they are pending no more. */
+    /** Adds to the memory of queued requests; a negative value subtracts. */
     void addPendingBytes(long bytes) {
         pendingBytes += bytes;
     }
 
-    /** Whether a connection with so many bytes of pending requests is to be read no further. */
+    /** Whether to stop reading a connection with this many bytes of queued requests. */
     boolean isOverPendingLimit(long bytesOfSession) {
         return bytesOfSession >= MAX_PENDING_BYTES_PER_SESSION || pendingBytes >= MAX_PENDING_BYTES;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryCall.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryCall.java
@@ -12,8 +12,8 @@
 import myrtleladder.error.OperatorError.InvalidInput;
 
 /**
- * One call to discovery, and the last handler of its pipeline: reads endpoint lists from the lines
- * of the response. A list is one line, or several where it comes indented; empty lines are
+ * One call to discovery, and the last handler of its pipeline. Reads endpoint lists from the lines
+ * of the response: a list takes one line, or several lines if it is indented. Empty lines are
  * heartbeats.
  *
  * <p>Confined to the event loop.
@@ -21,25 +21,25 @@
 final class DiscoveryCall extends SimpleChannelInboundHandler<ByteBuf> {
     private static final System.Logger LOG = System.getLogger(DiscoveryCall.class.getName());
 
-    /** Longest line, and longest indented list, in bytes. */
+    /** Maximum size of a line and of an indented list, in bytes. */
     static final int MAX_LIST_BYTES = 4 << 20;
 
-    /** Receives what a call reads, on the event loop. */
+    /** Receives the results of a call, on the event loop. */
     interface Listener {
-        /** A line has come, empty ones included. */
+        /** Called for each line, including empty ones. */
         void lineReceived();
 
-        /** A list has come. */
+        /** Called for each valid list. */
         void listReceived(DiscoveryCall call, EndpointList list);
 
-        /** A list has come that can't be parsed. */
+        /** Called for each list that can't be parsed. */
         void malformedList(String reason);
     }
 
     private final Listener listener;
     private final JsonObjectAssembler assembler;
 
-    /** Set before the call is made. */
+    /** Set before the connection is established. */
     private Channel channel;
 
     private boolean hasAcceptedList;
@@ -60,7 +60,7 @@
         return channel;
     }
 
-    /** A list of this call has been taken over. */
+    /** Records that a list of this call was applied. */
     void listAccepted() {
         hasAcceptedList = true;
     }
@@ -69,7 +69,7 @@
         return hasAcceptedList;
     }
 
-    /** Ends this call since another one takes its place. */
+    /** Closes this call because another one replaces it. */
     void supersede() {
         isSuperseded = true;
         channel.close();
@@ -105,11 +105,14 @@
         listener.listReceived(this, list);
     }
 
-    /** Closes the connection. What neither the network nor a timeout explains is logged. */
+    /** Closes the connection; logs exceptions that are neither I/O errors nor timeouts. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof ReadTimeoutException)) {
-            LOG.log(System.Logger.Level.ERROR, "closed a call to discovery after a failure", cause);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "closed a call to discovery after an unexpected exception",
+                    cause);
         }
         ctx.close();
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/DiscoveryClient.java
@@ -19,9 +19,9 @@
 import myrtleladder.loadbalancer.policy.EndpointListKind;
 
 /**
- * Follows the endpoint list of discovery: by one watch that stays open and begins at the version
- * known, and by single full lists on request. A full list is also fetched, until one has come,
- * after a line that could not be parsed.
+ * Follows the endpoint list of discovery, by a long-lived watch that starts at the last known
+ * version and by fetching the full list on request. After a line that could not be parsed, it also
+ * fetches the full list, with retries until one arrives.
  *
  * <p>Confined to the event loop.
  */
@@ -30,8 +30,8 @@
     private static final String LIST_PATH = "/v1/servers";
 
     /**
-     * A watch sends a line every 2 s; one from which none comes for longer may be partitioned, and
-     * its changes lost.
+     * Discovery sends a line every 2 s on a watch. Without one for longer than that, the connection
+     * may be partitioned and changes missed.
      */
     private static final long READ_TIMEOUT_MS = 3_000;
 
@@ -40,26 +40,25 @@
 
     private final EventLoop loop;
     private final Transport transport;
-    private final boolean isOnRequest;
+    private final boolean isControlledByModule;
     private final BalancerRuntime balancer;
     private final Backoff watchBackoff = new Backoff();
     private final Backoff repairBackoff = new Backoff();
     private InetSocketAddress address;
 
-    /** The version of the last list or change that was taken over. */
+    /** Version of the last list or change that was applied. */
     private long version;
 
     private boolean shouldWatch;
 
-    /** The watch that is open, or null. */
+    /** The open watch, or null. */
     private DiscoveryCall watch;
 
-    /** The call for a full list after a malformed one, or null. */
+    /** The call that fetches the full list after a malformed one, or null. */
     private DiscoveryCall repair;
 
     /**
-     * A list could not be parsed, so that what is known may lack something until the next full
-     * list.
+     * Whether a list could not be parsed, so that changes may be missing until the next full list.
      */
     private boolean isIncomplete;
 
@@ -68,26 +67,26 @@
     /**
      * Creates a client that makes no call yet.
      *
-     * @param isOnRequest whether the decision module says when to call; otherwise an ended watch is
-     *     opened again here
-     * @param version of the list known before the start
+     * @param isControlledByModule whether the decision module controls the calls; otherwise this
+     *     client reopens a watch that has ended
+     * @param version version of the configured endpoint list
      */
     DiscoveryClient(
             EventLoop loop,
             Transport transport,
             InetSocketAddress address,
-            boolean isOnRequest,
+            boolean isControlledByModule,
             long version,
             BalancerRuntime balancer) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
-        this.isOnRequest = isOnRequest;
+        this.isControlledByModule = isControlledByModule;
         this.version = version;
         this.balancer = balancer;
     }
 
-    /** Begins to follow changes, with a new call if there is one already; or stops that. */
+    /** Starts the watch, replacing an open one, or stops it. */
     void watch(boolean isOn) {
         shouldWatch = isOn;
         DiscoveryCall previous = watch;
@@ -100,16 +99,16 @@
         }
     }
 
-    /** Discovery is at another address from now on; the watch goes on there. */
-    void moveTo(InetSocketAddress newAddress) {
+    /** Changes the address of discovery; reopens the watch there. */
+    void setAddress(InetSocketAddress newAddress) {
         address = newAddress;
         if (shouldWatch) {
             watch(true);
         }
     }
 
-    /** Fetches the full list once. */
-    void fetch() {
+    /** Fetches the full list once, without retries. */
+    void fetchFullList() {
         call(LIST_PATH);
     }
 
@@ -167,9 +166,9 @@
             return;
         }
         if (call.isSuperseded()) {
-            return; // Another call has taken its place, and goes on from the same version.
+            return; // The call that replaced it continues from the same version.
         }
-        if (isOnRequest) {
+        if (isControlledByModule) {
             if (isWatch || !call.hasAcceptedList()) {
                 loop.execute(balancer::listUnavailable);
             }
@@ -184,7 +183,7 @@
         }
     }
 
-    /** Fetches the full list, again after growing delays, until one has come. */
+    /** Schedules a fetch of the full list, with backoff, if changes may be missing. */
     private void scheduleRepair() {
         if (!isIncomplete || repair != null) {
             return;
@@ -207,7 +206,7 @@
     @Override
     public void listReceived(DiscoveryCall call, EndpointList list) {
         if (call == repair && list.version() < version) {
-            return; // The watch has sent later changes meanwhile: the next full list has these too.
+            return; // The watch has applied later changes; the next full list includes them.
         }
         call.listAccepted();
         version = list.version();
@@ -215,14 +214,14 @@
             isIncomplete = false;
             repairBackoff.reset();
         }
-        // Not before all that has come is read: a request whose client has left is not to be sent
-        // because of this list.
+        // Applied after all pending reads: the list may release a queued request, which must not be
+        // sent if its client has disconnected.
         EndpointListKind kind =
                 list.isFull() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES;
         loop.execute(() -> balancer.endpointsListed(kind, list));
     }
 
-    /** The changes in a malformed list are recovered by a full one, fetched beside the watch. */
+    /** Fetches the full list, in parallel with the watch, to recover the changes that were lost. */
     @Override
     public void malformedList(String reason) {
         isIncomplete = true;
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointDirectory.java
@@ -9,24 +9,21 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * The endpoints as discovery listed them last, and over them what maintenance has changed:
- * endpoints set to draining, and restart times of those that came back.
+ * The endpoints as last listed by discovery, with the overrides of maintenance: endpoints set to
+ * draining, and restart times of endpoints that have restarted.
  *
- * <p>Discovery takes precedence: an endpoint that drains there drains, and the later of two start
- * times counts. Confined to the event loop.
+ * <p>An endpoint that discovery lists as draining stays draining, and the later of the two start
+ * times applies. Confined to the event loop.
  */
 final class EndpointDirectory {
     private final Map<String, EndpointList.Endpoint> listed = new LinkedHashMap<>();
 
-    /** Unix time in ms at which endpoints came back from maintenance, by id. */
+    /** Unix time in ms at which endpoints restarted in maintenance, by id. */
     private final Map<String, Long> restartedMs = new HashMap<>();
 
     private Set<String> draining = Set.of();
 
-    /**
-     * Takes over a list from discovery, or changes of one. Returns the same with the changes of
-     * maintenance applied.
-     */
+    /** Applies a list or changes from discovery. Returns it with the overrides of maintenance. */
     EndpointList update(EndpointList list) {
         if (list.isFull()) {
             listed.clear();
@@ -48,11 +45,11 @@
     }
 
     /**
-     * Replaces the set of endpoints that maintenance drains. Returns those that change by it, in
-     * the order of their ids; maybe none.
+     * Replaces the set of endpoints that maintenance drains. Returns the endpoints whose membership
+     * in the set changes, in order of id; possibly none.
      *
-     * @param drainingIds endpoints that count as draining from now on
-     * @param restartedIds endpoints that have restarted just now
+     * @param drainingIds endpoints to treat as draining
+     * @param restartedIds endpoints that have just restarted
      */
     EndpointList setDraining(
             Set<String> drainingIds, Set<String> restartedIds, MonotonicClock clock) {
@@ -83,7 +80,7 @@
                 Math.max(endpoint.startedMs(), restartedMs.getOrDefault(endpoint.id(), 0L)));
     }
 
-    /** All endpoints as discovery listed them. */
+    /** Returns all endpoints as listed by discovery. */
     List<TrafficControl.ListedEndpoint> listed() {
         return listed.values().stream()
                 .map(
--- a/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EndpointList.java
@@ -13,9 +13,9 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * A list of endpoints, or changes of one, in the form that discovery has for it. Immutable.
+ * A full list of endpoints, or changes to one, in the format of discovery. Immutable.
  *
- * @param isFull whether endpoints that are missing are gone
+ * @param isFull whether the list is complete, so that endpoints not in it are gone
  */
 record EndpointList(long version, boolean isFull, List<Endpoint> endpoints) {
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
@@ -23,14 +23,14 @@
     private static final Map<String, State> STATES =
             Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
-    /** Keeps the indices of names that the settings lack positive; most are distinct by it. */
+    /** Keeps the index of a name that is not in the settings positive; collisions are rare. */
     private static final int UNKNOWN_NAME_MASK = 0xFFFFFF;
 
     /**
      * One endpoint as listed.
      *
-     * @param address null for one that is gone
-     * @param startedMs Unix time in milliseconds; 0 for long ago
+     * @param address null if the endpoint is gone
+     * @param startedMs start of the process, Unix time in milliseconds; 0 if long ago
      */
     record Endpoint(
             String id,
@@ -43,9 +43,9 @@
             long startedMs) {
 
         /**
-         * The same for the decision module, whose clock is Unix time in microseconds that never
-         * steps. An endpoint listed again thus has exactly the same start, and only a real restart
-         * looks like one.
+         * Converts the endpoint for the decision module, whose clock is monotonic Unix time in
+         * microseconds. An endpoint that is listed again keeps exactly the same start time, so only
+         * a real restart is detected as one.
          */
         Upstream toModule(SettingsReader.ParsedSettings settings) {
             return new Upstream(
@@ -59,7 +59,8 @@
         }
 
         /**
-         * A name that the settings lack gets an index of its own, so that two are not one group.
+         * Returns the index of a name. A name that is not in the settings gets an index derived
+         * from its hash, so that different names do not form one group.
          */
         private static int index(List<String> names, String name) {
             int index = names.indexOf(name);
@@ -68,10 +69,10 @@
     }
 
     /**
-     * Reads one list; the parser is at the start of its object.
+     * Reads one list. The parser must be at the start of the object.
      *
-     * @throws BadInput if a field is missing or malformed
-     * @throws IOException if it is not JSON
+     * @throws InvalidInput if a field is missing or malformed
+     * @throws IOException if the input is not valid JSON
      */
     static EndpointList read(JsonParser json) throws InvalidInput, IOException {
         long version = -1;
@@ -134,7 +135,7 @@
     /**
      * Checks a field.
      *
-     * @throws BadInput with the name of the field, unless it is valid
+     * @throws InvalidInput with the name of the field, if it is not valid
      */
     static void require(boolean isValid, String field) throws InvalidInput {
         if (!isValid) {
--- a/src/main/java/myrtleladder/loadbalancer/server/EventLoopLag.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EventLoopLag.java
@@ -5,22 +5,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * Measures how late the event loop is, by the decision module's timers: these are due dozens of
- * times a second and run at the end of each turn of the loop, after its reads.
+ * Measures the lag of the event loop by the decision module's timers, which fire dozens of times a
+ * second and run at the end of each loop iteration, after its reads.
  *
- * <p>A timer that fired late is remembered until the reads of the next turn are done, since what
- * they find has waited as long. Without that, a late timer that fires before them hides the lag.
+ * <p>The due time of a late timer is kept until the reads of the next iteration are done, since the
+ * data read there has waited as long. Otherwise a late timer that fires before those reads would
+ * hide the lag.
  *
  * <p>Confined to the event loop.
  */
 final class EventLoopLag {
-    /** Lag after which the ends of connections may be unread, in us. 0.1 s are harmless. */
+    /** Lag from which closed connections may be undetected, in us. 0.1 s are harmless. */
     private static final long LAGGING_US = 20_000;
 
-    /** Time after a lag until all that had waited in the sockets is read, in us. */
+    /** Time after a lag until all data that waited in the sockets is read, in us. */
     private static final long RECOVERY_US = 100_000;
 
-    /** Before any time of the clock, and far enough from overflow for differences. */
+    /** Earlier than any clock value; halved so that differences do not overflow. */
     private static final long NEVER_US = Long.MIN_VALUE / 2;
 
     private static final long NOTHING_UNREAD = Long.MAX_VALUE;
@@ -42,12 +43,12 @@
         this.afterNextReads = afterNextReads;
     }
 
-    /** A timer has been set that is due at this time of the clock. */
+    /** Records a timer that is due at this time of the clock. */
     void timerSet(long dueUs) {
         timersDueUs.add(dueUs);
     }
 
-    /** A timer has run: the earliest that was due. */
+    /** Records that the timer with the earliest due time has run. */
     void timerFired() {
         long dueUs = timersDueUs.poll();
         if (nowUs.getAsLong() - dueUs <= LAGGING_US) {
@@ -61,8 +62,8 @@
     }
 
     /**
-     * How long, in microseconds, what is read now may have waited unread in its socket: by as much
-     * as the timers are overdue, or were in this turn.
+     * Returns how long, in microseconds, data read now may have waited in its socket: the time by
+     * which timers are overdue, or were overdue in this iteration.
      */
     long lagUs() {
         Long dueUs = timersDueUs.peek();
@@ -70,7 +71,7 @@
         return sinceUs == NOTHING_UNREAD ? 0 : Math.max(0, nowUs.getAsLong() - sinceUs);
     }
 
-    /** Whether the loop is late, or was a moment ago: what it reads now may have waited long. */
+    /** Whether the loop lags or has lagged recently, so that data read now may be old. */
     boolean isLagging() {
         return lagUs() > LAGGING_US || nowUs.getAsLong() - lastLaggingUs < RECOVERY_US;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/EventSerializer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/EventSerializer.java
@@ -4,9 +4,9 @@
 import java.util.Deque;
 
 /**
- * Hands the decision module one event at a time. An event that arises while another one is being
- * handled (a cancelled attempt ends at once, for example) waits for its end, so that the module is
- * never entered twice.
+ * Delivers events to the decision module one at a time. An event that occurs while another one is
+ * handled (for example, the end of a cancelled attempt) is queued, so that the module is never
+ * re-entered.
  *
  * <p>Confined to the event loop.
  */
@@ -17,8 +17,8 @@
     private boolean isRunning;
 
     /**
-     * Runs the event now, or after those that are being handled. What an event throws is logged and
-     * goes no further.
+     * Runs the event now, or after the events in progress. Runtime exceptions of an event are
+     * logged and not propagated.
      */
     void run(Runnable event) {
         pending.add(event);
@@ -39,7 +39,7 @@
         try {
             event.run();
         } catch (RuntimeException e) {
-            // The request of this event, if any, is still answered at its deadline.
+            // If the event belongs to a request, the deadline timer still answers it.
             LOG.log(System.Logger.Level.ERROR, "the module failed on an event", e);
         }
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Exchange.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Exchange.java
@@ -8,8 +8,8 @@
 import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
- * One request to an upstream and the response to it, up to its one end. Owns the reference to the
- * request until that is written or the exchange ends.
+ * One request to an upstream and its response. Ends exactly once. Owns the reference to the request
+ * until the request is written or the exchange ends.
  *
  * <p>Confined to the event loop.
  */
@@ -18,10 +18,10 @@
     private final BooleanSupplier canBegin;
     private final ExchangeListener listener;
 
-    /** Null once it is written or released. */
+    /** Null after the request was written or released. */
     private FullHttpRequest request;
 
-    /** The connection that comes up for it or carries it; null without one. */
+    /** The channel that is connecting for this exchange or carries it; null if there is none. */
     private Channel channel;
 
     private boolean isWritten;
@@ -47,12 +47,12 @@
         return hasEnded;
     }
 
-    /** A connection comes up for this exchange: it is closed if the exchange is abandoned. */
+    /** Sets the channel that is connecting for this exchange; it is closed on {@link #abandon}. */
     void connecting(Channel channel) {
         this.channel = channel;
     }
 
-    /** Writes the request to a connection, unless the exchange may not begin any more. */
+    /** Writes the request to a connection, or ends the exchange if it may no longer begin. */
     void write(UpstreamConnection connection) {
         if (!canBegin.getAsBoolean()) {
             channel = null;
@@ -74,19 +74,19 @@
     }
 
     /**
-     * The connection is lost. Before the last byte of the request was written, the upstream can't
-     * have begun to process it.
+     * Ends the exchange after the loss of its connection. If the last byte of the request was not
+     * written yet, the upstream can't have begun to process the request.
      */
     void connectionLost() {
         channel.close();
         boolean mayHaveRun = isWritten;
-        // Never from within start(): a write can fail at once.
+        // Deferred, since a write can fail within start(), which must not call the listener.
         loop.execute(() -> end(mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED, null));
     }
 
     /**
-     * Ends the exchange without a call of the listener. The socket is closed before this returns,
-     * so that a further attempt is no hedged request.
+     * Ends the exchange without calling the listener. The socket is closed before this returns, so
+     * that a following attempt does not count as a hedged request.
      */
     void abandon() {
         hasEnded = true;
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Ends the exchange, unless it has ended; {@code response} stays the caller's to release. */
+    /** Ends the exchange unless it has ended; the caller keeps ownership of {@code response}. */
     void end(Outcome outcome, FullHttpResponse response) {
         if (!hasEnded) {
             hasEnded = true;
--- a/src/main/java/myrtleladder/loadbalancer/server/ExchangeListener.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ExchangeListener.java
@@ -6,9 +6,10 @@
 /** Receives the end of an {@link Exchange}, on the event loop. */
 interface ExchangeListener {
     /**
-     * The exchange has ended; called at most once, and never after {@link Exchange#abandon}.
+     * Called at most once, when the exchange has ended; never after {@link Exchange#abandon}.
      *
-     * @param response null without one; the caller releases it after this call
+     * @param response the response, or null if there is none; the caller releases it after this
+     *     call
      */
     void exchangeEnded(Outcome outcome, FullHttpResponse response);
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/HttpBodyDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/HttpBodyDecoder.java
@@ -10,10 +10,10 @@
 import java.util.List;
 
 /**
- * Passes on the body of a 200 response as it comes, for a decoder of lines: its end is passed on as
- * the end of a line, and closes the connection. Any other response closes the connection at once.
+ * Passes the body of a 200 response to a line decoder as it arrives. At the end of the body it adds
+ * a line feed and closes the connection. Any other response closes the connection at once.
  *
- * <p>Each buffer that is passed on has a reference of its own, for the next handler to release.
+ * <p>The next handler must release each buffer that it receives.
  */
 final class HttpBodyDecoder extends MessageToMessageDecoder<HttpObject> {
     private static final int OK = 200;
--- a/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/JsonObjectAssembler.java
@@ -3,10 +3,9 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Assembles JSON objects from lines. As a rule a line is one object; where an object goes on over
- * further lines, they are joined until its braces are closed. A line that starts with an opening
- * brace begins a new object and ends one that was not closed before it, so that a broken object
- * costs no other.
+ * Assembles JSON objects from lines. Usually each line is one object; lines of a longer object are
+ * joined until its braces are closed. A line that starts with an opening brace always begins a new
+ * object and discards an unclosed one, so that a broken object does not affect the next.
  *
  * <p>Not safe for use by several threads.
  */
@@ -19,8 +18,8 @@
     /**
      * Creates an assembler.
      *
-     * @param maxBytes of an object that is joined from several lines
-     * @param onUnclosedObject runs for each object that was begun and never closed
+     * @param maxBytes maximum size of an object joined from several lines
+     * @param onUnclosedObject runs for each object that is discarded because it was not closed
      */
     JsonObjectAssembler(int maxBytes, Runnable onUnclosedObject) {
         this.maxBytes = maxBytes;
@@ -28,11 +27,11 @@
     }
 
     /**
-     * Adds a line. Returns what is complete with it, an object or a line that can't become one;
-     * null if more has to come.
+     * Adds a line. Returns the object that it completes, or the line itself if it can't be part of
+     * an object; null if more lines are needed.
      */
     byte[] add(byte[] line) {
-        if (startsAnew(line)) {
+        if (startsNewObject(line)) {
             if (partial.size() > 0) {
                 onUnclosedObject.run();
             }
@@ -52,7 +51,7 @@
         return complete;
     }
 
-    private boolean startsAnew(byte[] line) {
+    private boolean startsNewObject(byte[] line) {
         return (line.length > 0 && line[0] == '{')
                 || line.length == 0
                 || partial.size() + line.length > maxBytes;
@@ -63,7 +62,7 @@
         depth = 0;
     }
 
-    /** Braces and brackets that a line opens, less those that it closes; strings end with it. */
+    /** Number of braces and brackets opened minus closed in a line; strings don't span lines. */
     private static int depthChange(byte[] line) {
         int change = 0;
         boolean isInString = false;
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerBootstrap.java
@@ -6,17 +6,17 @@
 
 /** Creates load balancers from their configuration, each confined to one event loop. */
 final class LoadBalancerBootstrap {
-    /** File descriptors that the JVM itself needs, for jars, selector and log. */
+    /** File descriptors reserved for the JVM itself: jars, selector and log. */
     static final int RESERVED_DESCRIPTORS = 64;
 
-    /** The part of the other descriptors for clients; upstreams have the rest. */
-    private static final double CLIENT_PART = 0.75;
+    /** Fraction of the other file descriptors for clients; the rest is for upstreams. */
+    private static final double CLIENT_FRACTION = 0.75;
 
     private LoadBalancerBootstrap() {}
 
     /**
-     * Creates a balancer and binds its address; it is healthy once opened. Don't call it on the
-     * event loop.
+     * Creates a balancer and binds its address. It reports healthy only after {@link
+     * LoadBalancerServer#open}. Must not be called on the event loop.
      */
     static LoadBalancerServer bind(BalancerConfig config, EventLoop loop, Transport transport)
             throws Exception {
@@ -25,7 +25,7 @@
         return server;
     }
 
-    /** Creates a balancer that follows discovery already, but does not listen yet. */
+    /** Creates a balancer that watches discovery but does not listen yet. */
     static LoadBalancerServer create(BalancerConfig config, EventLoop loop, Transport transport)
             throws Exception {
         Callable<LoadBalancerServer> create = () -> createOnLoop(config, loop, transport);
@@ -34,8 +34,8 @@
 
     private static LoadBalancerServer createOnLoop(
             BalancerConfig config, EventLoop loop, Transport transport) {
-        int descriptors = Math.max(0, config.sockets() - RESERVED_DESCRIPTORS);
-        int clientDescriptors = Math.max(1, (int) (CLIENT_PART * descriptors));
+        int descriptors = Math.max(0, config.maxFileDescriptors() - RESERVED_DESCRIPTORS);
+        int clientDescriptors = Math.max(1, (int) (CLIENT_FRACTION * descriptors));
         Settings settings = config.settings().balancer();
         UpstreamConnectionPool connections =
                 new UpstreamConnectionPool(
@@ -51,9 +51,9 @@
                         transport,
                         config.discovery(),
                         settings.listSubscription(),
-                        config.known().version(),
+                        config.initialEndpoints().version(),
                         balancer);
-        balancer.start(discovery, config.known());
+        balancer.start(discovery, config.initialEndpoints());
         return new LoadBalancerServer(loop, balancer, config.settings(), clientDescriptors);
     }
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadBalancerServer.java
@@ -19,18 +19,17 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * The load balancer as a server: listens for clients, answers for its health, and shuts down
+ * The server side of the load balancer: accepts client connections, reports health and shuts down
  * gracefully.
  *
  * <p>Its state is confined to the event loop. {@link #bind}, {@link #open}, {@link #reload}, {@link
- * #status} and {@link #drain} may be called from any thread; the methods that sessions call, on the
- * event loop alone.
+ * #status} and {@link #drain} may be called from any thread; the methods used by sessions only on
+ * the event loop.
  */
 final class LoadBalancerServer {
-    /*
-     * Sizes of one read in bytes, and reads of one connection in a turn of the loop. Reading
-     * stops only between two reads, and the codec closes a connection with 128 requests unanswered:
-     * a read must not hold that many.
+    /* Sizes of one read in bytes, and reads per connection in one loop iteration. Reading
+     * stops only between two reads, and the codec closes a connection with 128 unanswered
+     * requests, so a single read must not contain that many.
      */
 
     /** Smallest size of a read. */
@@ -42,10 +41,10 @@
     /** Largest size of a read. */
     private static final int MAX_READ_BYTES = 8 * 1024;
 
-    /** Reads of one connection in a turn of the loop. */
+    /** Maximum number of reads per connection in one loop iteration. */
     private static final int MAX_READS_PER_TURN = 16;
 
-    /** In a graceful shutdown idle connections are closed one by one, at this interval. */
+    /** Interval at which a graceful shutdown closes idle connections, one at a time. */
     private static final long IDLE_CLOSE_INTERVAL_MS = 1;
 
     private final EventLoop loop;
@@ -59,14 +58,14 @@
 
     private boolean isOpen;
 
-    /** A graceful shutdown has begun; it still serves. */
-    private boolean isStopping;
+    /** Whether a graceful shutdown has begun; requests are still served. */
+    private boolean isDraining;
 
-    /** The listener is closed, and connections close with their responses. */
+    /** Whether the listener is closed and connections close after their responses. */
     private boolean isClosing;
 
-    /** The last responses of a graceful shutdown are given; what comes later is rejected. */
-    private boolean hasEnded;
+    /** Whether the graceful shutdown has failed all open requests; later ones are rejected. */
+    private boolean isDrainOver;
 
     LoadBalancerServer(
             EventLoop loop,
@@ -80,7 +79,7 @@
         this.drained = loop.newPromise();
     }
 
-    /** Begins to listen; the future fails if the address can't be bound. */
+    /** Starts to listen. The future fails if the address can't be bound. */
     ChannelFuture bind(Transport transport, InetSocketAddress address) {
         ChannelFuture bound =
                 transport
@@ -110,17 +109,17 @@
         return allocator;
     }
 
-    /** From now on the server is healthy once there is an endpoint list to serve from. */
+    /** Allows the server to report healthy, as soon as there is an endpoint list. */
     void open() {
         loop.execute(() -> isOpen = true);
     }
 
-    /** Takes over a new configuration without a pause in service. */
+    /** Applies a new configuration without interrupting service. */
     void reload(BalancerConfig config) {
         loop.execute(() -> balancer.reload(config));
     }
 
-    /** Asks for a snapshot of counters and gauges. */
+    /** Returns a future snapshot of counters and gauges. */
     Future<BalancerStatus> status() {
         return loop.submit(balancer::status);
     }
@@ -130,26 +129,26 @@
         return balancer;
     }
 
-    /** The address that it listens on; only after {@link #bind}. */
+    /** Returns the listen address; valid only after {@link #bind}. */
     SocketAddress address() {
         return listener.localAddress();
     }
 
     /**
-     * Shuts down gracefully: goes on as before while clients still come, but unhealthy; then stops
-     * listening and closes connections between requests, and answers all requests that have come,
-     * the last of them as failed. The future is done when no request can be pending any more; at
-     * once if the server never listened.
+     * Shuts down gracefully. First the server reports unhealthy but still accepts connections. Then
+     * it stops listening, closes idle connections and answers all received requests; those still
+     * open at the end fail. The future completes when all connections are closed, or at once if the
+     * server never listened.
      *
-     * @param acceptMs how long it still accepts connections, from now
-     * @param lastResponseMs when what is still open fails, from now
+     * @param acceptMs how long connections are still accepted, in milliseconds from now
+     * @param lastResponseMs when open requests are failed, in milliseconds from now
      */
     Promise<Void> drain(long acceptMs, long lastResponseMs) {
         if (listener == null) {
             drained.trySuccess(null);
             return drained;
         }
-        loop.execute(() -> isStopping = true);
+        loop.execute(() -> isDraining = true);
         loop.schedule(this::beginClosing, acceptMs, TimeUnit.MILLISECONDS);
         loop.schedule(this::failOpenRequests, lastResponseMs, TimeUnit.MILLISECONDS);
         return drained;
@@ -162,16 +161,17 @@
     }
 
     private void failOpenRequests() {
-        hasEnded = true;
+        isDrainOver = true;
         balancer.failAll();
     }
 
     /**
-     * Closes one idle connection at a time: between two the loop reads what has come. All at once,
-     * requests that came while the first ones were closed would be lost with the last ones.
+     * Closes one idle connection at a time, so that the loop reads pending requests in between. If
+     * all were closed at once, requests that arrive during the first closes would be lost with the
+     * last connections.
      */
     private void closeIdleSessions() {
-        sessions.firstIdle().ifPresent(ClientSession::close);
+        sessions.longestIdle().ifPresent(ClientSession::close);
         completeIfDrained();
         if (!sessions.isEmpty()) {
             loop.schedule(this::closeIdleSessions, IDLE_CLOSE_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -184,30 +184,30 @@
         }
     }
 
-    /** The connection of a session is closed. */
+    /** Removes a session whose connection is closed. */
     void sessionClosed(ClientSession session, Channel listener) {
         sessions.closed(session, listener);
         completeIfDrained();
     }
 
     boolean isHealthy() {
-        return isOpen && balancer.isReady() && !isStopping;
+        return isOpen && balancer.isReady() && !isDraining;
     }
 
-    /** Whether requests are rejected, since nothing would answer them any more. */
-    boolean rejectsAll() {
-        return hasEnded;
+    /** Whether new requests are rejected because the graceful shutdown is over. */
+    boolean rejectsRequests() {
+        return isDrainOver;
     }
 
-    /** Whether a connection ends with its next response. */
-    boolean closesWithResponses() {
-        return isClosing || hasEnded || sessions.isOverKeptLimit();
+    /** Whether connections are closed after their next response. */
+    boolean closesAfterResponse() {
+        return isClosing || isDrainOver || sessions.isOverKeepAliveLimit();
     }
 
     /**
-     * Parses a request that has waited here for {@code waitedUs}.
+     * Parses a request that has been queued for {@code waitedUs} microseconds.
      *
-     * @throws BadInput if a field is missing or malformed, or a request with this id is open
+     * @throws InvalidInput if a field is missing or malformed, or a request with this id is open
      */
     Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs)
             throws InvalidInput {
--- a/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/LoadReportParser.java
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Returns the report, or null if there is none, none is expected, or it can't be parsed; the
-     * first that can't be parsed is logged. Values are known by the names of the settings ({@code
-     * cpu}); other names are skipped.
+     * Returns the report, or null if there is none, none is expected, or it is malformed. The first
+     * malformed report is logged. Values have the names used in the settings (such as {@code cpu});
+     * other names are skipped.
      *
      * @param text the report, or null
      */
@@ -37,9 +37,7 @@
         boolean isParsed = parseInto(values, text);
         if (!isParsed && !isBadReportLogged) {
             isBadReportLogged = true;
-            LOG.log(
-                    System.Logger.Level.WARNING,
-                    "ignored a load report that can't be read: " + text);
+            LOG.log(System.Logger.Level.WARNING, "ignored a malformed load report: " + text);
         }
         return isParsed ? SettingsReader.toLoadReport(values) : null;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Main.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Main.java
@@ -19,27 +19,29 @@
 
 /**
  * Command line of the load balancer: {@code serve} runs one balancer on sockets, {@code adapter}
- * runs the decision module for the simulator, {@code rehearse} does the warm-up run alone.
+ * runs the decision module for the simulator, and {@code rehearse} does only the warm-up run.
  */
 public final class Main {
     private static final System.Logger LOG = System.getLogger(Main.class.getName());
 
-    /** The environment variable with the path of the configuration file. */
+    /** Environment variable that contains the path of the configuration file. */
     private static final String CONFIG_VARIABLE = "NODE_CONFIG";
 
-    /** With fewer next to none are left for clients and upstreams. */
+    /** With fewer file descriptors, hardly any are left for clients and upstreams. */
     private static final int MIN_DESCRIPTORS = 2 * LoadBalancerBootstrap.RESERVED_DESCRIPTORS;
 
     /**
-     * The JVM with its classes, compiled code and a small heap has 59 MB resident when it is ready.
+     * Minimum memory limit: the JVM with its classes, compiled code and a small heap has a resident
+     * size of 59 MB when it is ready.
      */
     private static final int MIN_MEMORY_MB = 64;
 
     /**
-     * A balancer of a larger group listens only after its warm-up run. From then on the machine
-     * takes connections, whose requests are to be answered here, and clients do better elsewhere.
-     * In a group as small as this there is hardly another balancer, and waiting a second here is
-     * better than being rejected.
+     * Largest group whose balancers listen before the warm-up run. In a larger group a balancer
+     * listens after it: once it listens, the kernel accepts connections whose requests only this
+     * balancer can answer, and other balancers would answer them sooner. In a small group there is
+     * hardly another balancer, and waiting a second is better for clients than a refused
+     * connection.
      */
     private static final int SMALL_GROUP_SIZE = 4;
 
@@ -51,8 +53,8 @@
 
     /**
      * Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}). {@code rehearse}
-     * ends by itself after it has loaded what serving needs, for the build to record the class
-     * archive.
+     * exits after it has loaded the classes needed for serving; the build uses it to record the
+     * class data sharing archive.
      */
     public static void main(String[] args) {
         int exit = run(args, System.getenv(CONFIG_VARIABLE), System.err);
@@ -62,18 +64,19 @@
     }
 
     /**
-     * As {@link #run(String[], String, PrintStream, Consumer)}, with nothing beside the balancer.
+     * Calls {@link #run(String[], String, PrintStream, Consumer)} without additional components.
      */
     static int run(String[] args, String config, PrintStream err) {
         return run(args, config, err, balancer -> {});
     }
 
     /**
-     * Runs a command. Returns 0 once it serves or at the adapter's end, 1 if that failed, 2 after a
-     * wrong command line.
+     * Runs a command. Returns 0 when the balancer serves or the adapter has ended, 1 after a
+     * failure, 2 after a usage error.
      *
      * @param config path of the configuration file; null if there is none
-     * @param beforeOpen gets the balancer when it is complete, and may delay its opening
+     * @param beforeOpen called with the complete balancer before it is opened; opening waits for
+     *     its return
      */
     public static int run(
             String[] args, String config, PrintStream err, Consumer<RunningBalancer> beforeOpen) {
@@ -92,7 +95,7 @@
             }
             return serve(Path.of(config), group, isWarmupOnly, beforeOpen);
         } catch (Exception e) {
-            // Whatever it is, the operator gets one line and the exit code.
+            // Every failure is reported to the operator as one line and an exit code.
             err.println("can't serve: " + asOperatorError(e).getMessage());
             group.shutdownGracefully();
             return EXIT_FAILURE;
@@ -134,7 +137,7 @@
             Path file, BalancerConfig config, LoadBalancerServer server)
             throws ReflectiveOperationException {
         Signals.setHandler("HUP", () -> reload(file, server));
-        // On SIGTERM the JVM waits for this hook while the event loop goes on.
+        // On SIGTERM the JVM waits for this hook while the event loop continues to run.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(() -> drain(config, server).awaitUninterruptibly()));
     }
@@ -147,13 +150,15 @@
         }
     }
 
-    /** Small limits may still do, so the balancer starts; the log has the cause of what follows. */
+    /** Logs limits that are too small. The balancer starts anyway, since they may suffice. */
     private static void warnOfSmallLimits(Path file, BalancerConfig config) {
         if (config.memoryMb() < MIN_MEMORY_MB) {
             warn(new LimitsTooSmall(file, "limits.memory_mb", config.memoryMb(), MIN_MEMORY_MB));
         }
-        if (config.sockets() < MIN_DESCRIPTORS) {
-            warn(new LimitsTooSmall(file, "limits.sockets", config.sockets(), MIN_DESCRIPTORS));
+        if (config.maxFileDescriptors() < MIN_DESCRIPTORS) {
+            warn(
+                    new LimitsTooSmall(
+                            file, "limits.sockets", config.maxFileDescriptors(), MIN_DESCRIPTORS));
         }
     }
 
@@ -176,11 +181,11 @@
         return server.drain(schedule.acceptMs(), schedule.lastResponseMs());
     }
 
-    /** A file that can't be used changes nothing: the balancer goes on with what it has. */
+    /** Reloads the configuration; keeps the current one if the file is invalid. */
     private static void reload(Path file, LoadBalancerServer server) {
         try {
             server.reload(BalancerConfig.read(file));
-            LOG.log(System.Logger.Level.INFO, "read the configuration again");
+            LOG.log(System.Logger.Level.INFO, "reloaded the configuration");
         } catch (OperatorError e) {
             LOG.log(System.Logger.Level.ERROR, "went on with the old configuration", e);
         }
--- a/src/main/java/myrtleladder/loadbalancer/server/MonotonicClock.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/MonotonicClock.java
@@ -1,9 +1,9 @@
 package myrtleladder.loadbalancer.server;
 
 /**
- * Unix time in microseconds that never steps: the wall clock is read once, at creation, and
- * advances from there with the monotonic clock. The clock of the decision module, and of the start
- * times of upstreams. Safe for use by several threads.
+ * Monotonic Unix time in microseconds: the wall clock is read once, at creation, and advanced by
+ * the JVM's monotonic clock. Used by the decision module and for the start times of upstreams.
+ * Thread-safe.
  */
 final class MonotonicClock {
     private final long epochUs = System.currentTimeMillis() * 1_000;
--- a/src/main/java/myrtleladder/loadbalancer/server/OpenRequest.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/OpenRequest.java
@@ -7,8 +7,8 @@
 import myrtleladder.loadbalancer.policy.Request;
 
 /**
- * One request from its arrival until it is concluded (answered, or left by its client) and all its
- * attempts have ended. Holds a reference to the client's message until then.
+ * One request from its arrival until it is concluded (answered, or its client has disconnected) and
+ * all its attempts have ended. Holds a reference to the client's message until then.
  *
  * <p>Confined to the event loop.
  */
--- a/src/main/java/myrtleladder/loadbalancer/server/ProbeSender.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ProbeSender.java
@@ -16,15 +16,15 @@
 import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
- * Sends load probes: asks an upstream for its load report by {@code GET /load} and hands the result
- * to the decision module.
+ * Sends load probes: requests the load report of an upstream by {@code GET /load} and passes the
+ * result to the decision module.
  *
  * <p>Confined to the event loop.
  */
 final class ProbeSender {
     private static final String LOAD_PATH = "/load";
 
-    /** How long a probe may take; an upstream that hangs accepts it and never responds. */
+    /** Timeout of a probe; an upstream that hangs accepts it but never responds. */
     private static final long PROBE_TIMEOUT_MS = 500;
 
     private final EventLoop loop;
@@ -35,7 +35,7 @@
     private final EventSerializer events;
     private final LoadBalancer balancer;
 
-    /** {@code host} is the value of the header field {@code Host}. */
+    /** Creates a sender; {@code host} is the value of the {@code Host} header field. */
     ProbeSender(
             EventLoop loop,
             UpstreamConnectionPool connections,
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestCounters.java
@@ -6,8 +6,8 @@
 import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
- * Counters of requests, answers and attempts since the start of a balancer: plain numbers, confined
- * to the event loop.
+ * Counters of requests, responses and attempts since the start of a balancer. Confined to the event
+ * loop.
  */
 final class RequestCounters {
     private static final Outcome[] OUTCOMES = Outcome.values();
@@ -18,13 +18,13 @@
     /** Requests answered by an upstream. */
     long served;
 
-    /** Requests rejected: they have not run. */
+    /** Requests rejected, which were not processed by an upstream. */
     long rejected;
 
-    /** Requests failed: they may have run. */
+    /** Requests failed, which may have been processed by an upstream. */
     long failed;
 
-    /** Requests whose client left before the response. */
+    /** Requests whose client disconnected before the response. */
     long abandoned;
 
     private final long[] attemptsByOutcome = new long[OUTCOMES.length];
@@ -34,12 +34,12 @@
         attemptsByOutcome[outcome.ordinal()]++;
     }
 
-    /** Answers by the names that the metrics have for them. */
+    /** Returns the numbers of requests by result, under the names used in the metrics. */
     Map<String, Long> answers() {
         return Map.of("served", served, "refused", rejected, "failed", failed, "left", abandoned);
     }
 
-    /** Attempts by the names that the metrics have for their outcomes. */
+    /** Returns the numbers of attempts by outcome, under the names used in the metrics. */
     Map<String, Long> attempts() {
         Map<String, Long> byOutcome = new LinkedHashMap<>();
         for (Outcome outcome : OUTCOMES) {
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestDispatcher.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestDispatcher.java
@@ -21,20 +21,20 @@
 import myrtleladder.loadbalancer.server.OpenRequest.Attempt;
 
 /**
- * Carries out the decision module's attempts and final answers for the requests that are open, and
- * reports the ends of attempts to it. Whatever the module decides, a request gets at most one final
- * response, gets it by its deadline, and is sent no more often than the settings allow.
+ * Executes the decision module's attempts and final responses for the open requests, and reports
+ * the ends of attempts to the module. Regardless of the module's decisions, a request gets at most
+ * one final response, gets it by its deadline, and has no more attempts than the settings allow.
  *
  * <p>Confined to the event loop.
  */
 final class RequestDispatcher {
-    /** Header field with the time that is left for a request, in milliseconds. */
+    /** Header field with the remaining time of a request, in milliseconds. */
     static final String TIME_LEFT_HEADER = "X-Time-Left-Ms";
 
     /** Header field with the load report of an upstream. */
     private static final String LOAD_HEADER = "X-Backend-Load";
 
-    /** Header fields of the client's own connection, not to be forwarded (RFC 9110, 7.6.1). */
+    /** Hop-by-hop header fields, which must not be forwarded (RFC 9110, 7.6.1). */
     private static final List<AsciiString> HOP_BY_HOP_HEADERS =
             List.of(HttpHeaderNames.CONNECTION, HttpHeaderNames.TE, HttpHeaderNames.UPGRADE);
 
@@ -49,7 +49,7 @@
     private final Limits limits;
     private final Map<String, OpenRequest> openRequests = new HashMap<>();
 
-    /** Null unless another component has a say on each attempt. */
+    /** Decides on each attempt whether it may be sent; null if nothing restricts attempts. */
     private TrafficControl.AttemptAdmission admission;
 
     RequestDispatcher(
@@ -72,12 +72,12 @@
         this.limits = settings.limits();
     }
 
-    /** From now on each attempt is subject to this admission. */
+    /** Sets the component that decides on each attempt whether it may be sent. */
     void setAdmission(TrafficControl.AttemptAdmission admission) {
         this.admission = admission;
     }
 
-    /** The number of requests that are open. */
+    /** Returns the number of open requests. */
     int openRequests() {
         return openRequests.size();
     }
@@ -87,7 +87,7 @@
         return openRequests.containsKey(id);
     }
 
-    /** The number of attempts that are in flight to an upstream. */
+    /** Returns the number of attempts in flight to an upstream. */
     int attemptsInFlight(String upstream) {
         return (int)
                 openRequests.values().stream()
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Takes over a request and the reference to its message; exactly one response follows unless
-     * the client leaves first.
+     * Takes ownership of a request and of the reference to its message. The observer gets exactly
+     * one response unless the client disconnects first.
      */
     void dispatch(Request request, FullHttpRequest message, ResponseObserver observer) {
         counters.requests++;
@@ -115,7 +115,7 @@
         events.run(() -> balancer.onRequest(clock.nowUs(), request));
     }
 
-    /** The client of a request has closed its connection. */
+    /** Handles the disconnect of a request's client. */
     void clientDisconnected(String id) {
         OpenRequest open = openRequests.get(id);
         if (open != null && !open.isConcluded) {
@@ -130,8 +130,8 @@
     }
 
     /**
-     * The deadline of a request: times out its attempts, and responds if the module, notified of
-     * that, does not.
+     * Handles the deadline of a request: times out its attempts, and fails the request if the
+     * module does not answer it after these events.
      */
     private void expire(OpenRequest open) {
         for (int i = 0; i < open.attempts.size(); i++) {
@@ -148,10 +148,10 @@
                 });
     }
 
-    /** Fails all requests that are open: a graceful shutdown has run out of time. */
+    /** Fails all open requests at the end of the graceful shutdown period. */
     void failAll() {
         for (OpenRequest open : List.copyOf(openRequests.values())) {
-            // Otherwise the module, notified of the attempt's end, would send another one.
+            // Otherwise the module would send a retry when it is notified of the attempt's end.
             open.deadlineUs = clock.nowUs();
             expire(open);
         }
@@ -172,9 +172,10 @@
     }
 
     /**
-     * Sends an attempt, or reports to the module that it may not be sent.
+     * Sends an attempt, or reports to the module that the attempt was not sent.
      *
-     * @param timeoutUs of this attempt in microseconds; 0 for the request's deadline alone
+     * @param timeoutUs timeout of this attempt in microseconds; 0 if only the request's deadline
+     *     applies
      */
     void send(String id, String upstream, long timeoutUs) {
         long nowUs = clock.nowUs();
@@ -218,7 +219,7 @@
                 && (admission == null || admission.canSend(upstream));
     }
 
-    /** {@code open} is null if the request is open no more. */
+    /** {@code open} is null if the request is no longer open. */
     private void reportNeverSent(OpenRequest open, String id, String upstream) {
         int number = open == null ? 0 : open.attempts.size();
         if (open != null) {
@@ -242,8 +243,9 @@
     }
 
     /**
-     * Called when an attempt has its connection, which may take up to the connect timeout. Returns
-     * whether it may still begin; if so, its message has the time that is left now.
+     * Called when the connection of an attempt is established, which may take up to the connect
+     * timeout. Returns whether the attempt may still begin; if so, sets the header field with the
+     * remaining time.
      */
     private boolean beginAttempt(
             OpenRequest open, int number, FullHttpRequest forwarded, long endUs) {
@@ -260,8 +262,8 @@
     }
 
     /**
-     * Until when this attempt may begin as the retry of an earlier one that may have run: so long
-     * do upstreams know the idempotency key.
+     * Returns until when this attempt may begin. A retry of an attempt that may have run must begin
+     * before upstreams forget its idempotency key.
      */
     private long retryableUntilUs(OpenRequest open, int number) {
         RequestClass requestClass = classes.get(open.request.classIndex());
@@ -275,7 +277,7 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** A copy that shares the body and has a reference of its own to it, for the exchange. */
+    /** Returns a copy for the exchange that shares the body and holds its own reference to it. */
     private static FullHttpRequest forwardedCopy(FullHttpRequest message) {
         FullHttpRequest copy = message.retainedDuplicate();
         HOP_BY_HOP_HEADERS.forEach(copy.headers()::remove);
@@ -298,7 +300,7 @@
         }
     }
 
-    /** {@code response} is null without one; the caller releases it. */
+    /** {@code response} is null if there is none; the caller releases it. */
     private void attemptEnded(
             OpenRequest open, int number, Outcome outcome, FullHttpResponse response) {
         Attempt attempt = open.attempts.get(number);
@@ -316,9 +318,9 @@
         LoadReport load =
                 response == null ? null : loadReports.parse(response.headers().get(LOAD_HEADER));
         removeIfDone(open);
-        long tookUs = clock.nowUs() - attempt.sentUs;
+        long durationUs = clock.nowUs() - attempt.sentUs;
         if (admission != null) {
-            admission.attemptEnded(attempt.upstream, outcome == Outcome.OK, tookUs);
+            admission.attemptEnded(attempt.upstream, outcome == Outcome.OK, durationUs);
         }
         events.run(
                 () ->
@@ -329,12 +331,12 @@
                                         number,
                                         attempt.upstream,
                                         outcome,
-                                        tookUs,
+                                        durationUs,
                                         open.isConcluded,
                                         load)));
     }
 
-    /** Final answer of the module: rejected, with advice in microseconds, 0 for none. */
+    /** Rejects a request; {@code retryAfterUs} is 0 if the client gets no advice when to retry. */
     void reject(String id, long retryAfterUs) {
         OpenRequest open = openRequests.get(id);
         if (open != null && !open.isConcluded) {
@@ -344,7 +346,7 @@
         }
     }
 
-    /** Final answer of the module: failed. */
+    /** Fails a request. */
     void fail(String id) {
         OpenRequest open = openRequests.get(id);
         if (open != null && !open.isConcluded) {
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestParser.java
@@ -12,8 +12,8 @@
 import myrtleladder.loadbalancer.settings.SettingsReader;
 
 /**
- * Parses a client's request from its HTTP message; the settings say which classes and tenants there
- * are. Immutable; it takes no reference to a message.
+ * Parses client requests from HTTP messages, with the classes and tenants of the settings.
+ * Immutable; does not retain messages.
  */
 final class RequestParser {
     static final String REQUEST_ID_HEADER = "X-Correlation-Id";
@@ -33,7 +33,7 @@
     /**
      * Returns the id of a request.
      *
-     * @throws BadInput if it has none
+     * @throws InvalidInput if the request has no id
      */
     static String requestId(FullHttpRequest message) throws InvalidInput {
         String id = message.headers().get(REQUEST_ID_HEADER);
@@ -44,9 +44,10 @@
     /**
      * Parses a request.
      *
-     * @param uri of the message
-     * @param waitedUs how long the request has waited here, in microseconds: taken off its time
-     * @throws BadInput if a field is missing or malformed; names the field
+     * @param uri decoded URI of the message
+     * @param waitedUs how long the request has been queued, in microseconds; subtracted from its
+     *     remaining time
+     * @throws InvalidInput with the name of the field, if a field is missing or malformed
      */
     Request parse(FullHttpRequest message, QueryStringDecoder uri, long waitedUs)
             throws InvalidInput {
@@ -58,7 +59,7 @@
         HttpMethod method =
                 idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         require(message.method().equals(method), "method");
-        // Without the key upstreams could not discard a retry.
+        // Without the key, upstreams can't detect a retry.
         require(
                 idempotency != Idempotency.IDEMPOTENT_BY_KEY
                         || headers.contains(IDEMPOTENCY_KEY_HEADER),
@@ -81,7 +82,7 @@
                 "1".equals(headers.get(CLIENT_RETRY_HEADER)));
     }
 
-    /** Negative if the settings have tenants, but not this one. */
+    /** Returns the tenant's index; negative if the settings have tenants, but not this one. */
     private int tenantIndex(HttpHeaders headers) {
         List<String> tenants = settings.tenants();
         return tenants.isEmpty() ? 0 : tenants.indexOf(headers.get(TENANT_HEADER));
@@ -105,7 +106,7 @@
     /**
      * Checks a field of a request.
      *
-     * @throws BadInput with the name of the field, unless it is valid
+     * @throws InvalidInput with the name of the field, if it is not valid
      */
     static void require(boolean isValid, String field) throws InvalidInput {
         if (!isValid) {
--- a/src/main/java/myrtleladder/loadbalancer/server/RequestReceiveTimeoutHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RequestReceiveTimeoutHandler.java
@@ -6,31 +6,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times out the receipt of a request: from the start of the connection for the first one, from its
- * first byte for the others. Without it a peer that sends nothing, or never the end, would keep its
- * descriptor for good, and enough of them would have every other client rejected.
+ * Limits the time to receive a request, measured from the start of the connection for the first
+ * request and from the first byte for later ones. Otherwise peers that never send a complete
+ * request would use up the file descriptors, and all other clients would be rejected.
  *
- * <p>The first handler of the pipeline, before the codec.
+ * <p>Must be the first handler of the pipeline, before the codec.
  */
 final class RequestReceiveTimeoutHandler extends ChannelInboundHandlerAdapter {
     private final long timeoutMs;
     private final Runnable onTimeout;
 
-    /** Null while no request is awaited. */
+    /** Null while no request is being received. */
     private ScheduledFuture<?> timer;
 
     /**
      * Creates a handler for one channel.
      *
-     * @param onTimeout runs on the channel's event loop, after each further timeout once more until
-     *     the request has been received
+     * @param onTimeout runs on the channel's event loop, repeatedly after each further timeout
+     *     until the request has been received
      */
     RequestReceiveTimeoutHandler(long timeoutMs, Runnable onTimeout) {
         this.timeoutMs = timeoutMs;
         this.onTimeout = onTimeout;
     }
 
-    /** The request that was awaited is complete. Call it on the event loop. */
+    /** Stops the timeout after a complete request. Must be called on the event loop. */
     void requestReceived() {
         if (timer != null) {
             timer.cancel(false);
--- a/src/main/java/myrtleladder/loadbalancer/server/ResponseObserver.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ResponseObserver.java
@@ -4,22 +4,23 @@
 
 /**
  * Receives the one final response of a request. Exactly one of {@link #onSuccess}, {@link
- * #onRejected} and {@link #onFailure} is called, on the event loop, unless the client leaves first.
+ * #onRejected} and {@link #onFailure} is called, on the event loop, unless the client disconnects
+ * first.
  */
 interface ResponseObserver {
-    /** The upstream's response; the observer takes over the reference to {@code body}. */
+    /** Called with the upstream's response; the observer takes ownership of {@code body}. */
     void onSuccess(ByteBuf body);
 
     /**
-     * Rejected: the request has not run.
+     * Called if the request was rejected and not processed by an upstream.
      *
-     * @param retryAfterUs when the client may try again, in microseconds; 0 for no advice
+     * @param retryAfterUs time after which the client may retry, in microseconds; 0 if unspecified
      */
     void onRejected(long retryAfterUs);
 
-    /** Failed: the request may have run. */
+    /** Called if the request failed; an upstream may have processed it. */
     void onFailure();
 
-    /** Whether the client's connection is up; the event that it has closed may come later. */
+    /** Whether the client is connected; the disconnect event may be delivered later. */
     boolean isConnected();
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
@@ -5,12 +5,11 @@
 import java.util.function.Supplier;
 
 /**
- * A balancer that is about to serve, for components that run beside it.
+ * Access to a balancer that is about to serve, for components in the same process.
  *
- * @param loop the event loop that all of the balancer is confined to; whoever else runs on it must
- *     not block
- * @param status asks for a snapshot of counters and gauges, from any thread
- * @param trafficControl confined to {@code loop}
+ * @param loop the event loop to which the balancer is confined; tasks on it must not block
+ * @param status requests a snapshot of counters and gauges; may be called from any thread
+ * @param trafficControl control of the balancer's traffic; confined to {@code loop}
  */
 public record RunningBalancer(
         EventLoop loop, Supplier<Future<BalancerStatus>> status, TrafficControl trafficControl) {}
--- a/src/main/java/myrtleladder/loadbalancer/server/ShutdownSchedule.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/ShutdownSchedule.java
@@ -1,42 +1,43 @@
 package myrtleladder.loadbalancer.server;
 
 /**
- * When a graceful shutdown stops accepting, and when it fails what is still open; both in ms after
- * SIGTERM.
+ * The times of a graceful shutdown at which the balancer stops accepting connections and at which
+ * it fails open requests, both in milliseconds after SIGTERM.
  */
 record ShutdownSchedule(long acceptMs, long lastResponseMs) {
-    /** Given by the platform: SIGKILL comes this long, and the longest deadline, after SIGTERM. */
+    /** Set by the platform: SIGKILL follows SIGTERM after this time plus the longest deadline. */
     private static final long KILL_DELAY_MS = 700;
 
-    /** Given by the platform: a longer deadline counts as this one. */
+    /** Set by the platform: maximum deadline that extends the time until SIGKILL. */
     private static final long MAX_DEADLINE_MS = 3_000;
 
-    /** All is answered so long before SIGKILL, since the loop may be late. */
+    /** Time between the last response and SIGKILL, since the event loop may lag. */
     private static final long KILL_MARGIN_MS = 300;
 
-    /** Accepting ends so long before the last response; few requests take longer. */
-    private static final long LAST_REQUESTS_MS = 500;
+    /** Time between the end of accepting and the last response; few requests take longer. */
+    private static final long RESPONSE_GRACE_MS = 500;
 
     /**
-     * The same where others serve meanwhile; a shutdown that is late by half of this still loses
-     * nothing.
+     * The same time if other balancers serve meanwhile. A shutdown that lags by half of this still
+     * loses no request.
      */
-    private static final long LAST_REQUESTS_IN_GROUP_MS = 1_500;
+    private static final long RESPONSE_GRACE_IN_GROUP_MS = 1_500;
 
-    /** New connections come for up to 0.4 s after SIGTERM, and a little later none waits. */
+    /** New connections arrive for up to 0.4 s after SIGTERM; soon after, none is in the backlog. */
     private static final long MIN_ACCEPT_MS = 500;
 
     /**
-     * A balancer alone accepts as long as is safe, since each moment not served is lost. With
-     * others, requests lost to a late loop cost more than those that the others serve.
+     * Computes the schedule. A single balancer accepts for as long as is safe, since nothing else
+     * serves its clients. With others in the group it stops earlier: they serve the clients, and a
+     * lagging event loop must not lose requests.
      *
-     * @param longestDeadlineMs of all classes
-     * @param balancers in the group, this one included
+     * @param longestDeadlineMs longest deadline of all classes, in milliseconds
+     * @param balancers number of balancers in the group, including this one
      */
     static ShutdownSchedule of(long longestDeadlineMs, double balancers) {
         long lastResponseMs =
                 KILL_DELAY_MS + Math.min(MAX_DEADLINE_MS, longestDeadlineMs) - KILL_MARGIN_MS;
-        long lastRequestsMs = balancers > 1 ? LAST_REQUESTS_IN_GROUP_MS : LAST_REQUESTS_MS;
+        long lastRequestsMs = balancers > 1 ? RESPONSE_GRACE_IN_GROUP_MS : RESPONSE_GRACE_MS;
         long acceptMs = Math.max(MIN_ACCEPT_MS, lastResponseMs - lastRequestsMs);
         return new ShutdownSchedule(acceptMs, lastResponseMs);
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/StrictHttpResponseDecoder.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/StrictHttpResponseDecoder.java
@@ -10,29 +10,29 @@
 import java.util.List;
 
 /**
- * Decodes HTTP/1.1 responses, exactly one for each request, stricter than the library's decoder in
+ * Decodes HTTP/1.1 responses, exactly one for each request. It is stricter than Netty's decoder in
  * two ways:
  *
  * <ul>
- *   <li>Bytes that come when no response is due are dropped and close the connection; kept, they
- *       would be taken for the response to the next request.
- *   <li>A header line without a colon right behind its name is an error (RFC 9112, 5.1), where the
- *       library takes the part before a blank for a name without a value.
+ *   <li>Bytes received when no response is expected are discarded and close the connection.
+ *       Otherwise they would be read as the response to the next request.
+ *   <li>A header line without a colon directly after the name is an error (RFC 9112, 5.1). Netty
+ *       would accept the part before a blank as a name without a value.
  * </ul>
  */
 final class StrictHttpResponseDecoder extends HttpResponseDecoder {
-    private boolean isResponseDue;
+    private boolean isResponseExpected;
     private boolean isInterim;
 
-    /** A request is about to be written. Call it on the event loop. */
+    /** Must be called on the event loop before each request is written. */
     void expectResponse() {
-        isResponseDue = true;
+        isResponseExpected = true;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
-        if (!isResponseDue) {
+        if (!isResponseExpected) {
             in.skipBytes(in.readableBytes());
             ctx.close();
             return;
@@ -43,21 +43,22 @@
             if (part instanceof HttpResponse head) {
                 isInterim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
             }
-            isResponseDue &= isInterim || !(part instanceof LastHttpContent);
+            isResponseExpected &= isInterim || !(part instanceof LastHttpContent);
         }
     }
 
     /**
      * {@inheritDoc}
      *
-     * <p>The name ends at the first colon or blank, so there is always a byte behind it.
+     * <p>The name ends at the first colon or blank, so a byte always follows it.
      *
-     * @throws IllegalArgumentException if that byte is no colon, or the name is empty
+     * @throws IllegalArgumentException if that byte is not a colon, or the name is empty
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (length == 0 || line[start + length] != ':') {
-            throw new IllegalArgumentException("a header line without a name and a colon");
+            throw new IllegalArgumentException(
+                    "header line does not start with a name and a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Transport.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Transport.java
@@ -12,9 +12,9 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** What connections are made over: TCP, or the memory of this process for the warm-up run. */
+/** Transport of connections: TCP, or in-memory channels for the warm-up run. */
 enum Transport {
-    /** TCP, by java.nio. */
+    /** TCP through java.nio. */
     TCP {
         @Override
         Bootstrap client(EventLoop loop) {
@@ -40,7 +40,7 @@
         }
     },
 
-    /** Local channels: nothing leaves the process, and no descriptor is used. */
+    /** Netty's local channels, within the process and without file descriptors. */
     MEMORY {
         @Override
         Bootstrap client(EventLoop loop) {
@@ -58,15 +58,15 @@
         }
     };
 
-    /** Connections that the kernel holds until they are accepted. */
+    /** Maximum number of connections that wait in the kernel to be accepted. */
     private static final int BACKLOG = 1024;
 
-    /** A bootstrap for connections; the caller sets the handler. */
+    /** Returns a bootstrap for connections; the caller sets the handler. */
     abstract Bootstrap client(EventLoop loop);
 
-    /** A bootstrap for listeners; the caller sets the child handler. */
+    /** Returns a bootstrap for listeners; the caller sets the child handler. */
     abstract ServerBootstrap server(EventLoop loop);
 
-    /** This transport's address for an address of the configuration. */
+    /** Converts an address of the configuration to one of this transport. */
     abstract SocketAddress address(InetSocketAddress address);
 }
--- a/src/main/java/myrtleladder/loadbalancer/server/Upstream.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Upstream.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 
 /**
- * One upstream as the connection pool knows it: its address and its idle connections.
+ * The connection pool's state of one upstream: its address and its idle connections.
  *
  * <p>Confined to the event loop.
  */
@@ -14,12 +14,12 @@
     private long startedMs;
     private boolean isReady;
 
-    /** Idle connections, the last used one first. */
+    /** Idle connections, the most recently used one first. */
     private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
-    /** Takes over a list entry. Closes idle connections that may not be used any more. */
+    /** Applies an entry of the endpoint list; closes idle connections that must not be reused. */
     void update(InetSocketAddress newAddress, long newStartedMs, boolean isNowReady) {
-        // Connections to a process that is gone end as a reset, after which a request may have run.
+        // A request on a connection to a process that is gone ends with a reset, and may have run.
         boolean isReplaced = !newAddress.equals(address) || newStartedMs != startedMs;
         address = newAddress;
         startedMs = newStartedMs;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** It is on the list no more. */
+    /** Handles the removal of the upstream from the endpoint list. */
     void remove() {
         isReady = false;
         closeIdleConnections();
@@ -44,12 +44,12 @@
         return startedMs;
     }
 
-    /** Whether new requests may be sent to it: it is listed and not draining. */
+    /** Whether new requests may be sent: the upstream is listed and not draining. */
     boolean isReady() {
         return isReady;
     }
 
-    /** Idle connections, the last used one first; the caller may change them. */
+    /** Returns the idle connections, the most recently used one first, as a modifiable deque. */
     Deque<UpstreamConnection> idleConnections() {
         return idleConnections;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnection.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnection.java
@@ -13,15 +13,15 @@
 import myrtleladder.loadbalancer.policy.Outcome;
 
 /**
- * A connection to an upstream that is up, and the last handler of its pipeline. It carries one
- * exchange at a time and is kept for the next one (RFC 9112, 9.3).
+ * An established connection to an upstream, and the last handler of its pipeline. It carries one
+ * exchange at a time and is reused for later ones (RFC 9112, 9.3).
  *
  * <p>Confined to the event loop.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
 
-    /** Header field by which an upstream states that it has not processed a request. */
+    /** Header field with which an upstream states that it has not processed the request. */
     private static final String UNPROCESSED_HEADER = "X-Unprocessed";
 
     private final EventLoop loop;
@@ -44,14 +44,14 @@
         this.channel = channel;
     }
 
-    /** An exchange begins on this connection; returns the channel to write its request to. */
+    /** Begins an exchange; returns the channel to which its request is to be written. */
     Channel begin(Exchange exchange) {
         current = exchange;
         channel.pipeline().get(StrictHttpResponseDecoder.class).expectResponse();
         return channel;
     }
 
-    /** Start of the idle time, a value of {@link System#nanoTime}. */
+    /** Returns the start of the idle time, a value of {@link System#nanoTime}. */
     long idleSinceNanos() {
         return idleSinceNanos;
     }
@@ -68,8 +68,8 @@
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
         Exchange exchange = current;
         if (exchange != null && response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            // RFC 9110, 15.2: the final response follows. Were this one taken for it, that would be
-            // taken for the response to the next request.
+            // RFC 9110, 15.2: the final response follows. If this one were treated as final, the
+            // final one would be read as the response to the next request.
             return;
         }
         if (exchange == null || !isComplete(exchange, response)) {
@@ -78,8 +78,8 @@
         }
         current = null;
         response.retain();
-        // After all that has come is read: bytes behind the response, or the end of the connection,
-        // forbid its reuse.
+        // Deferred until all pending bytes are read: further bytes after the response, or the end
+        // of the connection, forbid its reuse.
         loop.execute(
                 () -> {
                     keepAliveOrClose(exchange, response);
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Whether the response is complete. One without a length ends with its connection (RFC 9112,
-     * 6.3), but a reset is no such end: it may have truncated the response.
+     * Whether the response is complete. A response without a length ends when its connection is
+     * closed (RFC 9112, 6.3), but not by a reset, which may have truncated it.
      */
     private boolean isComplete(Exchange exchange, FullHttpResponse response) {
         return !response.decoderResult().isFailure()
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Keeps the connection for the next request, unless the upstream drains or has restarted. */
+    /** Makes the connection idle for reuse, or closes it if the upstream drains or restarted. */
     void keepAlive() {
         if (upstream.isReady()
                 && channel.isActive()
@@ -139,14 +139,14 @@
         }
     }
 
-    /** Closes the connection. What neither the network nor the codec explains is logged. */
+    /** Closes the connection; logs exceptions that are neither I/O nor codec errors. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         isReset = true;
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "closed an upstream's connection after a failure",
+                    "closed an upstream connection after an unexpected exception",
                     cause);
         }
         channel.close();
--- a/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/UpstreamConnectionPool.java
@@ -21,22 +21,22 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * The connections to upstreams. A connection carries one exchange at a time and is kept for the
- * next one; nothing is retried here.
+ * The pool of connections to upstreams. A connection carries one exchange at a time and is reused
+ * for later ones. The pool does not retry.
  *
  * <p>Confined to the event loop.
  */
 final class UpstreamConnectionPool {
-    /** The largest body of the protocol, in bytes. */
+    /** Maximum size of a request or response body, in bytes. */
     static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
-     * Part of an upstream's idle timeout after which an idle connection is closed, so that no
-     * request is written to one that the upstream is closing.
+     * Fraction of an upstream's idle timeout after which an idle connection is closed here, so that
+     * no request is written to a connection that the upstream is closing.
      */
-    private static final double IDLE_TIMEOUT_PART = 0.6;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
-    /** Interval between two checks for connections that have been idle too long. */
+    /** Interval between checks for expired idle connections. */
     private static final long IDLE_CHECK_INTERVAL_MS = 250;
 
     private final EventLoop loop;
@@ -51,8 +51,8 @@
     /**
      * Creates an empty pool.
      *
-     * @param upstreamIdleTimeoutUs after which upstreams close idle connections
-     * @param maxConnections open or coming up at the same time
+     * @param upstreamIdleTimeoutUs time after which upstreams close idle connections
+     * @param maxConnections maximum number of connections open or being established
      */
     UpstreamConnectionPool(
             EventLoop loop,
@@ -63,7 +63,7 @@
         this.loop = loop;
         this.transport = transport;
         this.maxConnections = maxConnections;
-        this.idleTimeoutNanos = (long) (upstreamIdleTimeoutUs * 1_000 * IDLE_TIMEOUT_PART);
+        this.idleTimeoutNanos = (long) (upstreamIdleTimeoutUs * 1_000 * IDLE_TIMEOUT_FRACTION);
         this.bootstrap =
                 transport
                         .client(loop)
@@ -88,7 +88,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Takes over an endpoint list, or changes of one. */
+    /** Applies an endpoint list, or changes to one. */
     void apply(EndpointList list) {
         if (list.isFull()) {
             List<String> ids = list.endpoints().stream().map(EndpointList.Endpoint::id).toList();
@@ -117,17 +117,17 @@
         }
     }
 
-    /** The number of upstreams on the list. */
+    /** Returns the number of upstreams in the endpoint list. */
     int upstreams() {
         return upstreams.size();
     }
 
-    /** The number of connections that are open or coming up. */
+    /** Returns the number of connections that are open or being established. */
     int connections() {
         return connections;
     }
 
-    /** The number of connections begun so far. */
+    /** Returns the number of connection attempts since the start. */
     long connects() {
         return connects;
     }
@@ -152,10 +152,10 @@
     }
 
     /**
-     * Starts an exchange; takes over the reference to the request. The listener is never called
-     * from within this call, so that the caller has the exchange in hand before its end.
+     * Starts an exchange; takes ownership of the request. The listener is never called from within
+     * this method, so that the caller has the returned exchange before it ends.
      *
-     * @param canBegin asked when the exchange has its connection, right before it is written
+     * @param canBegin whether the request may be written; called once the connection is established
      */
     Exchange start(
             String id,
@@ -179,7 +179,7 @@
         return exchange;
     }
 
-    /** Takes out an idle connection that can be used; null if there is none. */
+    /** Removes and returns a usable idle connection; null if there is none. */
     private UpstreamConnection pollIdle(Upstream upstream) {
         long nowNanos = System.nanoTime();
         Deque<UpstreamConnection> idle = upstream.idleConnections();
@@ -192,7 +192,7 @@
         return null;
     }
 
-    /** Returns whether there was one. */
+    /** Closes the longest idle connection of all upstreams; returns whether there was one. */
     private boolean closeOldestIdle() {
         UpstreamConnection oldest = null;
         Upstream upstreamOfOldest = null;
@@ -218,8 +218,8 @@
         ChannelFuture connecting = bootstrap.connect(transport.address(address));
         exchange.connecting(connecting.channel());
         connecting.channel().closeFuture().addListener(future -> connections--);
-        // Not before the next turn of the loop has read all that has come meanwhile: the client may
-        // have closed its connection.
+        // Deferred until the next loop iteration has read all pending input: the client may have
+        // disconnected.
         connecting.addListener(
                 future ->
                         loop.schedule(
@@ -233,8 +233,8 @@
             InetSocketAddress address,
             Exchange exchange,
             ChannelFuture connecting) {
-        // The list may have changed meanwhile: no new request goes to an upstream that drains or
-        // has moved.
+        // The list may have changed in the meantime: no new request is sent to an upstream that
+        // drains or has a new address.
         if (!connecting.isSuccess()
                 || exchange.hasEnded()
                 || !upstream.isReady()
--- a/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
@@ -29,12 +29,12 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 
 /**
- * The warm-up run: serves requests of its own, in memory, before the first client may connect. Code
- * that has never run is loaded and interpreted at many times the CPU of warm code; with part of a
- * core, a balancer that opened cold was seconds behind its clients, and the requests that timed out
- * meanwhile came back as more.
+ * The warm-up run: serves generated requests over in-memory channels before the balancer opens.
+ * Loading and interpreting code for the first time takes many times the CPU of compiled code. With
+ * a fraction of a core, a balancer without warm-up lagged seconds behind its clients, and retries
+ * of the timed-out requests added to the load.
  *
- * <p>All of it, a balancer with its upstreams and clients, runs on the caller's thread.
+ * <p>The balancer, its upstreams and its clients all run on the caller's thread.
  */
 final class Warmup {
     private static final System.Logger LOG = System.getLogger(Warmup.class.getName());
@@ -43,20 +43,20 @@
     private static final int CLIENTS = 16;
 
     /**
-     * Fewest requests. One on each connection is enough for every class of the common path to be
-     * loaded and linked, which is most of what a first request costs; the rest is compiled while it
-     * serves, for some milliseconds a request. Where many balancers share the traffic, that is
-     * cheaper than to be away longer.
+     * Minimum number of requests. One per connection is enough to load and link every class of the
+     * common path, which is most of the cost of a first request; the remaining compilation while
+     * serving takes some milliseconds per request. If many balancers share the traffic, that costs
+     * less than a longer start.
      */
     private static final int MIN_REQUESTS = CLIENTS;
 
-    /** Most requests. The few balancers of a small group have full load at once. */
+    /** Maximum number of requests. The balancers of a small group get full load at once. */
     private static final int MAX_REQUESTS = 100;
 
-    /** Requests of all balancers of a group together, as far as the bounds allow. */
+    /** Number of requests divided among the balancers of a group, within the bounds above. */
     private static final int GROUP_REQUESTS = 400;
 
-    /** Longest run; a balancer that restarts should open cold rather than late. */
+    /** Maximum duration; a restarting balancer should open without warm-up rather than late. */
     private static final long MAX_DURATION_MS = 6_000;
 
     /** Number of upstreams. */
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Runs until warm, or for the longest time allowed; a failure is logged, and the balancer
-     * starts cold. Returns how many requests were served.
+     * Runs until all requests are sent or the maximum duration has passed. Logs a failure, after
+     * which the balancer starts without warm-up. Returns the number of requests served.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -106,16 +106,15 @@
         } catch (InterruptedException e) {
             throw e;
         } catch (Exception e) {
-            // Nothing of the warm-up run is needed to serve.
-            LOG.log(System.Logger.Level.WARNING, "could not rehearse, so the start is cold", e);
+            // The balancer can serve without the warm-up run.
+            LOG.log(System.Logger.Level.WARNING, "warm-up run failed, starting without it", e);
             return 0;
         }
     }
 
     /**
-     * Closes the channels, whose local addresses are registered in this process. The loop itself is
-     * not shut down: that is announced by a thread of the library, which the process would start
-     * for this alone.
+     * Closes the channels, whose local addresses are registered process-wide. The loop itself is
+     * not shut down, since Netty would start an extra thread only to notify of the shutdown.
      */
     private void close() throws InterruptedException {
         List<ChannelFuture> closing = channels.stream().map(Channel::close).toList();
@@ -125,8 +124,8 @@
     }
 
     /**
-     * One turn of the loop, on the caller's thread: on a thread of its own the loop was seen to
-     * spin for good at a start, where only one thread runs at a time.
+     * Runs one loop iteration on the caller's thread. On a separate thread the loop was seen to
+     * spin forever at the start if only one thread can run at a time.
      */
     private void runLoopOnce() throws InterruptedException {
         if (loop.runNow() == 0) {
@@ -134,7 +133,7 @@
         }
     }
 
-    /** Waits for a channel to be bound or connected, and keeps it to be closed. */
+    /** Waits until a channel is bound or connected, and registers it for {@link #close}. */
     private void await(ChannelFuture future) throws Exception {
         channels.add(future.channel());
         while (!future.isDone()) {
@@ -208,7 +207,7 @@
                 config.listen(),
                 config.discovery(),
                 config.seed(),
-                config.sockets(),
+                config.maxFileDescriptors(),
                 config.memoryMb(),
                 new EndpointList(0, true, upstreams),
                 config.settings());
@@ -230,7 +229,7 @@
         return Unpooled.wrappedBuffer(new byte[BODY_BYTES]);
     }
 
-    /** An upstream that serves at once. */
+    /** An upstream that responds at once. */
     private final class UpstreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
