--- a/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/AttemptTimingTest.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What can change between the decision on an attempt and its first byte: the time, its client, its
- * upstream.
+ * Changes between the decision to send an attempt and its first byte: the remaining time, the
+ * client's connection and the upstream.
  */
 class AttemptTimingTest extends LoadBalancerFixture {
     private static final long STALL_MS = 700;
     private static final long PAST_MEMORY_SPAN_MS = 2_100;
 
     /**
-     * Stalls the loop while the connection of an attempt comes up, for longer than some limits
-     * allow.
+     * Stalls the loop while the connection of an attempt is being established, for longer than some
+     * limits.
      */
     private void stallWhileConnecting(Server upstream, Client client, String request)
             throws Exception {
@@ -31,8 +31,8 @@
     }
 
     /**
-     * The header once had the time left at the decision, and upstreams went on after the client had
-     * gone.
+     * Guards against a header with the time left at the decision, with which upstreams continued
+     * after the client's deadline.
      */
     @Test
     void attemptStatesTheTimeLeftWhenItBegins() throws Exception {
@@ -48,8 +48,8 @@
     }
 
     /**
-     * In time when it was decided, a retry once reached its upstream after that had forgotten the
-     * key.
+     * Guards against a retry that is decided in time but reaches its upstream after the upstream
+     * has forgotten the idempotency key.
      */
     @Test
     void retryWhoseConnectionComesUpTooLateIsNotSent() throws Exception {
@@ -66,7 +66,7 @@
         start(first);
         Client client = client().write(request("POST", "revise", "9000", "Idempotency-Key: k\r\n"));
         RawSockets.next(first.requests);
-        // From here on the second alone takes requests.
+        // From here on only the second upstream accepts requests.
         String firstId = "s-" + first.address();
         String secondId = "s-" + second.address();
         sendChanges(
@@ -82,7 +82,7 @@
         assertEquals(0, second.requests.size());
     }
 
-    /** The end of the client and the new connection are read in the same turn of the loop. */
+    /** The client's disconnect and the new connection are read in the same loop iteration. */
     @Test
     void attemptWhoseClientDisconnectedWhileConnectingIsNotSent() throws Exception {
         Server upstream = server(SERVE);
@@ -99,7 +99,7 @@
         assertEquals(0, upstream.requests.size());
     }
 
-    /** A connection to the process before a restart was once kept, and reset the next request. */
+    /** Guards against reusing a connection to the old process, which reset the next request. */
     @Test
     void connectionToTheProcessBeforeARestartIsNotKept() throws Exception {
         CountDownLatch restarted = new CountDownLatch(1);
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientConnectionLimitTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientConnectionLimitTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Client connections beyond the file descriptors, and connections that send no complete request.
+ * Client connections beyond the file descriptor limit, and connections without a complete request.
  */
 class ClientConnectionLimitTest extends LoadBalancerFixture {
     /**
-     * To reject every client that sends while there are too many would reject all of them when many
-     * connect at once.
+     * Only connections accepted beyond the limit are rejected. If all were rejected while there are
+     * too many, no client would be served when many connect at once.
      */
     @Test
     void clientsBeyondTheLimitAreRejectedAndTheOthersServed() throws Exception {
@@ -35,7 +35,7 @@
         assertEquals(200, clients.get(11).write(submit()).read().status());
     }
 
-    /** Clients that sent nothing once took every descriptor, and no upstream could be reached. */
+    /** Guards against idle clients that use all descriptors, so that no upstream is reachable. */
     @Test
     void clientsFarBeyondTheLimitWaitToBeAccepted() throws Exception {
         configFile.sockets(64 + 4); // room for 3 clients
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Such connections once kept their descriptors for good, until every other client was rejected.
+     * Guards against such connections holding their descriptors forever, until all other clients
+     * are rejected.
      */
     @ParameterizedTest
     @ValueSource(
@@ -82,8 +83,8 @@
     }
 
     /**
-     * To close a connection that looks idle can cross with the next request on it, so the response
-     * announces it.
+     * Closing a connection that looks idle can race with the next request on it, so the response
+     * announces the close.
      */
     @Test
     void connectionsBeyondThoseKeptCloseWithTheirResponseAndIdleOnesStay() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ClientSessionTest.java
@@ -15,15 +15,12 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/**
- * The end of a client's connection, pipelined requests and our own close, in the worst order of
- * each.
- */
+/** Client disconnects, pipelined requests and closes by the balancer, each in the worst order. */
 class ClientSessionTest extends LoadBalancerFixture {
     private static final String FOR_EVER = "600000";
     private static final int MANY = 600;
 
-    /** Longer than an attempt may begin after the end of its client. */
+    /** Longer than the time within which an attempt could begin after its client disconnected. */
     private static final long STALL_MS = 200;
 
     private static final int TURNS = 5;
@@ -34,8 +31,8 @@
     }
 
     /**
-     * Both are read in one turn of the loop; the request was once sent before the end behind it was
-     * seen.
+     * The request and the disconnect are read in one loop iteration. Guards against sending the
+     * request before the disconnect is noticed.
      */
     @Test
     void requestWhoseClientHasDisconnectedBehindItIsNotSent() throws Exception {
@@ -57,15 +54,15 @@
         assertEquals("id-2", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
     }
 
-    /** The number of attempts that have ended, without those that were never sent. */
+    /** Returns the number of ended attempts, excluding those that were never sent. */
     private long attempts() throws Exception {
         Map<String, Long> byOutcome = balancer.status().get().attempts();
         return byOutcome.values().stream().mapToLong(n -> n).sum() - byOutcome.get("moot");
     }
 
     /**
-     * A new list releases queued requests; the end of one's client is read in the same turn, behind
-     * the list.
+     * A new list releases queued requests. The disconnect of one client is read in the same loop
+     * iteration, after the list.
      */
     @Test
     void queuedRequestIsNotSentWhenItsClientDisconnectsInTheTurnOfTheList() throws Exception {
@@ -99,7 +96,7 @@
         assertEquals("id-1", RawSockets.next(upstream.requests).headers().get("x-correlation-id"));
     }
 
-    /** Behind eight pending requests the connection was once not read, and its end not seen. */
+    /** Guards against not reading a connection with eight queued requests, as its end is missed. */
     @Test
     void disconnectIsSeenBehindManyPipelinedRequests() throws Exception {
         Server upstream = server(HANG);
@@ -117,7 +114,8 @@
     }
 
     /**
-     * The time of a pipelined request once began when its turn came, after its client had given up.
+     * Guards against starting the time of a pipelined request only when it is processed, after its
+     * client has given up.
      */
     @Test
     void timeOfAPipelinedRequestCountsWhileItWaits() throws Exception {
@@ -131,8 +129,8 @@
     }
 
     /**
-     * The first response of a graceful shutdown once closed the connection over the requests behind
-     * it.
+     * Guards against closing the connection after the first response of a graceful shutdown, while
+     * further pipelined requests are queued.
      */
     @Test
     void gracefulShutdownAnswersPipelinedRequestsBeforeItClosesTheirConnection() throws Exception {
@@ -160,8 +158,8 @@
     }
 
     /**
-     * A connection that is closed with bytes unread is reset, and its client once lost the rest of
-     * a response.
+     * Closing a connection with unread bytes resets it, so that the client loses the rest of a
+     * response.
      */
     @Test
     void responseIsCompleteThoughItsConnectionClosesOverUnreadBytes() throws Exception {
@@ -194,8 +192,8 @@
     }
 
     /**
-     * A request that is read after our end of the connection is neither sent nor answered; its
-     * client retries it.
+     * A request read after the balancer has shut down its output is neither forwarded nor answered;
+     * its client retries it.
      */
     @Test
     void requestThatCrossesWithOurCloseIsNotForwarded() throws Exception {
@@ -216,14 +214,14 @@
         while (balancer.status().get().openRequests() > 0) {
             Thread.onSpinWait();
         }
-        // The session is idle a task after its answer, and a socket is closed a turn after its
-        // channel.
+        // The session becomes idle one task after its response, and a socket is closed one loop
+        // iteration after its channel.
         for (int i = 0; i < TURNS; i++) {
             eventLoops.next().submit(() -> {}).get();
         }
     }
 
-    /** The balancer once buffered every response for a client that read none. */
+    /** Guards against buffering all responses for a client that does not read them. */
     @Test
     void clientThatReadsNoResponsesGetsNoMoreOfThemUntilItDoes() throws Exception {
         String large = "x".repeat(60_000);
@@ -240,7 +238,7 @@
                             try {
                                 lazy.write(many.toString());
                             } catch (java.io.IOException e) {
-                                // the test sees what is missing
+                                // the test detects missing responses
                             }
                         });
         writer.start();
--- a/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ConfigCompatibilityTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Pins what the platform's configuration file means, key by key, with the list of upstreams in it,
- * and how lines of discovery are joined. The platform writes these files and is not changed with
- * us. Values are compared without our names for them.
+ * Verifies the meaning of each key in the platform's configuration file, including its list of
+ * upstreams, and how lines from discovery are joined. The platform writes these files and does not
+ * change together with the balancer. Values are compared without the names of fields.
  */
 class ConfigCompatibilityTest {
     private static final JsonMapper JSON = JsonMapper.builder().build();
@@ -51,7 +51,8 @@
     }
 
     /**
-     * What differs of two texts, value by value with its place; the whole if one has more values.
+     * Returns the differences of two texts, value by value with the index; all of the text if the
+     * numbers of values differ.
      */
     private static String difference(String before, String after) {
         String[] old = before.split(" ");
@@ -82,7 +83,7 @@
                 "node/config-values.txt", read(Golden.read("node/config.json")) + "\n");
     }
 
-    /** Each key by itself: what its absence changes, and a wrong or different value. */
+    /** The effect of each single key: if it is missing, invalid or has a different value. */
     @Test
     void eachKeyByItselfMeansWhatItMeant() throws Exception {
         String text = Golden.read("node/config.json");
@@ -110,7 +111,7 @@
         Golden.assertMatches("node/config-keys.txt", lines.toString());
     }
 
-    /** Each text that a setting chooses by, with the place of what it chooses. */
+    /** Each text value of a setting, with the index of the value that it selects. */
     @Test
     void everyChoiceIsRead() throws Exception {
         StringBuilder lines = new StringBuilder();
@@ -141,7 +142,8 @@
     }
 
     /**
-     * Upstreams of the list as the decisions know them, with zones and kinds that no setting names.
+     * Upstreams of the list as passed to the decision module, with zones and kinds that are not in
+     * the settings.
      */
     @Test
     void theListIsHandedOnAsItWas() throws Exception {
@@ -149,7 +151,7 @@
                 Files.writeString(folder.resolve("config.json"), Golden.read("node/config.json"));
         BalancerConfig config = BalancerConfig.read(file);
         StringBuilder lines = new StringBuilder();
-        for (EndpointList.Endpoint entry : config.known().endpoints()) {
+        for (EndpointList.Endpoint entry : config.initialEndpoints().endpoints()) {
             lines.append(Golden.values(entry.toModule(config.settings()))).append('\n');
         }
         Golden.assertMatches("node/list-values.txt", lines.toString());
--- a/src/test/java/myrtleladder/loadbalancer/server/ConfigFileBuilder.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ConfigFileBuilder.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * Builds the configuration file of a balancer under test. Numbers are given as the file has them,
- * times in seconds.
+ * Builds the configuration file of a balancer under test. Numbers are in the units of the file;
+ * times are in seconds.
  */
 final class ConfigFileBuilder {
     private int sockets = 1024;
@@ -29,7 +29,7 @@
         return this;
     }
 
-    /** How load reports come: {@code silent}, {@code pull} or {@code piggyback}. */
+    /** Source of load reports: {@code silent}, {@code pull} or {@code piggyback}. */
     ConfigFileBuilder reportSource(String source) {
         reportSource = source;
         return this;
@@ -41,7 +41,7 @@
         return this;
     }
 
-    /** How long upstreams remember idempotency keys. */
+    /** Time for which upstreams remember idempotency keys. */
     ConfigFileBuilder memorySpanS(String seconds) {
         memorySpanS = seconds;
         return this;
@@ -59,9 +59,7 @@
         return this;
     }
 
-    /**
-     * Writes the file, with an endpoint list known before the start, and the address of discovery.
-     */
+    /** Writes the file, with an initial endpoint list and the address of discovery. */
     Path write(Path file, String known, String discovery) throws IOException {
         return Files.writeString(
                 file,
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryClientTest.java
@@ -61,7 +61,7 @@
             assertEquals(200, client().write(submit()).read().status());
         }
         assertEquals(before, old.requests.size());
-        // a full list without it: gone; and the id that stays has moved
+        // a full list without the id removes it; the remaining id has a new address
         Server moved = server(SERVE);
         RawSockets.sendChunk(
                 discovery.accepted.get(0),
@@ -72,7 +72,7 @@
         assertEquals(before, other.requests.size());
     }
 
-    /** A list may be indented; a heartbeat or a new object ends one that was not closed. */
+    /** A list may be indented; a heartbeat or a new object discards an unclosed one. */
     @Test
     void indentedListsAreRead() throws Exception {
         Server one = server(SERVE);
@@ -110,8 +110,8 @@
     }
 
     /**
-     * A watch without a line may be partitioned, and its changes would be missed past the drain
-     * grace.
+     * A watch without lines may be partitioned, and its changes would be missed for longer than the
+     * drain grace period.
      */
     @Test
     void timedOutWatchAndEndedWatchAreReopenedFromTheVersionKnown() throws Exception {
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Connections to the process before the restart are dead, even where their end was not seen.
+     * Connections to the process before the restart are dead, even if their close was not detected.
      */
     @Test
     void restartedUpstreamGetsNewConnections() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/DiscoveryRepairTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of changes in a malformed line, and of calls that cross with others. */
+/** Recovery of changes in a malformed line, and concurrent calls to discovery. */
 class DiscoveryRepairTest extends LoadBalancerFixture {
     private static final long ASK_AGAIN_MS = 2_000;
 
@@ -19,7 +19,8 @@
     }
 
     /**
-     * The changes in a malformed line were once missed until the next full list, maybe for good.
+     * Guards against missing the changes in a malformed line until the next full list, possibly
+     * forever.
      */
     @Test
     void malformedListIsFollowedByAFetchOfTheFullListAndTheWatchGoesOn() throws Exception {
@@ -56,7 +57,7 @@
         awaitRequestAt(later);
     }
 
-    /** A full list from before the watch's last change would undo that change. */
+    /** A full list older than the watch's last change would revert that change. */
     @Test
     void fullListOlderThanTheWatchIsIgnored() throws Exception {
         Server old = server(SERVE);
@@ -105,8 +106,8 @@
     }
 
     /**
-     * The call that a new address had superseded was once reported as failed, which ended the new
-     * one too.
+     * Guards against reporting a superseded call as failed after a change of the address, which
+     * ended the new call too.
      */
     @Test
     void callSupersededByANewAddressIsNotReportedAsFailed() throws Exception {
@@ -128,8 +129,8 @@
         RawSockets.next(before.requests);
         balancer.reload(config(listJson(41, true), after));
         awaitRequestAt(upstream);
-        // The first pause after a failed call is shorter than that; nothing else shows that there
-        // is none.
+        // Longer than the first backoff delay after a failed call; there is no event that shows the
+        // absence of a retry.
         assertNull(after.ended.poll(ASK_AGAIN_MS, TimeUnit.MILLISECONDS), "the new watch ended");
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
--- a/src/test/java/myrtleladder/loadbalancer/server/EndpointDirectoryTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/EndpointDirectoryTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** What maintenance changes in the endpoints that discovery lists. */
+/** Overrides of listed endpoints by maintenance. */
 class EndpointDirectoryTest {
     private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
--- a/src/test/java/myrtleladder/loadbalancer/server/EventLoopLagTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/EventLoopLagTest.java
@@ -8,7 +8,7 @@
 import java.util.Queue;
 import org.junit.jupiter.api.Test;
 
-/** What waits unread while the loop is late, whichever of reads and timers comes first. */
+/** Lag of the event loop, with reads before timers and timers before reads. */
 class EventLoopLagTest {
     private static final long STALL_US = 600_000;
 
--- a/src/test/java/myrtleladder/loadbalancer/server/GracefulShutdownTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/GracefulShutdownTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What becomes of requests and connections when a balancer is shut down gracefully. */
+/** Requests and connections during a graceful shutdown. */
 class GracefulShutdownTest extends LoadBalancerFixture {
     @Test
     void allRequestsReceivedAreAnsweredAndNewOnesAcceptedForAWhile() throws Exception {
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Each response once closed its connection, and with one balancer clients had nowhere else to
-     * go.
+     * Guards against closing connections with each response while the only balancer still accepts:
+     * its clients have no other balancer.
      */
     @Test
     void keptConnectionsAreServedAsLongAsItAccepts() throws Exception {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * A shutdown leaves less time than some deadlines do; what is unanswered when the process ends
-     * is lost.
+     * The shutdown period is shorter than some deadlines; requests unanswered at the end of the
+     * process are lost.
      */
     @Test
     void requestsStillOpenAtTheEndFail() throws Exception {
@@ -80,8 +80,8 @@
     }
 
     /**
-     * With a late loop, requests that came after the last responses would have none when the
-     * process ends.
+     * If the event loop lags, requests that arrive after the last responses would be unanswered
+     * when the process ends.
      */
     @Test
     void requestsAfterTheLastResponsesAreRejectedAtOnce() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerCapacityTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** What the data path and endpoint lists cost one balancer, at four sizes each. */
+/** Cost of the data path and of endpoint lists for one balancer, at four sizes each. */
 @Tag("long")
 class LoadBalancerCapacityTest extends LoadBalancerFixture {
     private static final int[] ENTRIES = {100, 400, 1_600, 6_300};
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadBalancerFixture.java
@@ -22,10 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Runs a balancer in this process, between upstreams and clients on real sockets that follow a
- * script of the test.
- */
+/** Runs a balancer in this process with scripted upstreams and clients on real sockets. */
 abstract class LoadBalancerFixture {
     static final Script SERVE = (m, s) -> RawSockets.respond(s, "200 OK", "", "done");
     static final Script HANG = (m, s) -> {};
@@ -39,7 +36,8 @@
     LoadBalancerServer balancer;
 
     /**
-     * Discovery of a balancer that was started with upstreams alone; it never responds by itself.
+     * Discovery service of a balancer started with upstreams only; sends nothing unless the test
+     * does.
      */
     Server discovery;
 
@@ -126,7 +124,7 @@
         RawSockets.next(discovery.requests);
     }
 
-    /** A request with an id of its own; further header lines end with CR LF. */
+    /** A request with a unique id; additional header lines end with CR LF. */
     String request(String method, String className, String timeLeftMs, String moreHeaders) {
         return method
                 + " /"
@@ -145,12 +143,12 @@
                 + (method.equals("GET") ? "" : "bid");
     }
 
-    /** A request that may run once at most. */
+    /** A request that must run at most once. */
     String submit() {
         return request("POST", "submit", "9000", "");
     }
 
-    /** A stall of the event loop; what comes meanwhile stays in the sockets until it is resumed. */
+    /** A stall of the event loop; input stays in the sockets until the loop is resumed. */
     static final class LoopStall {
         private final CountDownLatch hasStalled = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
@@ -177,7 +175,7 @@
         }
     }
 
-    /** Lets time pass while the loop is stalled; there is no event to wait for. */
+    /** Lets time pass while the loop is stalled, since there is no event to wait for. */
     static void spin(long millis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < end) {
@@ -203,7 +201,8 @@
     }
 
     /**
-     * Stalls the loop right after the decision to send to an upstream, before the connection is up.
+     * Stalls the loop right after the decision to send to an upstream, before the connection is
+     * established.
      */
     LoopStall stallAfterPickOf(Server upstream) throws Exception {
         LoopStall loopStall = new LoopStall();
@@ -237,7 +236,7 @@
     }
 
     /**
-     * Begins a graceful shutdown and stalls the loop right before its first step, with no read in
+     * Begins a graceful shutdown and stalls the loop right before its first step, without a read in
      * between.
      */
     LoopStall stallBeforeDrain() throws Exception {
@@ -251,7 +250,7 @@
         return loopStall;
     }
 
-    /** Has discovery send changes on the watch, and waits until they are in force. */
+    /** Sends changes from discovery on the watch, and waits until they are applied. */
     void sendChanges(String... entries) throws Exception {
         String marker = "told-" + requestsSent++;
         List<String> all = new ArrayList<>(List.of(entries));
@@ -272,7 +271,7 @@
         }
     }
 
-    /** Sends requests until an upstream has received one, that is, until it is on the list. */
+    /** Sends requests until an upstream has received one, which shows that it is listed. */
     void awaitRequestAt(Server upstream) throws Exception {
         Client client = client();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RawSockets.TIMEOUT_S);
--- a/src/test/java/myrtleladder/loadbalancer/server/LoadProbeTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/LoadProbeTest.java
@@ -12,8 +12,8 @@
 /** Load reports that upstreams send in response to probes. */
 class LoadProbeTest extends LoadBalancerFixture {
     /**
-     * The values have the names of the settings; under other names they were once ignored,
-     * unnoticed.
+     * The values have the names used in the settings. Guards against silently ignoring them under
+     * other names.
      */
     @Test
     void reportedLoadChangesThePicks() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/MalformedRequestTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/MalformedRequestTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests that are rejected for what is in them. */
+/** Requests that are rejected because of their content. */
 class MalformedRequestTest extends LoadBalancerFixture {
     @ParameterizedTest
     @CsvSource({
@@ -36,8 +36,8 @@
     }
 
     /**
-     * After a malformed header the decoder skips all that follows, so the connection is of no more
-     * use.
+     * After a malformed header the decoder skips all further input, so the connection can't be
+     * reused.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The balancer as a process of its own: what signals do to it. */
+/** Signal handling and startup of the balancer as a separate process. */
 class ProcessTest {
     private static final int SIGTERM_EXIT = 128 + 15;
 
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Starts a process, and kills it when every timeout of a test is over: no test waits for a log
-     * for ever.
+     * Starts a process, and kills it after the longest test timeout, so that no test waits for a
+     * log line forever.
      */
     private static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
@@ -76,8 +76,8 @@
     }
 
     /**
-     * The machine once accepted connections all through the warm-up run, and their requests were
-     * lost by thousands when a group restarted together.
+     * Guards against accepting connections during the warm-up run: when a group restarted together,
+     * thousands of requests were lost.
      */
     @Test
     void noClientCanConnectBeforeTheWarmupHasEnded() throws Exception {
@@ -107,8 +107,8 @@
 
     private static boolean connects(InetSocketAddress to) throws IOException {
         try (Socket socket = new Socket()) {
-            // From another address: from the same one a socket can meet itself on a port that is
-            // free.
+            // From another address: with the same one, a socket can connect to itself on a free
+            // port.
             socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.2"), 0));
             socket.connect(to);
             return true;
@@ -117,7 +117,7 @@
         }
     }
 
-    /** The signal once ended the process, and all requests in it were lost. */
+    /** Guards against a signal that ends the process, by which all open requests are lost. */
     @Test
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
         try (Server before = new Server((m, s) -> RawSockets.startChunkedResponse(s));
--- a/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RawSockets.java
@@ -21,11 +21,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plain sockets for the tests: messages are written and read byte by byte, with no HTTP library
- * between.
+ * Plain sockets for the tests: messages are written and read byte by byte, without an HTTP library.
  */
 final class RawSockets {
-    /** Longer than anything that a test waits for; only a failing test gets there. */
+    /** Timeout that only a failing test reaches. */
     static final int TIMEOUT_S = 20;
 
     private RawSockets() {}
@@ -37,7 +36,7 @@
         }
     }
 
-    /** Waits for the next of a queue. */
+    /** Waits for the next element of a queue. */
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T item = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (item == null) {
@@ -100,18 +99,16 @@
         }
     }
 
-    /** What a test server does with a request that it has read. */
+    /** Handles a request that a test server has read. */
     interface Script {
         /**
-         * Answers, or does something worse; the connection goes on to be read afterwards unless
+         * Responds or simulates a fault. The connection is read further afterwards unless it is
          * closed.
          */
         void on(Message request, Socket socket) throws Exception;
     }
 
-    /**
-     * A server on a port of its own that follows a script; it counts connections and sees them end.
-     */
+    /** A scripted server on its own port; counts connections and detects their ends. */
     static final class Server implements AutoCloseable {
         final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
         final BlockingQueue<Integer> ended = new LinkedBlockingQueue<>();
@@ -181,7 +178,7 @@
         respond(socket, status, headers, body, body.length());
     }
 
-    /** Writes an answer that claims to have a body of {@code length}. */
+    /** Writes a response whose declared body length is {@code length}. */
     static void respond(Socket socket, String status, String headers, String body, int length)
             throws IOException {
         OutputStream out = socket.getOutputStream();
@@ -189,13 +186,13 @@
         out.write((head + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Breaks the connection the hard way. */
+    /** Closes the connection with a TCP reset. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** Begins a chunked answer, as a watch has. */
+    /** Begins a chunked response, as used for a watch. */
     static void startChunkedResponse(Socket socket) throws IOException {
         socket.getOutputStream()
                 .write(
--- a/src/test/java/myrtleladder/loadbalancer/server/RequestDeadlineTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RequestDeadlineTest.java
@@ -19,7 +19,7 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** Each request is answered by its deadline, unless its client has left. */
+/** Each request is answered by its deadline, unless its client has disconnected. */
 class RequestDeadlineTest extends LoadBalancerFixture {
     private static final long STALL_MS = 600;
 
@@ -35,7 +35,8 @@
     }
 
     /**
-     * The loop is stalled, as by a long garbage collection; what came meanwhile has less time left.
+     * The loop is stalled, as by a long garbage collection. Requests that arrive during the stall
+     * have less time left.
      */
     @Test
     void timeThatARequestWaitedUnreadCountsAgainstItsDeadline() throws Exception {
@@ -47,7 +48,7 @@
         assertStallCountsAgainstTheDeadline(upstream, client, eventLoops.next()::execute);
     }
 
-    /** The same with timers in the queue behind the stall, which fire before the next reads. */
+    /** The same with timers queued after the stall, which fire before the next reads. */
     @Test
     void timeThatARequestWaitedUnreadCountsAlsoIfALateTimerFiresBeforeItIsRead() throws Exception {
         Server upstream = server(SERVE);
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Queues a task during the reads of a turn that take so long that timers fall due: the turn
-     * then runs the task, and after it these timers.
+     * Queues a task during reads that take so long that timers become due. The same loop iteration
+     * then runs the task, followed by these timers.
      */
     private void executeBeforeDueTimers(Runnable task) {
         EventLoop loop = eventLoops.next();
--- a/src/test/java/myrtleladder/loadbalancer/server/RequestForwardingTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RequestForwardingTest.java
@@ -9,7 +9,7 @@
 import myrtleladder.loadbalancer.server.RawSockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** What passes between a client and an upstream, and on which connections. */
+/** Forwarding of requests and responses, and reuse of connections. */
 class RequestForwardingTest extends LoadBalancerFixture {
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
@@ -74,8 +74,8 @@
     }
 
     /**
-     * A request written to a connection that the upstream is closing ends as a reset, and may have
-     * run.
+     * A request written to a connection that the upstream is closing ends with a reset, and may
+     * have run.
      */
     @Test
     void idleConnectionIsClosedBeforeTheUpstreamWouldCloseIt() throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/RetrySafetyTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * After which ends of an attempt a request is retried, and which responses are forwarded: one that
+ * Which outcomes of an attempt lead to a retry, and which responses are forwarded. A request that
  * may have run is never sent again unless that is safe.
  */
 class RetrySafetyTest extends LoadBalancerFixture {
     /**
-     * Once its last byte is written an unsafe request may have run, whatever becomes of the
-     * connection.
+     * Once its last byte is written, an unsafe request may have run, regardless of how the
+     * connection ends.
      */
     @Test
     void unsafeRequestIsNotRetriedAfterAReset() throws Exception {
@@ -84,8 +84,8 @@
     }
 
     /**
-     * An interim response was once taken for the final one, which the next request on the
-     * connection got.
+     * Guards against treating an interim response as the final one; the final one then became the
+     * response to the next request.
      */
     @Test
     void interimResponseIsNotTakenForTheFinalOne() throws Exception {
@@ -106,7 +106,7 @@
         assertEquals(1, upstream.accepted.size());
     }
 
-    /** A truncated response is not the one that the upstream made. */
+    /** A truncated response must not be forwarded as if it were complete. */
     @ParameterizedTest
     @CsvSource({
         "Content-Length: 10, false",
@@ -134,7 +134,7 @@
         Client client = client().write(submit());
         RawSockets.next(upstream.requests);
         written.await();
-        // Another one's answer has come since, so what there is of this one has been read.
+        // A later request has been answered, so any response to this one would have been read.
         assertEquals(400, client().write("GET /look HTTP/1.1\r\n\r\n").read().status());
         read.countDown();
         assertFailed(client.read());
@@ -142,8 +142,8 @@
     }
 
     /**
-     * A response without a length is complete when its connection ends; it was once taken for
-     * truncated.
+     * A response without a length is complete when its connection is closed. Guards against
+     * treating it as truncated.
      */
     @Test
     void responseThatEndsWithItsConnectionIsForwarded() throws Exception {
@@ -164,7 +164,7 @@
     }
 
     /**
-     * Bytes behind a response were once taken for the response to the next request on the
+     * Guards against reading bytes after a response as the response to the next request on the
      * connection.
      */
     @Test
@@ -195,7 +195,7 @@
         assertEquals("id-1", client.write(submit()).read().body());
     }
 
-    /** A malformed response is none that an upstream made, and the request may have run. */
+    /** A malformed response must not be forwarded, and the request may have run. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/WarmupTest.java
@@ -13,8 +13,8 @@
 /** The warm-up run. */
 class WarmupTest extends LoadBalancerFixture {
     /**
-     * One of few balancers that opened cold was seconds behind its clients; one of many was away
-     * for seconds to warm up.
+     * In a small group, a balancer without warm-up lagged seconds behind its clients; in a large
+     * group, a long warm-up made a balancer unavailable for seconds.
      */
     @ParameterizedTest
     @CsvSource({"1, 90, 200", "100, 10, 50"})
@@ -30,9 +30,9 @@
     }
 
     /**
-     * On a thread of its own the loop of the warm-up run once spun for good where only one thread
-     * runs at a time. The inheritable value counts threads that the warm-up run creates, and none
-     * of another test's.
+     * On a separate thread the loop of the warm-up run spun forever if only one thread can run at a
+     * time. The inheritable value counts only threads created by the warm-up run, not those of
+     * other tests.
      */
     @Test
     void warmupStartsNoThread() throws Exception {
