--- a/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
@@ -47,8 +47,8 @@
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
     /**
-     * Generous, since a machine that runs all tests at once is slow. Durations are
-     * measured elsewhere.
+     * Generous, since a machine that runs all tests at once is slow. Durations are measured
+     * elsewhere.
      */
     private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
--- a/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
@@ -212,7 +212,7 @@
 
     private void awaitReadyForWork() throws Exception {
         processes.await(
-                "all processes may grant maintenance and no earlier work can be in progress",
+                "all processes are registered and no earlier work can be in progress",
                 PROCESS_NAMES,
                 "work",
                 l ->
