--- a/src/test/java/myrtleladder/loadbalancer/admin/ConsensusProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/ConsensusProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.NAMES;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -29,10 +29,10 @@
             new LinkFault(false, 150 * US_PER_MS, 50 * US_PER_MS, 0, 0);
 
     @TempDir Path folder;
-    private FleetProcesses processes;
+    private FleetProcesses all;
 
     /** Matches a view of exactly these members that has a majority. */
-    private static Predicate<JsonNode> hasMajorityView(List<String> names) {
+    private static Predicate<JsonNode> hasView(List<String> names) {
         return l -> {
             TreeSet<String> lives = new TreeSet<>();
             l.at("/view/lives").fieldNames().forEachRemaining(lives::add);
@@ -45,65 +45,60 @@
     }
 
     private static List<String> without(String name) {
-        List<String> others = new ArrayList<>(PROCESS_NAMES);
+        List<String> others = new ArrayList<>(NAMES);
         others.remove(name);
         return others;
     }
 
     private void awaitConsensus(String what, List<String> observers, Predicate<JsonNode> expected)
             throws Exception {
-        processes.await(what, observers, "agreement", expected);
+        all.await(what, observers, "agreement", expected);
     }
 
     private String awaitLeader() throws Exception {
         awaitConsensus(
                 "a leader is known", List.of("b0"), l -> !l.at("/leader/name").asText().isEmpty());
-        return processes.fetchStatus("b0", "agreement").at("/leader/name").asText();
+        return all.status("b0", "agreement").at("/leader/name").asText();
     }
 
     private long fetchViewNumber(String process) throws Exception {
-        return processes.fetchStatus(process, "agreement").at("/view/number").asLong();
+        return all.status(process, "agreement").at("/view/number").asLong();
     }
 
     private long fetchEpoch(String process) throws Exception {
-        return processes.fetchStatus(process, "agreement").at("/view/epoch").asLong();
+        return all.status(process, "agreement").at("/view/epoch").asLong();
     }
 
     @Test
     void processesAgreeOnOneViewAfterKillsPausesLinkCutsLossAndDelay() throws Exception {
-        processes = new FleetProcesses(folder, PROCESS_NAMES, COUNCIL_SETTING);
-        processes.run(
-                processes.layout(),
+        all = new FleetProcesses(folder, NAMES, COUNCIL_SETTING);
+        all.run(
+                all.layout(),
                 (fleet, proxy) -> {
-                    awaitConsensus("the first view", PROCESS_NAMES, hasMajorityView(PROCESS_NAMES));
+                    awaitConsensus("the first view", NAMES, hasView(NAMES));
                     long epoch = fetchEpoch("b0");
 
                     String killed = awaitLeader();
-                    long life =
-                            processes.fetchStatus(killed, "agreement").at("/self/life").asLong();
+                    long life = all.status(killed, "agreement").at("/self/life").asLong();
                     fleet.bring(new Fault.Kill(killed));
                     awaitConsensus(
                             "a view without the killed leader",
                             without(killed),
-                            hasMajorityView(without(killed)));
+                            hasView(without(killed)));
                     fleet.bring(new Fault.Restart(killed));
                     awaitConsensus(
                             "a view with the restarted leader",
-                            PROCESS_NAMES,
-                            hasMajorityView(PROCESS_NAMES)
-                                    .and(lifeMatches(killed, l -> l != life)));
+                            NAMES,
+                            hasView(NAMES).and(lifeMatches(killed, l -> l != life)));
 
                     String paused = without(awaitLeader()).get(0);
                     fleet.bring(new Fault.Pause(paused));
                     awaitConsensus(
                             "a view without the paused process",
                             without(paused),
-                            hasMajorityView(without(paused)));
+                            hasView(without(paused)));
                     fleet.bring(new Fault.Resume(paused));
-                    awaitConsensus(
-                            "a view with the resumed process",
-                            PROCESS_NAMES,
-                            hasMajorityView(PROCESS_NAMES));
+                    awaitConsensus("a view with the resumed process", NAMES, hasView(NAMES));
 
                     cutAndHealLinks(proxy, epoch);
                     restartWithLossAndSlowLinks(fleet, proxy);
@@ -122,15 +117,12 @@
                     }
                     awaitConsensus(
                             "a new epoch after the loss of the majority",
-                            PROCESS_NAMES,
-                            hasMajorityView(PROCESS_NAMES)
-                                    .and(l -> l.at("/view/epoch").asLong() > epoch));
+                            NAMES,
+                            hasView(NAMES).and(l -> l.at("/view/epoch").asLong() > epoch));
                     assertTrue(
-                            processes.printMembers("b0").contains("view"),
+                            all.printMembers("b0").contains("view"),
                             () -> "the command prints the view");
-                    assertEquals(
-                            PROCESS_NAMES.size(),
-                            processes.fetchMetric("b0", "yewyoke_agreement_members"));
+                    assertEquals(NAMES.size(), all.fetchMetric("b0", "yewyoke_agreement_members"));
                 });
     }
 
@@ -141,30 +133,24 @@
         awaitConsensus(
                 "a view without the leader whose messages are dropped",
                 without(notSending),
-                hasMajorityView(without(notSending)));
+                hasView(without(notSending)));
         proxy.bring(new Fault.HealAll());
-        awaitConsensus(
-                "all members after the link is restored",
-                PROCESS_NAMES,
-                hasMajorityView(PROCESS_NAMES));
+        awaitConsensus("all members after the link is restored", NAMES, hasView(NAMES));
         String notReceiving = awaitLeader();
         without(notReceiving)
                 .forEach(n -> proxy.bring(new Fault.Link(n, notReceiving, LinkFault.CUT)));
         awaitConsensus(
                 "a view without the leader that receives nothing",
                 without(notReceiving),
-                hasMajorityView(without(notReceiving)));
+                hasView(without(notReceiving)));
         proxy.bring(new Fault.HealAll());
-        awaitConsensus(
-                "all members after the leader receives again",
-                PROCESS_NAMES,
-                hasMajorityView(PROCESS_NAMES));
+        awaitConsensus("all members after the leader receives again", NAMES, hasView(NAMES));
 
         FleetProcesses.cutLinks(proxy, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
         awaitConsensus(
                 "the majority partition",
                 List.of("b2", "b3", "b4"),
-                hasMajorityView(List.of("b2", "b3", "b4")));
+                hasView(List.of("b2", "b3", "b4")));
         long number = fetchViewNumber("b0");
         awaitConsensus(
                 "the minority partition has no majority",
@@ -172,29 +158,23 @@
                 l -> !l.get("decides").asBoolean());
         FleetProcesses.cutLinks(proxy, List.of("b2", "b3"), List.of("b4"));
         awaitConsensus(
-                "no majority in three partitions",
-                PROCESS_NAMES,
-                l -> !l.get("decides").asBoolean());
+                "no majority in three partitions", NAMES, l -> !l.get("decides").asBoolean());
         assertEquals(number, fetchViewNumber("b0"), "the minority partition changed its view");
         proxy.bring(new Fault.HealAll());
-        awaitConsensus(
-                "all members after the partitions are healed",
-                PROCESS_NAMES,
-                hasMajorityView(PROCESS_NAMES));
+        awaitConsensus("all members after the partitions are healed", NAMES, hasView(NAMES));
         assertEquals(epoch, fetchEpoch("b0"), "a process started a new epoch");
     }
 
     private void restartWithLossAndSlowLinks(BalancerFleet fleet, FaultProxy proxy)
             throws Exception {
-        for (String from : PROCESS_NAMES) {
+        for (String from : NAMES) {
             without(from).forEach(to -> proxy.bring(new Fault.Link(from, to, LOSSY)));
         }
         String lossy = awaitLeader();
         fleet.bring(new Fault.Restart(lossy));
         awaitConsensus(
                 "a restart at 20% loss",
-                PROCESS_NAMES,
-                hasMajorityView(PROCESS_NAMES).and(lifeMatches(lossy, l -> l == fetchLife(lossy))));
+                NAMES, hasView(NAMES).and(lifeMatches(lossy, l -> l == fetchLife(lossy))));
         proxy.bring(new Fault.HealAll());
         without("b4")
                 .forEach(
@@ -205,14 +185,14 @@
         fleet.bring(new Fault.Restart("b1"));
         awaitConsensus(
                 "a restart with slow links to one member",
-                PROCESS_NAMES,
-                hasMajorityView(PROCESS_NAMES).and(lifeMatches("b1", l -> l == fetchLife("b1"))));
+                NAMES,
+                hasView(NAMES).and(lifeMatches("b1", l -> l == fetchLife("b1"))));
         proxy.bring(new Fault.HealAll());
     }
 
     private long fetchLife(String process) {
         try {
-            return processes.fetchStatus(process, "agreement").at("/self/life").asLong();
+            return all.status(process, "agreement").at("/self/life").asLong();
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.NAMES;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
@@ -57,7 +57,7 @@
         FleetProcesses processes =
                 new FleetProcesses(
                         directory,
-                        PROCESS_NAMES,
+                        NAMES,
                         "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n",
                         "-D"
                                 + FaultPointTrigger.PROPERTY
@@ -72,11 +72,11 @@
                 (fleet, proxy) -> {
                     processes.await(
                             "all members or the fault",
-                            PROCESS_NAMES,
+                            NAMES,
                             "members",
                             l ->
                                     Files.exists(failedProcessFile)
-                                            || l.path("members").size() == PROCESS_NAMES.size());
+                                            || l.path("members").size() == NAMES.size());
                     processes.await(
                             "the fault point is reached",
                             List.of("b0"),
@@ -95,17 +95,17 @@
                     }
                     processes.await(
                             point + " " + kind,
-                            PROCESS_NAMES,
+                            NAMES,
                             "agreement",
                             l ->
                                     l.path("decides").asBoolean()
-                                            && l.at("/view/lives").size() == PROCESS_NAMES.size()
+                                            && l.at("/view/lives").size() == NAMES.size()
                                             && l.at("/view/lives/" + l.at("/self/name").asText())
                                                             .asLong()
                                                     == l.at("/self/life").asLong());
-                    processes.awaitEqual(PROCESS_NAMES, "agreement", "/view");
+                    processes.awaitEqual(NAMES, "agreement", "/view");
                 });
-        assertTrue(PROCESS_NAMES.contains(awaitFailedProcessName(failedProcessFile)));
+        assertTrue(NAMES.contains(awaitFailedProcessName(failedProcessFile)));
     }
 
     private static String awaitFailedProcessName(Path failedProcessFile) throws Exception {
--- a/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FleetProcesses.java
@@ -41,7 +41,7 @@
  * them, and queries their admin servers.
  */
 final class FleetProcesses {
-    static final List<String> PROCESS_NAMES = List.of("b0", "b1", "b2", "b3", "b4");
+    static final List<String> NAMES = List.of("b0", "b1", "b2", "b3", "b4");
     private static final long US_PER_MS = 1_000;
     private static final long US_PER_SECOND = 1_000 * US_PER_MS;
     private static final ObjectMapper JSON = JsonMapper.builder().build();
@@ -109,7 +109,7 @@
     void run(BalancerFleet.Layout layout, Scenario requestBody) throws Exception {
         try (FaultProxy proxy = new FaultProxy(5, LinkFault.NONE)) {
             for (String name : udpAddresses.keySet()) {
-                configure(name, name.equals("twin") ? PROCESS_NAMES.get(0) : name, proxy);
+                configure(name, name.equals("twin") ? NAMES.get(0) : name, proxy);
             }
             try (BalancerFleet fleet = new BalancerFleet(layout)) {
                 requestBody.run(fleet, proxy);
@@ -204,7 +204,7 @@
                         1,
                         0);
         return new BalancerFleet.Layout(
-                PROCESS_NAMES.size(),
+                NAMES.size(),
                 upstreams,
                 profile,
                 rules,
@@ -222,7 +222,7 @@
      * Gets a status from a process; an empty object if the process is not reachable or does not
      * answer 200.
      */
-    JsonNode fetchStatus(String process, String path) throws Exception {
+    JsonNode status(String process, String path) throws Exception {
         JsonNode status;
         try {
             HttpResponse<String> response =
@@ -282,7 +282,7 @@
 
     /** Gets the membership status of a process. */
     JsonNode fetchMembers(String process) throws Exception {
-        return fetchStatus(process, "members");
+        return status(process, "members");
     }
 
     /** Waits until the membership status of each observer matches. */
@@ -295,7 +295,7 @@
             throws Exception {
         long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
         for (String observer : observers) {
-            while (!expected.test(fetchStatus(observer, path))) {
+            while (!expected.test(status(observer, path))) {
                 assertTrue(
                         System.nanoTime() < deadlineNanos,
                         () -> what + ": " + observer + " has status " + lastAnswers.get(observer));
@@ -312,7 +312,7 @@
                     System.nanoTime() < deadlineNanos, () -> jsonPointer + " differs: " + values);
             values.clear();
             for (String observer : observers) {
-                values.add(fetchStatus(observer, path).at(jsonPointer).toString());
+                values.add(status(observer, path).at(jsonPointer).toString());
             }
         } while (values.size() > 1);
     }
--- a/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.NAMES;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -39,7 +39,7 @@
     private static final LinkFault LOSSY = new LinkFault(false, 0, 0, 0.2, 0);
 
     @TempDir Path folder;
-    private FleetProcesses processes;
+    private FleetProcesses all;
 
     private static String plan(int machines, int atOnce, int seconds) {
         StringBuilder plan = new StringBuilder("name = \"patch\"\nat-once = " + atOnce + "\n");
@@ -69,7 +69,7 @@
         }
 
         boolean poll(String process) throws Exception {
-            JsonNode work = processes.fetchStatus(process, "work");
+            JsonNode work = all.status(process, "work");
             boolean isFinished = work.path("jobs").size() == MACHINES;
             int outOfService = 0;
             for (JsonNode job : work.path("jobs")) {
@@ -97,7 +97,7 @@
                 finishedMachines.add(machine);
             }
             String response =
-                    processes.post(
+                    all.post(
                             process,
                             "work/done",
                             "{\"machine\":\""
@@ -120,9 +120,9 @@
      * stop the consensus.
      */
     private boolean hasAllMembers(String process) throws Exception {
-        JsonNode status = processes.fetchStatus(process, "agreement");
+        JsonNode status = all.status(process, "agreement");
         return status.path("decides").asBoolean()
-                && status.at("/view/lives").size() == PROCESS_NAMES.size();
+                && status.at("/view/lives").size() == NAMES.size();
     }
 
     /**
@@ -138,7 +138,7 @@
             Fault returns)
             throws Exception {
         fleet.bring(fails);
-        while (processes.fetchStatus(observer, "agreement").at("/view/lives").has(failing)) {
+        while (all.status(observer, "agreement").at("/view/lives").has(failing)) {
             worker.poll(observer);
         }
         fleet.bring(returns);
@@ -149,9 +149,9 @@
 
     @Test
     void maintenanceCompletesUnderTrafficWithKillsPausesLinkCutsAndLoss() throws Exception {
-        processes = new FleetProcesses(folder, PROCESS_NAMES, FLEET_SETTINGS);
-        processes.run(
-                processes.layout(MACHINES, 250),
+        all = new FleetProcesses(folder, NAMES, FLEET_SETTINGS);
+        all.run(
+                all.layout(MACHINES, 250),
                 (fleet, proxy) -> {
                     awaitReadyForWork();
                     AtomicReference<BalancerFleet.Result> result = new AtomicReference<>();
@@ -166,16 +166,13 @@
                                             throw new IllegalStateException(e);
                                         }
                                     });
-                    assertTrue(
-                            processes.post("b3", "work", plan(MACHINES, 2, 3)).startsWith("202"));
+                    assertTrue(all.post("b3", "work", plan(MACHINES, 2, 3)).startsWith("202"));
                     Worker worker = new Worker(fleet);
                     while (worker.finishedMachines.size() < 1) {
                         worker.poll("b0");
                     }
-                    String leader =
-                            processes.fetchStatus("b0", "agreement").at("/leader/name").asText();
-                    List<String> others =
-                            PROCESS_NAMES.stream().filter(n -> !n.equals(leader)).toList();
+                    String leader = all.status("b0", "agreement").at("/leader/name").asText();
+                    List<String> others = NAMES.stream().filter(n -> !n.equals(leader)).toList();
                     String observer = others.get(0);
                     failAndRecover(
                             fleet,
@@ -194,12 +191,10 @@
                     isolateUntilRemoved(proxy, worker, others.get(2), observer);
                     addLossToAllLinks(proxy);
                     while (!worker.poll(observer)) {
-                        assertEquals(
-                                MACHINES,
-                                processes.fetchStatus(observer, "work").path("jobs").size());
+                        assertEquals(MACHINES, all.status(observer, "work").path("jobs").size());
                     }
                     proxy.bring(new Fault.HealAll());
-                    processes.awaitEqual(PROCESS_NAMES, "work", "/jobs");
+                    all.awaitEqual(NAMES, "work", "/jobs");
                     play.get();
                     assertEquals(
                             List.of(),
@@ -211,9 +206,9 @@
     }
 
     private void awaitReadyForWork() throws Exception {
-        processes.await(
+        all.await(
                 "all processes are registered and no earlier work can be in progress",
-                PROCESS_NAMES,
+                NAMES,
                 "work",
                 l ->
                         l.path("safe").asBoolean()
@@ -227,44 +222,42 @@
     private void isolateUntilRemoved(
             FaultProxy proxy, Worker worker, String isolated, String observer) throws Exception {
         FleetProcesses.cutLinks(
-                proxy,
-                List.of(isolated),
-                PROCESS_NAMES.stream().filter(n -> !n.equals(isolated)).toList());
-        processes.await(
+                proxy, List.of(isolated), NAMES.stream().filter(n -> !n.equals(isolated)).toList());
+        all.await(
                 "the isolated process has no majority",
                 List.of(isolated),
                 "agreement",
                 l -> !l.path("decides").asBoolean());
-        processes.await(
+        all.await(
                 "the isolated process has no permission to send",
                 List.of(isolated),
                 "work",
                 l -> !l.path("leave").asBoolean());
-        String refused = processes.post(isolated, "work", plan(1, 1, 3));
+        String refused = all.post(isolated, "work", plan(1, 1, 3));
         assertTrue(refused.startsWith("503") && refused.contains(NoMajority.CODE), refused);
-        while (processes.fetchStatus(observer, "agreement").at("/view/lives").has(isolated)) {
+        while (all.status(observer, "agreement").at("/view/lives").has(isolated)) {
             worker.poll(observer);
         }
         proxy.bring(new Fault.HealAll());
     }
 
     private static void addLossToAllLinks(FaultProxy proxy) {
-        PROCESS_NAMES.forEach(
+        NAMES.forEach(
                 a ->
-                        PROCESS_NAMES.stream()
+                        NAMES.stream()
                                 .filter(b -> !b.equals(a))
                                 .forEach(b -> proxy.bring(new Fault.Link(a, b, LOSSY))));
     }
 
     @Test
     void invalidRequestIsRejectedWithStatusAndCode() throws Exception {
-        processes = new FleetProcesses(folder, PROCESS_NAMES, FLEET_SETTINGS);
-        processes.run(
-                processes.layout(),
+        all = new FleetProcesses(folder, NAMES, FLEET_SETTINGS);
+        all.run(
+                all.layout(),
                 (fleet, proxy) -> {
-                    processes.await(
+                    all.await(
                             "the fleet is ready for maintenance",
-                            PROCESS_NAMES,
+                            NAMES,
                             "work",
                             l -> l.path("safe").asBoolean());
                     assertRejected(
@@ -290,8 +283,8 @@
                             "work/done",
                             "machine = \"u0\"\nepoch = 1\nindex = 1\n",
                             "u0");
-                    assertTrue(processes.post("b1", "work", plan(1, 1, 3)).startsWith("202"));
-                    processes.await(
+                    assertTrue(all.post("b1", "work", plan(1, 1, 3)).startsWith("202"));
+                    all.await(
                             "a permit",
                             List.of("b2"),
                             "work",
@@ -303,17 +296,15 @@
                             "machine = \"u0\"\nepoch = 1\nindex = 1\n",
                             "u0");
                     fleet.out("u0", true);
-                    String permit =
-                            processes.fetchStatus("b2", "work").at("/jobs/0/permit/epoch").asText();
-                    String index =
-                            processes.fetchStatus("b2", "work").at("/jobs/0/permit/index").asText();
+                    String permit = all.status("b2", "work").at("/jobs/0/permit/epoch").asText();
+                    String index = all.status("b2", "work").at("/jobs/0/permit/index").asText();
                     String done =
                             "machine = \"u0\"\nepoch = " + permit + "\nindex = " + index + "\n";
                     fleet.out("u0", false);
-                    assertTrue(processes.post("b2", "work/done", done).startsWith("202"));
-                    processes.await(
+                    assertTrue(all.post("b2", "work/done", done).startsWith("202"));
+                    all.await(
                             "all processes see the work as done",
-                            PROCESS_NAMES,
+                            NAMES,
                             "work",
                             l -> !l.at("/jobs/0/state").asText().equals("OUT"));
                     assertRejected("409", StalePermit.CODE, "work/done", done, "u0");
@@ -322,7 +313,7 @@
 
     private void assertRejected(String status, String code, String part, String body, String why)
             throws Exception {
-        String response = processes.post("b0", part, body);
+        String response = all.post("b0", part, body);
         assertTrue(response.startsWith(status + " " + code) && response.contains(why), response);
     }
 }
--- a/src/test/java/myrtleladder/loadbalancer/admin/MembershipProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MembershipProcessesTest.java
@@ -1,6 +1,6 @@
 package myrtleladder.loadbalancer.admin;
 
-import static myrtleladder.loadbalancer.admin.FleetProcesses.PROCESS_NAMES;
+import static myrtleladder.loadbalancer.admin.FleetProcesses.NAMES;
 import static myrtleladder.loadbalancer.admin.FleetProcesses.claim;
 import static myrtleladder.loadbalancer.admin.FleetProcesses.hasExactlyAlive;
 import static myrtleladder.loadbalancer.admin.FleetProcesses.hasMemberState;
@@ -31,7 +31,7 @@
                 (fleet, proxy) -> {
                     processes.await(
                             "all members are alive",
-                            PROCESS_NAMES,
+                            NAMES,
                             hasExactlyAlive("b0", "b1", "b2", "b3", "b4"));
                     killAndRestart(processes, fleet);
                     pauseAndResume(processes, fleet);
@@ -77,13 +77,13 @@
         fleet.bring(new Fault.Resume("b3"));
         processes.await(
                 "a resumed process is alive",
-                PROCESS_NAMES,
+                NAMES,
                 hasExactlyAlive("b0", "b1", "b2", "b3", "b4")
                         .and(l -> claim(l, "b3").get("incarnation").asLong() > incarnation));
     }
 
     private static void cutAndHeal(FleetProcesses processes, FaultProxy proxy) throws Exception {
-        PROCESS_NAMES.stream()
+        NAMES.stream()
                 .filter(n -> !n.equals("b2"))
                 .forEach(n -> proxy.bring(new Fault.Link("b2", n, LinkFault.CUT)));
         processes.await(
@@ -93,7 +93,7 @@
         proxy.bring(new Fault.HealAll());
         processes.await(
                 "alive after the link is restored",
-                PROCESS_NAMES,
+                NAMES,
                 hasExactlyAlive("b0", "b1", "b2", "b3", "b4"));
 
         FleetProcesses.cutLinks(proxy, List.of("b0", "b1"), List.of("b2", "b3", "b4"));
@@ -105,7 +105,7 @@
         proxy.bring(new Fault.HealAll());
         processes.await(
                 "all alive after the partitions are healed",
-                PROCESS_NAMES,
+                NAMES,
                 hasExactlyAlive("b0", "b1", "b2", "b3", "b4"));
     }
 
@@ -114,12 +114,12 @@
             duplicate.start();
             processes.await(
                     "a duplicate name is detected",
-                    PROCESS_NAMES,
+                    NAMES,
                     l -> claim(l, "b0").get("rival").asBoolean());
             duplicate.kill();
             processes.await(
                     "the duplicate is gone",
-                    PROCESS_NAMES,
+                    NAMES,
                     hasExactlyAlive("b0", "b1", "b2", "b3", "b4")
                             .and(l -> !claim(l, "b0").get("rival").asBoolean()));
         }
