--- a/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/BalancerRuntime.java
@@ -246,7 +246,8 @@
     }
 
     /**
-     * Does nothing: balancers have no connection to each other, and the settings disable the use.
+     * Does nothing: balancers have no connection to each other, which the module knows from its
+     * settings.
      */
     @Override
     public void sendToPeer(int peer, byte[] body) {}
