--- a/src/main/java/myrtleladder/error/OperatorError.java
+++ b/src/main/java/myrtleladder/error/OperatorError.java
@@ -112,7 +112,7 @@
         }
     }
 
-    /** A resource limit set by the platform is lower than this program needs. */
+    /** A resource limit set by the platform is lower than the minimum of this program. */
     public static final class LimitsTooSmall extends OperatorError {
         public static final String CODE = "Y105";
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /** A line of input violates the protocol. */
+    /** Input, such as a line, a request or a JSON object, violates its format. */
     public static final class InvalidInput extends OperatorError {
         public static final String CODE = "Y202";
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /** Binding a listening socket to a local address failed. */
+    /** Binding a listening socket to a local address failed, for whatever reason. */
     public static final class AddressTaken extends OperatorError {
         public static final String CODE = "Y301";
 
@@ -195,7 +195,7 @@
         }
     }
 
-    /** A process received a request for a component that it does not have enabled. */
+    /** A process was asked for a component that is not enabled in its configuration. */
     public static final class PartNotConfigured extends OperatorError {
         public static final String CODE = "Y303";
 
@@ -204,13 +204,16 @@
 
         private static final long serialVersionUID = 1L;
 
-        /** Creates the error for a component of the process at an address. */
+        /** Creates the error for a component of the process at this address. */
         public PartNotConfigured(String address, String component) {
             super(CODE, address + ": " + component + " is not switched on there", REMEDY, null);
         }
     }
 
-    /** A process is reachable but did not carry out the request. */
+    /**
+     * A process is reachable but did not carry out the request, for example because its event loop
+     * is busy.
+     */
     public static final class PeerOverloaded extends OperatorError {
         public static final String CODE = "Y304";
 
@@ -244,7 +247,7 @@
         }
     }
 
-    /** The build of the program that an experiment needs does not exist. */
+    /** A file of the program's build that an experiment needs is missing or unreadable. */
     public static final class MissingBuild extends OperatorError {
         public static final String CODE = "Y401";
 
@@ -252,7 +255,10 @@
 
         private static final long serialVersionUID = 1L;
 
-        /** Creates the error; {@code file} is the build file that was expected. */
+        /**
+         * Creates the error; {@code file} is the expected file, {@code reason} says what is wrong
+         * with it.
+         */
         public MissingBuild(Path file, String reason) {
             super(CODE, file + ": " + reason, REMEDY, null);
         }
@@ -267,13 +273,16 @@
 
         private static final long serialVersionUID = 1L;
 
-        /** Creates the error; {@code logs} is the path of the log of the exited process. */
+        /** Creates the error; {@code logs} is the folder with the log of the exited process. */
         public StartFailed(Path logs) {
             super(CODE, "a balancer has ended at its start; its log is in " + logs, REMEDY, null);
         }
     }
 
-    /** A submitted maintenance plan is invalid and was rejected. */
+    /**
+     * A maintenance plan, or another maintenance request of an operator or a worker, is invalid and
+     * was rejected.
+     */
     public static final class InvalidPlan extends OperatorError {
         public static final String CODE = "Y501";
 
@@ -282,13 +291,15 @@
 
         private static final long serialVersionUID = 1L;
 
-        /** Creates the error for the invalid field of the plan. */
+        /** Creates the error for the invalid field of the request. */
         public InvalidPlan(String field, String reason) {
             super(CODE, field + ": " + reason, REMEDY, null);
         }
     }
 
-    /** An operator or a worker named a machine that is not known. */
+    /**
+     * A request names a machine that discovery does not list or that has no maintenance scheduled.
+     */
     public static final class UnknownMachine extends OperatorError {
         public static final String CODE = "Y502";
 
@@ -303,7 +314,10 @@
         }
     }
 
-    /** A report refers to a permit that is no longer current. */
+    /**
+     * A worker reported finished maintenance, but the machine is not under maintenance by the
+     * reported permit.
+     */
     public static final class StalePermit extends OperatorError {
         public static final String CODE = "Y503";
 
@@ -318,7 +332,10 @@
         }
     }
 
-    /** The process that was asked to decide is not connected to a quorum of the council. */
+    /**
+     * The process that received a request has no majority: it is not connected to a quorum of the
+     * processes that decide together, which are called the council.
+     */
     public static final class NoMajority extends OperatorError {
         public static final String CODE = "Y504";
 
--- a/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/RunningBalancer.java
@@ -5,7 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * Access to a balancer that is about to serve, for components in the same process.
+ * Access to a balancer for other components in the same process. It is handed out when the balancer
+ * is complete, just before it opens.
  *
  * @param loop the event loop to which the balancer is confined; tasks on it must not block
  * @param status requests a snapshot of counters and gauges; may be called from any thread
--- a/src/main/java/myrtleladder/loadbalancer/server/Upstream.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Upstream.java
@@ -5,7 +5,8 @@
 import java.util.Deque;
 
 /**
- * The connection pool's state of one upstream: its address and its idle connections.
+ * The state that the connection pool keeps for one upstream: its address, the start time of its
+ * process, whether it is ready, and its idle connections.
  *
  * <p>Confined to the event loop.
  */
@@ -17,9 +18,15 @@
     /** Idle connections, the most recently used one first. */
     private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
-    /** Applies an entry of the endpoint list; closes idle connections that must not be reused. */
+    /**
+     * Applies an entry of the endpoint list. Closes the idle connections if the address or the
+     * start time has changed, or if the upstream is not ready.
+     *
+     * @param newStartedMs start of the upstream's process in Unix ms; 0 if long ago
+     */
     void update(InetSocketAddress newAddress, long newStartedMs, boolean isNowReady) {
-        // A request on a connection to a process that is gone ends with a reset, and may have run.
+        // A request on a connection to a process that is gone ends with a reset, after which it is
+        // not known whether it has run.
         boolean isReplaced = !newAddress.equals(address) || newStartedMs != startedMs;
         address = newAddress;
         startedMs = newStartedMs;
@@ -29,7 +36,10 @@
         }
     }
 
-    /** Handles the removal of the upstream from the endpoint list. */
+    /**
+     * Marks the upstream as not ready and closes its idle connections. Called when the upstream is
+     * no longer in the endpoint list.
+     */
     void remove() {
         isReady = false;
         closeIdleConnections();
@@ -39,7 +49,7 @@
         return address;
     }
 
-    /** Start of the upstream's process in Unix ms. */
+    /** Start of the upstream's process in Unix ms; 0 if long ago. */
     long startedMs() {
         return startedMs;
     }
--- a/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
+++ b/src/main/java/myrtleladder/loadbalancer/server/Warmup.java
@@ -30,9 +30,9 @@
 
 /**
  * The warm-up run: serves generated requests over in-memory channels before the balancer opens.
- * Loading and interpreting code for the first time takes many times the CPU of compiled code. With
- * a fraction of a core, a balancer without warm-up lagged seconds behind its clients, and retries
- * of the timed-out requests added to the load.
+ * Code that runs for the first time has to be loaded and interpreted, which takes many times the
+ * CPU time of compiled code. On a fraction of a core, a balancer without warm-up fell seconds
+ * behind the requests of its clients, and retries of the timed-out requests added to the load.
  *
  * <p>The balancer, its upstreams and its clients all run on the caller's thread.
  */
@@ -44,35 +44,50 @@
 
     /**
      * Minimum number of requests. One per connection is enough to load and link every class of the
-     * common path, which is most of the cost of a first request; the remaining compilation while
-     * serving takes some milliseconds per request. If many balancers share the traffic, that costs
-     * less than a longer start.
+     * common path, which is most of the cost of a first request. The compilation that remains takes
+     * some milliseconds per request while the balancer serves. If many balancers share the traffic,
+     * that costs less than a longer start.
      */
     private static final int MIN_REQUESTS = CLIENTS;
 
-    /** Maximum number of requests. The balancers of a small group get full load at once. */
+    /**
+     * Maximum number of requests; applies to small groups, whose balancers get their full load as
+     * soon as they open.
+     */
     private static final int MAX_REQUESTS = 100;
 
     /** Number of requests divided among the balancers of a group, within the bounds above. */
     private static final int GROUP_REQUESTS = 400;
 
-    /** Maximum duration; a restarting balancer should open without warm-up rather than late. */
+    /**
+     * Maximum time to wait for responses once the clients are connected. A restarting balancer
+     * should open with less warm-up rather than late.
+     */
     private static final long MAX_DURATION_MS = 6_000;
 
     /** Number of upstreams. */
     private static final int UPSTREAMS = 4;
 
-    /** Size of a body in bytes, and number of distinct affinity keys. */
+    /** Size of a body in bytes; also the number of affinity keys that requests cycle through. */
     private static final int BODY_BYTES = 1_000;
 
+    /** Remaining time that a request states in its header, in milliseconds. */
     private static final int TIME_LEFT_MS = 1_000;
 
     private final BalancerConfig config;
     private final ManualIoEventLoop loop;
     private final List<Channel> channels = new ArrayList<>();
+
+    /**
+     * Number of responses still to be received. The run ends at 0, when other clients may still
+     * wait for a response.
+     */
     private int requestsLeft;
+
     private int requestsSent;
     private int responsesSent;
+
+    /** Number of responses received with status 200. */
     private int requestsServed;
 
     private Warmup(BalancerConfig config, ManualIoEventLoop loop) {
@@ -84,8 +99,9 @@
     }
 
     /**
-     * Runs until all requests are sent or the maximum duration has passed. Logs a failure, after
-     * which the balancer starts without warm-up. Returns the number of requests served.
+     * Runs until the required number of responses has arrived or the maximum duration has passed.
+     * Returns the number of responses with status 200. Logs a failure and returns 0; the balancer
+     * then starts without warm-up.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -113,8 +129,9 @@
     }
 
     /**
-     * Closes the channels, whose local addresses are registered process-wide. The loop itself is
-     * not shut down, since Netty would start an extra thread only to notify of the shutdown.
+     * Closes the channels, since their in-memory addresses are registered for the whole process.
+     * The loop itself is not shut down: Netty would start an extra thread only to signal that the
+     * shutdown is complete.
      */
     private void close() throws InterruptedException {
         List<ChannelFuture> closing = channels.stream().map(Channel::close).toList();
@@ -124,8 +141,9 @@
     }
 
     /**
-     * Runs one loop iteration on the caller's thread. On a separate thread the loop was seen to
-     * spin forever at the start if only one thread can run at a time.
+     * Runs one loop iteration on the caller's thread; sleeps 1 ms if there was nothing to do. The
+     * loop has no thread of its own: with one, it was seen to spin forever at the start if only one
+     * thread could run at a time.
      */
     private void runLoopOnce() throws InterruptedException {
         if (loop.runNow() == 0) {
@@ -244,7 +262,7 @@
         }
     }
 
-    /** A client that sends one request after another. */
+    /** A client that sends each request after the response to its previous one. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
--- a/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/myrtleladder/loadbalancer/settings/SettingsReader.java
@@ -22,7 +22,7 @@
 
 /**
  * Parses the settings of an instance of the decision module from JSON. Unknown keys are ignored,
- * and a missing key gets its default. Thread-safe.
+ * and a key that is missing or has a value of the wrong type gets its default. Thread-safe.
  */
 public final class SettingsReader {
     /** Names of the load report values, in the field order of {@link LoadReport}. */
@@ -67,12 +67,17 @@
     private SettingsReader() {}
 
     /**
-     * The settings of the decision module, and the names that they define. The simulator's protocol
-     * identifies request classes, tenants, zones and machine kinds by their index in these lists,
-     * HTTP by name. Immutable.
+     * The settings of the decision module, and the names that occur in them. Request classes,
+     * tenants, zones and machine kinds are identified by their name in HTTP headers and service
+     * discovery, and by their index in these lists in the simulator's protocol and the decision
+     * module. Immutable.
      *
      * @param balancer settings of the decision module
      * @param reportNames names of the values in the simulator's load reports, in their order
+     * @param classes names of the request classes
+     * @param tenants names of the tenants
+     * @param zones names of the zones
+     * @param kinds names of the machine kinds
      */
     public record ParsedSettings(
             Settings balancer,
@@ -85,7 +90,7 @@
     /**
      * A JSON object, its fields grouped by type: numbers (booleans are stored as 0 and 1), strings,
      * objects, and lists of objects. A scalar in a list is stored as an object with a single field
-     * named {@code ""}.
+     * named {@code ""}; a list in a list is skipped.
      */
     private static final class JsonObject {
         final Map<String, Double> numbers = new HashMap<>();
@@ -138,7 +143,7 @@
     /**
      * Reads one settings object. The parser must be at its {@code START_OBJECT} token.
      *
-     * @throws InvalidInput if a string field has an unknown value
+     * @throws InvalidInput if a field that names an enum constant has an unknown value
      * @throws IOException if the input is not valid JSON
      */
     public static ParsedSettings read(JsonParser json) throws InvalidInput, IOException {
@@ -293,8 +298,9 @@
     }
 
     /**
-     * Creates a load report from values in the order of {@link #LOAD_REPORT_FIELDS}; a missing
-     * value is NaN. Converts the average duration from milliseconds to microseconds.
+     * Creates a load report from values in the order of {@link #LOAD_REPORT_FIELDS}, one for each
+     * field; a value that is not reported must be NaN. Converts the average service time from
+     * milliseconds to microseconds.
      */
     public static LoadReport toLoadReport(double[] values) {
         return new LoadReport(
--- a/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
+++ b/src/main/java/myrtleladder/loadbalancer/simulator/InstanceRegistry.java
@@ -9,8 +9,9 @@
 import myrtleladder.loadbalancer.policy.UtilisationLoadBalancer;
 
 /**
- * The instances of the decision module by number. Instances share no state. An exception thrown by
- * one is caught and reported as a decision of kind {@code bug}. Confined to the adapter's thread.
+ * The instances of the decision module, by instance number. Instances share no state. A {@link
+ * RuntimeException} thrown by an instance is caught and reported as a decision of kind {@code bug}.
+ * Confined to the adapter's thread.
  */
 final class InstanceRegistry {
     private final Map<Integer, LoadBalancer> instances = new HashMap<>();
@@ -20,7 +21,10 @@
         this.decisions = decisions;
     }
 
-    /** Creates and starts an instance, replacing any instance with the same number. */
+    /**
+     * Creates and starts an instance. Replaces an existing instance with the same number, unless
+     * the constructor of the new one throws an exception.
+     */
     void create(int instance, long nowUs, long seed, Settings settings) {
         runAndReportException(
                 instance,
--- a/src/main/java/myrtleladder/toml/TomlFile.java
+++ b/src/main/java/myrtleladder/toml/TomlFile.java
@@ -20,8 +20,9 @@
 import myrtleladder.error.OperatorError.UnreadableFile;
 
 /**
- * Deserialises TOML into records. Unknown keys are rejected: a mistyped key would otherwise be
- * ignored and its setting left at the default. Thread-safe.
+ * Deserialises TOML or JSON into records, and serialises records as TOML. Unknown keys are
+ * rejected: a mistyped key would otherwise be ignored and its setting left at the default.
+ * Thread-safe.
  */
 public final class TomlFile {
     private static final TomlMapper TOML =
@@ -45,11 +46,10 @@
     private TomlFile() {}
 
     /**
-     * Reads a file into a record.
+     * Reads a file into a record; {@link #parse} says how the format is detected.
      *
      * @throws UnreadableFile if the file is missing, can't be read or is not UTF-8
-     * @throws InvalidConfigurationFile if it is neither valid TOML nor JSON, or does not match the
-     *     record
+     * @throws InvalidConfigurationFile if the content is malformed or does not match the record
      */
     public static <T> T read(Path file, Class<T> type) throws OperatorError {
         String text;
@@ -118,8 +118,10 @@
     }
 
     /**
-     * Returns the line number of a key, counted from 1, or 0 if the key is not found. Searches the
-     * text because Jackson's TOML parser does not record positions.
+     * Returns the line number of the key at a path, counted from 1; 0 if it is not found, and 1 for
+     * an empty path. Searches the text because Jackson's TOML parser does not record positions: for
+     * each name in the path, the next line that assigns it or has it as a table header, and for an
+     * index, the repetition of the header of an array of tables. Does not recognise keys of JSON.
      */
     private static int lineOf(String text, List<JsonMappingException.Reference> path) {
         String[] lines = text.split("\\R");
--- a/src/test/java/myrtleladder/loadbalancer/server/EndpointDirectoryTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/EndpointDirectoryTest.java
@@ -10,7 +10,7 @@
 import myrtleladder.loadbalancer.policy.Upstream.State;
 import org.junit.jupiter.api.Test;
 
-/** Overrides of listed endpoints by maintenance. */
+/** Tests how maintenance overrides the state and the start time of endpoints from discovery. */
 class EndpointDirectoryTest {
     private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
--- a/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/server/ProcessTest.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Starts a process, and kills it after the longest test timeout, so that no test waits for a
-     * log line forever.
+     * Starts a process, and kills it after three times the timeout of a single wait, so that a test
+     * that waits for a log line ends.
      */
     private static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
@@ -77,7 +77,8 @@
 
     /**
      * Guards against accepting connections during the warm-up run: when a group restarted together,
-     * thousands of requests were lost.
+     * thousands of requests were lost. The group size in the configuration is large enough that the
+     * balancer listens only after the run.
      */
     @Test
     void noClientCanConnectBeforeTheWarmupHasEnded() throws Exception {
@@ -107,8 +108,8 @@
 
     private static boolean connects(InetSocketAddress to) throws IOException {
         try (Socket socket = new Socket()) {
-            // From another address: with the same one, a socket can connect to itself on a free
-            // port.
+            // Not the balancer's address: on that, the socket may get the free port as its own
+            // local port, and then connects to itself.
             socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.2"), 0));
             socket.connect(to);
             return true;
@@ -117,7 +118,11 @@
         }
     }
 
-    /** Guards against a signal that ends the process, by which all open requests are lost. */
+    /**
+     * Guards against SIGHUP ending the process, with which all open requests would be lost. The
+     * first SIGHUP finds an invalid configuration file, the second one a valid file with another
+     * address of discovery.
+     */
     @Test
     void hangUpSignalMovesTheWatchToTheNewAddressAndKeepsItUp() throws Exception {
         try (Server before = new Server((m, s) -> RawSockets.startChunkedResponse(s));
