--- a/src/main/java/myrtleladder/heartbeat/MonitorRing.java
+++ b/src/main/java/myrtleladder/heartbeat/MonitorRing.java
@@ -10,12 +10,13 @@
 
 /**
  * A ring of processes, ordered by a hash of their names, in which each process is monitored by its
- * successors. All processes that know the same members compute the same ring. Immutable.
+ * successors; the successor of the last is the first. All processes that know the same members
+ * compute the same ring. Immutable.
  */
 public final class MonitorRing {
     private final List<BalancerAddress> ordered;
 
-    /** Creates a ring of the given processes, in any order. */
+    /** Creates a ring of the given processes, whose order does not matter. */
     public MonitorRing(Collection<BalancerAddress> members) {
         ordered = new ArrayList<>(members);
         ordered.sort(
--- a/src/main/java/myrtleladder/loadbalancer/admin/AdminHttpHandler.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/AdminHttpHandler.java
@@ -13,8 +13,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Answers one request on a connection (HTTP/1.1, RFC 9112) and closes it. The superclass releases
- * the request.
+ * Answers one HTTP/1.1 request (RFC 9112) per connection and then closes the connection. Every
+ * method except POST is handled as GET. The superclass releases the request.
  */
 final class AdminHttpHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final AdminRequestRouter router;
@@ -47,7 +47,10 @@
         ctx.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes the connection without logging: a client may disconnect at any time. */
+    /**
+     * Closes the connection without logging, whatever the cause: a client may disconnect at any
+     * time.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         ctx.close();
--- a/src/main/java/myrtleladder/loadbalancer/admin/JsonLogFormatter.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/JsonLogFormatter.java
@@ -16,8 +16,8 @@
  * Formats each log record as one JSON object: time, level, process, subsystem, event, the event's
  * fields, and an exception's message and stack trace (docs/command.md).
  *
- * <p>It calls Log4j's layout from a JDK formatter. The program logs by the JDK's logging, so no
- * second logging system has to be started.
+ * <p>Calls Log4j's JSON template layout from a JDK formatter: this process logs through the JDK's
+ * logging, so Log4j's own logging does not have to be started.
  */
 final class JsonLogFormatter extends Formatter {
     private static final String TEMPLATE =
@@ -32,7 +32,9 @@
              "error": {"$resolver": "exception", "field": "message"},
              "stack": {"$resolver": "exception", "field": "stackTrace"}}""";
 
-    /** Characters after which a string is truncated; long enough for a stack trace. */
+    /**
+     * Length, in characters, to which a string is truncated; long enough for a usual stack trace.
+     */
     private static final int MAX_STRING_LENGTH = 16_384;
 
     private final JsonTemplateLayout layout;
--- a/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
+++ b/src/main/java/myrtleladder/loadbalancer/admin/ServeCommand.java
@@ -29,21 +29,33 @@
         description = "Runs one balancer until SIGTERM; NODE_CONFIG names the platform's file.",
         mixinStandardHelpOptions = true)
 final class ServeCommand implements Callable<Integer> {
-    /** Returned while the load balancer serves on its own threads; never used as an exit status. */
+    /**
+     * Returned by {@link #call} once the load balancer serves on its own threads; never used as an
+     * exit status.
+     */
     static final int SERVING = -1;
 
     private static final System.Logger LOG = System.getLogger(ServeCommand.class.getName());
 
-    /** Environment variable with the name of this process in logs and metrics. */
+    /**
+     * Environment variable with the name of this process in logs and metrics, and in the fleet
+     * unless the configuration names it there.
+     */
     private static final String NAME_VARIABLE = "NODE_NAME";
 
-    /** Environment variable with the path of the platform's configuration. */
+    /**
+     * Environment variable with the path of the platform's configuration file, which is separate
+     * from the operators' file of {@code --config}.
+     */
     private static final String CONFIGURATION_VARIABLE = "NODE_CONFIG";
 
     /** Capabilities of this process that it publishes to other members. */
     private static final List<String> CAPABILITIES = List.of("serve");
 
-    /** Longest request deadline that maintenance takes into account. */
+    /**
+     * Longest request deadline, in microseconds, that maintenance takes into account: it assumes
+     * that no attempt at an upstream is in flight for longer.
+     */
     private static final long LONGEST_ATTEMPT_US = 3_000_000;
 
     /** Limit of the wait for registration: the platform expects a load balancer to serve soon. */
@@ -119,7 +131,7 @@
     }
 
     /**
-     * The components that run beside the load balancer; those not configured are null.
+     * Settings of the components that run beside the load balancer; null for those not configured.
      *
      * @param name name of this process in metrics and errors
      */
@@ -189,8 +201,9 @@
         }
 
         /**
-         * Blocks until this process is registered with the fleet or the timeout has passed. Before
-         * registration it might send requests to a machine that is out for maintenance.
+         * Blocks until this process is registered with the fleet or the timeout has passed; after
+         * the timeout, startup continues without registration. Before registration this process
+         * might send requests to a machine that is out for maintenance.
          */
         private static void awaitRegistration(MaintenanceRuntime maintenance) {
             long deadlineNanos = System.nanoTime() + REGISTRATION_TIMEOUT_NANOS;
--- a/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
+++ b/src/test/java/myrtleladder/controlplane/ControlProcessesTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Process and disk faults of a control plane with real sockets and files. */
+/**
+ * Control plane processes with real sockets and files: suspension, kills, departures and lost
+ * disks.
+ */
 class ControlProcessesTest {
     private static final int UPSTREAM = 9;
     private static final List<String> SEEDS = List.of("n0", "n1", "n2");
--- a/src/test/java/myrtleladder/controlplane/StateStoreTest.java
+++ b/src/test/java/myrtleladder/controlplane/StateStoreTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Loading and saving of the state with torn, missing and damaged files. */
+/**
+ * Saving and loading of the state: intact files, truncated files, files with zeroed pages, an old
+ * file that reappears, and a failed write.
+ */
 class StateStoreTest {
     @TempDir Path folder;
 
--- a/src/test/java/myrtleladder/controlplane/TallyRequestTest.java
+++ b/src/test/java/myrtleladder/controlplane/TallyRequestTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tally additions and reads that applications send to a node. */
+/**
+ * Tally additions and reads that applications send to a node. The request field {@code owner} holds
+ * the amount to add.
+ */
 class TallyRequestTest {
     private final ControlPlaneFixture node = new ControlPlaneFixture();
 
--- a/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
+++ b/src/test/java/myrtleladder/controlplane/model/SimulatedBalancer.java
@@ -14,7 +14,11 @@
 import myrtleladder.protocol.PollResponse;
 import myrtleladder.protocol.UpstreamLoad;
 
-/** A balancer that polls the control plane and checks that no generation is older than its own. */
+/**
+ * A balancer that polls the control plane and checks the responses: the configuration, the drained
+ * zones and the ready upstreams against the history, and the loads of the other balancers against
+ * their maximum.
+ */
 final class SimulatedBalancer {
     private static final long TIMEOUT_MS = 750;
     private static final long RETRY_MS = 50;
@@ -24,7 +28,7 @@
     private final SimulatedCluster cluster;
     private final String name;
 
-    /** The address of the polled node; empty if the next poll may go to any node. */
+    /** The address of the polled node; empty if the next poll goes to a node chosen at random. */
     private String target = "";
 
     private long epoch;
@@ -79,7 +83,8 @@
     }
 
     /**
-     * Each balancer reports the same load, so that a sum that counts a report twice is detected.
+     * Each balancer reports the same load, so that {@link #checkLoads} knows the largest possible
+     * sum; a sum of all reports that counts one of them twice exceeds it.
      */
     private LoadReport loadReport() {
         LoadReport report = new LoadReport();
--- a/src/test/java/myrtleladder/controlplane/model/TallyHistory.java
+++ b/src/test/java/myrtleladder/controlplane/model/TallyHistory.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * Records the additions of clients and their outcomes, and checks that each total read is neither
- * below what was acknowledged nor above what may have been applied.
+ * Records the additions of clients and their outcomes, and checks that each total that is read is
+ * neither below a minimum of acknowledged additions, which the caller chooses, nor above the sum of
+ * those that may have been applied.
  */
 final class TallyHistory {
     private final HistoryChecker checker;
@@ -67,19 +68,26 @@
         }
     }
 
-    /** Excludes additions that a process acknowledged alone before it lost its disk. */
+    /**
+     * Excludes from {@link #acknowledged} the additions whose latest acknowledgement is by a
+     * process; called when only this process has them and it loses its disk. They may still be in a
+     * total.
+     */
     void excludeLostAdditions(String process) {
         for (Addition addition : additionById.values()) {
             addition.mustBeRetained &= !addition.acknowledgedBy.equals(process);
         }
     }
 
-    /** The sum that one process has acknowledged. */
+    /** The sum of the additions to a tally that one process has acknowledged, each counted once. */
     long acknowledgedBy(String process, String tally) {
         return acknowledgedByProcess.getOrDefault(process + tally, 0L);
     }
 
-    /** The sum that was acknowledged by any process and must not be lost. */
+    /**
+     * The sum of the additions to a tally that any process has acknowledged and that must not be
+     * lost.
+     */
     long acknowledged(String tally) {
         return sum(tally, true);
     }
@@ -96,7 +104,10 @@
         return sum;
     }
 
-    /** Checks a total that was read. */
+    /**
+     * Adds a violation if a total that was read is below the minimum or above the sum of all
+     * additions to the tally that may have been applied.
+     */
     void checkRead(String tally, long total, long minimum, String reader) {
         long maximum = sum(tally, false);
         if (total < minimum || total > maximum) {
--- a/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/FaultPointProcessesTest.java
@@ -19,7 +19,7 @@
 /**
  * Five processes, of which the first to reach a fault point crashes or hangs there. Which process
  * that is, and when, is not deterministic; tests in virtual time inject faults at the same points
- * at exact passes.
+ * and choose the exact pass.
  */
 @Timeout(180)
 class FaultPointProcessesTest {
--- a/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
+++ b/src/test/java/myrtleladder/loadbalancer/admin/MaintenanceProcessesTest.java
@@ -29,13 +29,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five processes take eight upstreams out for maintenance under traffic, with injected faults. */
+/**
+ * Maintenance of upstreams by a fleet of five processes: of eight upstreams under traffic and
+ * injected faults, and the rejection of invalid requests.
+ */
 @Timeout(240)
 class MaintenanceProcessesTest {
     private static final String FLEET_SETTINGS =
             "council = [\"b0\", \"b1\", \"b2\", \"b3\", \"b4\"]\n" + "longest-work-s = 3\n";
     private static final long US_PER_SECOND = 1_000_000;
     private static final int MACHINES = 8;
+
+    /** Loses a message with probability 0.2. */
     private static final LinkFault LOSSY = new LinkFault(false, 0, 0, 0.2, 0);
 
     @TempDir Path folder;
@@ -54,14 +59,19 @@
     }
 
     /**
-     * Works on each machine that has a permit, by the status of any process, until all are done.
+     * Does the maintenance in place of an operator. Each poll reads the status of one process,
+     * checks that at most two machines are out of service, and works on the machines that have a
+     * permit and reports them as done.
      */
     private final class Worker {
         final BalancerFleet fleet;
         final Map<String, String> startedPermits = new HashMap<>();
         final Set<String> finishedMachines = new TreeSet<>();
 
-        /** Far longer than needed, so that a run that hangs fails with the status it waits on. */
+        /**
+         * Much later than the work needs; a run that hangs fails then and shows the status that it
+         * waits on.
+         */
         final long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(100);
 
         Worker(BalancerFleet fleet) {
@@ -116,8 +126,9 @@
     }
 
     /**
-     * Whether all five processes are in the view. If two were missing, the loss of a third would
-     * stop the consensus.
+     * Whether a process has a majority and all five processes are in its view. The test waits for
+     * this before the next fault: if two processes were missing, the loss of a third would stop the
+     * consensus.
      */
     private boolean hasAllMembers(String process) throws Exception {
         JsonNode status = all.status(process, "agreement");
@@ -217,7 +228,8 @@
     }
 
     /**
-     * Isolates a process until the others remove it from the view; it rejects requests meanwhile.
+     * Cuts the links of a process to all others until they remove it from the view. Checks that it
+     * meanwhile loses its majority and its lease and rejects a plan.
      */
     private void isolateUntilRemoved(
             FaultProxy proxy, Worker worker, String isolated, String observer) throws Exception {
